--- a/cmd/controller/main.go
+++ b/cmd/controller/main.go
@@ -76,7 +76,7 @@
 	m, err := controller.New(controller.Parts{Startup: s, Inc: shell.Incarnation(), Fresh: shell.Fresh(), Line: line, Clock: clock.Wall{}, Disk: disk, Log: lg,
 		OnBad:  func(err error) { bad <- err },
 		WallMS: func() int64 { return time.Now().UnixMilli() }})
-	if errors.Is(err, quorum.ErrOwner) {
+	if errors.Is(err, quorum.ErrWrongOwner) {
 		return &shell.StartError{Field: "data", Err: err}
 	}
 	if err != nil {
--- a/cmd/controller/snapshot.go
+++ b/cmd/controller/snapshot.go
@@ -76,7 +76,7 @@
 }
 
 func (a *takeSnapshot) run(out io.Writer) error {
-	var disks []quorum.Stored
+	var disks []quorum.StoredState
 	for _, dir := range a.Data {
 		d, err := readFolder(dir)
 		if err != nil {
@@ -119,7 +119,7 @@
 	if err != nil {
 		return err
 	}
-	if err := errors.Join(quorum.Store(d, s.Items), d.Close()); err != nil {
+	if err := errors.Join(quorum.StoreItems(d, s.Items), d.Close()); err != nil {
 		return err
 	}
 	summarize(out, s)
@@ -127,7 +127,7 @@
 }
 
 // readFolder reads the disk of a stopped controller, from a copy: opening a file mends it.
-func readFolder(dir string) (s quorum.Stored, err error) {
+func readFolder(dir string) (s quorum.StoredState, err error) {
 	raw, err := os.ReadFile(filepath.Join(dir, file))
 	if err != nil {
 		return s, steperr.At("read data", dir, err)
@@ -148,7 +148,7 @@
 	if err := errors.Join(err, d.Close()); err != nil {
 		return s, steperr.At("read data", dir, err)
 	}
-	return quorum.ReadStored(values)
+	return quorum.ReadStoredState(values)
 }
 
 // partial tells that a snapshot may lack something.
--- a/cmd/controller/snapshot_test.go
+++ b/cmd/controller/snapshot_test.go
@@ -107,7 +107,7 @@
 		t.Errorf("a restored disk has seat %v and core %v", v.Seat(), v.Core())
 	}
 	held := map[string]uint64{}
-	for _, it := range v.Merged() {
+	for _, it := range v.LoadedMergeItems() {
 		held[it.Name] = it.Version
 	}
 	if len(held) != 3 || held["r"] != 7 || held["old"] != 9 || held["s"] != 3 {
--- a/internal/commands/change.go
+++ b/internal/commands/change.go
@@ -87,7 +87,7 @@
 		if ch.N%ledger.Whole == 0 {
 			ch.Sheet = &s
 		}
-		if len(ledger.Encode(ch)) > quorum.MaxValue {
+		if len(ledger.Encode(ch)) > quorum.MaxValueBytes {
 			return Result{Outcome: Invalid, Version: f.N, Problems: []spec.Problem{{Path: "edits", Why: "too large in all"}}}
 		}
 		// What is decided closes every gateway that confirms until it is in force. While
--- a/internal/commands/warden.go
+++ b/internal/commands/warden.go
@@ -338,11 +338,11 @@
 		}
 	}
 	w.Faults.At(fault.AfterSeal)
-	need := core.Blocking()
+	need := core.BlockingSize()
 	if next.Epoch == core.Epoch {
 		// Sealed before; only a joiner may still be missing. The continuing seats
 		// together hold what any former majority accepted.
-		need = core.Quorum()
+		need = core.QuorumSize()
 	}
 	if len(from) < need {
 		return false, steperr.New("seal", "", "%d of %d former voters sealed", len(from), need)
@@ -369,7 +369,7 @@
 	w.Prop.Learn(next)
 	// A majority that votes in the newest epoch can be sealed for the one after:
 	// a seat that never joins does not stand in the way of its own replacement.
-	return votes >= next.Quorum(), nil
+	return votes >= next.QuorumSize(), nil
 }
 
 // former lists the voters that a joiner may pull from.
--- a/internal/control/change_test.go
+++ b/internal/control/change_test.go
@@ -361,7 +361,7 @@
 		w.order(base(3), w.controllers)
 		core := w.controllers[0].control().core()
 		voters := lo.Filter(w.controllers, func(m *controllerHost, _ int) bool { _, ok := core.Seat(m.id); return ok })
-		few := mixed(w, voters)[:core.Quorum()-1]
+		few := mixed(w, voters)[:core.QuorumSize()-1]
 		rest := lo.Filter(w.controllers, func(m *controllerHost, _ int) bool { return !lo.Contains(few, m) })
 		for _, a := range few {
 			for _, b := range rest {
--- a/internal/control/core.go
+++ b/internal/control/core.go
@@ -38,7 +38,7 @@
 			return
 		}
 		silent := silentSeats(seats, n.Mesh.Heard())
-		now := coreState{core.Epoch, n.Tolerance.Expose(seats), len(seats)-len(silent) >= core.Quorum()}
+		now := coreState{core.Epoch, n.Tolerance.Expose(seats), len(seats)-len(silent) >= core.QuorumSize()}
 		n.tellCore(told, now, seats, silent)
 		told = now
 	})
--- a/internal/control/departure.go
+++ b/internal/control/departure.go
@@ -139,7 +139,7 @@
 		if len(old) == 0 || n.Voter == nil {
 			continue
 		}
-		if err := n.Voter.Forget(ctx, old); err != nil && ctx.Err() == nil {
+		if err := n.Voter.DropMergeItems(ctx, old); err != nil && ctx.Err() == nil {
 			n.Log.Warn("old leavings not forgotten", "step", "forget", "count", len(old), "err", err)
 		}
 	}
--- a/internal/control/node.go
+++ b/internal/control/node.go
@@ -140,7 +140,7 @@
 		}
 		n.Voter = v
 		v.OnMerge = n.takeMerged
-		n.takeMerged(v.Merged())
+		n.takeMerged(v.LoadedMergeItems())
 		v.Serve(n.Desk)
 	}
 	if p.Notes != nil {
--- a/internal/control/restore_test.go
+++ b/internal/control/restore_test.go
@@ -17,7 +17,7 @@
 			continue
 		}
 		proc := m.Start(w.ctx, "")
-		if err := quorum.Store(&simnet.Handle{D: m.disk.Disk, P: proc, Calm: true}, items); err != nil {
+		if err := quorum.StoreItems(&simnet.Handle{D: m.disk.Disk, P: proc, Calm: true}, items); err != nil {
 			w.t.Fatal(err)
 		}
 		proc.Kill()
--- a/internal/membership/tenant.go
+++ b/internal/membership/tenant.go
@@ -132,7 +132,7 @@
 		}()
 	}
 	yes, calm := 0, 0
-	round := newDutyRound(me.ID, want, core.Quorum(), sent)
+	round := newDutyRound(me.ID, want, core.QuorumSize(), sent)
 	fin := make(chan struct{})
 	take := func(b back) {
 		if b.err != nil {
@@ -156,7 +156,7 @@
 		x.version, x.at = b.r.Version, sent
 		t.tables[b.s.Disk] = x
 		t.mu.Unlock()
-		if yes == core.Quorum() {
+		if yes == core.QuorumSize() {
 			t.granted(sent)
 		}
 		t.mu.Lock()
@@ -170,7 +170,7 @@
 		for range core.Seats {
 			take(<-ch)
 		}
-		t.calm.Store(calm >= core.Quorum())
+		t.calm.Store(calm >= core.QuorumSize())
 		t.merge(core)
 	}()
 	go t.concede(ctx, round, fin)
@@ -282,7 +282,7 @@
 				by[m.ID] = m
 			}
 		}
-		if n++; n == core.Quorum() {
+		if n++; n == core.QuorumSize() {
 			if t.Clock.Now().Sub(from) > tableTime {
 				break
 			}
--- a/internal/quorum/bootstrapper.go
+++ b/internal/quorum/bootstrapper.go
@@ -76,7 +76,7 @@
 		return f.told(a.Epoch), nil
 	})
 	if f.Voter != nil {
-		f.Voter.later.Store(f.Later)
+		f.Voter.refuseNewConsent.Store(f.Later)
 		return
 	}
 	link.On(d, func(_ context.Context, _ link.Who, a FormAsk) (FormTold, error) {
@@ -90,7 +90,7 @@
 	known := f.Prop.Core()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	g, c, ok := f.form.next(known, a, !f.Later)
+	g, c, ok := f.form.afterRequest(known, a, !f.Later)
 	f.form = g
 	f.Prop.Learn(c)
 	return FormTold{OK: ok, By: g.By, Core: known}
--- a/internal/quorum/bootstrapper_test.go
+++ b/internal/quorum/bootstrapper_test.go
@@ -126,7 +126,7 @@
 	} {
 		for i := range 20 {
 			for _, silent := range []bool{false, true} {
-				in(t, func(ctx context.Context, t *testing.T) {
+				runSynctest(t, func(ctx context.Context, t *testing.T) {
 					r := rand.New(rand.NewPCG(uint64(i), 1))
 					g := newForming(ctx, t, x.size, x.seeds...)
 					if silent {
@@ -159,7 +159,7 @@
 }
 
 func TestFirstCoreIsSpreadOverZones(t *testing.T) {
-	in(t, func(ctx context.Context, t *testing.T) {
+	runSynctest(t, func(ctx context.Context, t *testing.T) {
 		g := newForming(ctx, t, 3, "a")
 		for _, p := range []plan{{id: "a", zone: "1"}, {id: "b", zone: "1"}, {id: "c", zone: "2"}, {id: "d", zone: "2"}, {id: "e", zone: "3"}} {
 			p.disk = true
@@ -178,7 +178,7 @@
 
 func TestSmallerFirstCoreAfterPatience(t *testing.T) {
 	for _, x := range []struct{ disks, size, want int }{{4, 5, 3}, {3, 5, 3}, {2, 3, 1}, {1, 3, 1}} {
-		in(t, func(ctx context.Context, t *testing.T) {
+		runSynctest(t, func(ctx context.Context, t *testing.T) {
 			g := newForming(ctx, t, x.size, "a", "m")
 			g.beginAll(append(disks([]string{"a", "b", "c", "d"}[:x.disks]...), plan{id: "m"}))
 			time.Sleep(2900 * time.Millisecond)
@@ -196,7 +196,7 @@
 }
 
 func TestNoFirstCoreWhileASeedIsSilent(t *testing.T) {
-	in(t, func(ctx context.Context, t *testing.T) {
+	runSynctest(t, func(ctx context.Context, t *testing.T) {
 		g := newForming(ctx, t, 3, "a", "b", "m")
 		g.beginAll(disks("a", "b", "c", "d"))
 		time.Sleep(10 * time.Second)
@@ -222,7 +222,7 @@
 // and one node that knows is enough.
 func TestLaterStartFormsNoCore(t *testing.T) {
 	for name, later := range map[string]string{"all": "abcm", "a seed with a disk": "a", "a seed without": "m"} {
-		in(t, func(ctx context.Context, t *testing.T) {
+		runSynctest(t, func(ctx context.Context, t *testing.T) {
 			g := newForming(ctx, t, 3, "a", "m")
 			g.drop = func(from, _ string, ask any) bool {
 				if _, form := ask.(FormAsk); form && strings.Contains(later, from) {
@@ -244,7 +244,7 @@
 			}
 		})
 	}
-	in(t, func(ctx context.Context, t *testing.T) {
+	runSynctest(t, func(ctx context.Context, t *testing.T) {
 		g := newForming(ctx, t, 1, "z")
 		g.begin(plan{id: "a", disk: true, later: true}, nil)
 		v := g.node("a").v
@@ -262,7 +262,7 @@
 func TestFormationCutShort(t *testing.T) {
 	for back, want := range map[string]int{"same": 3, "emptied": 3, "never": 3} {
 		for asks := range 12 {
-			in(t, func(ctx context.Context, t *testing.T) {
+			runSynctest(t, func(ctx context.Context, t *testing.T) {
 				g := newForming(ctx, t, 3, "b", "m", "n")
 				n := 0
 				gone := make(chan *mem, 1)
@@ -315,7 +315,7 @@
 // Two that both propose at once end with one core.
 func TestTwoFormationsAtOnce(t *testing.T) {
 	for i := range 40 {
-		in(t, func(ctx context.Context, t *testing.T) {
+		runSynctest(t, func(ctx context.Context, t *testing.T) {
 			r := rand.New(rand.NewPCG(uint64(i), 2))
 			g := newForming(ctx, t, 3, "m", "n", "f")
 			// For a while the lower half and the upper half are not told of each other.
@@ -341,7 +341,7 @@
 // Once a core is known a node sends one question in two seconds, and still hears of
 // a newer core, and tells a seed of it.
 func TestKnownCoreIsRecheckedCheaply(t *testing.T) {
-	in(t, func(ctx context.Context, t *testing.T) {
+	runSynctest(t, func(ctx context.Context, t *testing.T) {
 		g := newForming(ctx, t, 3, "a", "b", "m")
 		g.beginAll(append(disks("a", "b", "c"), plan{id: "m"}, plan{id: "f"}))
 		time.Sleep(5 * time.Second)
@@ -371,7 +371,7 @@
 // every seed would have to consent to both.
 func TestDisjointFormationsNeverBothStand(t *testing.T) {
 	for _, gap := range []time.Duration{-1, 0, 1, 2, 3, 4, 5, 8} {
-		in(t, func(ctx context.Context, t *testing.T) {
+		runSynctest(t, func(ctx context.Context, t *testing.T) {
 			g := newForming(ctx, t, 3, "m", "n")
 			for _, id := range []string{"m", "n"} {
 				g.begin(plan{id: id}, nil)
@@ -429,7 +429,7 @@
 // Of formations whose proposers are gone the highest comes first: only so is one that
 // stands in the way of another found out and dropped.
 func TestProposalTakesOverInOrder(t *testing.T) {
-	in(t, func(ctx context.Context, t *testing.T) {
+	runSynctest(t, func(ctx context.Context, t *testing.T) {
 		g := newForming(ctx, t, 1, "m")
 		n := g.boot("c", "", nil)
 		f := &Bootstrapper{Seeds: g.seeds, Self: "c", Size: 1, Clock: ice{n: n}, Prop: n.p, Voter: n.v}
--- a/internal/quorum/city_test.go
+++ b/internal/quorum/city_test.go
@@ -160,7 +160,7 @@
 func (c *city) boot(id, zone string, m *mem) *node {
 	c.t.Helper()
 	if m == nil {
-		m = newMem()
+		m = newMemDisk()
 	}
 	c.mu.Lock()
 	c.lives++
@@ -174,7 +174,7 @@
 		c.t.Fatal(err)
 	}
 	n.v, n.seat = v, v.Seat()
-	for _, it := range v.Merged() {
+	for _, it := range v.LoadedMergeItems() {
 		n.news[it.Key] = it
 	}
 	v.OnMerge = func(its []item.Item) {
@@ -313,7 +313,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for id, n := range c.nodes {
-		if k := n.v.Core(); k.Epoch == core.Epoch && n.v.seated(core) {
+		if k := n.v.Core(); k.Epoch == core.Epoch && n.v.hasSeatIn(core) {
 			ids = append(ids, id)
 		}
 	}
@@ -325,11 +325,11 @@
 func (n *node) holds(k item.Key) item.Item {
 	n.mem.mu.Lock()
 	defer n.mem.mu.Unlock()
-	b, ok := n.mem.m[mergeKey(k)]
+	b, ok := n.mem.values[mergeDiskKey(k)]
 	if !ok {
 		return item.Item{}
 	}
-	it, err := unpackMerge(mergeKey(k), b)
+	it, err := decodeMergeItem(mergeDiskKey(k), b)
 	if err != nil {
 		n.c.t.Error(err)
 	}
@@ -340,7 +340,7 @@
 // least as new.
 func (c *city) holders(it item.Item) (n int) {
 	for _, id := range c.voting() {
-		if !newer(it, c.node(id).holds(it.Key)) {
+		if !supersedes(it, c.node(id).holds(it.Key)) {
 			n++
 		}
 	}
@@ -356,7 +356,7 @@
 		c.t.Errorf("%s: only %v vote in %+v", when, v, core)
 	}
 	for _, it := range items {
-		if n := c.holders(it); n < core.Quorum() {
+		if n := c.holders(it); n < core.QuorumSize() {
 			c.t.Errorf("%s: %d of %d hold %v", when, n, len(core.Seats), it.Key)
 		}
 	}
@@ -365,7 +365,7 @@
 		news := maps.Clone(n.news)
 		n.mu.Unlock()
 		for k, it := range news {
-			if h := n.holds(k); newer(it, h) || newer(h, it) {
+			if h := n.holds(k); supersedes(it, h) || supersedes(h, it) {
 				c.t.Errorf("%s: %s was told %v, its disk holds %v", when, id, it, h)
 			}
 		}
--- a/internal/quorum/decision.go
+++ b/internal/quorum/decision.go
@@ -11,79 +11,79 @@
 	"walkrudder/internal/item"
 )
 
-// maxPast bounds the earlier versions of one name whose contents are remembered.
-const maxPast = 32
+// maxPastVersions bounds the number of earlier versions per item whose content digests are kept.
+const maxPastVersions = 32
 
-// PastVersion is an earlier version of an item, and the digest of the one content that
-// it may have.
+// PastVersion is an earlier version of an item with the digest of the only content that
+// this version may have.
 type PastVersion struct {
 	Version uint64
 	Digest  string
 }
 
-// Decision is the value of one item's register: the newest item, and which contents the
-// versions before it have (design 20.4).
+// Decision is the value of an item register: the newest item and the contents of its
+// earlier versions (design 20.4).
 type Decision struct {
-	Item item.Item // of no kind where nothing was decided
-	// Call names the call that offered the item, by the digest of all that it held; "" is not
-	// known.
+	Item item.Item // zero Kind if nothing was decided
+	// Call identifies the call that proposed the item, as a digest of all items of that call;
+	// empty if unknown.
 	Call string
 	Past []PastVersion
 }
 
-// Decided tells whether there is an item at all.
+// Decided reports whether the register holds an item.
 func (d Decision) Decided() bool { return d.Item.Kind != 0 }
 
-// verdict is what a register says of an item that is offered to it.
-type verdict uint8
+// offerOutcome is the result of offering an item to a register.
+type offerOutcome uint8
 
 const (
-	// taken is an item that becomes the newest.
-	taken verdict = iota
-	// repeated is one that is the newest, or was.
-	repeated
-	// overtaken is one below the newest, of whose version nothing was known: it changes
-	// nothing but that its version has this content from now on.
-	overtaken
-	// conflicting is one whose version has another content.
-	conflicting
+	// offerTaken means that the item becomes the newest.
+	offerTaken offerOutcome = iota
+	// offerRepeated means that the item is the newest or was so before.
+	offerRepeated
+	// offerSuperseded means that the item is older than the newest and its version was unknown.
+	// Only the digest of that version's content is added.
+	offerSuperseded
+	// offerConflicting means that the item's version already has another content.
+	offerConflicting
 )
 
-// offer tells what becomes of the register when a call offers an item to it.
-func (d Decision) offer(it item.Item, call string) (Decision, verdict) {
+// afterOffer returns the decision after a call offers an item to the register, and the outcome.
+func (d Decision) afterOffer(it item.Item, call string) (Decision, offerOutcome) {
 	switch c := cmp.Compare(it.Version, d.Item.Version); {
 	case !d.Decided():
-		return Decision{Item: it, Call: call}, taken
+		return Decision{Item: it, Call: call}, offerTaken
 	case c > 0:
-		return Decision{Item: it, Call: call, Past: withPast(d.Past, PastVersion{d.Item.Version, d.Item.Digest()})}, taken
+		return Decision{Item: it, Call: call, Past: addPastVersion(d.Past, PastVersion{d.Item.Version, d.Item.Digest()})}, offerTaken
 	case c == 0 && it.Same(d.Item):
-		return d, repeated
+		return d, offerRepeated
 	case c == 0:
-		return d, conflicting
+		return d, offerConflicting
 	}
 	i, found := slices.BinarySearchFunc(d.Past, it.Version, func(p PastVersion, v uint64) int { return cmp.Compare(p.Version, v) })
 	switch {
 	case found && d.Past[i].Digest == it.Digest():
-		return d, repeated
+		return d, offerRepeated
 	case found:
-		return d, conflicting
-	case i == 0 && len(d.Past) >= maxPast:
-		// Older than all that is remembered: it changes nothing, whatever it holds.
-		return d, repeated
+		return d, offerConflicting
+	case i == 0 && len(d.Past) >= maxPastVersions:
+		// Older than every version still remembered: ignored, whatever its content.
+		return d, offerRepeated
 	}
-	return Decision{Item: d.Item, Call: d.Call, Past: withPast(d.Past, PastVersion{it.Version, it.Digest()})}, overtaken
+	return Decision{Item: d.Item, Call: d.Call, Past: addPastVersion(d.Past, PastVersion{it.Version, it.Digest()})}, offerSuperseded
 }
 
-// withPast is past with one more version, without the oldest where that is too many.
-func withPast(past []PastVersion, p PastVersion) []PastVersion {
+// addPastVersion returns a copy of past with p added, without the oldest version if the limit is exceeded.
+func addPastVersion(past []PastVersion, p PastVersion) []PastVersion {
 	out := append(slices.Clone(past), p)
 	slices.SortFunc(out, func(a, b PastVersion) int { return cmp.Compare(a.Version, b.Version) })
-	return out[max(0, len(out)-maxPast):]
+	return out[max(0, len(out)-maxPastVersions):]
 }
 
-// under is the decision where an item is known to be decided: an older one that was only
-// accepted here gives way to it.
-func (d Decision) under(it item.Item) Decision {
+// withDecidedItem returns the decision once an item is known to be decided: the item
+// replaces an older one that was only accepted by this voter.
+func (d Decision) withDecidedItem(it item.Item) Decision {
 	switch {
 	case d.Decided() && it.Version < d.Item.Version:
 		return d
@@ -94,8 +94,8 @@
 	return d
 }
 
-// callOf is the digest of all that a call holds, in whatever order.
-func callOf(items []item.Item) string {
+// callDigest returns a digest of all items of a call, independent of their order.
+func callDigest(items []item.Item) string {
 	lines := make([]string, 0, len(items))
 	for _, it := range items {
 		lines = append(lines, fmt.Sprintf("%d %q %d %s", it.Kind, it.Name, it.Version, it.Digest()))
@@ -105,21 +105,21 @@
 	return hex.EncodeToString(sum[:8])
 }
 
-// record is the state of one item's register at one voter.
+// record is one voter's state of one item register.
 type record struct {
 	Promised Ballot
 	Accepted Ballot
 	Decision Decision
-	// bodiless says, in a transfer only, that the body of the decision's item was left out: it
-	// is that of the merge item which the same voter tells.
-	bodiless bool
+	// bodyOmitted is only set during a transfer: the body of the decision's item was left out
+	// because the merge item that the same voter sends has it.
+	bodyOmitted bool
 }
 
-// join is what a seat holds that has both records: the decision of the higher ballot, and
-// every promise.
-func (r record) join(o record) record {
+// combine returns the state of a seat that holds both records: the decision of the higher
+// ballot, and the highest promise.
+func (r record) combine(o record) record {
 	if o.Accepted.Compare(r.Accepted) > 0 {
-		r.Accepted, r.Decision, r.bodiless = o.Accepted, o.Decision, o.bodiless
+		r.Accepted, r.Decision, r.bodyOmitted = o.Accepted, o.Decision, o.bodyOmitted
 	}
 	if o.Promised.Compare(r.Promised) > 0 {
 		r.Promised = o.Promised
--- a/internal/quorum/decisioncode.go
+++ b/internal/quorum/decisioncode.go
@@ -7,115 +7,115 @@
 	"walkrudder/internal/item"
 )
 
-// Records of item registers have a key space of their own on the disk.
+// Item register records have their own key prefix on disk.
 const (
 	recordPrefix = "d/"
-	// recordForm is the version of the encoding of one record.
-	recordForm = 1
-	// The flags of a record: it holds an item, that item is a tombstone, and its body is
-	// the one of the merge item of the same name, which is not written twice.
-	recordDecided = 1 << 0
-	recordGone    = 1 << 1
-	recordMerged  = 1 << 2
+	// recordFormat is the version of the encoding of one record.
+	recordFormat = 1
+	// Flags of a record: an item was decided; the item is a tombstone; the body is omitted
+	// because the merge item of the same name holds it.
+	recordDecided     = 1 << 0
+	recordTombstone   = 1 << 1
+	recordBodyOmitted = 1 << 2
 )
 
-var errRecordForm = errors.New("not the record of an item's register")
+var errRecordFormat = errors.New("invalid item register record")
 
-func recordKey(k item.Key) string { return keyUnder(recordPrefix, k) }
+func recordDiskKey(k item.Key) string { return itemDiskKey(recordPrefix, k) }
 
-// packRecord writes what the disk key does not say. Where merged is set the body is left
-// out: the merge item of the same name holds it.
-func packRecord(r record, merged bool) []byte {
+// encodeRecord encodes all parts of a record that the disk key does not contain. With omitBody
+// set, the body is left out because the merge item of the same name holds it.
+func encodeRecord(r record, omitBody bool) []byte {
 	flags := byte(0)
 	if r.Decision.Decided() {
 		flags |= recordDecided
 	}
 	if r.Decision.Item.Gone {
-		flags |= recordGone
+		flags |= recordTombstone
 	}
-	if merged {
-		flags |= recordMerged
+	if omitBody {
+		flags |= recordBodyOmitted
 	}
-	b := []byte{recordForm, flags}
+	b := []byte{recordFormat, flags}
 	for _, ballot := range []Ballot{r.Promised, r.Accepted} {
 		b = binary.AppendUvarint(b, ballot.N)
-		b = appendText(b, ballot.By)
+		b = appendString(b, ballot.By)
 	}
-	b = appendText(b, r.Decision.Call)
+	b = appendString(b, r.Decision.Call)
 	b = binary.AppendUvarint(b, r.Decision.Item.Version)
 	b = binary.AppendUvarint(b, uint64(len(r.Decision.Past)))
 	for _, p := range r.Decision.Past {
 		b = binary.AppendUvarint(b, p.Version)
-		b = appendText(b, p.Digest)
+		b = appendString(b, p.Digest)
 	}
-	if merged {
+	if omitBody {
 		return b
 	}
 	return append(b, r.Decision.Item.Body...)
 }
 
-func appendText(b []byte, s string) []byte {
+func appendString(b []byte, s string) []byte {
 	return append(binary.AppendUvarint(b, uint64(len(s))), s...)
 }
 
-// recordReader reads the parts of a record one after the other; the first that is not
-// there spoils all that come after it.
+// recordReader reads the fields of a record in sequence. After the first read that fails, all
+// further reads fail.
 type recordReader struct {
-	left []byte
-	bad  bool
+	rest   []byte
+	failed bool
 }
 
-func (r *recordReader) number() uint64 {
-	n, width := binary.Uvarint(r.left)
+func (r *recordReader) readUvarint() uint64 {
+	n, width := binary.Uvarint(r.rest)
 	if width <= 0 {
-		r.bad, r.left = true, nil
+		r.failed, r.rest = true, nil
 		return 0
 	}
-	r.left = r.left[width:]
+	r.rest = r.rest[width:]
 	return n
 }
 
-func (r *recordReader) text() string {
-	n := r.number()
-	if n > uint64(len(r.left)) {
-		r.bad, r.left = true, nil
+func (r *recordReader) readString() string {
+	n := r.readUvarint()
+	if n > uint64(len(r.rest)) {
+		r.failed, r.rest = true, nil
 		return ""
 	}
-	s := string(r.left[:n])
-	r.left = r.left[n:]
+	s := string(r.rest[:n])
+	r.rest = r.rest[n:]
 	return s
 }
 
-// unpackRecord reads a record from its disk key and value. merged says that the body is
-// that of the merge item of the same name.
-func unpackRecord(key string, b []byte) (r record, k item.Key, merged bool, err error) {
-	k, ok := keyOf(recordPrefix, key)
-	if !ok || len(b) < 2 || b[0] != recordForm {
-		return r, k, false, errRecordForm
+// decodeRecord decodes a record from its disk key and value. bodyOmitted reports that the body
+// is that of the merge item of the same name.
+func decodeRecord(key string, b []byte) (r record, k item.Key, bodyOmitted bool, err error) {
+	k, ok := parseItemDiskKey(recordPrefix, key)
+	if !ok || len(b) < 2 || b[0] != recordFormat {
+		return r, k, false, errRecordFormat
 	}
 	flags := b[1]
-	in := recordReader{left: b[2:]}
+	in := recordReader{rest: b[2:]}
 	for _, ballot := range []*Ballot{&r.Promised, &r.Accepted} {
-		ballot.N, ballot.By = in.number(), in.text()
+		ballot.N, ballot.By = in.readUvarint(), in.readString()
 	}
-	r.Decision.Call = in.text()
-	r.Decision.Item.Version = in.number()
-	past := in.number()
-	if in.bad || past > maxPast {
-		return r, k, false, errRecordForm
+	r.Decision.Call = in.readString()
+	r.Decision.Item.Version = in.readUvarint()
+	past := in.readUvarint()
+	if in.failed || past > maxPastVersions {
+		return r, k, false, errRecordFormat
 	}
 	for range past {
-		r.Decision.Past = append(r.Decision.Past, PastVersion{in.number(), in.text()})
+		r.Decision.Past = append(r.Decision.Past, PastVersion{in.readUvarint(), in.readString()})
 	}
-	if in.bad {
-		return r, k, false, errRecordForm
+	if in.failed {
+		return r, k, false, errRecordFormat
 	}
 	if flags&recordDecided != 0 {
-		r.Decision.Item.Key, r.Decision.Item.Gone = k, flags&recordGone != 0
+		r.Decision.Item.Key, r.Decision.Item.Gone = k, flags&recordTombstone != 0
 	}
-	merged = flags&recordMerged != 0
-	if len(in.left) > 0 && !merged {
-		r.Decision.Item.Body = in.left
+	bodyOmitted = flags&recordBodyOmitted != 0
+	if len(in.rest) > 0 && !bodyOmitted {
+		r.Decision.Item.Body = in.rest
 	}
-	return r, k, merged, nil
+	return r, k, bodyOmitted, nil
 }
--- a/internal/quorum/domain_test.go
+++ b/internal/quorum/domain_test.go
@@ -44,7 +44,7 @@
 		"it bears what it is to now": {Tolerance{Machines: 2, Zones: 1}, 5, []string{"a1", "a2", "b1", "b2", "c1", "d1"}, []string{"a1", "a2", "b1", "b2", "c1"}, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
-			in(t, func(ctx context.Context, t *testing.T) {
+			runSynctest(t, func(ctx context.Context, t *testing.T) {
 				c := zoned(ctx, t, x.tolerance, x.seats, x.ids...)
 				its := items(20)
 				c.merge(x.ids[0], its...)
@@ -69,7 +69,7 @@
 func TestASeatIsNotLentToWhereTheCoreBearsLess(t *testing.T) {
 	for name, keeps := range map[string]bool{"with its disk": true, "with an empty one": false} {
 		t.Run(name, func(t *testing.T) {
-			in(t, func(ctx context.Context, t *testing.T) {
+			runSynctest(t, func(ctx context.Context, t *testing.T) {
 				c := zoned(ctx, t, Tolerance{Zones: 1}, 3, "a1", "b1", "c1", "b2", "c2")
 				its := items(20)
 				c.merge("a1", its...)
@@ -141,7 +141,7 @@
 		"the third zone comes late":    {time.Minute, []string{"a1", "a2", "b1"}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			in(t, func(ctx context.Context, t *testing.T) {
+			runSynctest(t, func(ctx context.Context, t *testing.T) {
 				g := newForming(ctx, t, 3, "a1", "a2", "b1")
 				g.tolerance = Tolerance{Zones: 1}
 				for _, id := range []string{"a1", "a2", "b1", "c1"} {
@@ -178,7 +178,7 @@
 		"it bears what it is to":     {Tolerance{Machines: 1}, 3, 3, []string{"a1", "b1", "c1", "d1", "e1"}, []string{"a1", "b1", "c1"}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			in(t, func(ctx context.Context, t *testing.T) {
+			runSynctest(t, func(ctx context.Context, t *testing.T) {
 				c := newCity(ctx, t)
 				c.tolerance, c.size = x.tolerance, x.size
 				for _, id := range x.ids {
--- a/internal/quorum/formation.go
+++ b/internal/quorum/formation.go
@@ -50,7 +50,7 @@
 			yes++
 		}
 	}
-	if yes == len(seats) || late && yes >= p.Core.Quorum() {
+	if yes == len(seats) || late && yes >= p.Core.QuorumSize() {
 		// Nobody else can form, so this core stands even if the seal reaches only one
 		// of them now. A seat that is not there yet joins later, like any other.
 		a.Seal = true
--- a/internal/quorum/handover.go
+++ b/internal/quorum/handover.go
@@ -82,9 +82,9 @@
 	}
 	wg.Wait()
 	w.settled, w.open = next.Epoch, open
-	if votes < next.Quorum() {
+	if votes < next.QuorumSize() {
 		w.settled = 0
-		return steperr.New("join", "", "%d seats of epoch %d vote, need %d", votes, next.Epoch, next.Quorum())
+		return steperr.New("join", "", "%d seats of epoch %d vote, need %d", votes, next.Epoch, next.QuorumSize())
 	}
 	return nil
 }
@@ -164,15 +164,15 @@
 	of := func(seats []Seat) []Seat {
 		return lo.Filter(seats, func(s Seat, _ int) bool { return at[s.Disk] })
 	}
-	if own := of(next.Seats); len(own) >= next.Quorum() {
-		return source{own, next.Quorum()}, nil
+	if own := of(next.Seats); len(own) >= next.QuorumSize() {
+		return source{own, next.QuorumSize()}, nil
 	}
 	before := Core{Seats: next.Before}
 	sealed := of(next.Before)
-	if len(next.Before) > 0 && len(sealed) >= before.Blocking() {
-		return source{sealed, before.Blocking()}, nil
+	if len(next.Before) > 0 && len(sealed) >= before.BlockingSize() {
+		return source{sealed, before.BlockingSize()}, nil
 	}
-	return source{}, steperr.New("seal", "", "%d of %d voters sealed for epoch %d", len(sealed), before.Blocking(), next.Epoch)
+	return source{}, steperr.New("seal", "", "%d of %d voters sealed for epoch %d", len(sealed), before.BlockingSize(), next.Epoch)
 }
 
 // nearest picks from whom s pulls: its own zone first, for what crosses zones is
--- a/internal/quorum/join_bench_test.go
+++ b/internal/quorum/join_bench_test.go
@@ -14,7 +14,7 @@
 	"walkrudder/internal/link"
 )
 
-// The size that is planned for: routes and other items with their bodies, and tombstones.
+// The planned size of a deployment: routes, other items, tombstones, and the bytes of a body.
 const (
 	plannedRoutes     = 6600
 	plannedItems      = 17000
@@ -23,35 +23,35 @@
 	itemBytes         = 150
 )
 
-// meteredLine asks voters of one process and measures their answers to one asker.
-type meteredLine struct {
-	mu      sync.Mutex
-	desks   map[string]*link.Desk
-	pages   int
-	bytes   int
-	longest time.Duration
+// meteredClient calls voters of the same process and measures the pages of a transfer.
+type meteredClient struct {
+	mu          sync.Mutex
+	desks       map[string]*link.Desk
+	pages       int
+	bytes       int
+	longestPage time.Duration
 }
 
-func (l *meteredLine) Call(ctx context.Context, addr string, ask any) (any, error) {
-	began := time.Now()
-	told, err := l.desks[addr].Answer(ctx, link.Who{ID: "bench"}, ask)
-	took := time.Since(began)
+func (l *meteredClient) Call(ctx context.Context, addr string, ask any) (any, error) {
+	start := time.Now()
+	answer, err := l.desks[addr].Answer(ctx, link.Who{ID: "bench"}, ask)
+	took := time.Since(start)
 	switch ask.(type) {
 	case ListAsk, RecordsAsk, MergedAsk:
 		l.mu.Lock()
 		defer l.mu.Unlock()
 		l.pages++
-		l.bytes += len(pack(told))
-		l.longest = max(l.longest, took)
+		l.bytes += len(encodeGob(answer))
+		l.longestPage = max(l.longestPage, took)
 	}
-	return told, err
+	return answer, err
 }
 
-// benchVoters starts voters that know no core yet.
-func benchVoters(b *testing.B, ctx context.Context, l *meteredLine, ids ...string) (all []*Voter) {
+// startBenchVoters starts voters on empty disks that do not know a core yet.
+func startBenchVoters(b *testing.B, ctx context.Context, l *meteredClient, ids ...string) (all []*Voter) {
 	b.Helper()
 	for _, id := range ids {
-		v, err := NewVoter(Seat{ID: id, Addr: id}, newMem(), "disk-"+id, l, nil, nil)
+		v, err := NewVoter(Seat{ID: id, Addr: id}, newMemDisk(), "disk-"+id, l, nil, nil)
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -64,7 +64,7 @@
 	return all
 }
 
-// plannedState is the whole configuration at the planned size.
+// plannedState returns the whole configuration at the planned size.
 func plannedState() (out []item.Item) {
 	add := func(kind item.Kind, name string, count, size int, gone bool) {
 		for i := range count {
@@ -81,14 +81,14 @@
 	return out
 }
 
-// BenchmarkJoin has an empty disk take a seat of a core at the planned size, and tells what that
-// takes: pages and bytes over the network, the longest page (for so long a change waits at a voter
-// that is pulled from), and what the joiner holds afterwards.
+// BenchmarkJoin measures how an empty disk takes a seat of a core at the planned size: pages and
+// bytes over the network, the longest page (which delays any change at the voter that it is pulled
+// from by as much), and the heap that the joining voter holds afterwards.
 func BenchmarkJoin(b *testing.B) {
-	ctx, end := context.WithCancel(context.Background())
-	defer end()
-	l := &meteredLine{desks: map[string]*link.Desk{}}
-	voters := benchVoters(b, ctx, l, "a", "b", "c")
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
+	l := &meteredClient{desks: map[string]*link.Desk{}}
+	voters := startBenchVoters(b, ctx, l, "a", "b", "c")
 	core := Core{Epoch: 1}
 	for _, v := range voters {
 		core.Seats = append(core.Seats, v.Seat())
@@ -102,9 +102,9 @@
 	}
 	p := NewProposer("bench", l, clock.Wall{})
 	p.Learn(core)
-	stands, err := p.Decide(ctx, plannedState())
+	decided, err := p.Decide(ctx, plannedState())
 	if err == nil {
-		err = p.Merge(ctx, stands)
+		err = p.Merge(ctx, decided)
 	}
 	if err != nil {
 		b.Fatal(err)
@@ -114,7 +114,7 @@
 	for b.Loop() {
 		epoch++
 		id := fmt.Sprint("joiner", epoch)
-		joiner := benchVoters(b, ctx, l, id)[0]
+		joiner := startBenchVoters(b, ctx, l, id)[0]
 		next := Core{Epoch: epoch, After: epoch - 1, Seats: []Seat{core.Seats[0], core.Seats[1], joiner.Seat()}, Before: core.Seats}
 		for _, s := range core.Seats[:2] {
 			if _, err := l.Call(ctx, s.Addr, SealAsk{Next: next}); err != nil {
@@ -124,9 +124,9 @@
 		var before, after runtime.MemStats
 		runtime.GC()
 		runtime.ReadMemStats(&before)
-		told, err := l.Call(ctx, id, JoinAsk{Next: next, From: core.Seats[:2]})
-		if err != nil || !told.(JoinTold).OK {
-			b.Fatal(told, err)
+		answer, err := l.Call(ctx, id, JoinAsk{Next: next, From: core.Seats[:2]})
+		if err != nil || !answer.(JoinTold).OK {
+			b.Fatal(answer, err)
 		}
 		runtime.GC()
 		runtime.ReadMemStats(&after)
@@ -137,6 +137,6 @@
 	n := float64(b.N)
 	b.ReportMetric(float64(l.pages)/n, "pages/op")
 	b.ReportMetric(float64(l.bytes)/n/1e6, "MB-sent/op")
-	b.ReportMetric(float64(l.longest.Microseconds())/1e3, "ms-longest-page")
+	b.ReportMetric(float64(l.longestPage.Microseconds())/1e3, "ms-longest-page")
 	b.ReportMetric(float64(heap)/n/1e6, "MB-held/op")
 }
--- a/internal/quorum/lab_test.go
+++ b/internal/quorum/lab_test.go
@@ -12,20 +12,20 @@
 	"walkrudder/internal/storage"
 )
 
-// mem is a disk in memory that can fail.
+// mem is an in-memory disk whose commits can be made to fail.
 type mem struct {
-	mu   sync.Mutex
-	m    map[string][]byte
-	fail bool
+	mu      sync.Mutex
+	values  map[string][]byte
+	failing bool
 }
 
-func newMem() *mem { return &mem{m: map[string][]byte{}} }
+func newMemDisk() *mem { return &mem{values: map[string][]byte{}} }
 
 func (d *mem) Load() (map[string][]byte, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	out := map[string][]byte{}
-	for k, v := range d.m {
+	for k, v := range d.values {
 		out[k] = v
 	}
 	return out, nil
@@ -34,14 +34,14 @@
 func (d *mem) Commit(ps []storage.Put) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.fail {
+	if d.failing {
 		return errors.New("input/output error")
 	}
 	for _, p := range ps {
 		if p.Value == nil {
-			delete(d.m, p.Key)
+			delete(d.values, p.Key)
 		} else {
-			d.m[p.Key] = p.Value
+			d.values[p.Key] = p.Value
 		}
 	}
 	return nil
@@ -49,67 +49,67 @@
 
 func (d *mem) Close() error { return nil }
 
-// breaks makes every sync fail from now on, or none.
-func (d *mem) breaks(on bool) {
+// setFailing makes all further commits fail, or succeed again.
+func (d *mem) setFailing(on bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.fail = on
+	d.failing = on
 }
 
-// lab is a core whose voters can be reached or not, one by one, and by kind of
-// question.
-type lab struct {
-	t     *testing.T
-	ctx   context.Context
-	mu    sync.Mutex
-	desks map[string]*link.Desk
-	vs    map[string]*Voter
-	shut  func(addr string, ask any) bool
-	core  Core
+// voterCluster is a core of voters. Each can be made unreachable, also for some kinds of
+// requests only.
+type voterCluster struct {
+	t           *testing.T
+	ctx         context.Context
+	mu          sync.Mutex
+	desks       map[string]*link.Desk
+	voters      map[string]*Voter
+	unreachable func(addr string, ask any) bool
+	core        Core
 }
 
-func (l *lab) Call(ctx context.Context, addr string, ask any) (any, error) {
+func (l *voterCluster) Call(ctx context.Context, addr string, ask any) (any, error) {
 	l.mu.Lock()
-	d, shut := l.desks[addr], l.shut
+	desk, unreachable := l.desks[addr], l.unreachable
 	l.mu.Unlock()
-	if d == nil || shut != nil && shut(addr, ask) {
-		return nil, errors.New("no way")
+	if desk == nil || unreachable != nil && unreachable(addr, ask) {
+		return nil, errors.New("unreachable")
 	}
-	// Some time passes, so that what happens at once is told apart.
+	// A delay per request, so that events that follow each other get different times.
 	if err := (clock.Wall{}).Sleep(ctx, time.Millisecond); err != nil {
 		return nil, err
 	}
-	return d.Answer(ctx, link.Who{ID: "t"}, ask)
+	return desk.Answer(ctx, link.Who{ID: "t"}, ask)
 }
 
-func (l *lab) close(f func(addr string, ask any) bool) {
+func (l *voterCluster) setUnreachable(f func(addr string, ask any) bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.shut = f
+	l.unreachable = f
 }
 
-// voter starts, or starts again, the voter id on a disk.
-func (l *lab) voter(id string, d storage.Disk, fresh string) *Voter {
+// startVoter starts or restarts the voter id on a disk.
+func (l *voterCluster) startVoter(id string, d storage.Disk, newIncarnation string) *Voter {
 	l.t.Helper()
-	v, err := NewVoter(Seat{ID: id, Addr: id}, d, fresh, l, nil, nil)
+	v, err := NewVoter(Seat{ID: id, Addr: id}, d, newIncarnation, l, nil, nil)
 	if err != nil {
 		l.t.Fatal(err)
 	}
-	k := link.NewDesk()
-	v.Serve(k)
+	desk := link.NewDesk()
+	v.Serve(desk)
 	l.mu.Lock()
-	l.desks[id], l.vs[id] = k, v
+	l.desks[id], l.voters[id] = desk, v
 	l.mu.Unlock()
 	go v.Run(l.ctx)
 	return v
 }
 
-func newLab(ctx context.Context, t *testing.T) (*lab, map[string]*mem) {
-	l := &lab{t: t, ctx: ctx, desks: map[string]*link.Desk{}, vs: map[string]*Voter{}, core: Core{Epoch: 1}}
-	ds := map[string]*mem{}
+func newVoterCluster(ctx context.Context, t *testing.T) (*voterCluster, map[string]*mem) {
+	l := &voterCluster{t: t, ctx: ctx, desks: map[string]*link.Desk{}, voters: map[string]*Voter{}, core: Core{Epoch: 1}}
+	memDisks := map[string]*mem{}
 	for _, id := range []string{"a", "b", "c"} {
-		ds[id] = newMem()
-		l.core.Seats = append(l.core.Seats, l.voter(id, ds[id], "disk-"+id).Seat())
+		memDisks[id] = newMemDisk()
+		l.core.Seats = append(l.core.Seats, l.startVoter(id, memDisks[id], "disk-"+id).Seat())
 	}
 	for _, seal := range []bool{false, true} {
 		for _, s := range l.core.Seats {
@@ -118,23 +118,23 @@
 			}
 		}
 	}
-	return l, ds
+	return l, memDisks
 }
 
-func (l *lab) prop(by string) *Proposer {
+func (l *voterCluster) newProposer(by string) *Proposer {
 	p := NewProposer(by, l, clock.Wall{})
 	p.Learn(l.core)
 	return p
 }
 
-func (l *lab) set(p *Proposer, k, v string) {
+func (l *voterCluster) mustSet(p *Proposer, k, v string) {
 	l.t.Helper()
 	if _, err := p.Change(l.ctx, k, func([]byte) ([]byte, error) { return []byte(v), nil }); err != nil {
 		l.t.Fatal(err)
 	}
 }
 
-func (l *lab) get(p *Proposer, k string) string {
+func (l *voterCluster) mustGet(p *Proposer, k string) string {
 	l.t.Helper()
 	v, err := p.Read(l.ctx, k)
 	if err != nil && !Nothing(err) {
@@ -143,11 +143,11 @@
 	return string(v)
 }
 
-// copy is what one voter holds of an item.
-func (l *lab) copy(id, k string) string {
+// valueAt returns the value that one voter holds for key k.
+func (l *voterCluster) valueAt(id, k string) string {
 	var it Item
-	v := l.vs[id]
-	if err := v.do(l.ctx, func() { it = v.items[k] }); err != nil {
+	v := l.voters[id]
+	if err := v.do(l.ctx, func() { it = v.registers[k] }); err != nil {
 		l.t.Fatal(err)
 	}
 	return string(it.Value)
--- a/internal/quorum/mergecode.go
+++ b/internal/quorum/mergecode.go
@@ -9,62 +9,62 @@
 	"walkrudder/internal/item"
 )
 
-// Merge items have a key space of their own on the disk. A register's disk key
-// starts with another prefix, so that no register can fall here.
+// Merge items have their own key prefix on disk, which differs from the prefix of the
+// keyed registers, so that keys of the two never collide.
 const (
 	mergePrefix = "m/"
-	// mergeForm is the version of the encoding of one merge item. Hand-written,
-	// since gob would describe its type again in each of some thousand values.
-	mergeForm = 1
-	mergeGone = 1
+	// mergeFormat is the version of the encoding of one merge item. The encoding is written
+	// by hand because gob would repeat its type description in each of several thousand values.
+	mergeFormat    = 1
+	mergeTombstone = 1
 )
 
-var errMergeForm = errors.New("not a merge item")
+var errMergeFormat = errors.New("invalid merge item encoding")
 
-// mergeKey is the disk key of a merge item.
-func mergeKey(k item.Key) string { return keyUnder(mergePrefix, k) }
+// mergeDiskKey returns the disk key of a merge item.
+func mergeDiskKey(k item.Key) string { return itemDiskKey(mergePrefix, k) }
 
-// keyUnder is the disk key of an item in a key space.
-func keyUnder(prefix string, k item.Key) string {
+// itemDiskKey returns the disk key of an item under a prefix.
+func itemDiskKey(prefix string, k item.Key) string {
 	return prefix + strconv.Itoa(int(k.Kind)) + "/" + k.Name
 }
 
-// keyOf reads what keyUnder wrote.
-func keyOf(prefix, key string) (item.Key, bool) {
-	rest, under := strings.CutPrefix(key, prefix)
+// parseItemDiskKey is the inverse of itemDiskKey.
+func parseItemDiskKey(prefix, key string) (item.Key, bool) {
+	rest, hasPrefix := strings.CutPrefix(key, prefix)
 	kind, name, ok := strings.Cut(rest, "/")
 	n, err := strconv.ParseUint(kind, 10, 8)
-	return item.Key{Kind: item.Kind(n), Name: name}, under && ok && err == nil
+	return item.Key{Kind: item.Kind(n), Name: name}, hasPrefix && ok && err == nil
 }
 
-// packMerge writes what the disk key does not say: the encoding's version, flags,
-// the item's version, and the body.
-func packMerge(it item.Item) []byte {
+// encodeMergeItem encodes all parts of an item that the disk key does not contain: format
+// version, flags, item version and body.
+func encodeMergeItem(it item.Item) []byte {
 	b := make([]byte, 0, 2+binary.MaxVarintLen64+len(it.Body))
-	var f byte
+	var flags byte
 	if it.Gone {
-		f = mergeGone
+		flags = mergeTombstone
 	}
-	b = binary.AppendUvarint(append(b, mergeForm, f), it.Version)
+	b = binary.AppendUvarint(append(b, mergeFormat, flags), it.Version)
 	return append(b, it.Body...)
 }
 
-// unpackMerge reads a merge item from its disk key and value.
-func unpackMerge(key string, b []byte) (it item.Item, err error) {
-	k, ok := keyOf(mergePrefix, key)
+// decodeMergeItem decodes a merge item from its disk key and value.
+func decodeMergeItem(key string, b []byte) (it item.Item, err error) {
+	k, ok := parseItemDiskKey(mergePrefix, key)
 	if !ok {
-		return it, errMergeForm
+		return it, errMergeFormat
 	}
-	if len(b) < 3 || b[0] != mergeForm || b[1]&^mergeGone != 0 {
-		return it, errMergeForm
+	if len(b) < 3 || b[0] != mergeFormat || b[1]&^mergeTombstone != 0 {
+		return it, errMergeFormat
 	}
-	v, w := binary.Uvarint(b[2:])
-	if w <= 0 {
-		return it, errMergeForm
+	version, width := binary.Uvarint(b[2:])
+	if width <= 0 {
+		return it, errMergeFormat
 	}
 	it.Key = k
-	it.Version, it.Gone = v, b[1] == mergeGone
-	if body := b[2+w:]; len(body) > 0 {
+	it.Version, it.Gone = version, b[1] == mergeTombstone
+	if body := b[2+width:]; len(body) > 0 {
 		it.Body = body
 	}
 	return it, nil
--- a/internal/quorum/mergecode_test.go
+++ b/internal/quorum/mergecode_test.go
@@ -14,43 +14,43 @@
 		{Key: item.Key{Kind: item.Limits, Name: "é\x00\xff"}, Version: 1<<64 - 1, Gone: true},
 		{Key: item.Key{Kind: 255, Name: "m/1/x"}, Version: 1 << 40, Body: make([]byte, 4000)},
 	} {
-		b := packMerge(it)
-		got, err := unpackMerge(mergeKey(it.Key), b)
+		b := encodeMergeItem(it)
+		got, err := decodeMergeItem(mergeDiskKey(it.Key), b)
 		if len(it.Body) == 0 {
 			it.Body = nil
 		}
 		if err != nil || !reflect.DeepEqual(got, it) {
-			t.Errorf("%+v came back as %+v, %v", it.Key, got.Key, err)
+			t.Errorf("%+v decoded as %+v, %v", it.Key, got.Key, err)
 		}
 		if extra := len(b) - len(it.Body); extra > 12 {
-			t.Errorf("%d bytes beside the body", extra)
+			t.Errorf("encoding adds %d bytes to the body", extra)
 		}
 	}
 	for _, k := range []string{"", "m/", "m/1", "m/x/y", "m/256/y", "i/1/y"} {
-		if _, err := unpackMerge(k, packMerge(thing("y", 1, "b"))); err == nil {
-			t.Errorf("key %q was read", k)
+		if _, err := decodeMergeItem(k, encodeMergeItem(thing("y", 1, "b"))); err == nil {
+			t.Errorf("decoded a merge item from invalid key %q", k)
 		}
 	}
 	for _, b := range []string{"", "\x01\x00", "\x02\x00\x01", "\x01\x02\x01", "\x01\x00\xff"} {
-		if _, err := unpackMerge("m/1/y", []byte(b)); err == nil {
-			t.Errorf("value %q was read", b)
+		if _, err := decodeMergeItem("m/1/y", []byte(b)); err == nil {
+			t.Errorf("decoded a merge item from invalid value %q", b)
 		}
 	}
 }
 
 func FuzzMergeItems(f *testing.F) {
-	f.Add("m/1/y", packMerge(thing("y", 300, "b")))
+	f.Add("m/1/y", encodeMergeItem(thing("y", 300, "b")))
 	f.Add("m/3/", []byte("\x01\x01\x05"))
 	f.Add("m/01/y", []byte("\x01\x00\x80\x00"))
 	f.Fuzz(func(t *testing.T, k string, b []byte) {
-		it, err := unpackMerge(k, b)
+		it, err := decodeMergeItem(k, b)
 		if err != nil {
 			return
 		}
-		// What can be read is written so that it reads alike.
-		again, err := unpackMerge(mergeKey(it.Key), packMerge(it))
-		if err != nil || !reflect.DeepEqual(again, it) {
-			t.Errorf("%+v came back as %+v, %v", it, again, err)
+		// Anything that decodes must survive another round trip unchanged.
+		reread, err := decodeMergeItem(mergeDiskKey(it.Key), encodeMergeItem(it))
+		if err != nil || !reflect.DeepEqual(reread, it) {
+			t.Errorf("%+v decoded as %+v after a round trip, %v", it, reread, err)
 		}
 	})
 }
--- a/internal/quorum/proposer.go
+++ b/internal/quorum/proposer.go
@@ -129,7 +129,7 @@
 	}
 	got := gather(ctx, p, core.Seats, func(Seat) any { return PrepareAsk{m, key, b} },
 		func(r PrepareTold) Told { return r.Told },
-		func(h []heard[PrepareTold]) bool { return yes(h) >= core.Quorum() })
+		func(h []heard[PrepareTold]) bool { return yes(h) >= core.QuorumSize() })
 	var best Item
 	n := 0
 	for _, h := range got {
@@ -142,14 +142,14 @@
 			best = h.R.Item
 		}
 	}
-	if n < core.Quorum() {
+	if n < core.QuorumSize() {
 		return Item{}, true, ErrNoQuorum
 	}
 	val, err := f(best.Value)
 	if err != nil {
 		// The value seen may be one that no majority holds yet: finish it before
 		// anybody is told of it.
-		if best.Accepted.Zero() {
+		if best.Accepted.IsZero() {
 			return Item{}, false, err
 		}
 		it, again, _ := p.finish(ctx, core, key, b, best.Value)
@@ -174,7 +174,7 @@
 					n++
 				}
 			}
-			return n >= core.Quorum()
+			return n >= core.QuorumSize()
 		})
 	n := 0
 	for _, h := range acc {
@@ -182,7 +182,7 @@
 			n++
 		}
 	}
-	if n < core.Quorum() {
+	if n < core.QuorumSize() {
 		return Item{}, true, ErrNoQuorum
 	}
 	return Item{Promised: b, Accepted: b, Value: val}, false, nil
@@ -206,8 +206,8 @@
 		return Item{}, ErrNoCore
 	}
 	got := gather(ctx, p, core.Seats, func(Seat) any { return ReadAsk{Mark{Epoch: core.Epoch}, key} },
-		func(r ReadTold) Told { return r.Told }, atLeast[ReadTold](core.Quorum()))
-	if len(got) >= core.Quorum() {
+		func(r ReadTold) Told { return r.Told }, atLeast[ReadTold](core.QuorumSize()))
+	if len(got) >= core.QuorumSize() {
 		it := got[0].R.Item
 		same := true
 		for _, h := range got[1:] {
--- a/internal/quorum/proposer_test.go
+++ b/internal/quorum/proposer_test.go
@@ -12,8 +12,8 @@
 )
 
 func TestCollidingChangesHaveOneWinner(t *testing.T) {
-	in(t, func(ctx context.Context, t *testing.T) {
-		l, _ := newLab(ctx, t)
+	runSynctest(t, func(ctx context.Context, t *testing.T) {
+		l, _ := newVoterCluster(ctx, t)
 		taken := errors.New("taken")
 		var mu sync.Mutex
 		var wg sync.WaitGroup
@@ -22,7 +22,7 @@
 		for i := range 8 {
 			wg.Go(func() {
 				me := fmt.Sprint("w", i)
-				v, err := l.prop(me).Change(ctx, "k", func(old []byte) ([]byte, error) {
+				v, err := l.newProposer(me).Change(ctx, "k", func(old []byte) ([]byte, error) {
 					if old != nil && string(old) != me {
 						return nil, taken
 					}
@@ -45,7 +45,7 @@
 			t.Fatalf("winners %v, losers were told %v", won, told)
 		}
 		for w := range won {
-			if !told[w] || l.get(l.prop("r"), "k") != w {
+			if !told[w] || l.mustGet(l.newProposer("r"), "k") != w {
 				t.Errorf("%s won, losers were told %v", w, told)
 			}
 		}
@@ -53,33 +53,33 @@
 }
 
 func TestReadsAndSweepsMendOldCopies(t *testing.T) {
-	in(t, func(ctx context.Context, t *testing.T) {
-		l, _ := newLab(ctx, t)
-		p := l.prop("p")
-		l.set(p, "k", "1")
+	runSynctest(t, func(ctx context.Context, t *testing.T) {
+		l, _ := newVoterCluster(ctx, t)
+		p := l.newProposer("p")
+		l.mustSet(p, "k", "1")
 		time.Sleep(time.Second)
-		l.close(func(a string, _ any) bool { return a == "c" })
-		l.set(p, "k", "2")
-		l.close(func(a string, _ any) bool { return a == "a" })
-		if got := l.copy("c", "k"); got != "1" {
+		l.setUnreachable(func(a string, _ any) bool { return a == "c" })
+		l.mustSet(p, "k", "2")
+		l.setUnreachable(func(a string, _ any) bool { return a == "a" })
+		if got := l.valueAt("c", "k"); got != "1" {
 			t.Fatalf("c holds %q before", got)
 		}
-		if v := l.get(l.prop("q"), "k"); v != "2" {
+		if v := l.mustGet(l.newProposer("q"), "k"); v != "2" {
 			t.Fatalf("read %q", v)
 		}
 		time.Sleep(time.Second)
-		if got := l.copy("c", "k"); got != "2" {
+		if got := l.valueAt("c", "k"); got != "2" {
 			t.Errorf("after the read c holds %q", got)
 		}
-		l.close(func(a string, _ any) bool { return a == "c" })
+		l.setUnreachable(func(a string, _ any) bool { return a == "c" })
 		for i := range 5 {
-			l.set(p, fmt.Sprint("m", i), "3")
+			l.mustSet(p, fmt.Sprint("m", i), "3")
 		}
-		l.close(nil)
+		l.setUnreachable(nil)
 		n, err := p.Mend(ctx)
 		time.Sleep(time.Second)
-		if err != nil || n != 6 || l.copy("c", "m4") != "3" || l.copy("a", "k") != "2" {
-			t.Errorf("the sweep mended %d, %v; c holds %q", n, err, l.copy("c", "m4"))
+		if err != nil || n != 6 || l.valueAt("c", "m4") != "3" || l.valueAt("a", "k") != "2" {
+			t.Errorf("the sweep mended %d, %v; c holds %q", n, err, l.valueAt("c", "m4"))
 		}
 		if n, err := p.Mend(ctx); n != 0 || err != nil {
 			t.Errorf("a second sweep mended %d, %v", n, err)
@@ -90,28 +90,28 @@
 // An accept that reached one voter alone is either finished or never seen; a
 // reader may not see it and then lose it.
 func TestHalfWrittenValueIsFinishedBeforeItIsTold(t *testing.T) {
-	in(t, func(ctx context.Context, t *testing.T) {
-		l, _ := newLab(ctx, t)
-		l.close(func(a string, ask any) bool {
+	runSynctest(t, func(ctx context.Context, t *testing.T) {
+		l, _ := newVoterCluster(ctx, t)
+		l.setUnreachable(func(a string, ask any) bool {
 			_, acc := ask.(AcceptAsk)
 			return acc && a != "a"
 		})
 		cx, end := context.WithTimeout(ctx, 300*time.Millisecond)
 		defer end()
-		if _, err := l.prop("p").Change(cx, "k", func([]byte) ([]byte, error) { return []byte("half"), nil }); !errors.Is(err, ErrNoQuorum) {
+		if _, err := l.newProposer("p").Change(cx, "k", func([]byte) ([]byte, error) { return []byte("half"), nil }); !errors.Is(err, ErrNoQuorum) {
 			t.Fatalf("%v, want no majority", err)
 		}
-		l.close(nil)
+		l.setUnreachable(nil)
 		refuse := errors.New("not wanted")
-		v, err := l.prop("q").Change(ctx, "k", func(old []byte) ([]byte, error) {
+		v, err := l.newProposer("q").Change(ctx, "k", func(old []byte) ([]byte, error) {
 			if old != nil {
 				return nil, refuse
 			}
 			return []byte("mine"), nil
 		})
 		if errors.Is(err, refuse) {
-			l.close(func(a string, _ any) bool { return a == "a" })
-			if got := l.get(l.prop("r"), "k"); got != "half" || string(v) != "half" {
+			l.setUnreachable(func(a string, _ any) bool { return a == "a" })
+			if got := l.mustGet(l.newProposer("r"), "k"); got != "half" || string(v) != "half" {
 				t.Errorf("told %q, then %q was read without a", v, got)
 			}
 		} else if err != nil || string(v) != "mine" {
@@ -121,16 +121,16 @@
 }
 
 func TestListAndLast(t *testing.T) {
-	in(t, func(ctx context.Context, t *testing.T) {
-		l, _ := newLab(ctx, t)
-		p := l.prop("p")
+	runSynctest(t, func(ctx context.Context, t *testing.T) {
+		l, _ := newVoterCluster(ctx, t)
+		p := l.newProposer("p")
 		for i := range 30 {
 			skip := []string{"a", "b", "c"}[i%3]
-			l.close(func(a string, _ any) bool { return a == skip })
-			l.set(p, fmt.Sprintf("x/%02d", i), fmt.Sprint(i))
+			l.setUnreachable(func(a string, _ any) bool { return a == skip })
+			l.mustSet(p, fmt.Sprintf("x/%02d", i), fmt.Sprint(i))
 		}
-		l.set(p, "y/1", "other")
-		l.close(func(a string, _ any) bool { return a == "b" })
+		l.mustSet(p, "y/1", "other")
+		l.setUnreachable(func(a string, _ any) bool { return a == "b" })
 		n := 0
 		if err := p.List(ctx, "x/", "x/09", func(k string, v []byte) error {
 			if k != fmt.Sprintf("x/%02d", n+10) || string(v) != fmt.Sprint(n+10) {
@@ -144,14 +144,14 @@
 		if k, v, err := p.Last(ctx, "x/"); k != "x/29" || string(v) != "29" || err != nil {
 			t.Errorf("last %s %q %v", k, v, err)
 		}
-		l.close(nil)
+		l.setUnreachable(nil)
 		if err := p.Lift(ctx, "x/", "x/20"); err != nil {
 			t.Fatal(err)
 		}
 		if r, _ := link.Ask[PrepareTold](ctx, l, "a", PrepareAsk{Mark{Epoch: 1}, "x/03", Ballot{99, "z"}}); r.Yes {
 			t.Error("an item below the floor was promised")
 		}
-		if got := l.get(p, "x/20"); got != "20" {
+		if got := l.mustGet(p, "x/20"); got != "20" {
 			t.Errorf("the floor's own item: %q", got)
 		}
 	})
--- a/internal/quorum/proposerdecide.go
+++ b/internal/quorum/proposerdecide.go
@@ -40,14 +40,14 @@
 // until ctx ends; what becomes of the items after another error is not known.
 func (p *Proposer) Decide(ctx context.Context, items []item.Item) ([]item.Item, error) {
 	for _, it := range items {
-		if err := checkMerge(it); err != nil {
+		if err := checkMergeItem(it); err != nil {
 			return nil, err
 		}
 	}
-	if len(items) > maxDecide {
-		return nil, steperr.New("decide", "", "%d items, limit %d", len(items), maxDecide)
+	if len(items) > maxRequestKeys {
+		return nil, steperr.New("decide", "", "%d items, limit %d", len(items), maxRequestKeys)
 	}
-	r := decideRound{Proposer: p, items: items, call: callOf(items)}
+	r := decideRound{Proposer: p, items: items, call: callDigest(items)}
 	for _, it := range items {
 		r.keys = append(r.keys, it.Key)
 	}
@@ -90,11 +90,11 @@
 	var conflict error
 	settled, mine := true, false
 	for i, h := range held {
-		next, v := h.Decision.offer(r.items[i], r.call)
+		next, v := h.Decision.afterOffer(r.items[i], r.call)
 		decisions[i] = next
 		stands := h.Decision.Decided() && h.Decision.Item.Same(r.items[i])
 		settled, mine = settled && stands && h.Settled, mine || stands && h.Decision.Call == r.call
-		if v == conflicting && conflict == nil {
+		if v == offerConflicting && conflict == nil {
 			conflict = ConflictError{r.items[i].Key, r.items[i].Version}
 		}
 	}
@@ -122,7 +122,7 @@
 		func(s Seat) any { return OfferAsk{Mark{Epoch: core.Epoch, Disk: s.Disk}, ballot, r.keys} },
 		func(t OfferTold) Told { return t.Told },
 		func(h []heard[OfferTold]) bool {
-			return lo.CountBy(h, func(x heard[OfferTold]) bool { return x.R.Yes }) >= core.Quorum()
+			return lo.CountBy(h, func(x heard[OfferTold]) bool { return x.R.Yes }) >= core.QuorumSize()
 		})
 	out := make([]HeldDecision, len(r.keys))
 	yes := 0
@@ -138,14 +138,14 @@
 			}
 		}
 	}
-	if yes < core.Quorum() {
+	if yes < core.QuorumSize() {
 		return nil, false
 	}
 	// An item that is known to be settled stands over one that is no newer.
 	for _, h := range got {
 		for i, x := range h.R.Held {
 			if d := out[i].Decision; x.Settled && (!d.Decided() || x.Decision.Item.Version >= d.Item.Version) {
-				out[i].Decision, out[i].Settled = d.under(x.Decision.Item), true
+				out[i].Decision, out[i].Settled = d.withDecidedItem(x.Decision.Item), true
 			}
 		}
 	}
@@ -161,11 +161,11 @@
 	got := gather(ctx, r.Proposer, core.Seats,
 		func(s Seat) any { return DecideAsk{Mark{core.Epoch, s.Disk}, ballot, r.keys, decisions} },
 		func(t DecideTold) Told { return t.Told },
-		func(h []heard[DecideTold]) bool { return accepted(h) >= core.Quorum() })
+		func(h []heard[DecideTold]) bool { return accepted(h) >= core.QuorumSize() })
 	for _, h := range got {
 		r.over = max(r.over, h.R.Over.N)
 	}
-	return accepted(got) >= core.Quorum()
+	return accepted(got) >= core.QuorumSize()
 }
 
 // Trace tells whether any voter of a majority has accepted an item of a call, or holds it.
@@ -179,8 +179,8 @@
 	for _, it := range items {
 		ask.Items = append(ask.Items, TracedItem{it.Key, it.Version, it.Digest()})
 	}
-	got := gather(ctx, p, core.Seats, func(Seat) any { return ask }, func(t TraceTold) Told { return t.Told }, atLeast[TraceTold](core.Quorum()))
-	if len(got) < core.Quorum() {
+	got := gather(ctx, p, core.Seats, func(Seat) any { return ask }, func(t TraceTold) Told { return t.Told }, atLeast[TraceTold](core.QuorumSize()))
+	if len(got) < core.QuorumSize() {
 		return false, steperr.At("trace", "", ErrNoQuorum)
 	}
 	return lo.SomeBy(got, func(h heard[TraceTold]) bool { return h.R.Found }), nil
--- a/internal/quorum/proposerlist.go
+++ b/internal/quorum/proposerlist.go
@@ -16,8 +16,8 @@
 		return "", nil, ErrNoCore
 	}
 	got := gather(ctx, p, core.Seats, func(Seat) any { return ListAsk{Mark: Mark{Epoch: core.Epoch}, Prefix: prefix, Last: true} },
-		func(r ListTold) Told { return r.Told }, atLeast[ListTold](core.Quorum()))
-	if len(got) < core.Quorum() {
+		func(r ListTold) Told { return r.Told }, atLeast[ListTold](core.QuorumSize()))
+	if len(got) < core.QuorumSize() {
 		return "", nil, steperr.At("last "+prefix, "", ErrNoQuorum)
 	}
 	var top Entry
@@ -32,7 +32,7 @@
 			}
 		}
 	}
-	if top.Key == "" || n >= core.Quorum() {
+	if top.Key == "" || n >= core.QuorumSize() {
 		return top.Key, top.Item.Value, nil
 	}
 	v, err := p.Read(ctx, top.Key)
@@ -49,8 +49,8 @@
 		}
 		got := gather(ctx, p, core.Seats, func(Seat) any {
 			return ListAsk{Mark: Mark{Epoch: core.Epoch}, Prefix: prefix, After: after, Max: 2000}
-		}, func(r ListTold) Told { return r.Told }, atLeast[ListTold](core.Quorum()))
-		if len(got) < core.Quorum() {
+		}, func(r ListTold) Told { return r.Told }, atLeast[ListTold](core.QuorumSize()))
+		if len(got) < core.QuorumSize() {
 			return steperr.At("list "+prefix, "", ErrNoQuorum)
 		}
 		to, more := until(got)
@@ -82,7 +82,7 @@
 		slices.Sort(keys)
 		for _, k := range keys {
 			v := by[k].it.Value
-			if by[k].n < core.Quorum() {
+			if by[k].n < core.QuorumSize() {
 				w, err := p.Read(ctx, k)
 				if Nothing(err) {
 					continue
@@ -121,7 +121,7 @@
 	core := p.Core()
 	got := gather(ctx, p, core.Seats, func(Seat) any { return LiftAsk{Mark{Epoch: core.Epoch}, prefix, floor} },
 		func(r LiftTold) Told { return r.Told }, atLeast[LiftTold](len(core.Seats)))
-	if len(got) < core.Quorum() {
+	if len(got) < core.QuorumSize() {
 		return steperr.At("lift "+prefix, "", fmt.Errorf("%w: %d of %d", ErrNoQuorum, len(got), len(core.Seats)))
 	}
 	return nil
--- a/internal/quorum/proposermerge.go
+++ b/internal/quorum/proposermerge.go
@@ -28,7 +28,7 @@
 // content of the same version.
 func (p *Proposer) MergeOver(ctx context.Context, items []item.Item) (over []item.Key, err error) {
 	for _, it := range items {
-		if err := checkMerge(it); err != nil {
+		if err := checkMergeItem(it); err != nil {
 			return nil, err
 		}
 	}
@@ -55,7 +55,7 @@
 		core := p.Core()
 		if core.Epoch == 0 {
 			cause = ErrNoCore
-		} else if got := p.mergeRound(ctx, core, items); len(got) >= core.Quorum() {
+		} else if got := p.mergeRound(ctx, core, items); len(got) >= core.QuorumSize() {
 			return mergedOver(items, got), nil
 		}
 		// A newer core is known by now if that was the reason: ask it at once.
@@ -82,7 +82,7 @@
 			}
 			return r.Told
 		},
-		atLeast[MergeTold](core.Quorum()))
+		atLeast[MergeTold](core.QuorumSize()))
 }
 
 func mergedOver(items []item.Item, got []heard[MergeTold]) (keys []item.Key) {
--- a/internal/quorum/proposermerge_test.go
+++ b/internal/quorum/proposermerge_test.go
@@ -13,8 +13,8 @@
 )
 
 func TestMergeIsSentInChunks(t *testing.T) {
-	in(t, func(ctx context.Context, t *testing.T) {
-		c := three(ctx, t)
+	runSynctest(t, func(ctx context.Context, t *testing.T) {
+		c := newThreeVoters(ctx, t)
 		asks, largest := 0, 0
 		c.set(func() {
 			c.drop = func(_, to string, ask any) bool {
@@ -32,10 +32,10 @@
 		for i := range 50 {
 			all = append(all, thing(fmt.Sprint("k", i), 1, strings.Repeat("x", 100_000)))
 		}
-		all = append(all, thing("large", 1, strings.Repeat("x", MaxValue)))
+		all = append(all, thing("large", 1, strings.Repeat("x", MaxValueBytes)))
 		c.merge("a", all...)
 		time.Sleep(time.Second)
-		if asks < 5 || asks > 8 || largest > MaxValue {
+		if asks < 5 || asks > 8 || largest > MaxValueBytes {
 			t.Errorf("%d asks, the largest of %d bytes", asks, largest)
 		}
 		c.kept("after all chunks", all...)
@@ -49,8 +49,8 @@
 
 // A merge that meets a newer core goes there at once.
 func TestMergeFollowsTheCore(t *testing.T) {
-	in(t, func(ctx context.Context, t *testing.T) {
-		c := three(ctx, t)
+	runSynctest(t, func(ctx context.Context, t *testing.T) {
+		c := newThreeVoters(ctx, t)
 		d := c.boot("d", "", nil)
 		old := c.node("a").p.Core()
 		next := Core{Epoch: 2, Before: old.Seats, Seats: []Seat{old.Seats[0], old.Seats[1], d.seat}}
@@ -77,8 +77,8 @@
 }
 
 func TestMergeEndsWithItsContext(t *testing.T) {
-	in(t, func(ctx context.Context, t *testing.T) {
-		c := three(ctx, t)
+	runSynctest(t, func(ctx context.Context, t *testing.T) {
+		c := newThreeVoters(ctx, t)
 		c.kill("b")
 		c.kill("c")
 		try := func(p *Proposer, want error) {
--- a/internal/quorum/reconfigurer.go
+++ b/internal/quorum/reconfigurer.go
@@ -104,7 +104,7 @@
 	// One that begins does not know what those before it left undone.
 	w.doubt = w.doubt || w.noted == nil
 	w.note(v)
-	if v.core.Epoch == 0 || v.rank < 0 || v.seats < v.core.Quorum() {
+	if v.core.Epoch == 0 || v.rank < 0 || v.seats < v.core.QuorumSize() {
 		w.well, w.need = time.Time{}, time.Time{}
 		return
 	}
@@ -224,8 +224,8 @@
 
 // reachable tells whether enough seats of a core were heard lately for it to take over.
 func (w *Reconfigurer) reachable(v view, next Core) error {
-	if n := lo.CountBy(next.Seats, func(s Seat) bool { return v.heard(s, w.missing()) }); n < next.Quorum() {
-		return steperr.New("swap", "", "%d of the seats of epoch %d heard, need %d", n, next.Epoch, next.Quorum())
+	if n := lo.CountBy(next.Seats, func(s Seat) bool { return v.heard(s, w.missing()) }); n < next.QuorumSize() {
+		return steperr.New("swap", "", "%d of the seats of epoch %d heard, need %d", n, next.Epoch, next.QuorumSize())
 	}
 	return nil
 }
--- a/internal/quorum/reconfigurer_test.go
+++ b/internal/quorum/reconfigurer_test.go
@@ -34,7 +34,7 @@
 }
 
 func TestCalmStewardsSendNothing(t *testing.T) {
-	in(t, func(ctx context.Context, t *testing.T) {
+	runSynctest(t, func(ctx context.Context, t *testing.T) {
 		c := staffed(ctx, t, 3, "a", "b", "c", "d")
 		c.set(func() { clear(c.asked) })
 		time.Sleep(time.Minute)
@@ -80,7 +80,7 @@
 			for j, lost := range all {
 				// The second loss takes each choice in turn.
 				second := all[(i+j)%len(all)]
-				in(t, func(ctx context.Context, t *testing.T) {
+				runSynctest(t, func(ctx context.Context, t *testing.T) {
 					c := newCity(ctx, t)
 					for _, id := range ids {
 						c.start(id, "", nil)
@@ -121,7 +121,7 @@
 }
 
 func TestSeatsAreExchangedOneAfterTheOther(t *testing.T) {
-	in(t, func(ctx context.Context, t *testing.T) {
+	runSynctest(t, func(ctx context.Context, t *testing.T) {
 		c := staffed(ctx, t, 3, "a", "b", "c")
 		its := items(20)
 		c.merge("a", its...)
@@ -149,7 +149,7 @@
 
 func TestEmptiedDiskVotesAgainSoon(t *testing.T) {
 	for _, id := range []string{"a", "b", "c"} {
-		in(t, func(ctx context.Context, t *testing.T) {
+		runSynctest(t, func(ctx context.Context, t *testing.T) {
 			c := staffed(ctx, t, 3, "a", "b", "c", "x")
 			its := items(5)
 			c.merge("a", its...)
@@ -166,7 +166,7 @@
 }
 
 func TestStandByTakesASilentSeat(t *testing.T) {
-	in(t, func(ctx context.Context, t *testing.T) {
+	runSynctest(t, func(ctx context.Context, t *testing.T) {
 		c := staffed(ctx, t, 3, "a", "b", "c", "x")
 		its := items(5)
 		c.merge("a", its...)
@@ -183,7 +183,7 @@
 
 func TestStandByIsTakenWhereZonesAreSpread(t *testing.T) {
 	for lost, want := range map[string]string{"a": "p", "b": "z", "c": "y"} {
-		in(t, func(ctx context.Context, t *testing.T) {
+		runSynctest(t, func(ctx context.Context, t *testing.T) {
 			c := newCity(ctx, t)
 			for id, zone := range map[string]string{"a": "1", "b": "2", "c": "3", "p": "1", "y": "3", "z": "2"} {
 				c.start(id, zone, nil)
@@ -202,7 +202,7 @@
 // Two reconfigurers that both act, at the same moment and for different seats, agree.
 func TestTwoStewardsAtOnce(t *testing.T) {
 	for _, gap := range []time.Duration{0, time.Millisecond, 3 * time.Millisecond, 10 * time.Millisecond} {
-		in(t, func(ctx context.Context, t *testing.T) {
+		runSynctest(t, func(ctx context.Context, t *testing.T) {
 			c := newCity(ctx, t)
 			for _, id := range []string{"a", "b", "c", "x", "y"} {
 				c.boot(id, "", nil)
@@ -236,7 +236,7 @@
 
 func TestMinorityNeverSwaps(t *testing.T) {
 	for _, small := range []string{"a", "ax", "bx", "axy"} {
-		in(t, func(ctx context.Context, t *testing.T) {
+		runSynctest(t, func(ctx context.Context, t *testing.T) {
 			c := staffed(ctx, t, 3, "a", "b", "c", "x", "y")
 			its := items(5)
 			c.merge("a", its...)
@@ -263,7 +263,7 @@
 // The lowest is cut off from one seat alone and would act; when it freezes, the
 // next does.
 func TestFrozenActorIsReplaced(t *testing.T) {
-	in(t, func(ctx context.Context, t *testing.T) {
+	runSynctest(t, func(ctx context.Context, t *testing.T) {
 		c := staffed(ctx, t, 3, "b", "c", "d", "a", "x")
 		c.kill("d")
 		time.Sleep(500 * time.Millisecond)
@@ -281,7 +281,7 @@
 
 // A node that stood still hears old news first and must not pass seats on for it.
 func TestStewardThatStoodStillWaits(t *testing.T) {
-	in(t, func(ctx context.Context, t *testing.T) {
+	runSynctest(t, func(ctx context.Context, t *testing.T) {
 		c := staffed(ctx, t, 3, "a", "b", "c", "x")
 		n := c.node("a")
 		// The others are heard of late after the pause.
@@ -303,7 +303,7 @@
 func TestJoinerLostBetweenSealAndPull(t *testing.T) {
 	for _, point := range []int{fault.AfterSeal, fault.AfterPull} {
 		for _, again := range []bool{false, true} {
-			in(t, func(ctx context.Context, t *testing.T) {
+			runSynctest(t, func(ctx context.Context, t *testing.T) {
 				c := staffed(ctx, t, 3, "a", "b", "c", "x")
 				its := items(5)
 				c.merge("a", its...)
@@ -344,7 +344,7 @@
 
 // A seat that is heard but never manages to join gives way.
 func TestSeatThatNeverJoinsGivesWay(t *testing.T) {
-	in(t, func(ctx context.Context, t *testing.T) {
+	runSynctest(t, func(ctx context.Context, t *testing.T) {
 		c := staffed(ctx, t, 3, "a", "b", "c", "x", "y")
 		its := items(5)
 		c.merge("a", its...)
@@ -363,7 +363,7 @@
 // A swap ended with its actor when one voter that stays and the one that leaves were
 // sealed, and then the other that stays is lost: what is left must find each other.
 func TestSwapCutShortIsFinishedByOthers(t *testing.T) {
-	in(t, func(ctx context.Context, t *testing.T) {
+	runSynctest(t, func(ctx context.Context, t *testing.T) {
 		c := newCity(ctx, t)
 		for _, id := range []string{"a", "b", "c", "x", "y"} {
 			c.boot(id, "", nil)
@@ -403,7 +403,7 @@
 // whose seats are there, and stays so when its own come back.
 func TestOldDecisionIsCarriedOutWithCare(t *testing.T) {
 	for _, there := range []bool{true, false} {
-		in(t, func(ctx context.Context, t *testing.T) {
+		runSynctest(t, func(ctx context.Context, t *testing.T) {
 			c := newCity(ctx, t)
 			for _, id := range []string{"a", "b", "c", "x", "y"} {
 				c.boot(id, "", nil)
@@ -450,7 +450,7 @@
 // A voter that was away while another seat was swapped comes back into the newest
 // core.
 func TestVoterThatWasAwayIsBroughtUp(t *testing.T) {
-	in(t, func(ctx context.Context, t *testing.T) {
+	runSynctest(t, func(ctx context.Context, t *testing.T) {
 		c := staffed(ctx, t, 5, "a", "b", "c", "d", "e")
 		its := items(3)
 		c.merge("a", its...)
@@ -471,7 +471,7 @@
 
 // A swap does not wait for what is silent.
 func TestSwapDoesNotWaitForTheLost(t *testing.T) {
-	in(t, func(ctx context.Context, t *testing.T) {
+	runSynctest(t, func(ctx context.Context, t *testing.T) {
 		c := staffed(ctx, t, 3, "a", "b", "c", "x")
 		c.merge("a", items(3)...)
 		var first, last time.Time
@@ -499,7 +499,7 @@
 
 // A seat whose join failed is asked again for as long as it is heard.
 func TestFailedJoinIsTriedAgain(t *testing.T) {
-	in(t, func(ctx context.Context, t *testing.T) {
+	runSynctest(t, func(ctx context.Context, t *testing.T) {
 		c := staffed(ctx, t, 3, "a", "b", "c", "x")
 		its := items(3)
 		c.merge("a", its...)
@@ -531,7 +531,7 @@
 			t.Fatal(err)
 		}
 	}
-	in(t, func(ctx context.Context, t *testing.T) {
+	runSynctest(t, func(ctx context.Context, t *testing.T) {
 		c := newCity(ctx, t)
 		for _, id := range []string{"a", "b", "c", "x"} {
 			c.boot(id, "", nil)
@@ -542,7 +542,7 @@
 		c.epochIs(2, "after a start")
 		c.kept("after a start")
 	})
-	in(t, func(ctx context.Context, t *testing.T) {
+	runSynctest(t, func(ctx context.Context, t *testing.T) {
 		c := staffed(ctx, t, 3, "a", "b", "c", "x")
 		decide(ctx, t, c, c.core())
 		time.Sleep(5 * time.Second)
@@ -558,7 +558,7 @@
 
 // The same disk at another address keeps its vote.
 func TestSeatFollowsItsAddress(t *testing.T) {
-	in(t, func(ctx context.Context, t *testing.T) {
+	runSynctest(t, func(ctx context.Context, t *testing.T) {
 		c := staffed(ctx, t, 3, "a", "b", "c", "x")
 		its := items(3)
 		c.merge("a", its...)
@@ -596,7 +596,7 @@
 		"stood still":     {pause: 800 * time.Millisecond},
 		"heard no others": {alone: 900 * time.Millisecond},
 	} {
-		in(t, func(ctx context.Context, t *testing.T) {
+		runSynctest(t, func(ctx context.Context, t *testing.T) {
 			c := newCity(ctx, t)
 			for _, id := range []string{"a", "b", "c", "x"} {
 				c.boot(id, "", nil)
@@ -647,7 +647,7 @@
 			before = append(before, Seat{ID: id, Disk: id})
 		}
 		next := Core{Epoch: 2, Before: before, Seats: append(slices.Clone(before[1:]), Seat{ID: "x", Disk: "x"})}
-		q := next.Quorum()
+		q := next.QuorumSize()
 		for mask := range 1 << n {
 			at := map[string]bool{}
 			own := 0
--- a/internal/quorum/reconfigurerview.go
+++ b/internal/quorum/reconfigurerview.go
@@ -140,7 +140,7 @@
 	if out, _ := v.core.Seat(m.out.ID); v.heard(out, recent) {
 		stay--
 	}
-	return m, stay >= v.core.Quorum()
+	return m, stay >= v.core.QuorumSize()
 }
 
 // grow adds seats to a core that was formed of fewer than it is to have: as many as make the next odd number, since an even
--- a/internal/quorum/stored.go
+++ b/internal/quorum/stored.go
@@ -9,25 +9,25 @@
 	"walkrudder/internal/storage"
 )
 
-// storeChunk bounds the items of one commit of Store.
-const storeChunk = 512
+// maxStoreBatch bounds the number of items in one commit of StoreItems.
+const maxStoreBatch = 512
 
-// ErrNotEmpty says that a disk which is to begin anew holds something.
+// ErrNotEmpty is returned when a disk that must be empty holds data.
 var ErrNotEmpty = errors.New("the disk is not empty")
 
-// Stored is what a stopped voter's disk holds of the shared state.
-type Stored struct {
-	Owner string // the node
-	Disk  string // the incarnation
-	Core  Core   // the newest core that the disk knows
+// StoredState is the shared state on the disk of a stopped voter.
+type StoredState struct {
+	Owner string // ID of the node that owns the disk
+	Disk  string // incarnation of the disk
+	Core  Core   // newest core known to the disk
 	Items []item.Item
 }
 
-// ReadStored reads the values of a disk.
-func ReadStored(values map[string][]byte) (Stored, error) {
-	s := Stored{Owner: string(values[ownerKey]), Disk: string(values[diskKey])}
+// ReadStoredState decodes the state from the key-value pairs of a disk.
+func ReadStoredState(values map[string][]byte) (StoredState, error) {
+	s := StoredState{Owner: string(values[ownerKey]), Disk: string(values[diskKey])}
 	if raw, known := values[coreKey]; known {
-		if err := unpack(raw, &s.Core); err != nil {
+		if err := decodeGob(raw, &s.Core); err != nil {
 			return s, steperr.At("read core", s.Owner, err)
 		}
 	}
@@ -35,7 +35,7 @@
 		if !strings.HasPrefix(key, mergePrefix) {
 			continue
 		}
-		it, err := unpackMerge(key, value)
+		it, err := decodeMergeItem(key, value)
 		if err != nil {
 			return s, steperr.At("read item "+key, s.Owner, err)
 		}
@@ -44,15 +44,15 @@
 	return s, nil
 }
 
-// Voting tells whether the disk has a seat in the core that it knows.
-func (s Stored) Voting() bool {
+// Voting reports whether the disk has a seat in the newest core that it knows.
+func (s StoredState) Voting() bool {
 	seat, ok := s.Core.Seat(s.Owner)
 	return ok && seat.Disk == s.Disk
 }
 
-// Store writes items onto an empty disk, as settled ones. A node that starts on it takes a new
-// incarnation, and shows them as soon as it forms or joins a core.
-func Store(d storage.Disk, items []item.Item) error {
+// StoreItems writes items to an empty disk as decided merge items. A node that starts on this
+// disk takes a new incarnation and publishes the items when it forms or joins a core.
+func StoreItems(d storage.Disk, items []item.Item) error {
 	held, err := d.Load()
 	if err != nil {
 		return steperr.At("store", "", err)
@@ -61,13 +61,13 @@
 		return steperr.At("store", string(held[ownerKey]), ErrNotEmpty)
 	}
 	for len(items) > 0 {
-		n := min(len(items), storeChunk)
+		n := min(len(items), maxStoreBatch)
 		puts := make([]storage.Put, 0, n)
 		for _, it := range items[:n] {
-			if err := checkMerge(it); err != nil {
+			if err := checkMergeItem(it); err != nil {
 				return err
 			}
-			puts = append(puts, storage.Put{Key: mergeKey(it.Key), Value: packMerge(it)})
+			puts = append(puts, storage.Put{Key: mergeDiskKey(it.Key), Value: encodeMergeItem(it)})
 		}
 		if err := d.Commit(puts); err != nil {
 			return steperr.At("store", "", err)
--- a/internal/quorum/tolerance.go
+++ b/internal/quorum/tolerance.go
@@ -41,7 +41,7 @@
 // Expose judges a set of seats. A core of N seats goes on, and holds what was acknowledged, as long as
 // a majority of its disks is left.
 func (t Tolerance) Expose(seats []Seat) Exposure {
-	bearable := len(seats) - Core{Seats: seats}.Quorum()
+	bearable := len(seats) - Core{Seats: seats}.QuorumSize()
 	excess := func(domains int, label func(Seat) string) int {
 		return max(0, fullest(seats, domains, label)-bearable)
 	}
--- a/internal/quorum/voter.go
+++ b/internal/quorum/voter.go
@@ -19,113 +19,113 @@
 )
 
 const (
-	itemPrefix = "i/"
-	coreKey    = "core"
-	diskKey    = "disk"
-	ownerKey   = "owner"
-	formKey    = "form"
-	floorKey   = "floor/"
-	// maxBatch bounds one group commit.
+	registerPrefix = "i/"
+	coreKey        = "core"
+	diskKey        = "disk"
+	ownerKey       = "owner"
+	consentKey     = "form"
+	floorPrefix    = "floor/"
+	// maxBatch bounds the number of commands in one group commit.
 	maxBatch = 256
-	// MaxValue bounds one item's value.
-	MaxValue = 1 << 20
-	// MaxKey bounds one item's key.
-	MaxKey = 256
-	// listPage bounds the bytes of one listing.
-	listPage = 2 << 20
+	// MaxValueBytes bounds the value of one register and the body of one merge item.
+	MaxValueBytes = 1 << 20
+	// MaxKeyBytes bounds the key of one register.
+	MaxKeyBytes = 256
+	// maxPageBytes bounds the estimated size of one page of a listing.
+	maxPageBytes = 2 << 20
 )
 
-// ErrBad says that this voter's disk has failed; it votes no more.
-var ErrBad = errors.New("disk failed, voting ended")
+// ErrDiskFailed is returned after the voter's disk has failed: the voter stops voting.
+var ErrDiskFailed = errors.New("disk failed; this voter has stopped voting")
 
-// Voter answers for the items on one disk. One goroutine owns all its state and
-// works through a queue of commands; what a batch of them wrote is synced
-// before any of them is answered (design 4.2, 5.1).
+// Voter serves requests for the state on one disk. One goroutine owns all its state and
+// processes a queue of commands in batches; the writes of a batch are synced before any of its
+// commands is answered (design 4.2, 5.1).
 type Voter struct {
-	me     Seat
-	disk   storage.Disk
-	faults *fault.Set
-	cmds   chan *cmd
-	onBad  func(error)
-	line   link.Line
-	// OnMerge is told of all merge items that were new here, also those that a join
-	// pulled, after their sync and before the answer goes out. It is set before Run,
-	// runs in the voter's loop, and must not ask the voter.
+	self          Seat
+	disk          storage.Disk
+	faults        *fault.Set
+	commands      chan *command
+	onDiskFailure func(error)
+	client        link.Line
+	// OnMerge is called with all merge items that are new to this voter, including those pulled
+	// by a join, after they are synced and before the response is sent. It must be set before
+	// Run. It is called from the voter's goroutine and must not call the voter.
 	OnMerge func([]item.Item)
 
-	start []item.Item // merge items as loaded
-	later atomic.Bool // no first core may be formed with this disk
+	loadedMergeItems []item.Item // as loaded by NewVoter
+	refuseNewConsent atomic.Bool // this disk may not take part in forming a first core
 
-	// Owned by the loop.
-	items  map[string]Item
-	keys   []string // sorted keys of items
-	merged map[item.Key]item.Item
-	// records are the item registers; bodiless are those that are being loaded and whose
-	// body stands with the merge item.
-	records  map[item.Key]record
-	bodiless []item.Key
-	taken    []item.Item // merge items new in this batch
-	core     Core
-	form     form
-	floor    map[string]string
-	puts     []storage.Put
-	after    []int
-	dead     error
+	// Owned by the goroutine of Run.
+	registers    map[string]Item
+	registerKeys []string // sorted keys of registers
+	mergeItems   map[item.Key]item.Item
+	// records holds the item registers. incompleteRecords lists, while loading, those whose body
+	// is stored with the merge item.
+	records           map[item.Key]record
+	incompleteRecords []item.Key
+	newMergeItems     []item.Item // new in the current batch
+	core              Core
+	consent           form
+	floors            map[string]string
+	puts              []storage.Put
+	faultsAfterSync   []int
+	diskErr           error
 
-	joining chan struct{} // holds a token while a join is under way
-	pulled  *transfer     // of a join that is under way or broke off; guarded by joining
+	joinToken       chan struct{} // holds a token while a join is in progress
+	partialTransfer *transfer     // state of a running or interrupted join; guarded by joinToken
 
-	mu   sync.RWMutex
-	view Core // copies of core and form, for others
-	cons form
+	mu          sync.RWMutex
+	coreCopy    Core // copies of core and consent for other goroutines
+	consentCopy form
 }
 
-type cmd struct {
+type command struct {
 	run  func()
 	done chan struct{}
 	err  error
 }
 
-// ErrOwner says that a disk holds another node's state.
-var ErrOwner = errors.New("the data folder belongs to another node")
+// ErrWrongOwner is returned for a disk that holds the state of another node.
+var ErrWrongOwner = errors.New("the data folder belongs to another node")
 
-// NewVoter loads what the disk holds. fresh is the incarnation to take if the
-// disk is empty; onBad is told once when the disk fails.
-func NewVoter(me Seat, d storage.Disk, fresh string, l link.Line, fs *fault.Set, onBad func(error)) (*Voter, error) {
-	v := &Voter{me: me, disk: d, faults: fs, line: l, onBad: onBad,
-		cmds: make(chan *cmd, 4*maxBatch), joining: make(chan struct{}, 1), items: map[string]Item{}, floor: map[string]string{}, merged: map[item.Key]item.Item{}, records: map[item.Key]record{}}
-	m, err := d.Load()
+// NewVoter loads a voter from its disk. newIncarnation is used if the disk is empty;
+// onDiskFailure is called once if the disk fails.
+func NewVoter(self Seat, d storage.Disk, newIncarnation string, client link.Line, faults *fault.Set, onDiskFailure func(error)) (*Voter, error) {
+	v := &Voter{self: self, disk: d, faults: faults, client: client, onDiskFailure: onDiskFailure,
+		commands: make(chan *command, 4*maxBatch), joinToken: make(chan struct{}, 1), registers: map[string]Item{}, floors: map[string]string{}, mergeItems: map[item.Key]item.Item{}, records: map[item.Key]record{}}
+	values, err := d.Load()
 	if err != nil {
 		return nil, steperr.At("load voter", "", err)
 	}
-	// The disk is one node's: under another name its votes would count twice, or for a
-	// seat that others reach elsewhere.
-	if o := string(m[ownerKey]); o != "" && o != me.ID {
-		return nil, steperr.At("load voter", o, ErrOwner)
+	// A disk belongs to one node: under another node's ID its votes would count twice, or count
+	// for a seat that other nodes reach at another address.
+	if owner := string(values[ownerKey]); owner != "" && owner != self.ID {
+		return nil, steperr.At("load voter", owner, ErrWrongOwner)
 	}
-	v.me.Disk = string(m[diskKey])
-	if v.me.Disk == "" || m[ownerKey] == nil {
-		v.me.Disk = cmp.Or(v.me.Disk, fresh)
-		if err := d.Commit([]storage.Put{{Key: diskKey, Value: []byte(v.me.Disk)}, {Key: ownerKey, Value: []byte(me.ID)}}); err != nil {
+	v.self.Disk = string(values[diskKey])
+	if v.self.Disk == "" || values[ownerKey] == nil {
+		v.self.Disk = cmp.Or(v.self.Disk, newIncarnation)
+		if err := d.Commit([]storage.Put{{Key: diskKey, Value: []byte(v.self.Disk)}, {Key: ownerKey, Value: []byte(self.ID)}}); err != nil {
 			return nil, steperr.At("new incarnation", "", err)
 		}
 	}
-	for k, b := range m {
+	for k, b := range values {
 		switch {
 		case k == coreKey:
-			err = unpack(b, &v.core)
-		case k == formKey:
-			err = unpack(b, &v.form)
-		case strings.HasPrefix(k, floorKey):
-			v.floor[k[len(floorKey):]] = string(b)
-		case strings.HasPrefix(k, itemPrefix):
+			err = decodeGob(b, &v.core)
+		case k == consentKey:
+			err = decodeGob(b, &v.consent)
+		case strings.HasPrefix(k, floorPrefix):
+			v.floors[k[len(floorPrefix):]] = string(b)
+		case strings.HasPrefix(k, registerPrefix):
 			var it Item
-			if err = unpack(b, &it); err == nil {
-				v.items[k[len(itemPrefix):]] = it
-				v.keys = append(v.keys, k[len(itemPrefix):])
+			if err = decodeGob(b, &it); err == nil {
+				v.registers[k[len(registerPrefix):]] = it
+				v.registerKeys = append(v.registerKeys, k[len(registerPrefix):])
 			}
 		case strings.HasPrefix(k, mergePrefix):
-			err = v.loadMerge(k, b)
+			err = v.loadMergeItem(k, b)
 		case strings.HasPrefix(k, recordPrefix):
 			err = v.loadRecord(k, b)
 		}
@@ -136,103 +136,103 @@
 	if err := v.completeRecords(); err != nil {
 		return nil, err
 	}
-	slices.Sort(v.keys)
-	v.view, v.cons = v.core, v.form
+	slices.Sort(v.registerKeys)
+	v.coreCopy, v.consentCopy = v.core, v.consent
 	return v, nil
 }
 
-// Seat is this voter's own place.
-func (v *Voter) Seat() Seat { return v.me }
+// Seat returns this voter's own seat.
+func (v *Voter) Seat() Seat { return v.self }
 
-// Core is the core this voter knows.
+// Core returns the newest core that this voter knows.
 func (v *Voter) Core() Core {
 	v.mu.RLock()
 	defer v.mu.RUnlock()
-	return v.view
+	return v.coreCopy
 }
 
-// Voting tells whether this disk has a seat in the core it knows.
-func (v *Voter) Voting() bool { return v.seated(v.Core()) }
+// Voting reports whether this disk has a seat in the core that the voter knows.
+func (v *Voter) Voting() bool { return v.hasSeatIn(v.Core()) }
 
-func (v *Voter) seated(c Core) bool {
-	s, ok := c.Seat(v.me.ID)
-	return ok && s.Disk == v.me.Disk
+func (v *Voter) hasSeatIn(c Core) bool {
+	s, ok := c.Seat(v.self.ID)
+	return ok && s.Disk == v.self.Disk
 }
 
-// Run works through the queue until ctx ends.
+// Run processes the command queue until ctx ends.
 func (v *Voter) Run(ctx context.Context) {
 	for {
-		var b []*cmd
+		var b []*command
 		select {
 		case <-ctx.Done():
 			return
-		case c := <-v.cmds:
+		case c := <-v.commands:
 			b = append(b, c)
 		}
 	fill:
 		for len(b) < maxBatch {
 			select {
-			case c := <-v.cmds:
+			case c := <-v.commands:
 				b = append(b, c)
 			default:
 				break fill
 			}
 		}
-		v.batch(b)
+		v.runBatch(b)
 	}
 }
 
-// batch runs commands, syncs what they wrote, then lets them answer.
-func (v *Voter) batch(b []*cmd) {
-	v.puts, v.after, v.taken = v.puts[:0], v.after[:0], nil
+// runBatch runs commands, syncs their writes, then completes them.
+func (v *Voter) runBatch(b []*command) {
+	v.puts, v.faultsAfterSync, v.newMergeItems = v.puts[:0], v.faultsAfterSync[:0], nil
 	for _, c := range b {
-		if v.dead == nil {
+		if v.diskErr == nil {
 			c.run()
 		}
 	}
-	if v.dead == nil && len(v.puts) > 0 {
+	if v.diskErr == nil && len(v.puts) > 0 {
 		if err := v.disk.Commit(v.puts); err != nil {
-			v.dead = errors.Join(ErrBad, err)
-			if v.onBad != nil {
-				v.onBad(v.dead)
+			v.diskErr = errors.Join(ErrDiskFailed, err)
+			if v.onDiskFailure != nil {
+				v.onDiskFailure(v.diskErr)
 			}
 		}
 	}
-	for _, n := range v.after {
+	for _, n := range v.faultsAfterSync {
 		v.faults.At(n)
 	}
-	// In this order: who sees that this disk votes must find in its memory what it pulled
-	// for that.
-	if v.dead == nil && len(v.taken) > 0 && v.OnMerge != nil {
-		v.OnMerge(v.taken)
+	// OnMerge must run before coreCopy is updated: whoever sees that this disk votes must find
+	// the merge items that it pulled for the new core in memory.
+	if v.diskErr == nil && len(v.newMergeItems) > 0 && v.OnMerge != nil {
+		v.OnMerge(v.newMergeItems)
 	}
 	v.mu.Lock()
-	v.view, v.cons = v.core, v.form
+	v.coreCopy, v.consentCopy = v.core, v.consent
 	v.mu.Unlock()
 	for _, c := range b {
-		c.err = v.dead
+		c.err = v.diskErr
 		close(c.done)
 	}
 }
 
-// do runs f in the loop and waits until its writes are synced.
+// do runs f in the voter's goroutine and waits until its writes are synced.
 func (v *Voter) do(ctx context.Context, f func()) error {
-	c := &cmd{run: f, done: make(chan struct{})}
+	c := &command{run: f, done: make(chan struct{})}
 	select {
-	case v.cmds <- c:
+	case v.commands <- c:
 	case <-ctx.Done():
-		return steperr.At("voter queue", v.me.ID, ctx.Err())
+		return steperr.At("voter queue", v.self.ID, ctx.Err())
 	}
 	select {
 	case <-c.done:
 		return c.err
 	case <-ctx.Done():
-		return steperr.At("voter", v.me.ID, ctx.Err())
+		return steperr.At("voter", v.self.ID, ctx.Err())
 	}
 }
 
-// get runs f in the loop and hands its result on once its writes are synced.
-func get[T any](ctx context.Context, v *Voter, f func() T) (T, error) {
+// doResult is like Voter.do and returns the result of f.
+func doResult[T any](ctx context.Context, v *Voter, f func() T) (T, error) {
 	ch := make(chan T, 1)
 	if err := v.do(ctx, func() { ch <- f() }); err != nil {
 		var z T
@@ -241,27 +241,27 @@
 	return <-ch, nil
 }
 
-// told checks an ask's mark against this voter's seat.
-func (v *Voter) told(m Mark) Told {
-	ok := m.Epoch == v.core.Epoch && v.core.Epoch > 0 && v.seated(v.core) &&
-		(m.Disk == "" || m.Disk == v.me.Disk)
-	t := Told{OK: ok, Disk: v.me.Disk}
+// checkMark compares the header of a request with this voter's seat and returns the response header.
+func (v *Voter) checkMark(m Mark) Told {
+	ok := m.Epoch == v.core.Epoch && v.core.Epoch > 0 && v.hasSeatIn(v.core) &&
+		(m.Disk == "" || m.Disk == v.self.Disk)
+	t := Told{OK: ok, Disk: v.self.Disk}
 	if !ok {
 		t.Core = v.core
 	}
 	return t
 }
 
-// Serve teaches d to answer for this voter.
+// Serve registers this voter's request handlers with d.
 func (v *Voter) Serve(d *link.Desk) {
 	link.On(d, v.prepare)
 	link.On(d, v.accept)
 	link.On(d, v.read)
 	link.On(d, v.list)
-	link.On(d, v.formed)
+	link.On(d, v.handleForm)
 	link.On(d, v.seal)
 	link.On(d, v.join)
-	link.On(d, v.lift)
+	link.On(d, v.raiseFloor)
 	link.On(d, v.merge)
 	link.On(d, v.listMerged)
 	link.On(d, v.offer)
@@ -271,27 +271,27 @@
 }
 
 type (
-	// LiftAsk raises the floor under Prefix: items below Floor were folded into
-	// an item above it and may go (design 6.5).
+	// LiftAsk raises the floor under Prefix: registers with keys below Floor have been folded
+	// into a register above it and may be deleted (design 6.5).
 	LiftAsk struct {
 		Mark
 		Prefix string
 		Floor  string
 	}
-	// LiftTold answers it.
+	// LiftTold is the response to LiftAsk; Gone counts the deleted registers.
 	LiftTold struct {
 		Told
 		Gone int
 	}
 )
 
-func pack(x any) []byte {
+func encodeGob(x any) []byte {
 	var b bytes.Buffer
 	if err := gob.NewEncoder(&b).Encode(x); err != nil {
-		// Only our own fixed types come here.
+		// Only fixed types of this package are encoded here.
 		panic(err)
 	}
 	return b.Bytes()
 }
 
-func unpack(b []byte, x any) error { return gob.NewDecoder(bytes.NewReader(b)).Decode(x) }
+func decodeGob(b []byte, x any) error { return gob.NewDecoder(bytes.NewReader(b)).Decode(x) }
--- a/internal/quorum/voter_test.go
+++ b/internal/quorum/voter_test.go
@@ -10,35 +10,36 @@
 	"walkrudder/internal/link"
 )
 
-func in(t *testing.T, f func(ctx context.Context, t *testing.T)) {
+// runSynctest runs f in a synctest bubble and lets its goroutines end after its context is cancelled.
+func runSynctest(t *testing.T, f func(ctx context.Context, t *testing.T)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		ctx, end := context.WithCancel(t.Context())
+		ctx, cancel := context.WithCancel(t.Context())
 		f(ctx, t)
-		end()
+		cancel()
 		time.Sleep(10 * time.Second)
 	})
 }
 
-// The disk of one node is not taken for another's.
+// A voter refuses to start on the disk of another node.
 func TestAnotherNodesDiskIsRefused(t *testing.T) {
-	d := newMem()
+	d := newMemDisk()
 	if _, err := NewVoter(Seat{ID: "a"}, d, "x", nil, nil, nil); err != nil {
 		t.Fatal(err)
 	}
 	if v, err := NewVoter(Seat{ID: "a"}, d, "y", nil, nil, nil); err != nil || v.Seat().Disk != "x" {
-		t.Errorf("its own disk: %v", err)
+		t.Errorf("refused its own disk, or took a new incarnation: %v", err)
 	}
-	if _, err := NewVoter(Seat{ID: "b"}, d, "z", nil, nil, nil); !errors.Is(err, ErrOwner) {
-		t.Errorf("another's disk: %v", err)
+	if _, err := NewVoter(Seat{ID: "b"}, d, "z", nil, nil, nil); !errors.Is(err, ErrWrongOwner) {
+		t.Errorf("another node's disk: got %v, want ErrWrongOwner", err)
 	}
 }
 
-// A voter promises a ballot, loses its disk and comes back. An accept that rests
-// on that promise must not count, or two majorities could choose differently.
+// A voter promises a ballot, loses its disk and returns with an empty one. An accept that relies
+// on that promise must not count, or two majorities could choose different values.
 func TestPromiseGivenBeforeTheDiskWasLostIsWorthless(t *testing.T) {
-	in(t, func(ctx context.Context, t *testing.T) {
-		l, _ := newLab(ctx, t)
+	runSynctest(t, func(ctx context.Context, t *testing.T) {
+		l, _ := newVoterCluster(ctx, t)
 		old := l.core.Seats[2]
 		b := Ballot{5, "p"}
 		for _, s := range []string{"b", "c"} {
@@ -47,14 +48,14 @@
 				t.Fatal(r, err)
 			}
 		}
-		// c's disk is emptied; the seat goes to its next incarnation.
-		c := l.voter("c", newMem(), "disk-c2")
+		// The disk of c is erased; the seat goes to its next incarnation.
+		c := l.startVoter("c", newMemDisk(), "disk-c2")
 		if r, _ := link.Ask[AcceptTold](ctx, l, "c", AcceptAsk{Mark{1, old.Disk}, "k", b, []byte("v")}); r.OK || r.Yes {
-			t.Error("an emptied disk accepted in the epoch that it no longer knows")
+			t.Error("a voter with an erased disk accepted a value in an epoch that it no longer knows")
 		}
 		next := Core{Epoch: 2, Seats: []Seat{l.core.Seats[0], l.core.Seats[1], c.Seat()}}
 		if _, err := link.Ask[JoinTold](ctx, l, "c", JoinAsk{next, l.core.Seats[:2]}); err == nil {
-			t.Error("joined from voters that were never sealed")
+			t.Error("a voter joined from voters that were never sealed")
 		}
 		for _, s := range []string{"a", "b"} {
 			if r, err := link.Ask[SealTold](ctx, l, s, SealAsk{next}); err != nil || !r.OK {
@@ -66,47 +67,47 @@
 		}
 		for name, m := range map[string]Mark{"the lost disk": {2, old.Disk}, "the old epoch": {1, c.Seat().Disk}, "no disk": {Epoch: 2}} {
 			if r, _ := link.Ask[AcceptTold](ctx, l, "c", AcceptAsk{m, "k", b, []byte("v")}); r.OK || r.Yes {
-				t.Errorf("an accept marked with %s counted", name)
+				t.Errorf("an accept marked with %s was counted", name)
 			}
 		}
-		// The promise itself came along from b.
+		// The join pulled the promise itself from b.
 		if r, _ := link.Ask[PrepareTold](ctx, l, "c", PrepareAsk{Mark{Epoch: 2}, "k", Ballot{4, "q"}}); r.Yes {
-			t.Error("a lower ballot was promised after the join")
+			t.Error("a ballot lower than the promise was promised after the join")
 		}
 	})
 }
 
 func TestFailedSyncIsNeverAnswered(t *testing.T) {
-	in(t, func(ctx context.Context, t *testing.T) {
-		l, ds := newLab(ctx, t)
-		l.set(l.prop("p"), "k", "1")
-		ds["a"].breaks(true)
-		if _, err := link.Ask[PrepareTold](ctx, l, "a", PrepareAsk{Mark{Epoch: 1}, "k", Ballot{9, "p"}}); !errors.Is(err, ErrBad) {
-			t.Errorf("answered %v on a disk that failed", err)
+	runSynctest(t, func(ctx context.Context, t *testing.T) {
+		l, memDisks := newVoterCluster(ctx, t)
+		l.mustSet(l.newProposer("p"), "k", "1")
+		memDisks["a"].setFailing(true)
+		if _, err := link.Ask[PrepareTold](ctx, l, "a", PrepareAsk{Mark{Epoch: 1}, "k", Ballot{9, "p"}}); !errors.Is(err, ErrDiskFailed) {
+			t.Errorf("answered on a failed disk: %v", err)
 		}
-		ds["a"].breaks(false)
-		if _, err := link.Ask[ReadTold](ctx, l, "a", ReadAsk{Mark{Epoch: 1}, "k"}); !errors.Is(err, ErrBad) {
-			t.Errorf("voted on after a failed sync: %v", err)
+		memDisks["a"].setFailing(false)
+		if _, err := link.Ask[ReadTold](ctx, l, "a", ReadAsk{Mark{Epoch: 1}, "k"}); !errors.Is(err, ErrDiskFailed) {
+			t.Errorf("kept voting after a failed sync: %v", err)
 		}
-		p := l.prop("q")
-		l.set(p, "k", "2")
-		if v := l.get(p, "k"); v != "2" {
-			t.Errorf("the other two hold %q", v)
+		p := l.newProposer("q")
+		l.mustSet(p, "k", "2")
+		if v := l.mustGet(p, "k"); v != "2" {
+			t.Errorf("the other two voters hold %q", v)
 		}
 	})
 }
 
 func TestRestartKeepsWhatWasAcknowledged(t *testing.T) {
-	in(t, func(ctx context.Context, t *testing.T) {
-		l, ds := newLab(ctx, t)
-		l.set(l.prop("p"), "k", "1")
+	runSynctest(t, func(ctx context.Context, t *testing.T) {
+		l, memDisks := newVoterCluster(ctx, t)
+		l.mustSet(l.newProposer("p"), "k", "1")
 		for _, id := range []string{"a", "b", "c"} {
-			if v := l.voter(id, ds[id], "never"); v.Seat().Disk != "disk-"+id || !v.Voting() {
-				t.Errorf("%s came back as %+v, voting %v", id, v.Seat(), v.Voting())
+			if v := l.startVoter(id, memDisks[id], "never"); v.Seat().Disk != "disk-"+id || !v.Voting() {
+				t.Errorf("%s restarted as %+v, voting %v", id, v.Seat(), v.Voting())
 			}
 		}
-		if v := l.get(l.prop("q"), "k"); v != "1" {
-			t.Errorf("after all restarted: %q", v)
+		if v := l.mustGet(l.newProposer("q"), "k"); v != "1" {
+			t.Errorf("value after all voters restarted: %q", v)
 		}
 	})
 }
--- a/internal/quorum/voterform.go
+++ b/internal/quorum/voterform.go
@@ -8,15 +8,15 @@
 	"walkrudder/internal/storage"
 )
 
-// form is a node's consent to a first core (design 4.5).
+// form is a node's consent to a first core proposed by node By (design 4.5).
 type form struct {
 	By   string
 	Core Core
 }
 
-// next tells what becomes of the consent and of the core known when a is asked, and
-// whether a is granted. free says that a new consent may be given.
-func (f form) next(known Core, a FormAsk, free bool) (form, Core, bool) {
+// afterRequest returns the consent and the known core after request a, and whether a is
+// granted. mayConsent reports whether a new consent may be given.
+func (f form) afterRequest(known Core, a FormAsk, mayConsent bool) (form, Core, bool) {
 	same := f.By == a.By && slices.Equal(f.Core.Seats, a.Core.Seats)
 	switch {
 	case known.Epoch > 0:
@@ -31,28 +31,28 @@
 			known = a.Core
 		}
 		return f, known, same
-	case f.By == "" && free && a.Core.Epoch == 1:
+	case f.By == "" && mayConsent && a.Core.Epoch == 1:
 		return form{a.By, a.Core}, known, true
 	}
 	return f, known, same
 }
 
-// Consent is the formation this voter consented to, and its proposer.
+// Consent returns the proposer and the first core that this voter has consented to.
 func (v *Voter) Consent() (string, Core) {
 	v.mu.RLock()
 	defer v.mu.RUnlock()
-	return v.cons.By, v.cons.Core
+	return v.consentCopy.By, v.consentCopy.Core
 }
 
-// formed consents to a first core, drops a consent, or seals the core (design
-// 4.5). A consent binds until its own proposer drops it. A seed is asked also where
-// it gets no seat; its disk tells whether it has one.
-func (v *Voter) formed(ctx context.Context, _ link.Who, a FormAsk) (r FormTold, err error) {
-	return get(ctx, v, func() (r FormTold) {
-		f, c, ok := v.form.next(v.core, a, !v.later.Load())
-		r.Core, r.By, r.OK, r.Disk = v.core, f.By, ok, v.me.Disk
-		if f.By != v.form.By || !slices.Equal(f.Core.Seats, v.form.Core.Seats) {
-			v.setForm(f)
+// handleForm consents to a first core, withdraws a consent, or seals the core (design 4.5).
+// A consent binds until its own proposer withdraws it. Seeds are asked even if they get no
+// seat; Disk in the response tells whether they have a disk.
+func (v *Voter) handleForm(ctx context.Context, _ link.Who, a FormAsk) (r FormTold, err error) {
+	return doResult(ctx, v, func() (r FormTold) {
+		f, c, ok := v.consent.afterRequest(v.core, a, !v.refuseNewConsent.Load())
+		r.Core, r.By, r.OK, r.Disk = v.core, f.By, ok, v.self.Disk
+		if f.By != v.consent.By || !slices.Equal(f.Core.Seats, v.consent.Core.Seats) {
+			v.setConsent(f)
 		}
 		if c.Epoch > v.core.Epoch {
 			v.setCore(c)
@@ -61,17 +61,17 @@
 	})
 }
 
-// Adopt lets a voter that consented to c take it, once c is known to be sealed
-// elsewhere.
+// Adopt makes c the voter's core if the voter consented to it. c must be known to be sealed
+// on another node.
 func (v *Voter) Adopt(ctx context.Context, c Core) error {
 	return v.do(ctx, func() {
-		if v.core.Epoch == 0 && c.Epoch == 1 && slices.Equal(v.form.Core.Seats, c.Seats) {
+		if v.core.Epoch == 0 && c.Epoch == 1 && slices.Equal(v.consent.Core.Seats, c.Seats) {
 			v.setCore(c)
 		}
 	})
 }
 
-func (v *Voter) setForm(f form) {
-	v.form = f
-	v.puts = append(v.puts, storage.Put{Key: formKey, Value: pack(f)})
+func (v *Voter) setConsent(f form) {
+	v.consent = f
+	v.puts = append(v.puts, storage.Put{Key: consentKey, Value: encodeGob(f)})
 }
--- a/internal/quorum/votermerge.go
+++ b/internal/quorum/votermerge.go
@@ -13,33 +13,33 @@
 )
 
 const (
-	// maxMergeName bounds one merge item's name, in bytes.
-	maxMergeName = 1024
-	// maxMerged bounds how many merge items a voter keeps, dropped ones included.
-	maxMerged = 1 << 17
+	// maxMergeNameBytes bounds the name of one merge item.
+	maxMergeNameBytes = 1024
+	// maxMergeItems bounds the number of merge items per voter, tombstones included.
+	maxMergeItems = 1 << 17
 )
 
 type (
-	// MergeAsk hands merge items to a voter. Disk in its mark is the seat's
-	// incarnation that is meant; it must be given.
+	// MergeAsk sends merge items to a voter. Disk in its mark is the incarnation of the
+	// addressed seat and is required.
 	MergeAsk struct {
 		Mark
 		Items []item.Item
 	}
-	// MergeTold answers it once all that was new is synced. OK says that the voter
-	// holds a copy at least as new of every item; Over are the places in Items of
-	// those that do not stand there: a newer version does, or another content of
-	// the same version.
+	// MergeTold is the response to MergeAsk, sent once all new items are synced. OK reports that
+	// the voter holds a copy of every item that is at least as new. Over lists the indexes in Items
+	// of those that the voter holds in a newer version, or in the same version with content that
+	// takes precedence.
 	MergeTold struct {
 		Told
 		Over []int
 	}
-	// MergedAsk asks for the merge items past After, for a seat that joins.
+	// MergedAsk requests the merge items with keys greater than After, for a joining seat.
 	MergedAsk struct {
 		Mark
 		After item.Key
 	}
-	// MergedTold answers it; More says that the listing was cut.
+	// MergedTold is the response to MergedAsk; More reports that the list was truncated.
 	MergedTold struct {
 		Told
 		Items []item.Item
@@ -47,109 +47,110 @@
 	}
 )
 
-// newer tells whether a takes the place of b. Contents are digested only where one
-// version has two.
-func newer(a, b item.Item) bool {
+// supersedes reports whether a replaces b. Identical copies return early, so digests are computed
+// only if one version has two contents.
+func supersedes(a, b item.Item) bool {
 	if a.Version == b.Version && a.Gone == b.Gone && bytes.Equal(a.Body, b.Body) {
 		return false
 	}
 	return a.Compare(b) > 0
 }
 
-// checkMerge bounds one merge item.
-func checkMerge(it item.Item) error {
-	if len(it.Name) > maxMergeName || len(it.Body) > MaxValue {
+// checkMergeItem validates the sizes of one merge item.
+func checkMergeItem(it item.Item) error {
+	if len(it.Name) > maxMergeNameBytes || len(it.Body) > MaxValueBytes {
 		return steperr.New("merge", "", "item %.40q of %d bytes, name of %d; limits %d and %d",
-			it.Name, len(it.Body), len(it.Name), MaxValue, maxMergeName)
+			it.Name, len(it.Body), len(it.Name), MaxValueBytes, maxMergeNameBytes)
 	}
 	return nil
 }
 
-// Merged is what the disk held of merge items when the voter was loaded.
-func (v *Voter) Merged() []item.Item { return v.start }
+// LoadedMergeItems returns the merge items that were on the disk when the voter was loaded.
+func (v *Voter) LoadedMergeItems() []item.Item { return v.loadedMergeItems }
 
-// loadMerge notes what the disk holds of one merge item.
-func (v *Voter) loadMerge(key string, b []byte) error {
-	it, err := unpackMerge(key, b)
+// loadMergeItem loads one merge item from its disk key and value.
+func (v *Voter) loadMergeItem(key string, b []byte) error {
+	it, err := decodeMergeItem(key, b)
 	if err != nil {
 		return err
 	}
-	v.merged[it.Key] = it
-	v.start = append(v.start, it)
+	v.mergeItems[it.Key] = it
+	v.loadedMergeItems = append(v.loadedMergeItems, it)
 	return nil
 }
 
-// take keeps it if it is newer than the copy held; the batch's sync makes it last.
-func (v *Voter) take(it item.Item) {
-	if old, ok := v.merged[it.Key]; ok && !newer(it, old) {
+// applyMergeItem stores it if it supersedes the copy held; it is durable after the sync of the batch.
+func (v *Voter) applyMergeItem(it item.Item) {
+	if old, ok := v.mergeItems[it.Key]; ok && !supersedes(it, old) {
 		return
 	}
-	v.merged[it.Key] = it
-	v.puts = append(v.puts, storage.Put{Key: mergeKey(it.Key), Value: packMerge(it)})
-	v.taken = append(v.taken, it)
+	v.mergeItems[it.Key] = it
+	v.puts = append(v.puts, storage.Put{Key: mergeDiskKey(it.Key), Value: encodeMergeItem(it)})
+	v.newMergeItems = append(v.newMergeItems, it)
 	if r, ok := v.records[it.Key]; ok {
 		v.setRecord(it.Key, r)
 	}
 }
 
-// merge takes what is newer than the copies held. Why an acknowledged item
-// survives: the acknowledgement needs copies at least as new, synced, at Q of the
-// N seats of one epoch. A swap seals N-Q+1 seats of that epoch, which then take
-// nothing more in it, and any N-Q+1 seats meet any Q: one of the sealed holds the
-// item. The joiner pulls from all of them before it votes. One holder at most has
-// left and the joiner is one, so Q seats of the next epoch hold it. A seat that was
-// given but has not joined holds nothing, but neither can it be sealed: each such
-// seat takes one from both counts.
+// merge stores the items that are newer than the copies held.
+//
+// An acknowledged item survives the replacement of a seat: the acknowledgement requires synced
+// copies, at least as new, at Q of the N seats of one epoch. A reconfiguration seals N-Q+1 seats of
+// that epoch, which then store nothing more in it. Any N-Q+1 seats intersect any Q seats, so one
+// sealed seat holds the item, and the joining seat pulls from all sealed seats before it votes. At
+// most one holder has left and the joining seat replaces it, so Q seats of the next epoch hold the
+// item. A seat that was assigned but has not joined holds nothing, but it cannot be sealed either:
+// each such seat reduces both counts by one.
 func (v *Voter) merge(ctx context.Context, _ link.Who, a MergeAsk) (r MergeTold, err error) {
 	for _, it := range a.Items {
-		if err := checkMerge(it); err != nil {
+		if err := checkMergeItem(it); err != nil {
 			return r, err
 		}
 	}
-	var full error
-	r, err = get(ctx, v, func() (r MergeTold) {
-		if r.Told = v.told(a.Mark); !r.OK || a.Disk == "" {
+	var tooMany error
+	r, err = doResult(ctx, v, func() (r MergeTold) {
+		if r.Told = v.checkMark(a.Mark); !r.OK || a.Disk == "" {
 			r.OK = false
 			return r
 		}
-		n := len(v.merged)
+		n := len(v.mergeItems)
 		for _, it := range a.Items {
-			if _, old := v.merged[it.Key]; !old {
+			if _, old := v.mergeItems[it.Key]; !old {
 				n++
 			}
 		}
-		if n > maxMerged {
-			full = steperr.New("merge", v.me.ID, "more than %d items", maxMerged)
+		if n > maxMergeItems {
+			tooMany = steperr.New("merge", v.self.ID, "more than %d items", maxMergeItems)
 			return r
 		}
 		for _, it := range a.Items {
-			v.take(it)
+			v.applyMergeItem(it)
 		}
 		for i, it := range a.Items {
-			if newer(v.merged[it.Key], it) {
+			if supersedes(v.mergeItems[it.Key], it) {
 				r.Over = append(r.Over, i)
 			}
 		}
 		return r
 	})
-	return r, cmp.Or(err, full)
+	return r, cmp.Or(err, tooMany)
 }
 
-// listMerged lists merge items for a seat that joins; like list, also from a voter
-// that was swapped out.
+// listMerged lists merge items for a joining seat. Like list, it also serves from a voter that
+// has been replaced.
 func (v *Voter) listMerged(ctx context.Context, _ link.Who, a MergedAsk) (MergedTold, error) {
-	return get(ctx, v, func() (r MergedTold) {
-		if r.Told = v.told(a.Mark); !r.OK && a.Epoch != v.core.Epoch {
+	return doResult(ctx, v, func() (r MergedTold) {
+		if r.Told = v.checkMark(a.Mark); !r.OK && a.Epoch != v.core.Epoch {
 			return r
 		}
 		r.OK = true
-		// Sorted here, for joins are rare and a sorted table would be paid for by
+		// The keys are sorted here because joins are rare and a sorted table would add cost to
 		// every merge.
-		keys := keysAfter(maps.Keys(v.merged), a.After)
+		keys := keysAfter(maps.Keys(v.mergeItems), a.After)
 		n := 0
 		for _, k := range keys {
-			it := v.merged[k]
-			if n += len(k.Name) + len(it.Body) + 32; len(r.Items) > 0 && n > listPage {
+			it := v.mergeItems[k]
+			if n += len(k.Name) + len(it.Body) + 32; len(r.Items) > 0 && n > maxPageBytes {
 				r.More = true
 				return r
 			}
@@ -159,16 +160,16 @@
 	})
 }
 
-// Forget takes merge items off this disk. It is for kinds whose copies lose their worth
-// with time; a register's item must not go.
-func (v *Voter) Forget(ctx context.Context, keys []item.Key) error {
+// DropMergeItems deletes merge items from this disk. It is for kinds of items whose copies lose
+// their value over time; items with a decided register are kept.
+func (v *Voter) DropMergeItems(ctx context.Context, keys []item.Key) error {
 	return v.do(ctx, func() {
 		for _, k := range keys {
-			if _, held := v.merged[k]; !held || v.records[k].Decision.Decided() {
+			if _, held := v.mergeItems[k]; !held || v.records[k].Decision.Decided() {
 				continue
 			}
-			delete(v.merged, k)
-			v.puts = append(v.puts, storage.Put{Key: mergeKey(k)})
+			delete(v.mergeItems, k)
+			v.puts = append(v.puts, storage.Put{Key: mergeDiskKey(k)})
 		}
 	})
 }
--- a/internal/quorum/votermerge_test.go
+++ b/internal/quorum/votermerge_test.go
@@ -13,8 +13,8 @@
 	"walkrudder/internal/link"
 )
 
-// three is a city of three voters without stewards.
-func three(ctx context.Context, t *testing.T) *city {
+// newThreeVoters starts a core of three voters without reconfigurers.
+func newThreeVoters(ctx context.Context, t *testing.T) *city {
 	c := newCity(ctx, t)
 	for _, id := range []string{"a", "b", "c"} {
 		c.boot(id, "", nil)
@@ -24,14 +24,14 @@
 }
 
 func TestMergesFromTwoProposersEndAlike(t *testing.T) {
-	in(t, func(ctx context.Context, t *testing.T) {
-		c := three(ctx, t)
+	runSynctest(t, func(ctx context.Context, t *testing.T) {
+		c := newThreeVoters(ctx, t)
 		var wg sync.WaitGroup
 		for i, by := range []string{"a", "b"} {
 			wg.Go(func() {
 				for k := range 30 {
-					// Every third name has one version of two contents, the rest two
-					// versions, of which now one proposer has the higher, now the other.
+					// Every third name gets two contents of one version. The other names get
+					// two versions, and the proposers alternate in having the higher one.
 					v := uint64(5)
 					if k%3 > 0 {
 						v += uint64((k + i) % 2)
@@ -50,12 +50,12 @@
 			key := item.Key{Kind: item.Route, Name: fmt.Sprint("k", k)}
 			a := c.node("a").holds(key)
 			for _, id := range []string{"b", "c"} {
-				if o := c.node(id).holds(key); newer(a, o) || newer(o, a) || a.Version == 0 {
+				if o := c.node(id).holds(key); supersedes(a, o) || supersedes(o, a) || a.Version == 0 {
 					t.Errorf("%s: a holds %v, %s %v", key.Name, a, id, o)
 				}
 			}
 			if k%3 > 0 && a.Version != 6 {
-				t.Errorf("%s ended at version %d", key.Name, a.Version)
+				t.Errorf("%s ended at version %d, want 6", key.Name, a.Version)
 			}
 		}
 		c.kept("at the end")
@@ -63,8 +63,8 @@
 }
 
 func TestEqualVersionOfTwoContents(t *testing.T) {
-	in(t, func(ctx context.Context, t *testing.T) {
-		c := three(ctx, t)
+	runSynctest(t, func(ctx context.Context, t *testing.T) {
+		c := newThreeVoters(ctx, t)
 		x, y := thing("k", 3, "one"), thing("k", 3, "two")
 		if x.Compare(y) > 0 {
 			x, y = y, x
@@ -74,13 +74,13 @@
 			t.Fatal(over, err)
 		}
 		if over, err := p.MergeOver(ctx, []item.Item{x}); err != nil || len(over) > 0 {
-			t.Error("the same again:", over, err)
+			t.Error("merging the same item again:", over, err)
 		}
 		if over, err := p.MergeOver(ctx, []item.Item{thing("else", 1, ""), y}); err != nil || len(over) > 0 {
-			t.Error("the content that stands:", over, err)
+			t.Error("merging the content that takes precedence:", over, err)
 		}
 		if over, err := p.MergeOver(ctx, []item.Item{thing("else", 1, ""), x}); err != nil || len(over) != 1 || over[0] != x.Key {
-			t.Error("the content that does not stand:", over, err)
+			t.Error("merging the content that does not take precedence:", over, err)
 		}
 		time.Sleep(time.Second)
 		for id, n := range c.all() {
@@ -92,8 +92,8 @@
 }
 
 func TestOlderCopyChangesNothing(t *testing.T) {
-	in(t, func(ctx context.Context, t *testing.T) {
-		c := three(ctx, t)
+	runSynctest(t, func(ctx context.Context, t *testing.T) {
+		c := newThreeVoters(ctx, t)
 		c.merge("a", thing("k", 9, "new"), item.Item{Key: item.Key{Kind: item.Route, Name: "gone"}, Version: 9, Gone: true})
 		time.Sleep(time.Second)
 		for _, n := range c.all() {
@@ -109,7 +109,7 @@
 		for id, n := range c.all() {
 			n.mu.Lock()
 			if len(n.news) > 0 {
-				t.Errorf("%s was told %v", id, n.news)
+				t.Errorf("OnMerge of %s was called with %v", id, n.news)
 			}
 			n.mu.Unlock()
 			if h := n.holds(item.Key{Kind: item.Route, Name: "k"}); string(h.Body) != "new" {
@@ -123,55 +123,55 @@
 }
 
 func TestMergeIsSyncedBeforeItIsTold(t *testing.T) {
-	in(t, func(ctx context.Context, t *testing.T) {
-		c := three(ctx, t)
+	runSynctest(t, func(ctx context.Context, t *testing.T) {
+		c := newThreeVoters(ctx, t)
 		n := c.node("a")
-		told := 0
+		notified := 0
 		if err := n.v.do(ctx, func() {
 			n.v.OnMerge = func(its []item.Item) {
-				told += len(its)
+				notified += len(its)
 				for _, it := range its {
 					if h := n.holds(it.Key); h.Version != it.Version {
-						t.Errorf("told of %v, the disk holds %v", it, h)
+						t.Errorf("OnMerge was called with %v, the disk holds %v", it, h)
 					}
 				}
 			}
 		}); err != nil {
 			t.Fatal(err)
 		}
-		ask := func(it item.Item) error {
-			before := told
+		merge := func(it item.Item) error {
+			before := notified
 			r, err := link.Ask[MergeTold](ctx, port{c, "t"}, "a", MergeAsk{Mark{1, n.seat.Disk}, []item.Item{it}})
-			if err == nil && (!r.OK || told != before+1) {
-				t.Errorf("answered %+v after %d items were told", r, told-before)
+			if err == nil && (!r.OK || notified != before+1) {
+				t.Errorf("answered %+v after OnMerge was called with %d items", r, notified-before)
 			}
 			return err
 		}
-		if err := ask(thing("k", 1, "x")); err != nil {
+		if err := merge(thing("k", 1, "x")); err != nil {
 			t.Fatal(err)
 		}
-		n.mem.breaks(true)
-		if err := ask(thing("k", 2, "y")); !errors.Is(err, ErrBad) || told != 1 {
-			t.Errorf("%v on a disk that failed, %d told", err, told)
+		n.mem.setFailing(true)
+		if err := merge(thing("k", 2, "y")); !errors.Is(err, ErrDiskFailed) || notified != 1 {
+			t.Errorf("merge on a failed disk: %v; OnMerge was called with %d items", err, notified)
 		}
-		n.mem.breaks(false)
-		if err := ask(thing("k", 3, "z")); !errors.Is(err, ErrBad) {
-			t.Errorf("%v after a failed sync", err)
+		n.mem.setFailing(false)
+		if err := merge(thing("k", 3, "z")); !errors.Is(err, ErrDiskFailed) {
+			t.Errorf("merge after a failed sync: %v", err)
 		}
-		// The other two are a majority.
+		// The other two voters form a majority.
 		c.merge("b", thing("k", 4, "w"))
-		c.node("c").mem.breaks(true)
+		c.node("c").mem.setFailing(true)
 		cx, end := context.WithTimeout(ctx, time.Second)
 		defer end()
 		if err := c.node("b").p.Merge(cx, []item.Item{thing("k", 5, "v")}); !errors.Is(err, ErrNoQuorum) {
-			t.Errorf("%v with one disk of three", err)
+			t.Errorf("merge with one working disk of three: %v", err)
 		}
 	})
 }
 
 func TestMergeIsForOneEpochAndDisk(t *testing.T) {
-	in(t, func(ctx context.Context, t *testing.T) {
-		c := three(ctx, t)
+	runSynctest(t, func(ctx context.Context, t *testing.T) {
+		c := newThreeVoters(ctx, t)
 		for name, m := range map[string]Mark{"another disk": {1, "other"}, "no disk": {1, ""}, "another epoch": {2, c.node("a").seat.Disk}} {
 			r, err := link.Ask[MergeTold](ctx, port{c, "t"}, "a", MergeAsk{m, []item.Item{thing("k", 1, "x")}})
 			if err != nil || r.OK || c.node("a").holds(item.Key{Kind: item.Route, Name: "k"}).Version > 0 {
@@ -181,16 +181,16 @@
 	})
 }
 
-// Registers and merge items do not show in each other's place, whatever their names.
+// Keyed registers and merge items never appear in each other's place, whatever their names.
 func TestRegistersAndMergeItemsStayApart(t *testing.T) {
-	in(t, func(ctx context.Context, t *testing.T) {
-		c := three(ctx, t)
+	runSynctest(t, func(ctx context.Context, t *testing.T) {
+		c := newThreeVoters(ctx, t)
 		p := c.node("a").p
 		it := thing("x", 4, "merged")
 		c.merge("a", it)
-		if _, err := p.Change(ctx, mergeKey(it.Key), func(v []byte) ([]byte, error) {
+		if _, err := p.Change(ctx, mergeDiskKey(it.Key), func(v []byte) ([]byte, error) {
 			if v != nil {
-				t.Errorf("the register shows %q", v)
+				t.Errorf("the register of a merge item's disk key holds %q", v)
 			}
 			return []byte("register"), nil
 		}); err != nil {
@@ -201,79 +201,79 @@
 		if err := p.List(ctx, "", "", func(k string, v []byte) error {
 			keys = append(keys, k+"="+string(v))
 			return nil
-		}); err != nil || strings.Join(keys, ",") != mergeKey(it.Key)+"=register" {
+		}); err != nil || strings.Join(keys, ",") != mergeDiskKey(it.Key)+"=register" {
 			t.Error(keys, err)
 		}
-		// An item that one voter lacks is no register to be mended.
+		// A merge item that one voter lacks is not a register to repair.
 		c.set(func() { c.drop = func(_, to string, ask any) bool { _, m := ask.(MergeAsk); return m && to == "c" } })
 		c.merge("a", thing("y", 1, "b"))
 		time.Sleep(2 * time.Second)
 		c.set(func() { c.drop = nil })
 		if n, err := p.Mend(ctx); n != 0 || err != nil {
-			t.Errorf("the sweep mended %d, %v", n, err)
+			t.Errorf("the repair sweep changed %d registers, %v", n, err)
 		}
 		for _, id := range []string{"a", "b", "c"} {
 			m := c.kill(id)
 			n := c.boot(id, "", m)
-			if h := n.holds(it.Key); string(h.Body) != "merged" || len(n.v.Merged()) == 0 {
-				t.Errorf("%s holds %v after a restart, tells %v", id, h, n.v.Merged())
+			if h := n.holds(it.Key); string(h.Body) != "merged" || len(n.v.LoadedMergeItems()) == 0 {
+				t.Errorf("%s holds %v after a restart, loaded %v", id, h, n.v.LoadedMergeItems())
 			}
 		}
 		q := c.node("b").p
 		q.Learn(c.core())
-		if v, err := q.Read(ctx, mergeKey(it.Key)); string(v) != "register" || err != nil {
-			t.Errorf("the register after a restart: %q %v", v, err)
+		if v, err := q.Read(ctx, mergeDiskKey(it.Key)); string(v) != "register" || err != nil {
+			t.Errorf("the register after a restart holds %q, %v", v, err)
 		}
 	})
 }
 
 func TestMergeIsBounded(t *testing.T) {
-	in(t, func(ctx context.Context, t *testing.T) {
-		c := three(ctx, t)
+	runSynctest(t, func(ctx context.Context, t *testing.T) {
+		c := newThreeVoters(ctx, t)
 		p := c.node("a").p
 		for name, it := range map[string]item.Item{
-			"name": thing(strings.Repeat("n", maxMergeName+1), 1, ""),
-			"body": {Key: item.Key{Kind: item.Route, Name: "k"}, Version: 1, Body: make([]byte, MaxValue+1)},
+			"name": thing(strings.Repeat("n", maxMergeNameBytes+1), 1, ""),
+			"body": {Key: item.Key{Kind: item.Route, Name: "k"}, Version: 1, Body: make([]byte, MaxValueBytes+1)},
 		} {
 			if err := p.Merge(ctx, []item.Item{it}); err == nil {
-				t.Errorf("too long a %s was taken", name)
+				t.Errorf("a %s above the limit was accepted", name)
 			}
 			if _, err := link.Ask[MergeTold](ctx, port{c, "t"}, "a", MergeAsk{Mark{1, c.node("a").seat.Disk}, []item.Item{it}}); err == nil {
-				t.Errorf("a voter took too long a %s", name)
+				t.Errorf("a voter accepted a %s above the limit", name)
 			}
 		}
 		v := c.node("a").v
 		if err := v.do(ctx, func() {
-			for i := len(v.merged); i < maxMerged-1; i++ {
-				v.merged[item.Key{Kind: item.Service, Name: fmt.Sprint(i)}] = item.Item{}
+			for i := len(v.mergeItems); i < maxMergeItems-1; i++ {
+				v.mergeItems[item.Key{Kind: item.Service, Name: fmt.Sprint(i)}] = item.Item{}
 			}
 		}); err != nil {
 			t.Fatal(err)
 		}
-		ask := func(its ...item.Item) error {
+		merge := func(its ...item.Item) error {
 			_, err := link.Ask[MergeTold](ctx, port{c, "t"}, "a", MergeAsk{Mark{1, c.node("a").seat.Disk}, its})
 			return err
 		}
-		if err := ask(thing("last", 1, "")); err != nil {
-			t.Error("the last place:", err)
+		if err := merge(thing("last", 1, "")); err != nil {
+			t.Error("the last item below the limit was refused:", err)
 		}
-		if err := ask(thing("more", 1, "")); err == nil {
-			t.Error("the table grew past its bound")
+		if err := merge(thing("more", 1, "")); err == nil {
+			t.Error("the number of merge items exceeded its limit")
 		}
-		if err := ask(thing("last", 2, "")); err != nil {
-			t.Error("a newer version in a full table:", err)
+		if err := merge(thing("last", 2, "")); err != nil {
+			t.Error("a newer version of an item was refused at the limit:", err)
 		}
 	})
 }
 
-// A joiner takes the newest copy that any of the sealed holds, all pages of them,
-// and keeps what it holds itself if that is newer.
+// A joining voter takes the newest copy that any sealed voter holds, over all pages, and keeps its
+// own copy if that is newer.
 func TestJoinerTakesTheNewestOfAllPages(t *testing.T) {
-	for _, turn := range []bool{false, true} {
-		in(t, func(ctx context.Context, t *testing.T) {
-			c := three(ctx, t)
+	for _, reversed := range []bool{false, true} {
+		runSynctest(t, func(ctx context.Context, t *testing.T) {
+			c := newThreeVoters(ctx, t)
 			old := c.core()
-			only := func(id string, its ...item.Item) {
+			mergeAt := func(id string, its ...item.Item) {
 				if r, err := link.Ask[MergeTold](ctx, port{c, "t"}, id, MergeAsk{Mark{1, c.node(id).seat.Disk}, its}); err != nil || !r.OK {
 					t.Fatal(r, err)
 				}
@@ -284,13 +284,13 @@
 			}
 			c.merge("a", all...)
 			x1, x2, y1, y2 := thing("x", 1, "old"), thing("x", 2, "new"), thing("y", 1, "old"), thing("y", 2, "new")
-			only("a", x2, y1)
-			only("b", x1, y2)
+			mergeAt("a", x2, y1)
+			mergeAt("b", x1, y2)
 			d := c.boot("d", "", nil)
-			if err := d.v.do(ctx, func() { d.v.take(thing("own", 9, "kept")); d.v.take(thing("x", 1, "old")) }); err != nil {
+			if err := d.v.do(ctx, func() { d.v.applyMergeItem(thing("own", 9, "kept")); d.v.applyMergeItem(thing("x", 1, "old")) }); err != nil {
 				t.Fatal(err)
 			}
-			only("a", thing("own", 8, "older"))
+			mergeAt("a", thing("own", 8, "older"))
 			next := Core{Epoch: 2, Before: old.Seats, Seats: []Seat{old.Seats[0], old.Seats[1], d.seat}}
 			for _, s := range []string{"a", "b"} {
 				if r, err := link.Ask[SealTold](ctx, port{c, "t"}, s, SealAsk{next}); err != nil || !r.OK {
@@ -307,7 +307,7 @@
 				}
 			})
 			from := []Seat{old.Seats[0], old.Seats[1]}
-			if turn {
+			if reversed {
 				from[0], from[1] = from[1], from[0]
 			}
 			if r, err := link.Ask[JoinTold](ctx, port{c, "t"}, "d", JoinAsk{next, from}); err != nil || !r.OK || r.Items < len(all)+2 {
@@ -317,8 +317,8 @@
 				t.Errorf("%d pages", pages)
 			}
 			for _, it := range append(all, x2, y2, thing("own", 9, "kept")) {
-				if h := d.holds(it.Key); newer(it, h) || newer(h, it) {
-					t.Errorf("%s: holds version %d", it.Name, h.Version)
+				if h := d.holds(it.Key); supersedes(it, h) || supersedes(h, it) {
+					t.Errorf("%s: d holds version %d", it.Name, h.Version)
 				}
 			}
 			c.kept("after the join", append(all, x2, y2)...)
--- a/internal/quorum/voterseal_test.go
+++ b/internal/quorum/voterseal_test.go
@@ -8,10 +8,10 @@
 	"walkrudder/internal/link"
 )
 
-// After a core was given up for another, no majority can be sealed for it any more, however late
-// its seals come; and before that, one that was sealed for it accepts no other.
+// After a core was abandoned for another, no majority can be sealed for it, however late the seal
+// requests arrive. Seats sealed for the new core accept no other successor of their old epoch.
 func TestASealOfAGivenUpCoreIsRefused(t *testing.T) {
-	in(t, func(ctx context.Context, t *testing.T) {
+	runSynctest(t, func(ctx context.Context, t *testing.T) {
 		c := newCity(ctx, t)
 		for _, id := range []string{"a", "b", "c", "x", "y"} {
 			c.boot(id, "", nil)
@@ -52,16 +52,16 @@
 				granted++
 			}
 		}
-		if granted >= core.Blocking() {
-			t.Errorf("%d seats sealed for a core that was given up", granted)
+		if granted >= core.BlockingSize() {
+			t.Errorf("%d seats were sealed for an abandoned core", granted)
 		}
 		for _, id := range []string{"a", "b"} {
 			if !sealed(id, second) {
-				t.Errorf("%s is not sealed for the core that stands", id)
+				t.Errorf("%s was not sealed for the core in force", id)
 			}
 		}
 		if _, err := c.node("b").p.ChangeIn(ctx, core, coreRegister, func(old []byte) ([]byte, error) { return old, nil }); err == nil {
-			t.Error("sealed seats decide on a successor of their old epoch")
+			t.Error("sealed seats decided on another successor of their old epoch")
 		}
 	})
 }
--- a/internal/quorum/votertransfer_test.go
+++ b/internal/quorum/votertransfer_test.go
@@ -10,11 +10,11 @@
 	"walkrudder/internal/item"
 )
 
-// A join that breaks off again and again goes on where it stood: each page crosses once.
+// A join that is interrupted repeatedly continues where it stopped, so each page is sent once.
 func TestAJoinGoesOnWhereItBrokeOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ctx, end := context.WithCancel(t.Context())
-		defer end()
+		ctx, cancel := context.WithCancel(t.Context())
+		defer cancel()
 		c := newCity(ctx, t)
 		for i := range 4 {
 			c.boot(fmt.Sprint("n", i), "z", nil)
@@ -26,9 +26,9 @@
 			all = append(all, thing(fmt.Sprintf("k%02d", i), 1, string(bytes.Repeat([]byte{byte('a' + i%26)}, 200<<10))))
 		}
 		for _, it := range all {
-			stands, err := p.Decide(ctx, []item.Item{it})
+			decided, err := p.Decide(ctx, []item.Item{it})
 			if err == nil {
-				err = p.Merge(ctx, stands)
+				err = p.Merge(ctx, decided)
 			}
 			if err != nil {
 				t.Fatal(err)
@@ -40,7 +40,7 @@
 				t.Fatal(err)
 			}
 		}
-		pages, left := 0, 0
+		pages, pagesLeft := 0, 0
 		c.set(func() {
 			c.drop = func(from, _ string, ask any) bool {
 				switch ask.(type) {
@@ -48,7 +48,7 @@
 					if from != "n3" {
 						return false
 					}
-					if left--; left < 0 {
+					if pagesLeft--; pagesLeft < 0 {
 						return true
 					}
 					pages++
@@ -56,61 +56,62 @@
 				return false
 			}
 		})
-		joined, tries := false, 0
-		for ; !joined && tries < 40; tries++ {
-			c.set(func() { left = 2 })
+		joined, attempts := false, 0
+		for ; !joined && attempts < 40; attempts++ {
+			c.set(func() { pagesLeft = 2 })
 			cx, stop := context.WithTimeout(ctx, joinTime)
 			r, err := (port{c, "t"}).Call(cx, "n3", JoinAsk{Next: next, From: core.Seats[:2]})
 			stop()
 			joined = err == nil && r.(JoinTold).OK
 		}
-		if !joined || tries < 4 {
-			t.Fatalf("joined %v after %d tries", joined, tries)
+		if !joined || attempts < 4 {
+			t.Fatalf("joined %v after %d attempts", joined, attempts)
 		}
-		t.Logf("%d pages in %d tries", pages, tries)
-		// Two voters with 8 MB in merge items, the bodies of whose registers are told besides.
+		t.Logf("%d pages in %d attempts", pages, attempts)
+		// Two voters with 8 MB of merge items each; the limit allows for item registers that
+		// carry the bodies as well.
 		if pages > 24 {
-			t.Errorf("%d pages", pages)
+			t.Errorf("%d pages were sent, limit 24", pages)
 		}
 		for _, it := range all {
 			if h := c.node("n3").holds(it.Key); !h.Same(it) {
-				t.Errorf("%v is missing", it.Key)
+				t.Errorf("%v is missing after the join", it.Key)
 			}
 		}
 	})
 }
 
-// A record whose body was left out takes that of the merge item, keeps its call only where that is
-// the very item, and is refused where nobody told the body.
+// A record whose body was omitted takes the body of the merge item. It keeps its call only if the
+// merge item is the same item, and the transfer fails if no source sent the body.
 func TestBodiesThatWereLeftOutAreCompleted(t *testing.T) {
-	told := thing("k", 3, "three")
-	bare := told
-	bare.Body = nil
-	pulled := func(known ...item.Item) *transfer {
-		tr := &transfer{records: map[item.Key]record{told.Key: {Decision: Decision{Item: bare, Call: "c"}, bodiless: true}}, merged: map[item.Key]item.Item{}}
+	full := thing("k", 3, "three")
+	withoutBody := full
+	withoutBody.Body = nil
+	newTransfer := func(known ...item.Item) *transfer {
+		tr := &transfer{records: map[item.Key]record{full.Key: {Decision: Decision{Item: withoutBody, Call: "c"}, bodyOmitted: true}}, mergeItems: map[item.Key]item.Item{}}
 		for _, it := range known {
-			tr.merged[it.Key] = it
+			tr.mergeItems[it.Key] = it
 		}
 		return tr
 	}
-	for name, x := range map[string]struct {
+	for name, tc := range map[string]struct {
 		known []item.Item
 		want  Decision
 		fails bool
 	}{
-		"the same":  {[]item.Item{told}, Decision{Item: told, Call: "c"}, false},
+		"the same":  {[]item.Item{full}, Decision{Item: full, Call: "c"}, false},
 		"a newer":   {[]item.Item{thing("k", 4, "four")}, Decision{Item: thing("k", 4, "four")}, false},
 		"an older":  {[]item.Item{thing("k", 2, "two")}, Decision{}, true},
 		"none":      {nil, Decision{}, true},
 		"another's": {[]item.Item{thing("l", 3, "three")}, Decision{}, true},
 	} {
-		tr := pulled(x.known...)
-		err := tr.complete()
-		if (err != nil) != x.fails {
+		tr := newTransfer(tc.known...)
+		err := tr.completeBodies()
+		if (err != nil) != tc.fails {
 			t.Errorf("%s: %v", name, err)
 		}
-		if got := tr.records[told.Key].Decision; err == nil && (!got.Item.Same(x.want.Item) || got.Call != x.want.Call) {
-			t.Errorf("%s: %+v, want %+v", name, got, x.want)
+		if got := tr.records[full.Key].Decision; err == nil && (!got.Item.Same(tc.want.Item) || got.Call != tc.want.Call) {
+			t.Errorf("%s: %+v, want %+v", name, got, tc.want)
 		}
 	}
 }
--- a/internal/sim/model/invariants.go
+++ b/internal/sim/model/invariants.go
@@ -27,7 +27,7 @@
 				without++
 			}
 		}
-		if without >= core.Blocking() {
+		if without >= core.BlockingSize() {
 			h.breaks("%d of %d seats of epoch %d vote without version %d of %s, which was confirmed", without, len(core.Seats), core.Epoch, newest, k.Name)
 		}
 	}
@@ -55,7 +55,7 @@
 
 // held is the version of an item.
 func (d seatDisk) held(k item.Key) uint64 {
-	for _, i := range d.Merged() {
+	for _, i := range d.LoadedMergeItems() {
 		if i.Key == k {
 			return i.Version + 1
 		}
--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -51,7 +51,7 @@
 
 // Join makes one snapshot of what several disks hold: of each item the newest copy. Leavings of
 // targets are left out; they mean nothing to a new system.
-func Join(disks []quorum.Stored, taken time.Time) (Snapshot, error) {
+func Join(disks []quorum.StoredState, taken time.Time) (Snapshot, error) {
 	s := Snapshot{Taken: taken.UTC()}
 	var newest quorum.Core
 	for _, d := range disks {
@@ -62,7 +62,7 @@
 	if newest.Epoch == 0 {
 		return s, steperr.At("join disks", "", ErrNoDisk)
 	}
-	s.Epoch, s.Need = newest.Epoch, newest.Blocking()
+	s.Epoch, s.Need = newest.Epoch, newest.BlockingSize()
 	all := item.NewSet()
 	for _, d := range disks {
 		if d.Core.Epoch == newest.Epoch && d.Voting() && !slices.Contains(s.Nodes, d.Owner) {
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -21,17 +21,17 @@
 }
 
 // stored is a disk of a core of three.
-func stored(node string, epoch uint64, items ...item.Item) quorum.Stored {
+func stored(node string, epoch uint64, items ...item.Item) quorum.StoredState {
 	core := quorum.Core{Epoch: epoch}
 	for _, id := range []string{"a", "b", "c"} {
 		core.Seats = append(core.Seats, quorum.Seat{ID: id, Disk: "disk-" + id})
 	}
-	return quorum.Stored{Owner: node, Disk: "disk-" + node, Core: core, Items: items}
+	return quorum.StoredState{Owner: node, Disk: "disk-" + node, Core: core, Items: items}
 }
 
 func TestJoinTakesTheNewestOfEachItem(t *testing.T) {
 	leaving := item.Item{Key: item.Key{Kind: item.Departure, Name: "i-1"}, Version: 2}
-	s, err := Join([]quorum.Stored{
+	s, err := Join([]quorum.StoredState{
 		stored("a", 4, route("r", 2, "two"), route("q", 7, "seven"), leaving),
 		stored("b", 4, route("r", 3, "three"), dropped("q", 9)),
 		stored("c", 3, route("r", 1, "one"), route("old", 1, "old")),
@@ -49,17 +49,17 @@
 func TestTooFewDisksAreTold(t *testing.T) {
 	emptied := stored("b", 4)
 	emptied.Disk = "another"
-	s, err := Join([]quorum.Stored{stored("a", 4), emptied, stored("c", 3)}, time.Unix(5, 0))
+	s, err := Join([]quorum.StoredState{stored("a", 4), emptied, stored("c", 3)}, time.Unix(5, 0))
 	if err != nil || !s.Partial() {
 		t.Errorf("%v, %v", s, err)
 	}
-	if _, err := Join([]quorum.Stored{{Owner: "a"}}, time.Unix(5, 0)); !errors.Is(err, ErrNoDisk) {
+	if _, err := Join([]quorum.StoredState{{Owner: "a"}}, time.Unix(5, 0)); !errors.Is(err, ErrNoDisk) {
 		t.Errorf("no core: %v", err)
 	}
 }
 
 func TestAFileIsReadAsItWasWritten(t *testing.T) {
-	s, err := Join([]quorum.Stored{stored("a", 4, route("r", 2, "two"), dropped("q", 9)), stored("b", 4)}, time.Unix(5, 0))
+	s, err := Join([]quorum.StoredState{stored("a", 4, route("r", 2, "two"), dropped("q", 9)), stored("b", 4)}, time.Unix(5, 0))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -80,7 +80,7 @@
 
 // Whatever byte is changed, and wherever the file ends, it is refused.
 func TestADamagedFileIsRefused(t *testing.T) {
-	s, err := Join([]quorum.Stored{stored("a", 4, route("r", 2, "two"), dropped("q", 9)), stored("b", 4)}, time.Unix(5, 0))
+	s, err := Join([]quorum.StoredState{stored("a", 4, route("r", 2, "two"), dropped("q", 9)), stored("b", 4)}, time.Unix(5, 0))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/watch/mesh.go
+++ b/internal/watch/mesh.go
@@ -262,7 +262,7 @@
 // nothing was acknowledged in the next core up to then.
 func (m *Mesh) lag() (time.Duration, bool) {
 	c := m.Core()
-	need := c.Blocking()
+	need := c.BlockingSize()
 	if len(c.Seats) == 0 {
 		return 0, false
 	}
@@ -352,7 +352,7 @@
 
 // syncWith polls the seats of one core once.
 func (m *Mesh) syncWith(ctx context.Context, core quorum.Core) bool {
-	need := core.Blocking()
+	need := core.BlockingSize()
 	if m.counts(core) {
 		need--
 	}
