--- a/internal/quorum/voterdecision.go
+++ b/internal/quorum/voterdecision.go
@@ -117,23 +117,23 @@
 }
 
 // offer promises a ballot for all requested registers, or for none.
-func (v *Voter) offer(ctx context.Context, _ link.Who, a OfferAsk) (r OfferTold, err error) {
-	if err := v.checkKeys("offer", a.Keys); err != nil {
+func (v *Voter) offer(ctx context.Context, _ link.Who, req OfferAsk) (r OfferTold, err error) {
+	if err := v.checkKeys("offer", req.Keys); err != nil {
 		return r, err
 	}
 	return doResult(ctx, v, func() (r OfferTold) {
-		if r.Told = v.checkMark(a.Mark); !r.OK {
+		if r.Told = v.checkMark(req.Mark); !r.OK {
 			return r
 		}
-		if r.Over = v.highestBallot(a.Keys); a.Ballot.Compare(r.Over) <= 0 {
+		if r.Over = v.highestBallot(req.Keys); req.Ballot.Compare(r.Over) <= 0 {
 			return r
 		}
 		v.faults.At(fault.BeforePromise)
 		v.faultsAfterSync = append(v.faultsAfterSync, fault.AfterPromise)
 		r.Yes = true
-		for _, k := range a.Keys {
+		for _, k := range req.Keys {
 			held := v.records[k]
-			held.Promised = a.Ballot
+			held.Promised = req.Ballot
 			v.setRecord(k, held)
 			held = v.records[k]
 			r.Held = append(r.Held, HeldDecision{held.Accepted, held.Decision, v.isSettled(held.Decision)})
@@ -149,46 +149,46 @@
 }
 
 // decide accepts decisions for all requested registers, or for none.
-func (v *Voter) decide(ctx context.Context, _ link.Who, a DecideAsk) (r DecideTold, err error) {
-	if err := v.checkKeys("decide", a.Keys); err != nil {
+func (v *Voter) decide(ctx context.Context, _ link.Who, req DecideAsk) (r DecideTold, err error) {
+	if err := v.checkKeys("decide", req.Keys); err != nil {
 		return r, err
 	}
-	if len(a.Decisions) != len(a.Keys) {
-		return r, steperr.New("decide", v.self.ID, "%d decisions for %d items", len(a.Decisions), len(a.Keys))
+	if len(req.Decisions) != len(req.Keys) {
+		return r, steperr.New("decide", v.self.ID, "%d decisions for %d items", len(req.Decisions), len(req.Keys))
 	}
-	for i, d := range a.Decisions {
+	for i, d := range req.Decisions {
 		if err := checkMergeItem(d.Item); err != nil {
 			return r, err
 		}
-		if d.Decided() && d.Item.Key != a.Keys[i] || len(d.Past) > maxPastVersions {
+		if d.Decided() && d.Item.Key != req.Keys[i] || len(d.Past) > maxPastVersions {
 			return r, steperr.New("decide", v.self.ID, "decision for a different item, or with %d earlier versions", len(d.Past))
 		}
 	}
 	return doResult(ctx, v, func() (r DecideTold) {
-		if r.Told = v.checkMark(a.Mark); !r.OK || a.Disk == "" {
-			r.OK = r.OK && a.Disk != ""
+		if r.Told = v.checkMark(req.Mark); !r.OK || req.Disk == "" {
+			r.OK = r.OK && req.Disk != ""
 			return r
 		}
-		if r.Over = v.highestBallot(a.Keys); a.Ballot.Compare(r.Over) < 0 {
+		if r.Over = v.highestBallot(req.Keys); req.Ballot.Compare(r.Over) < 0 {
 			return r
 		}
 		v.faults.At(fault.BeforeAccept)
 		v.faultsAfterSync = append(v.faultsAfterSync, fault.AfterAccept)
 		r.Yes = true
-		for i, k := range a.Keys {
-			v.setRecord(k, record{Promised: a.Ballot, Accepted: a.Ballot, Decision: a.Decisions[i]})
+		for i, k := range req.Keys {
+			v.setRecord(k, record{Promised: req.Ballot, Accepted: req.Ballot, Decision: req.Decisions[i]})
 		}
 		return r
 	})
 }
 
 // trace reports whether any requested item is the newest of its register.
-func (v *Voter) trace(ctx context.Context, _ link.Who, a TraceAsk) (TraceTold, error) {
+func (v *Voter) trace(ctx context.Context, _ link.Who, req TraceAsk) (TraceTold, error) {
 	return doResult(ctx, v, func() (r TraceTold) {
-		if r.Told = v.checkMark(a.Mark); !r.OK {
+		if r.Told = v.checkMark(req.Mark); !r.OK {
 			return r
 		}
-		for _, x := range a.Items {
+		for _, x := range req.Items {
 			held := v.records[x.Key].Decision
 			r.Found = r.Found || held.Decided() && held.Item.Version == x.Version && held.Item.Digest() == x.Digest
 		}
@@ -239,14 +239,14 @@
 
 // listRecords lists item registers for a joining seat. Like list, it also serves from a voter
 // that has been replaced.
-func (v *Voter) listRecords(ctx context.Context, _ link.Who, a RecordsAsk) (RecordsTold, error) {
+func (v *Voter) listRecords(ctx context.Context, _ link.Who, req RecordsAsk) (RecordsTold, error) {
 	return doResult(ctx, v, func() (r RecordsTold) {
-		if r.Told = v.checkMark(a.Mark); !r.OK && a.Epoch != v.core.Epoch {
+		if r.Told = v.checkMark(req.Mark); !r.OK && req.Epoch != v.core.Epoch {
 			return r
 		}
 		r.OK = true
 		size := 0
-		for _, k := range keysAfter(maps.Keys(v.records), a.After) {
+		for _, k := range keysAfter(maps.Keys(v.records), req.After) {
 			held := v.records[k]
 			entry := KeyedRecord{Key: k, Promised: held.Promised, Accepted: held.Accepted, Decision: held.Decision, Bodiless: v.isSettled(held.Decision)}
 			if entry.Bodiless {
--- a/internal/quorum/voterform.go
+++ b/internal/quorum/voterform.go
@@ -14,25 +14,25 @@
 	Core Core
 }
 
-// afterRequest returns the consent and the known core after request a, and whether a is
-// granted. mayConsent reports whether a new consent may be given.
-func (f form) afterRequest(known Core, a FormAsk, mayConsent bool) (form, Core, bool) {
-	same := f.By == a.By && slices.Equal(f.Core.Seats, a.Core.Seats)
+// afterRequest returns the consent and the known core after a request, and whether the request
+// is granted. mayConsent reports whether a new consent may be given.
+func (f form) afterRequest(known Core, req FormAsk, mayConsent bool) (form, Core, bool) {
+	same := f.By == req.By && slices.Equal(f.Core.Seats, req.Core.Seats)
 	switch {
 	case known.Epoch > 0:
-		return f, known, same && a.Seal
-	case a.Drop:
-		if f.By == a.By {
+		return f, known, same && req.Seal
+	case req.Drop:
+		if f.By == req.By {
 			f = form{}
 		}
 		return f, known, true
-	case a.Seal:
+	case req.Seal:
 		if same {
-			known = a.Core
+			known = req.Core
 		}
 		return f, known, same
-	case f.By == "" && mayConsent && a.Core.Epoch == 1:
-		return form{a.By, a.Core}, known, true
+	case f.By == "" && mayConsent && req.Core.Epoch == 1:
+		return form{req.By, req.Core}, known, true
 	}
 	return f, known, same
 }
@@ -47,9 +47,9 @@
 // handleForm consents to a first core, withdraws a consent, or seals the core (design 4.5).
 // A consent binds until its own proposer withdraws it. Seeds are asked even if they get no
 // seat; Disk in the response tells whether they have a disk.
-func (v *Voter) handleForm(ctx context.Context, _ link.Who, a FormAsk) (r FormTold, err error) {
+func (v *Voter) handleForm(ctx context.Context, _ link.Who, req FormAsk) (r FormTold, err error) {
 	return doResult(ctx, v, func() (r FormTold) {
-		f, c, ok := v.consent.afterRequest(v.core, a, !v.refuseNewConsent.Load())
+		f, c, ok := v.consent.afterRequest(v.core, req, !v.refuseNewConsent.Load())
 		r.Core, r.By, r.OK, r.Disk = v.core, f.By, ok, v.self.Disk
 		if f.By != v.consent.By || !slices.Equal(f.Core.Seats, v.consent.Core.Seats) {
 			v.setConsent(f)
--- a/internal/quorum/voterjoin.go
+++ b/internal/quorum/voterjoin.go
@@ -18,13 +18,13 @@
 // seal moves this voter to the next epoch, after which it accepts nothing in the previous one
 // (design 4.4). It refuses an abandoned core, that is, one other than a core that this voter
 // itself accepted by a later ballot.
-func (v *Voter) seal(ctx context.Context, _ link.Who, a SealAsk) (r SealTold, err error) {
+func (v *Voter) seal(ctx context.Context, _ link.Who, req SealAsk) (r SealTold, err error) {
 	return doResult(ctx, v, func() (r SealTold) {
 		switch {
-		case v.core.Epoch == a.Next.Epoch:
+		case v.core.Epoch == req.Next.Epoch:
 			r.OK = true
-		case v.core.Epoch > 0 && a.Next.Succeeds(v.core.Epoch) && v.hasSeatIn(v.core) && !v.acceptedRivalOf(a.Next):
-			v.setCore(a.Next)
+		case v.core.Epoch > 0 && req.Next.Succeeds(v.core.Epoch) && v.hasSeatIn(v.core) && !v.acceptedRivalOf(req.Next):
+			v.setCore(req.Next)
 			r.OK = true
 		}
 		r.Disk, r.Core = v.self.Disk, v.core
@@ -48,12 +48,12 @@
 // join pulls all state from the former voters and only then votes in the next core (design 4.4).
 // A promise that this node made on an earlier disk is not part of that state, but no accept that
 // relies on the promise can reach this seat: such an accept carries the earlier incarnation.
-func (v *Voter) join(ctx context.Context, _ link.Who, a JoinAsk) (r JoinTold, err error) {
-	if !v.hasSeatIn(a.Next) {
-		return r, steperr.New("join", v.self.ID, "no seat in epoch %d for disk %s", a.Next.Epoch, v.self.Disk)
+func (v *Voter) join(ctx context.Context, _ link.Who, req JoinAsk) (r JoinTold, err error) {
+	if !v.hasSeatIn(req.Next) {
+		return r, steperr.New("join", v.self.ID, "no seat in epoch %d for disk %s", req.Next.Epoch, v.self.Disk)
 	}
-	if c := v.Core(); c.Epoch >= a.Next.Epoch && v.hasSeatIn(c) {
-		return JoinTold{OK: c.Epoch == a.Next.Epoch}, nil
+	if c := v.Core(); c.Epoch >= req.Next.Epoch && v.hasSeatIn(c) {
+		return JoinTold{OK: c.Epoch == req.Next.Epoch}, nil
 	}
 	select {
 	case v.joinToken <- struct{}{}:
@@ -61,14 +61,14 @@
 	case <-ctx.Done():
 		return r, steperr.At("join", v.self.ID, ctx.Err())
 	}
-	pulled, err := v.pullAll(ctx, a)
+	pulled, err := v.pullAll(ctx, req)
 	if err != nil {
 		return r, err
 	}
 	v.faults.At(fault.AfterPull)
 	return doResult(ctx, v, func() (r JoinTold) {
-		if v.core.Epoch >= a.Next.Epoch && v.hasSeatIn(v.core) {
-			r.OK = v.core.Epoch == a.Next.Epoch
+		if v.core.Epoch >= req.Next.Epoch && v.hasSeatIn(v.core) {
+			r.OK = v.core.Epoch == req.Next.Epoch
 			return r
 		}
 		for k, it := range pulled.registers {
@@ -83,7 +83,7 @@
 		for _, it := range pulled.mergeItems {
 			v.applyMergeItem(it)
 		}
-		v.setCore(a.Next)
+		v.setCore(req.Next)
 		r.OK, r.Items = true, len(pulled.registers)+len(pulled.mergeItems)
 		return r
 	})
--- a/internal/quorum/votermerge.go
+++ b/internal/quorum/votermerge.go
@@ -101,20 +101,20 @@
 // most one holder has left and the joining seat replaces it, so Q seats of the next epoch hold the
 // item. A seat that was assigned but has not joined holds nothing, but it cannot be sealed either:
 // each such seat reduces both counts by one.
-func (v *Voter) merge(ctx context.Context, _ link.Who, a MergeAsk) (r MergeTold, err error) {
-	for _, it := range a.Items {
+func (v *Voter) merge(ctx context.Context, _ link.Who, req MergeAsk) (r MergeTold, err error) {
+	for _, it := range req.Items {
 		if err := checkMergeItem(it); err != nil {
 			return r, err
 		}
 	}
 	var tooMany error
 	r, err = doResult(ctx, v, func() (r MergeTold) {
-		if r.Told = v.checkMark(a.Mark); !r.OK || a.Disk == "" {
+		if r.Told = v.checkMark(req.Mark); !r.OK || req.Disk == "" {
 			r.OK = false
 			return r
 		}
 		n := len(v.mergeItems)
-		for _, it := range a.Items {
+		for _, it := range req.Items {
 			if _, old := v.mergeItems[it.Key]; !old {
 				n++
 			}
@@ -123,10 +123,10 @@
 			tooMany = steperr.New("merge", v.self.ID, "more than %d items", maxMergeItems)
 			return r
 		}
-		for _, it := range a.Items {
+		for _, it := range req.Items {
 			v.applyMergeItem(it)
 		}
-		for i, it := range a.Items {
+		for i, it := range req.Items {
 			if supersedes(v.mergeItems[it.Key], it) {
 				r.Over = append(r.Over, i)
 			}
@@ -138,15 +138,15 @@
 
 // listMerged lists merge items for a joining seat. Like list, it also serves from a voter that
 // has been replaced.
-func (v *Voter) listMerged(ctx context.Context, _ link.Who, a MergedAsk) (MergedTold, error) {
+func (v *Voter) listMerged(ctx context.Context, _ link.Who, req MergedAsk) (MergedTold, error) {
 	return doResult(ctx, v, func() (r MergedTold) {
-		if r.Told = v.checkMark(a.Mark); !r.OK && a.Epoch != v.core.Epoch {
+		if r.Told = v.checkMark(req.Mark); !r.OK && req.Epoch != v.core.Epoch {
 			return r
 		}
 		r.OK = true
 		// The keys are sorted here because joins are rare and a sorted table would add cost to
 		// every merge.
-		keys := keysAfter(maps.Keys(v.mergeItems), a.After)
+		keys := keysAfter(maps.Keys(v.mergeItems), req.After)
 		n := 0
 		for _, k := range keys {
 			it := v.mergeItems[k]
--- a/internal/quorum/voterregister.go
+++ b/internal/quorum/voterregister.go
@@ -11,6 +11,7 @@
 	"walkrudder/internal/storage"
 )
 
+// setRegister stores a keyed register; it is durable after the sync of the batch.
 func (v *Voter) setRegister(k string, it Item) {
 	if _, old := v.registers[k]; !old {
 		i, _ := slices.BinarySearch(v.registerKeys, k)
@@ -30,17 +31,18 @@
 	return false
 }
 
-func (v *Voter) prepare(ctx context.Context, _ link.Who, a PrepareAsk) (r PrepareTold, err error) {
+// prepare promises a ballot that is higher than any that the register has promised or accepted.
+func (v *Voter) prepare(ctx context.Context, _ link.Who, req PrepareAsk) (r PrepareTold, err error) {
 	return doResult(ctx, v, func() (r PrepareTold) {
-		if r.Told = v.checkMark(a.Mark); !r.OK || len(a.Key) > MaxKeyBytes || v.belowFloor(a.Key) {
+		if r.Told = v.checkMark(req.Mark); !r.OK || len(req.Key) > MaxKeyBytes || v.belowFloor(req.Key) {
 			return r
 		}
-		it := v.registers[a.Key]
-		if a.Ballot.Compare(it.Promised) > 0 && a.Ballot.Compare(it.Accepted) > 0 {
+		it := v.registers[req.Key]
+		if req.Ballot.Compare(it.Promised) > 0 && req.Ballot.Compare(it.Accepted) > 0 {
 			v.faults.At(fault.BeforePromise)
 			v.faultsAfterSync = append(v.faultsAfterSync, fault.AfterPromise)
-			it.Promised = a.Ballot
-			v.setRegister(a.Key, it)
+			it.Promised = req.Ballot
+			v.setRegister(req.Key, it)
 			r.Yes = true
 		}
 		r.Item = it
@@ -48,48 +50,51 @@
 	})
 }
 
-func (v *Voter) accept(ctx context.Context, _ link.Who, a AcceptAsk) (r AcceptTold, err error) {
-	if len(a.Value) > MaxValueBytes {
-		return r, steperr.New("accept", v.self.ID, "value of %d bytes, limit %d", len(a.Value), MaxValueBytes)
+// accept accepts a value unless the register has promised or accepted a higher ballot.
+func (v *Voter) accept(ctx context.Context, _ link.Who, req AcceptAsk) (r AcceptTold, err error) {
+	if len(req.Value) > MaxValueBytes {
+		return r, steperr.New("accept", v.self.ID, "value of %d bytes, limit %d", len(req.Value), MaxValueBytes)
 	}
 	return doResult(ctx, v, func() (r AcceptTold) {
-		if r.Told = v.checkMark(a.Mark); !r.OK || a.Disk == "" || v.belowFloor(a.Key) {
-			r.OK = r.OK && a.Disk != ""
+		if r.Told = v.checkMark(req.Mark); !r.OK || req.Disk == "" || v.belowFloor(req.Key) {
+			r.OK = r.OK && req.Disk != ""
 			return r
 		}
-		it := v.registers[a.Key]
-		if r.Promised = it.Promised; a.Ballot.Compare(it.Promised) >= 0 && a.Ballot.Compare(it.Accepted) >= 0 {
+		it := v.registers[req.Key]
+		if r.Promised = it.Promised; req.Ballot.Compare(it.Promised) >= 0 && req.Ballot.Compare(it.Accepted) >= 0 {
 			v.faults.At(fault.BeforeAccept)
 			v.faultsAfterSync = append(v.faultsAfterSync, fault.AfterAccept)
-			v.setRegister(a.Key, Item{Promised: a.Ballot, Accepted: a.Ballot, Value: a.Value})
+			v.setRegister(req.Key, Item{Promised: req.Ballot, Accepted: req.Ballot, Value: req.Value})
 			r.Yes = true
 		}
 		return r
 	})
 }
 
-func (v *Voter) read(ctx context.Context, _ link.Who, a ReadAsk) (r ReadTold, err error) {
+// read returns the current state of one keyed register.
+func (v *Voter) read(ctx context.Context, _ link.Who, req ReadAsk) (r ReadTold, err error) {
 	return doResult(ctx, v, func() (r ReadTold) {
-		if r.Told = v.checkMark(a.Mark); r.OK {
-			r.Item = v.registers[a.Key]
+		if r.Told = v.checkMark(req.Mark); r.OK {
+			r.Item = v.registers[req.Key]
 		}
 		return r
 	})
 }
 
-func (v *Voter) list(ctx context.Context, _ link.Who, a ListAsk) (r ListTold, err error) {
+// list returns one page of the keyed registers, or the last one with an accepted value.
+func (v *Voter) list(ctx context.Context, _ link.Who, req ListAsk) (r ListTold, err error) {
 	return doResult(ctx, v, func() (r ListTold) {
-		r.Told = v.checkMark(a.Mark)
+		r.Told = v.checkMark(req.Mark)
 		// A replaced voter still lets joining seats pull its registers.
-		if !r.OK && !(a.All && a.Epoch == v.core.Epoch) {
+		if !r.OK && !(req.All && req.Epoch == v.core.Epoch) {
 			return r
 		}
 		r.OK = true
-		if a.Last {
-			r.Entries = v.lastEntry(a.Prefix)
+		if req.Last {
+			r.Entries = v.lastEntry(req.Prefix)
 			return r
 		}
-		r.Entries, r.More = v.entryPage(a)
+		r.Entries, r.More = v.entryPage(req)
 		return r
 	})
 }
@@ -105,17 +110,17 @@
 	return nil
 }
 
-// entryPage returns one page of the registers that a asks for; more reports that others follow.
-func (v *Voter) entryPage(a ListAsk) (out []Entry, more bool) {
-	i, _ := slices.BinarySearch(v.registerKeys, max(a.Prefix, a.After))
+// entryPage returns one page of the registers requested; more reports that others follow.
+func (v *Voter) entryPage(req ListAsk) (out []Entry, more bool) {
+	i, _ := slices.BinarySearch(v.registerKeys, max(req.Prefix, req.After))
 	n := 0
-	for ; i < len(v.registerKeys) && strings.HasPrefix(v.registerKeys[i], a.Prefix); i++ {
+	for ; i < len(v.registerKeys) && strings.HasPrefix(v.registerKeys[i], req.Prefix); i++ {
 		k := v.registerKeys[i]
 		it := v.registers[k]
-		if k <= a.After || (!a.All && it.Accepted.IsZero()) {
+		if k <= req.After || (!req.All && it.Accepted.IsZero()) {
 			continue
 		}
-		if n += len(k) + len(it.Value) + 64; len(out) > 0 && (n > maxPageBytes || (a.Max > 0 && len(out) >= a.Max)) {
+		if n += len(k) + len(it.Value) + 64; len(out) > 0 && (n > maxPageBytes || (req.Max > 0 && len(out) >= req.Max)) {
 			return out, true
 		}
 		out = append(out, Entry{k, it})
@@ -123,15 +128,16 @@
 	return out, false
 }
 
-func (v *Voter) raiseFloor(ctx context.Context, _ link.Who, a LiftAsk) (r LiftTold, err error) {
+// raiseFloor raises the floor under a prefix and deletes the registers below it.
+func (v *Voter) raiseFloor(ctx context.Context, _ link.Who, req LiftAsk) (r LiftTold, err error) {
 	return doResult(ctx, v, func() (r LiftTold) {
-		if r.Told = v.checkMark(a.Mark); !r.OK || a.Prefix == "" || !strings.HasPrefix(a.Floor, a.Prefix) || a.Floor <= v.floors[a.Prefix] {
+		if r.Told = v.checkMark(req.Mark); !r.OK || req.Prefix == "" || !strings.HasPrefix(req.Floor, req.Prefix) || req.Floor <= v.floors[req.Prefix] {
 			return r
 		}
-		v.floors[a.Prefix] = a.Floor
-		v.puts = append(v.puts, storage.Put{Key: floorPrefix + a.Prefix, Value: []byte(a.Floor)})
-		i, _ := slices.BinarySearch(v.registerKeys, a.Prefix)
-		j, _ := slices.BinarySearch(v.registerKeys, a.Floor)
+		v.floors[req.Prefix] = req.Floor
+		v.puts = append(v.puts, storage.Put{Key: floorPrefix + req.Prefix, Value: []byte(req.Floor)})
+		i, _ := slices.BinarySearch(v.registerKeys, req.Prefix)
+		j, _ := slices.BinarySearch(v.registerKeys, req.Floor)
 		for _, k := range v.registerKeys[i:j] {
 			delete(v.registers, k)
 			v.puts = append(v.puts, storage.Put{Key: registerPrefix + k})
--- a/internal/quorum/votertransfer.go
+++ b/internal/quorum/votertransfer.go
@@ -27,21 +27,21 @@
 	registersDone, recordsDone, mergeItemsDone bool
 }
 
-// pullAll pulls the state of all sealed voters in a.From.
-func (v *Voter) pullAll(ctx context.Context, a JoinAsk) (*transfer, error) {
-	if v.partialTransfer == nil || v.partialTransfer.epoch != a.Next.Epoch {
-		v.partialTransfer = &transfer{epoch: a.Next.Epoch, registers: map[string]Item{}, records: map[item.Key]record{}, mergeItems: map[item.Key]item.Item{}, positions: map[string]*pullPosition{}}
+// pullAll pulls the state of all sealed voters that the request names.
+func (v *Voter) pullAll(ctx context.Context, req JoinAsk) (*transfer, error) {
+	if v.partialTransfer == nil || v.partialTransfer.epoch != req.Next.Epoch {
+		v.partialTransfer = &transfer{epoch: req.Next.Epoch, registers: map[string]Item{}, records: map[item.Key]record{}, mergeItems: map[item.Key]item.Item{}, positions: map[string]*pullPosition{}}
 	}
 	state := v.partialTransfer
-	for _, s := range a.From {
-		pos := state.positions[s.Disk]
+	for _, source := range req.From {
+		pos := state.positions[source.Disk]
 		if pos == nil {
 			pos = &pullPosition{}
-			state.positions[s.Disk] = pos
+			state.positions[source.Disk] = pos
 		}
 		for _, pull := range []func(context.Context, Seat, *pullPosition) error{v.pullRegisters, v.pullRecords, v.pullMergeItems} {
-			if err := pull(ctx, s, pos); err != nil {
-				return nil, steperr.At("pull", s.ID, err)
+			if err := pull(ctx, source, pos); err != nil {
+				return nil, steperr.At("pull", source.ID, err)
 			}
 		}
 	}
@@ -76,22 +76,22 @@
 }
 
 // pullPage requests one page from a sealed voter; headOf returns the header of the response.
-func pullPage[R any](ctx context.Context, v *Voter, s Seat, ask any, headOf func(R) Told) (R, error) {
-	t, err := link.Ask[R](ctx, v.client, s.Addr, ask)
+func pullPage[R any](ctx context.Context, v *Voter, source Seat, ask any, headOf func(R) Told) (R, error) {
+	t, err := link.Ask[R](ctx, v.client, source.Addr, ask)
 	if err != nil {
 		return t, err
 	}
-	if h := headOf(t); !h.OK || h.Disk != s.Disk {
-		return t, steperr.New("pull", s.ID, "seat is not sealed for epoch %d", v.partialTransfer.epoch)
+	if h := headOf(t); !h.OK || h.Disk != source.Disk {
+		return t, steperr.New("pull", source.ID, "seat is not sealed for epoch %d", v.partialTransfer.epoch)
 	}
 	return t, nil
 }
 
 // pullRegisters pulls the keyed registers of a sealed voter.
-func (v *Voter) pullRegisters(ctx context.Context, s Seat, pos *pullPosition) error {
+func (v *Voter) pullRegisters(ctx context.Context, source Seat, pos *pullPosition) error {
 	state := v.partialTransfer
 	for !pos.registersDone {
-		t, err := pullPage(ctx, v, s, ListAsk{Mark: Mark{Epoch: state.epoch}, After: pos.lastRegister, All: true}, func(t ListTold) Told { return t.Told })
+		t, err := pullPage(ctx, v, source, ListAsk{Mark: Mark{Epoch: state.epoch}, After: pos.lastRegister, All: true}, func(t ListTold) Told { return t.Told })
 		if err != nil {
 			return err
 		}
@@ -111,10 +111,10 @@
 }
 
 // pullRecords pulls the item registers of a sealed voter.
-func (v *Voter) pullRecords(ctx context.Context, s Seat, pos *pullPosition) error {
+func (v *Voter) pullRecords(ctx context.Context, source Seat, pos *pullPosition) error {
 	state := v.partialTransfer
 	for !pos.recordsDone {
-		t, err := pullPage(ctx, v, s, RecordsAsk{Mark: Mark{Epoch: state.epoch}, After: pos.lastRecord}, func(t RecordsTold) Told { return t.Told })
+		t, err := pullPage(ctx, v, source, RecordsAsk{Mark: Mark{Epoch: state.epoch}, After: pos.lastRecord}, func(t RecordsTold) Told { return t.Told })
 		if err != nil {
 			return err
 		}
@@ -128,10 +128,10 @@
 }
 
 // pullMergeItems pulls the merge items of a sealed voter and keeps the newest copies.
-func (v *Voter) pullMergeItems(ctx context.Context, s Seat, pos *pullPosition) error {
+func (v *Voter) pullMergeItems(ctx context.Context, source Seat, pos *pullPosition) error {
 	state := v.partialTransfer
 	for !pos.mergeItemsDone {
-		t, err := pullPage(ctx, v, s, MergedAsk{Mark: Mark{Epoch: state.epoch}, After: pos.lastMergeItem}, func(t MergedTold) Told { return t.Told })
+		t, err := pullPage(ctx, v, source, MergedAsk{Mark: Mark{Epoch: state.epoch}, After: pos.lastMergeItem}, func(t MergedTold) Told { return t.Told })
 		if err != nil {
 			return err
 		}
