--- a/internal/quorum/voterregister.go
+++ b/internal/quorum/voterregister.go
@@ -11,18 +11,19 @@
 	"walkrudder/internal/storage"
 )
 
-func (v *Voter) set(k string, it Item) {
-	if _, old := v.items[k]; !old {
-		i, _ := slices.BinarySearch(v.keys, k)
-		v.keys = slices.Insert(v.keys, i, k)
+// setRegister stores a keyed register; it is durable after the sync of the batch.
+func (v *Voter) setRegister(k string, it Item) {
+	if _, old := v.registers[k]; !old {
+		i, _ := slices.BinarySearch(v.registerKeys, k)
+		v.registerKeys = slices.Insert(v.registerKeys, i, k)
 	}
-	v.items[k] = it
-	v.puts = append(v.puts, storage.Put{Key: itemPrefix + k, Value: pack(it)})
+	v.registers[k] = it
+	v.puts = append(v.puts, storage.Put{Key: registerPrefix + k, Value: encodeGob(it)})
 }
 
-// below tells whether k was folded away for good (design 6.5).
-func (v *Voter) below(k string) bool {
-	for p, f := range v.floor {
+// belowFloor reports whether k lies below a floor and was deleted for good (design 6.5).
+func (v *Voter) belowFloor(k string) bool {
+	for p, f := range v.floors {
 		if strings.HasPrefix(k, p) && k < f {
 			return true
 		}
@@ -30,17 +31,18 @@
 	return false
 }
 
-func (v *Voter) prepare(ctx context.Context, _ link.Who, a PrepareAsk) (r PrepareTold, err error) {
-	return get(ctx, v, func() (r PrepareTold) {
-		if r.Told = v.told(a.Mark); !r.OK || len(a.Key) > MaxKey || v.below(a.Key) {
+// prepare promises a ballot that is higher than any that the register has promised or accepted.
+func (v *Voter) prepare(ctx context.Context, _ link.Who, req PrepareAsk) (r PrepareTold, err error) {
+	return doResult(ctx, v, func() (r PrepareTold) {
+		if r.Told = v.checkMark(req.Mark); !r.OK || len(req.Key) > MaxKeyBytes || v.belowFloor(req.Key) {
 			return r
 		}
-		it := v.items[a.Key]
-		if a.Ballot.Compare(it.Promised) > 0 && a.Ballot.Compare(it.Accepted) > 0 {
+		it := v.registers[req.Key]
+		if req.Ballot.Compare(it.Promised) > 0 && req.Ballot.Compare(it.Accepted) > 0 {
 			v.faults.At(fault.BeforePromise)
-			v.after = append(v.after, fault.AfterPromise)
-			it.Promised = a.Ballot
-			v.set(a.Key, it)
+			v.faultsAfterSync = append(v.faultsAfterSync, fault.AfterPromise)
+			it.Promised = req.Ballot
+			v.setRegister(req.Key, it)
 			r.Yes = true
 		}
 		r.Item = it
@@ -48,72 +50,77 @@
 	})
 }
 
-func (v *Voter) accept(ctx context.Context, _ link.Who, a AcceptAsk) (r AcceptTold, err error) {
-	if len(a.Value) > MaxValue {
-		return r, steperr.New("accept", v.me.ID, "value of %d bytes, limit %d", len(a.Value), MaxValue)
+// accept accepts a value unless the register has promised or accepted a higher ballot.
+func (v *Voter) accept(ctx context.Context, _ link.Who, req AcceptAsk) (r AcceptTold, err error) {
+	if len(req.Value) > MaxValueBytes {
+		return r, steperr.New("accept", v.self.ID, "value of %d bytes, limit %d", len(req.Value), MaxValueBytes)
 	}
-	return get(ctx, v, func() (r AcceptTold) {
-		if r.Told = v.told(a.Mark); !r.OK || a.Disk == "" || v.below(a.Key) {
-			r.OK = r.OK && a.Disk != ""
+	return doResult(ctx, v, func() (r AcceptTold) {
+		if r.Told = v.checkMark(req.Mark); !r.OK || req.Disk == "" || v.belowFloor(req.Key) {
+			r.OK = r.OK && req.Disk != ""
 			return r
 		}
-		it := v.items[a.Key]
-		if r.Promised = it.Promised; a.Ballot.Compare(it.Promised) >= 0 && a.Ballot.Compare(it.Accepted) >= 0 {
+		it := v.registers[req.Key]
+		if r.Promised = it.Promised; req.Ballot.Compare(it.Promised) >= 0 && req.Ballot.Compare(it.Accepted) >= 0 {
 			v.faults.At(fault.BeforeAccept)
-			v.after = append(v.after, fault.AfterAccept)
-			v.set(a.Key, Item{Promised: a.Ballot, Accepted: a.Ballot, Value: a.Value})
+			v.faultsAfterSync = append(v.faultsAfterSync, fault.AfterAccept)
+			v.setRegister(req.Key, Item{Promised: req.Ballot, Accepted: req.Ballot, Value: req.Value})
 			r.Yes = true
 		}
 		return r
 	})
 }
 
-func (v *Voter) read(ctx context.Context, _ link.Who, a ReadAsk) (r ReadTold, err error) {
-	return get(ctx, v, func() (r ReadTold) {
-		if r.Told = v.told(a.Mark); r.OK {
-			r.Item = v.items[a.Key]
+// read returns the current state of one keyed register.
+func (v *Voter) read(ctx context.Context, _ link.Who, req ReadAsk) (r ReadTold, err error) {
+	return doResult(ctx, v, func() (r ReadTold) {
+		if r.Told = v.checkMark(req.Mark); r.OK {
+			r.Item = v.registers[req.Key]
 		}
 		return r
 	})
 }
 
-func (v *Voter) list(ctx context.Context, _ link.Who, a ListAsk) (r ListTold, err error) {
-	return get(ctx, v, func() (r ListTold) {
-		r.Told = v.told(a.Mark)
-		// A voter that was swapped out still lets its successor pull.
-		if !r.OK && !(a.All && a.Epoch == v.core.Epoch) {
+// list returns one page of the keyed registers, or the last one with an accepted value.
+func (v *Voter) list(ctx context.Context, _ link.Who, req ListAsk) (r ListTold, err error) {
+	return doResult(ctx, v, func() (r ListTold) {
+		r.Told = v.checkMark(req.Mark)
+		// A replaced voter still lets joining seats pull its registers.
+		if !r.OK && !(req.All && req.Epoch == v.core.Epoch) {
 			return r
 		}
 		r.OK = true
-		if a.Last {
-			r.Entries = v.last(a.Prefix)
+		if req.Last {
+			r.Entries = v.lastEntry(req.Prefix)
 			return r
 		}
-		r.Entries, r.More = v.page(a)
+		r.Entries, r.More = v.entryPage(req)
 		return r
 	})
 }
 
-func (v *Voter) last(prefix string) []Entry {
-	i, _ := slices.BinarySearch(v.keys, prefix+"\xff")
-	for i--; i >= 0 && strings.HasPrefix(v.keys[i], prefix); i-- {
-		if it := v.items[v.keys[i]]; !it.Accepted.Zero() {
-			return []Entry{{v.keys[i], it}}
+// lastEntry returns the last register under prefix that has an accepted value, if any.
+func (v *Voter) lastEntry(prefix string) []Entry {
+	i, _ := slices.BinarySearch(v.registerKeys, prefix+"\xff")
+	for i--; i >= 0 && strings.HasPrefix(v.registerKeys[i], prefix); i-- {
+		if it := v.registers[v.registerKeys[i]]; !it.Accepted.IsZero() {
+			return []Entry{{v.registerKeys[i], it}}
 		}
 	}
 	return nil
 }
 
-func (v *Voter) page(a ListAsk) (out []Entry, more bool) {
-	i, _ := slices.BinarySearch(v.keys, max(a.Prefix, a.After))
+// entryPage returns one page of the registers requested; more reports that others follow.
+func (v *Voter) entryPage(req ListAsk) (out []Entry, more bool) {
+	i, _ := slices.BinarySearch(v.registerKeys, max(req.Prefix, req.After))
 	n := 0
-	for ; i < len(v.keys) && strings.HasPrefix(v.keys[i], a.Prefix); i++ {
-		k := v.keys[i]
-		it := v.items[k]
-		if k <= a.After || (!a.All && it.Accepted.Zero()) {
+	for ; i < len(v.registerKeys) && strings.HasPrefix(v.registerKeys[i], req.Prefix); i++ {
+		k := v.registerKeys[i]
+		it := v.registers[k]
+		if k <= req.After || (!req.All && it.Accepted.IsZero()) {
 			continue
 		}
-		if n += len(k) + len(it.Value) + 64; len(out) > 0 && (n > listPage || (a.Max > 0 && len(out) >= a.Max)) {
+		if n += len(k) + len(it.Value) + 64; len(out) > 0 && (n > maxPageBytes || (req.Max > 0 && len(out) >= req.Max)) {
 			return out, true
 		}
 		out = append(out, Entry{k, it})
@@ -121,21 +128,22 @@
 	return out, false
 }
 
-func (v *Voter) lift(ctx context.Context, _ link.Who, a LiftAsk) (r LiftTold, err error) {
-	return get(ctx, v, func() (r LiftTold) {
-		if r.Told = v.told(a.Mark); !r.OK || a.Prefix == "" || !strings.HasPrefix(a.Floor, a.Prefix) || a.Floor <= v.floor[a.Prefix] {
+// raiseFloor raises the floor under a prefix and deletes the registers below it.
+func (v *Voter) raiseFloor(ctx context.Context, _ link.Who, req LiftAsk) (r LiftTold, err error) {
+	return doResult(ctx, v, func() (r LiftTold) {
+		if r.Told = v.checkMark(req.Mark); !r.OK || req.Prefix == "" || !strings.HasPrefix(req.Floor, req.Prefix) || req.Floor <= v.floors[req.Prefix] {
 			return r
 		}
-		v.floor[a.Prefix] = a.Floor
-		v.puts = append(v.puts, storage.Put{Key: floorKey + a.Prefix, Value: []byte(a.Floor)})
-		i, _ := slices.BinarySearch(v.keys, a.Prefix)
-		j, _ := slices.BinarySearch(v.keys, a.Floor)
-		for _, k := range v.keys[i:j] {
-			delete(v.items, k)
-			v.puts = append(v.puts, storage.Put{Key: itemPrefix + k})
+		v.floors[req.Prefix] = req.Floor
+		v.puts = append(v.puts, storage.Put{Key: floorPrefix + req.Prefix, Value: []byte(req.Floor)})
+		i, _ := slices.BinarySearch(v.registerKeys, req.Prefix)
+		j, _ := slices.BinarySearch(v.registerKeys, req.Floor)
+		for _, k := range v.registerKeys[i:j] {
+			delete(v.registers, k)
+			v.puts = append(v.puts, storage.Put{Key: registerPrefix + k})
 		}
 		r.Gone = j - i
-		v.keys = slices.Delete(v.keys, i, j)
+		v.registerKeys = slices.Delete(v.registerKeys, i, j)
 		return r
 	})
 }
