--- a/internal/claim/claim.go
+++ b/internal/claim/claim.go
@@ -115,7 +115,7 @@
 func (c *Clerk) Take(ctx context.Context, a TakeAsk) (TakeTold, error) {
 	before, claim := buckets(c.WallMS())
 	raw, err := c.Prop.Read(ctx, item(before, a.Key))
-	if err != nil && !quorum.Nothing(err) {
+	if err != nil && !quorum.IsNeverWritten(err) {
 		return TakeTold{}, steperr.At("claim", "", err)
 	}
 	if s := read(raw); s.State != Free && s.Call != a.Call {
@@ -182,7 +182,7 @@
 	for x := b - 1; x <= b+1; x++ {
 		k := item(x, a.Key)
 		raw, err := c.Prop.Read(ctx, k)
-		if err != nil && !quorum.Nothing(err) {
+		if err != nil && !quorum.IsNeverWritten(err) {
 			return err
 		}
 		s := read(raw)
@@ -205,7 +205,7 @@
 
 // Sweep lets the voters drop buckets that are out of reach.
 func (c *Clerk) Sweep(ctx context.Context) error {
-	return c.Prop.Lift(ctx, Prefix, fmt.Sprintf("%s%09d/", Prefix, bucket(c.WallMS())-3))
+	return c.Prop.DropBelow(ctx, Prefix, fmt.Sprintf("%s%09d/", Prefix, bucket(c.WallMS())-3))
 }
 
 // Serve teaches d to answer for the clerk.
--- a/internal/commands/trim.go
+++ b/internal/commands/trim.go
@@ -35,7 +35,7 @@
 	}
 	limit := t.Book.WallMS() - t.Keep.Milliseconds()
 	if n := f.WholeBefore(limit); n > 0 {
-		err = errors.Join(t.Prop.Lift(ctx, ledger.ChangePrefix, ledger.ChangeKey(n)), t.Prop.Lift(ctx, ledger.FlipPrefix, ledger.FlipKey(n)))
+		err = errors.Join(t.Prop.DropBelow(ctx, ledger.ChangePrefix, ledger.ChangeKey(n)), t.Prop.DropBelow(ctx, ledger.FlipPrefix, ledger.FlipKey(n)))
 	}
 	if limit <= 0 {
 		return err
@@ -58,7 +58,7 @@
 	}
 	for p, k := range map[string]string{ledger.LeavePrefix: old, ledger.GonePrefix: ledger.DayKey(ledger.GonePrefix, limit-ledger.DayMS),
 		ledger.NotePrefix: fmt.Sprintf("%s%013d", ledger.NotePrefix, limit)} {
-		err = errors.Join(err, t.Prop.Lift(ctx, p, k))
+		err = errors.Join(err, t.Prop.DropBelow(ctx, p, k))
 	}
 	return err
 }
--- a/internal/commands/warden.go
+++ b/internal/commands/warden.go
@@ -215,7 +215,7 @@
 		if now.Sub(w.absent[s.Disk]) <= missing {
 			continue
 		}
-		if in, ok := (quorum.Tolerance{}).StandBy(core.Seats, s, spare); ok {
+		if in, ok := (quorum.Tolerance{}).Replacement(core.Seats, s, spare); ok {
 			return w.swap(ctx, core, s, in)
 		}
 	}
@@ -246,7 +246,7 @@
 // wished carries out what an operator asked for, while it still makes sense.
 func (w *Warden) wished(ctx context.Context, core quorum.Core, disks map[string]membership.Member) error {
 	raw, err := w.Prop.Read(ctx, ledger.WishItem)
-	if quorum.Nothing(err) || err == nil && raw == nil {
+	if quorum.IsNeverWritten(err) || err == nil && raw == nil {
 		return nil
 	}
 	if err != nil {
@@ -315,7 +315,7 @@
 // finish carries a decided swap out; done says that none is left over.
 func (w *Warden) finish(ctx context.Context, core quorum.Core) (done bool, err error) {
 	raw, err := w.Prop.Read(ctx, ledger.CoreItem)
-	if quorum.Nothing(err) || err == nil && raw == nil {
+	if quorum.IsNeverWritten(err) || err == nil && raw == nil {
 		return true, nil
 	}
 	if err != nil {
--- a/internal/control/change.go
+++ b/internal/control/change.go
@@ -170,7 +170,7 @@
 	case err != nil:
 		return nil, err
 	case found:
-		return nil, steperr.At("apply", "", quorum.ErrPartly)
+		return nil, steperr.At("apply", "", quorum.ErrPartialConflict)
 	}
 	return ps, nil
 }
--- a/internal/control/core.go
+++ b/internal/control/core.go
@@ -26,7 +26,7 @@
 // coreSeats are the seats of the newest core known here, where their machines stand now.
 func (n *Node) coreSeats() (quorum.Core, []quorum.Seat) {
 	core := n.core()
-	return core, quorum.Located(core.Seats, n.Mesh.Heard())
+	return core, quorum.UpdateDomains(core.Seats, n.Mesh.Heard())
 }
 
 // watchCore logs the core whenever it, or what it bears, changes.
@@ -38,7 +38,7 @@
 			return
 		}
 		silent := silentSeats(seats, n.Mesh.Heard())
-		now := coreState{core.Epoch, n.Tolerance.Expose(seats), len(seats)-len(silent) >= core.Quorum()}
+		now := coreState{core.Epoch, n.Tolerance.ExposureOf(seats), len(seats)-len(silent) >= core.Quorum()}
 		n.tellCore(told, now, seats, silent)
 		told = now
 	})
@@ -63,9 +63,9 @@
 }
 
 // silentSeats are the nodes of the seats whose disk was not heard lately.
-func silentSeats(seats []quorum.Seat, heard []quorum.Heard) (silent []string) {
+func silentSeats(seats []quorum.Seat, heard []quorum.DiskContact) (silent []string) {
 	for _, s := range seats {
-		if !slices.ContainsFunc(heard, func(h quorum.Heard) bool { return h.Seat.Disk == s.Disk && h.Ago < seatQuiet }) {
+		if !slices.ContainsFunc(heard, func(h quorum.DiskContact) bool { return h.Seat.Disk == s.Disk && h.Ago < seatQuiet }) {
 			silent = append(silent, s.ID)
 		}
 	}
--- a/internal/control/core_test.go
+++ b/internal/control/core_test.go
@@ -47,10 +47,10 @@
 	var out bytes.Buffer
 	n := &Node{Parts: Parts{Settings: Settings{Tolerance: quorum.Tolerance{Regions: 1}}, Log: log.NewWithOptions(&out, log.Options{Formatter: log.JSONFormatter})}}
 	seats := []quorum.Seat{{ID: "a", Zone: "n1", Region: "north", Disk: "1"}, {ID: "b", Zone: "n2", Region: "north", Disk: "2"}, {ID: "c", Zone: "s1", Region: "south", Disk: "3"}}
-	exposed := coreState{epoch: 1, exposure: n.Tolerance.Expose(seats), quorum: true}
+	exposed := coreState{epoch: 1, exposure: n.Tolerance.ExposureOf(seats), quorum: true}
 	n.tellCore(coreState{quorum: true}, exposed, seats, nil)
 	n.tellCore(exposed, exposed, seats, nil)
-	silent := silentSeats(seats, []quorum.Heard{{Seat: seats[2]}, {Seat: seats[0], Ago: time.Minute}})
+	silent := silentSeats(seats, []quorum.DiskContact{{Seat: seats[2]}, {Seat: seats[0], Ago: time.Minute}})
 	lost := exposed
 	lost.quorum = false
 	n.tellCore(exposed, lost, seats, silent)
--- a/internal/control/node.go
+++ b/internal/control/node.go
@@ -146,12 +146,12 @@
 	if p.Notes != nil {
 		n.recall()
 	}
-	size := p.Tolerance.Seats(p.Zones)
+	size := p.Tolerance.MinSeats(p.Zones)
 	attainable := p.Tolerance.Attainable(p.Zones, size)
 	if attainable.Total() > 0 {
 		p.Log.Warn("no placement in the zones of this deployment bears what is to be tolerated", "step", "core", "tolerance", p.Tolerance, "exposed", attainable)
 	}
-	n.bootstrapper = &quorum.Bootstrapper{Seeds: p.Seeds, Self: p.Inner, Size: size, Tolerance: p.Tolerance, Attainable: attainable, Line: p.Line, Clock: p.Clock, Prop: n.Prop, Voter: n.Voter, Later: !p.First}
+	n.bootstrapper = &quorum.Bootstrapper{Seeds: p.Seeds, Self: p.Inner, Size: size, Tolerance: p.Tolerance, Attainable: attainable, Transport: p.Line, Clock: p.Clock, Proposer: n.Prop, Voter: n.Voter, SubsequentStart: !p.First}
 	n.bootstrapper.Serve(n.Desk)
 	n.Mesh = &watch.Mesh{Me: n.me, Line: p.Line, Clock: p.Clock, Board: n.Board, Core: n.core, Learn: func(c quorum.Core) { n.Prop.Learn(c) }, Votes: n.votes}
 	n.SetSeeds(p.Seeds)
@@ -161,7 +161,7 @@
 	n.serveQueries()
 	n.serveReports()
 	if n.Voter != nil {
-		n.reconfigurer = &quorum.Reconfigurer{Heard: n.Mesh.Heard, Tolerance: p.Tolerance, Size: size, Prop: n.Prop, Line: p.Line, Clock: p.Clock, Faults: p.Faults, Log: p.Log}
+		n.reconfigurer = &quorum.Reconfigurer{Contacts: n.Mesh.Heard, Tolerance: p.Tolerance, Size: size, Proposer: n.Prop, Transport: p.Line, Clock: p.Clock, Faults: p.Faults, Log: p.Log}
 	}
 	return n, nil
 }
--- a/internal/control/querycounters.go
+++ b/internal/control/querycounters.go
@@ -32,7 +32,7 @@
 		add(c.name+"_refused", c.refused.Load())
 	}
 	core, seats := n.coreSeats()
-	exposed := n.Tolerance.Expose(seats)
+	exposed := n.Tolerance.ExposureOf(seats)
 	add("core_epoch", core.Epoch)
 	add("core_seats", uint64(len(seats)))
 	add("core_exposed_machines", uint64(exposed.Machines))
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -88,8 +88,8 @@
 		return quorum.NewProposer(p.Startup.ID+"."+p.Fresh, p.Line, p.Clock), nil
 	})
 	do.Provide(i, func(i do.Injector) (*quorum.Bootstrapper, error) {
-		return &quorum.Bootstrapper{Seeds: p.Startup.Seeds, Self: p.Startup.Inner, Size: p.Startup.Core, Line: p.Line, Clock: p.Clock,
-			Prop: do.MustInvoke[*quorum.Proposer](i), Voter: v}, nil
+		return &quorum.Bootstrapper{Seeds: p.Startup.Seeds, Self: p.Startup.Inner, Size: p.Startup.Core, Transport: p.Line, Clock: p.Clock,
+			Proposer: do.MustInvoke[*quorum.Proposer](i), Voter: v}, nil
 	})
 	do.Provide(i, func(i do.Injector) (*membership.Tenant, error) {
 		return &membership.Tenant{Line: p.Line, Clock: p.Clock, Core: do.MustInvoke[*quorum.Proposer](i)}, nil
@@ -201,7 +201,7 @@
 				m.Log.Warn("old decisions not dropped", "step", "sweep", "err", err)
 			}
 		}
-		if n, err := m.Prop.Mend(cx); err != nil && ctx.Err() == nil {
+		if n, err := m.Prop.RepairCopies(cx); err != nil && ctx.Err() == nil {
 			m.Log.Warn("sweep not finished", "step", "sweep", "err", err)
 		} else if n > 0 {
 			m.Log.Info("sweep mended copies", "step", "sweep", "items", n)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -74,8 +74,8 @@
 		return quorum.NewProposer(p.Startup.ID, p.Line, p.Clock), nil
 	})
 	do.Provide(i, func(i do.Injector) (*quorum.Bootstrapper, error) {
-		return &quorum.Bootstrapper{Seeds: p.Startup.Seeds, Self: p.Startup.Inner, Line: p.Line, Clock: p.Clock,
-			Prop: do.MustInvoke[*quorum.Proposer](i)}, nil
+		return &quorum.Bootstrapper{Seeds: p.Startup.Seeds, Self: p.Startup.Inner, Transport: p.Line, Clock: p.Clock,
+			Proposer: do.MustInvoke[*quorum.Proposer](i)}, nil
 	})
 	do.Provide(i, func(do.Injector) (*liveness.Pauses, error) { return liveness.NewPauses(p.Clock), nil })
 	do.Provide(i, func(i do.Injector) (*membership.Tenant, error) {
--- a/internal/ledger/book.go
+++ b/internal/ledger/book.go
@@ -77,7 +77,7 @@
 // Refresh folds every change that was decided before the call.
 func (b *Book) Refresh(ctx context.Context) (*Fold, error) {
 	key, _, err := b.Prop.Last(ctx, ChangePrefix)
-	if quorum.Nothing(err) {
+	if quorum.IsNeverWritten(err) {
 		// The last number was promised or half written and is now free again:
 		// what comes before it is settled by the listing.
 		err = nil
@@ -186,7 +186,7 @@
 // Flipped tells what is in force, by a majority.
 func (b *Book) Flipped(ctx context.Context) (f Force, err error) {
 	v, err := b.Prop.Read(ctx, Flip)
-	if quorum.Nothing(err) || err == nil && v == nil {
+	if quorum.IsNeverWritten(err) || err == nil && v == nil {
 		return f, nil
 	}
 	if err != nil {
--- a/internal/quorum/bootstrapper.go
+++ b/internal/quorum/bootstrapper.go
@@ -13,91 +13,94 @@
 )
 
 const (
-	// seekEvery is the pace while no core is known, and recheckEvery once one is.
-	seekEvery    = 150 * time.Millisecond
-	recheckEvery = 2 * time.Second
-	// helloTime bounds the wait for one seed, so that one that has not started does
-	// not hold up the rest.
-	helloTime = 500 * time.Millisecond
-	// knownFor is how long a disk counts as there after it was heard of.
-	knownFor = 5 * time.Second
-	// formPatience is how long a first core waits for its full size and for all of
-	// its seats, from when all seeds first answered that they know no core.
-	formPatience = 3 * time.Second
-	// maxKnown bounds the disks kept in mind.
-	maxKnown = 256
+	// discoveryInterval is the pause between rounds while no core is known,
+	// recheckInterval the pause once one is.
+	discoveryInterval = 150 * time.Millisecond
+	recheckInterval   = 2 * time.Second
+	// helloTimeout bounds the wait for one seed, so that a seed that has not started
+	// does not delay the others.
+	helloTimeout = 500 * time.Millisecond
+	// diskExpiry is how long after the last report of it a disk counts as alive.
+	diskExpiry = 5 * time.Second
+	// formationTimeout is how long the formation of a first core waits for the full
+	// size and for all seats, from when all seeds first answered that they know no core.
+	formationTimeout = 3 * time.Second
+	// maxKnownDisks bounds the size of Bootstrapper.known.
+	maxKnownDisks = 256
 )
 
-// Bootstrapper finds the core, or takes part in forming the first one (design 4.5).
+// Bootstrapper discovers the core, or takes part in forming the first one (design 4.5).
 //
-// A first core is formed only if every seed answers that it knows none. The disk
-// node with the lowest ID among those heard of proposes Size seats that bear what
-// is to be tolerated, or, once all seeds answered so for 3 s, what there is: the seats
-// that bear most, and where there are fewer disks, the largest odd number of them. Every seed must consent, with a seat or
-// without, with a disk or without: two formations would both need all of them, so
-// one at most is ever sealed, however many disk nodes there are and whichever of
-// them know each other. Then all seats consent, or after those 3 s a majority of
-// them, and it is sealed.
+// A first core is formed only if every seed answers that it knows none. Of the live
+// disk nodes, the one with the lowest ID proposes Size seats that satisfy the
+// tolerance. Once all seeds have answered so for 3 s, it proposes the best seats
+// available; with fewer than Size disks, it takes the largest odd number of them.
+// Every seed must consent, whether or not it has a seat or a disk. Two formations
+// would both need all seeds, so at most one is ever sealed, however many disk nodes
+// there are and whichever of them know each other. The core is sealed once all seats
+// have consented, or, after those 3 s, a majority of them.
 type Bootstrapper struct {
-	Seeds []string // inner addresses
-	Self  string   // own inner address
-	Size  int      // seats of a first core
-	// Tolerance is what a first core is to bear, and Attainable the exposure that the zones of the
-	// deployment leave at best.
+	Seeds []string // internal addresses
+	Self  string   // this node's internal address
+	Size  int      // number of seats of a first core
+	// Tolerance is the loss that a first core must survive, and Attainable the lowest
+	// exposure that the zones of the deployment allow.
 	Tolerance  Tolerance
 	Attainable Exposure
-	// Later says that this is not the first start of the whole system: this node
-	// neither proposes nor consents to a first core.
-	Later bool
-	Line  link.Line
-	Clock clock.Clock
-	Prop  *Proposer
-	Voter *Voter // nil without a disk
-	// Draw draws a number below n, for the seed that is asked first; nil is by chance.
-	Draw func(n int) int
+	// SubsequentStart says that this is not the first start of the whole system: this
+	// node neither proposes nor consents to a first core.
+	SubsequentStart bool
+	Transport       link.Line
+	Clock           clock.Clock
+	Proposer        *Proposer
+	Voter           *Voter // nil without a disk
+	// RandIntN returns a number in [0,n) and selects the first seed to recheck; nil
+	// means math/rand.
+	RandIntN func(n int) int
 
-	mu    sync.Mutex
-	known map[string]knownSeat
-	empty time.Time // when all seeds first answered that they know no core
-	form  form      // this node's consent, where it has no disk
-	turn  int       // the seed to ask next once a core is known
+	mu         sync.Mutex
+	known      map[string]knownSeat
+	emptySince time.Time // when all seeds first answered that they know no core
+	ownConsent form      // this node's consent, if it has no disk
+	lastSeed   int       // index of the seed that was rechecked last; 0 before the first recheck
 }
 
 type knownSeat struct {
-	s  Seat
-	at time.Time
+	seat    Seat
+	heardAt time.Time
 }
 
-// Serve teaches d what this node knows of the core.
-func (f *Bootstrapper) Serve(d *link.Desk) {
+// Serve registers the handlers for bootstrap requests with d.
+func (b *Bootstrapper) Serve(d *link.Desk) {
 	link.On(d, func(_ context.Context, _ link.Who, a HelloAsk) (CoreTold, error) {
-		f.note(a.Seat, 0)
-		f.Prop.Learn(a.Core)
-		return f.told(a.Epoch), nil
+		b.recordDisk(a.Seat, 0)
+		b.Proposer.Learn(a.Core)
+		return b.answerHello(a.Epoch), nil
 	})
-	if f.Voter != nil {
-		f.Voter.later.Store(f.Later)
+	if b.Voter != nil {
+		b.Voter.later.Store(b.SubsequentStart)
 		return
 	}
 	link.On(d, func(_ context.Context, _ link.Who, a FormAsk) (FormTold, error) {
-		return f.formed(a), nil
+		return b.handleForm(a), nil
 	})
 }
 
-// formed answers for a seed without a disk. What it consented to it knows only as
-// long as it lives; seeds with a disk know longer.
-func (f *Bootstrapper) formed(a FormAsk) FormTold {
-	known := f.Prop.Core()
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	g, c, ok := f.form.next(known, a, !f.Later)
-	f.form = g
-	f.Prop.Learn(c)
-	return FormTold{OK: ok, By: g.By, Core: known}
+// handleForm answers for a seed without a disk. Such a seed loses its consent on a
+// restart; seeds with a disk keep it.
+func (b *Bootstrapper) handleForm(ask FormAsk) FormTold {
+	known := b.Proposer.Core()
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	consent, core, ok := b.ownConsent.next(known, ask, !b.SubsequentStart)
+	b.ownConsent = consent
+	b.Proposer.Learn(core)
+	return FormTold{OK: ok, By: consent.By, Core: known}
 }
 
-// HelloAsk asks what core a node knows; Seat is the asker's disk, if any. Epoch is
-// that of the core it knows, and Core that core where the other's is older.
+// HelloAsk asks a node which core it knows. Seat is the sender's disk, if any, and
+// Epoch the epoch of the core that the sender knows. Core is that core if the
+// receiver's is older.
 type HelloAsk struct {
 	From  string
 	Seat  Seat
@@ -105,204 +108,204 @@
 	Core  Core
 }
 
-// note keeps in mind that s was heard of some time ago.
-func (f *Bootstrapper) note(s Seat, ago time.Duration) {
-	if s.ID == "" || s.Addr == "" || ago >= knownFor {
+// recordDisk records that s was last reported the given time ago.
+func (b *Bootstrapper) recordDisk(s Seat, ago time.Duration) {
+	if s.ID == "" || s.Addr == "" || ago >= diskExpiry {
 		return
 	}
-	at := f.Clock.Now().Add(-ago)
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if f.known == nil {
-		f.known = map[string]knownSeat{}
+	heardAt := b.Clock.Now().Add(-ago)
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if b.known == nil {
+		b.known = map[string]knownSeat{}
 	}
-	if o, ok := f.known[s.ID]; ok && o.at.After(at) || !ok && len(f.known) >= maxKnown {
+	if previous, ok := b.known[s.ID]; ok && previous.heardAt.After(heardAt) || !ok && len(b.known) >= maxKnownDisks {
 		return
 	}
-	f.known[s.ID] = knownSeat{s, at}
+	b.known[s.ID] = knownSeat{s, heardAt}
 }
 
-// disks lists the disks heard of lately, by ID.
-func (f *Bootstrapper) disks() []knownSeat {
-	now := f.Clock.Now()
-	f.mu.Lock()
-	defer f.mu.Unlock()
+// liveDisks lists the disks reported within diskExpiry, sorted by ID.
+func (bs *Bootstrapper) liveDisks() []knownSeat {
+	now := bs.Clock.Now()
+	bs.mu.Lock()
+	defer bs.mu.Unlock()
 	var all []knownSeat
-	for id, k := range f.known {
-		if now.Sub(k.at) >= knownFor {
-			delete(f.known, id)
+	for id, k := range bs.known {
+		if now.Sub(k.heardAt) >= diskExpiry {
+			delete(bs.known, id)
 			continue
 		}
 		all = append(all, k)
 	}
-	slices.SortFunc(all, func(a, b knownSeat) int { return cmp.Compare(a.s.ID, b.s.ID) })
+	slices.SortFunc(all, func(a, b knownSeat) int { return cmp.Compare(a.seat.ID, b.seat.ID) })
 	return all
 }
 
-// told answers one that knows the core of an epoch.
-func (f *Bootstrapper) told(epoch uint64) CoreTold {
-	c := f.core()
-	t := CoreTold{Epoch: c.Epoch, Empty: c.Epoch == 0}
+// answerHello answers a node that knows the core of the given epoch.
+func (b *Bootstrapper) answerHello(epoch uint64) CoreTold {
+	c := b.core()
+	answer := CoreTold{Epoch: c.Epoch, Empty: c.Epoch == 0}
 	if c.Epoch > epoch {
-		t.Core = c
+		answer.Core = c
 	}
-	if f.Voter != nil {
-		t.Seat = f.Voter.Seat()
+	if b.Voter != nil {
+		answer.Seat = b.Voter.Seat()
 	}
-	if !t.Empty {
-		return t
+	if !answer.Empty {
+		return answer
 	}
-	f.note(t.Seat, 0)
-	now := f.Clock.Now()
-	for _, k := range f.disks() {
-		t.Known, t.Ages = append(t.Known, k.s), append(t.Ages, now.Sub(k.at))
+	b.recordDisk(answer.Seat, 0)
+	now := b.Clock.Now()
+	for _, k := range b.liveDisks() {
+		answer.Known, answer.Ages = append(answer.Known, k.seat), append(answer.Ages, now.Sub(k.heardAt))
 	}
-	g := f.consent()
-	t.By, t.Form = g.By, g.Core
-	return t
+	consent := b.consent()
+	answer.By, answer.Form = consent.By, consent.Core
+	return answer
 }
 
-// consent is the formation that this node consented to.
-func (f *Bootstrapper) consent() form {
-	if f.Voter != nil {
-		by, c := f.Voter.Consent()
+// consent returns the formation that this node consented to.
+func (b *Bootstrapper) consent() form {
+	if b.Voter != nil {
+		by, c := b.Voter.Consent()
 		return form{by, c}
 	}
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.form
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.ownConsent
 }
 
-func (f *Bootstrapper) core() Core {
-	c := f.Prop.Core()
-	if f.Voter != nil {
-		if v := f.Voter.Core(); v.Epoch > c.Epoch {
-			f.Prop.Learn(v)
+func (b *Bootstrapper) core() Core {
+	c := b.Proposer.Core()
+	if b.Voter != nil {
+		if v := b.Voter.Core(); v.Epoch > c.Epoch {
+			b.Proposer.Learn(v)
 			c = v
 		}
 	}
 	return c
 }
 
-// Run seeks the core until ctx ends: quickly while none is known, then now and
-// then, so that a node whose every voter was swapped finds the new ones.
-func (f *Bootstrapper) Run(ctx context.Context) {
+// Run looks for the core until ctx ends: at short intervals while none is known, then
+// at longer ones, so that a node finds the new voters after all voters were replaced.
+func (b *Bootstrapper) Run(ctx context.Context) {
 	for {
-		pause := seekEvery
-		if f.core().Epoch > 0 {
-			pause = recheckEvery
+		pause := discoveryInterval
+		if b.core().Epoch > 0 {
+			pause = recheckInterval
 		}
-		f.Step(ctx)
-		if f.Clock.Sleep(ctx, pause) != nil {
+		b.Step(ctx)
+		if b.Clock.Sleep(ctx, pause) != nil {
 			return
 		}
 	}
 }
 
-// Step looks for the core once, or, where one is known, for a newer one.
-func (f *Bootstrapper) Step(ctx context.Context) {
-	if f.core().Epoch > 0 {
-		f.recheck(ctx)
+// Step looks for the core once, or for a newer one if a core is known.
+func (b *Bootstrapper) Step(ctx context.Context) {
+	if b.core().Epoch > 0 {
+		b.recheckSeeds(ctx)
 		return
 	}
-	f.round(ctx)
-	if f.core().Epoch > 0 {
-		f.settle(ctx)
+	b.discoveryRound(ctx)
+	if b.core().Epoch > 0 {
+		b.adoptCore(ctx)
 	}
 }
 
-// settle has a voter that consented to the core take it.
-func (f *Bootstrapper) settle(ctx context.Context) {
-	if f.Voter != nil && f.Voter.Core().Epoch == 0 {
-		_ = f.Voter.Adopt(ctx, f.core())
+// adoptCore makes a voter that consented to the core adopt it.
+func (b *Bootstrapper) adoptCore(ctx context.Context) {
+	if b.Voter != nil && b.Voter.Core().Epoch == 0 {
+		_ = b.Voter.Adopt(ctx, b.core())
 	}
 }
 
-// recheck asks one seed whether it knows a newer core: the next in turn that
-// answers. A seed that knows an older one is told.
-func (f *Bootstrapper) recheck(ctx context.Context) {
-	f.settle(ctx)
-	if f.turn == 0 {
-		// Nodes that start together do not all ask the same seed.
-		draw := f.Draw
-		if draw == nil {
-			draw = rand.IntN
+// recheckSeeds asks one seed for a newer core: the next in round-robin order that
+// answers. If the seed's core is older, it is sent this node's core.
+func (b *Bootstrapper) recheckSeeds(ctx context.Context) {
+	b.adoptCore(ctx)
+	if b.lastSeed == 0 {
+		// Nodes that start together begin at different seeds.
+		randIntN := b.RandIntN
+		if randIntN == nil {
+			randIntN = rand.IntN
 		}
-		f.turn = draw(len(f.Seeds) + 1)
+		b.lastSeed = randIntN(len(b.Seeds) + 1)
 	}
-	for range f.Seeds {
-		f.turn++
-		a := f.Seeds[f.turn%len(f.Seeds)]
-		if a == f.Self {
+	for range b.Seeds {
+		b.lastSeed++
+		addr := b.Seeds[b.lastSeed%len(b.Seeds)]
+		if addr == b.Self {
 			continue
 		}
-		if t, err := f.hello(ctx, a); err == nil {
-			if own := f.core(); t.Epoch < own.Epoch {
-				cx, end := context.WithTimeout(ctx, helloTime)
-				defer end()
-				_, _ = link.Ask[CoreTold](cx, f.Line, a, HelloAsk{From: f.Self, Epoch: own.Epoch, Core: own})
+		if answer, err := b.askSeed(ctx, addr); err == nil {
+			if own := b.core(); answer.Epoch < own.Epoch {
+				helloCtx, cancel := context.WithTimeout(ctx, helloTimeout)
+				defer cancel()
+				_, _ = link.Ask[CoreTold](helloCtx, b.Transport, addr, HelloAsk{From: b.Self, Epoch: own.Epoch, Core: own})
 			}
 			return
 		}
 	}
 }
 
-// hello asks one seed, or this node itself.
-func (f *Bootstrapper) hello(ctx context.Context, a string) (CoreTold, error) {
-	if a == f.Self {
-		return f.told(0), nil
+// askSeed sends a HelloAsk to one seed, or answers it locally if the seed is this node.
+func (b *Bootstrapper) askSeed(ctx context.Context, addr string) (CoreTold, error) {
+	if addr == b.Self {
+		return b.answerHello(0), nil
 	}
-	cx, end := context.WithTimeout(ctx, helloTime)
-	defer end()
-	ask := HelloAsk{From: f.Self, Epoch: f.core().Epoch}
-	if f.Voter != nil {
-		ask.Seat = f.Voter.Seat()
+	helloCtx, cancel := context.WithTimeout(ctx, helloTimeout)
+	defer cancel()
+	ask := HelloAsk{From: b.Self, Epoch: b.core().Epoch}
+	if b.Voter != nil {
+		ask.Seat = b.Voter.Seat()
 	}
-	t, err := link.Ask[CoreTold](cx, f.Line, a, ask)
+	answer, err := link.Ask[CoreTold](helloCtx, b.Transport, addr, ask)
 	if err == nil {
-		f.Prop.Learn(t.Core)
+		b.Proposer.Learn(answer.Core)
 	}
-	return t, err
+	return answer, err
 }
 
-// round asks all seeds, and forms a first core if that is this node's to do.
-func (f *Bootstrapper) round(ctx context.Context) {
-	if f.Voter != nil {
-		f.note(f.Voter.Seat(), 0)
+// discoveryRound asks all seeds, and proposes a first core if that is this node's task.
+func (b *Bootstrapper) discoveryRound(ctx context.Context) {
+	if b.Voter != nil {
+		b.recordDisk(b.Voter.Seat(), 0)
 	}
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	answered, empty := 0, 0
-	var forms []form
-	for _, a := range f.Seeds {
+	var consents []form
+	for _, addr := range b.Seeds {
 		wg.Go(func() {
-			t, err := f.hello(ctx, a)
+			answer, err := b.askSeed(ctx, addr)
 			if err != nil {
 				return
 			}
-			f.note(t.Seat, 0)
-			for i, s := range t.Known {
-				if i < len(t.Ages) {
-					f.note(s, t.Ages[i])
+			b.recordDisk(answer.Seat, 0)
+			for i, s := range answer.Known {
+				if i < len(answer.Ages) {
+					b.recordDisk(s, answer.Ages[i])
 				}
 			}
 			mu.Lock()
 			defer mu.Unlock()
 			answered++
-			if t.Empty {
+			if answer.Empty {
 				empty++
-				forms = append(forms, form{t.By, t.Form})
+				consents = append(consents, form{answer.By, answer.Form})
 			}
 		})
 	}
 	wg.Wait()
-	if f.core().Epoch > 0 || f.Voter == nil || f.Later || answered < len(f.Seeds) || empty < answered {
+	if b.core().Epoch > 0 || b.Voter == nil || b.SubsequentStart || answered < len(b.Seeds) || empty < answered {
 		return
 	}
-	if f.empty.IsZero() {
-		f.empty = f.Clock.Now()
+	if b.emptySince.IsZero() {
+		b.emptySince = b.Clock.Now()
 	}
-	cx, end := context.WithTimeout(ctx, time.Second)
-	defer end()
-	f.propose(cx, forms)
+	proposeCtx, cancel := context.WithTimeout(ctx, time.Second)
+	defer cancel()
+	b.propose(proposeCtx, consents)
 }
--- a/internal/quorum/bootstrapper_test.go
+++ b/internal/quorum/bootstrapper_test.go
@@ -12,73 +12,73 @@
 	"walkrudder/internal/link"
 )
 
-// plan says how a node of a forming city starts.
-type plan struct {
-	id    string
-	zone  string
-	disk  bool
-	later bool
-	after time.Duration
+// nodePlan describes how a node of a formingCluster starts.
+type nodePlan struct {
+	id              string
+	zone            string
+	disk            bool
+	subsequentStart bool
+	startDelay      time.Duration
 }
 
-// forming is a city in which nodes know of each other by their formers alone.
-type forming struct {
-	*city
-	seeds   []string
-	size    int
-	formers map[string]*Bootstrapper
-	// tolerance is what the first core is to bear.
+// formingCluster is a cluster whose nodes learn of each other only through their bootstrappers.
+type formingCluster struct {
+	*cluster
+	seeds         []string
+	size          int
+	bootstrappers map[string]*Bootstrapper
+	// tolerance is the loss that the first core must survive.
 	tolerance Tolerance
 }
 
-func newForming(ctx context.Context, t *testing.T, size int, seeds ...string) *forming {
-	c := newCity(ctx, t)
-	c.deaf = true
-	return &forming{city: c, seeds: seeds, size: size, formers: map[string]*Bootstrapper{}}
+func newFormingCluster(ctx context.Context, t *testing.T, size int, seeds ...string) *formingCluster {
+	c := newCluster(ctx, t)
+	c.bootstrapOnly = true
+	return &formingCluster{cluster: c, seeds: seeds, size: size, bootstrappers: map[string]*Bootstrapper{}}
 }
 
-// begin starts one node's former, on a disk if it has one.
-func (g *forming) begin(p plan, m *mem) {
-	f := &Bootstrapper{Seeds: g.seeds, Self: p.id, Size: g.size, Tolerance: g.tolerance, Later: p.later, Line: port{g.city, p.id}, Clock: ice{n: &node{}}}
+// startNode starts a node and its bootstrapper, with disk m if the node has one.
+func (g *formingCluster) startNode(p nodePlan, m *mem) {
+	b := &Bootstrapper{Seeds: g.seeds, Self: p.id, Size: g.size, Tolerance: g.tolerance, SubsequentStart: p.subsequentStart, Transport: nodeTransport{g.cluster, p.id}, Clock: freezableClock{node: &node{}}}
 	ctx := g.ctx
 	var d *link.Desk
 	if p.disk {
 		n := g.boot(p.id, p.zone, m)
-		f.Prop, f.Voter, ctx = n.p, n.v, n.ctx
+		b.Proposer, b.Voter, ctx = n.proposer, n.voter, n.ctx
 		d = link.NewDesk()
-		n.v.Serve(d)
+		n.voter.Serve(d)
 	} else {
-		f.Prop = NewProposer(p.id, port{g.city, p.id}, f.Clock)
+		b.Proposer = NewProposer(p.id, nodeTransport{g.cluster, p.id}, b.Clock)
 		d = link.NewDesk()
 	}
-	f.Serve(d)
-	g.set(func() {
+	b.Serve(d)
+	g.locked(func() {
 		g.desks[p.id] = d
-		g.formers[p.id] = f
+		g.bootstrappers[p.id] = b
 	})
-	go f.Run(ctx)
+	go b.Run(ctx)
 }
 
-func (g *forming) beginAll(ps []plan) {
+func (g *formingCluster) startAll(ps []nodePlan) {
 	for _, p := range ps {
-		time.AfterFunc(p.after, func() { g.begin(p, nil) })
+		time.AfterFunc(p.startDelay, func() { g.startNode(p, nil) })
 	}
 }
 
-// one checks that no two cores were formed and that all nodes know the one, and
-// yields it.
-func (g *forming) one(when string) (core Core) {
+// checkOneCore checks that only one core was formed and that all nodes know it, and
+// returns it.
+func (g *formingCluster) checkOneCore(when string) (core Core) {
 	g.t.Helper()
 	g.mu.Lock()
-	fs := map[string]*Bootstrapper{}
-	for id, f := range g.formers {
+	bootstrappers := map[string]*Bootstrapper{}
+	for id, f := range g.bootstrappers {
 		if g.desks[id] != nil {
-			fs[id] = f
+			bootstrappers[id] = f
 		}
 	}
 	g.mu.Unlock()
-	for id, f := range fs {
-		for _, c := range []Core{f.Prop.Core(), f.core()} {
+	for id, f := range bootstrappers {
+		for _, c := range []Core{f.Proposer.Core(), f.core()} {
 			if core.Epoch == 0 {
 				core = c
 			}
@@ -88,16 +88,16 @@
 		}
 	}
 	for _, s := range core.Seats {
-		if f := fs[s.ID]; f != nil && (f.Voter == nil || f.Voter.Core().Epoch != 1 || !f.Voter.Voting()) {
+		if f := bootstrappers[s.ID]; f != nil && (f.Voter == nil || f.Voter.Core().Epoch != 1 || !f.Voter.Voting()) {
 			g.t.Errorf("%s: %s has a seat and does not vote", when, s.ID)
 		}
 	}
 	return core
 }
 
-func disks(ids ...string) (ps []plan) {
+func diskNodes(ids ...string) (ps []nodePlan) {
 	for _, id := range ids {
-		ps = append(ps, plan{id: id, disk: true})
+		ps = append(ps, nodePlan{id: id, disk: true})
 	}
 	return ps
 }
@@ -106,42 +106,42 @@
 	type try struct {
 		size  int
 		seeds []string
-		ps    []plan
+		ps    []nodePlan
 	}
-	bare := func(ids ...string) (ps []plan) {
+	bare := func(ids ...string) (ps []nodePlan) {
 		for _, id := range ids {
-			ps = append(ps, plan{id: id})
+			ps = append(ps, nodePlan{id: id})
 		}
 		return ps
 	}
 	for name, x := range map[string]try{
-		"seeds are the seats":         {3, []string{"a", "b", "c"}, disks("a", "b", "c")},
-		"some seeds have no disk":     {3, []string{"a", "m", "n"}, append(disks("a", "b", "c"), bare("m", "n")...)},
-		"no seed has a disk":          {3, []string{"m", "n"}, append(disks("a", "b", "c"), bare("m", "n")...)},
-		"more seats than seeds":       {5, []string{"c", "d", "e"}, disks("a", "b", "c", "d", "e")},
-		"more disks than seats":       {3, []string{"f", "g", "m"}, append(disks("a", "b", "c", "d", "e", "f", "g", "h"), bare("m")...)},
-		"one voter":                   {1, []string{"b"}, disks("a", "b")},
-		"gateways look on":            {3, []string{"a", "b"}, append(disks("a", "b", "c"), bare("f1", "f2", "f3")...)},
-		"seats, seeds, all different": {3, []string{"y", "z"}, append(disks("a", "b", "c"), disks("x", "y", "z")...)},
+		"seeds are the seats":         {3, []string{"a", "b", "c"}, diskNodes("a", "b", "c")},
+		"some seeds have no disk":     {3, []string{"a", "m", "n"}, append(diskNodes("a", "b", "c"), bare("m", "n")...)},
+		"no seed has a disk":          {3, []string{"m", "n"}, append(diskNodes("a", "b", "c"), bare("m", "n")...)},
+		"more seats than seeds":       {5, []string{"c", "d", "e"}, diskNodes("a", "b", "c", "d", "e")},
+		"more disks than seats":       {3, []string{"f", "g", "m"}, append(diskNodes("a", "b", "c", "d", "e", "f", "g", "h"), bare("m")...)},
+		"one voter":                   {1, []string{"b"}, diskNodes("a", "b")},
+		"gateways look on":            {3, []string{"a", "b"}, append(diskNodes("a", "b", "c"), bare("f1", "f2", "f3")...)},
+		"seats, seeds, all different": {3, []string{"y", "z"}, append(diskNodes("a", "b", "c"), diskNodes("x", "y", "z")...)},
 	} {
 		for i := range 20 {
 			for _, silent := range []bool{false, true} {
 				in(t, func(ctx context.Context, t *testing.T) {
 					r := rand.New(rand.NewPCG(uint64(i), 1))
-					g := newForming(ctx, t, x.size, x.seeds...)
+					g := newFormingCluster(ctx, t, x.size, x.seeds...)
 					if silent {
-						// Who has not started does not even refuse.
-						g.drop = func(_, to string, _ any) bool { return g.desks[to] == nil }
+						// A node that has not started does not even refuse connections.
+						g.dropAsk = func(_, to string, _ any) bool { return g.desks[to] == nil }
 					}
 					ps := slices.Clone(x.ps)
 					for k := range ps {
-						ps[k].after = time.Duration(r.IntN(500)) * time.Millisecond
+						ps[k].startDelay = time.Duration(r.IntN(500)) * time.Millisecond
 					}
-					g.beginAll(ps)
+					g.startAll(ps)
 					time.Sleep(2 * time.Second)
 					formed := 0
 					for _, n := range g.all() {
-						if n.v.Voting() {
+						if n.voter.Voting() {
 							formed++
 						}
 					}
@@ -149,7 +149,7 @@
 						t.Errorf("%s, %d: %d vote after 2 s", name, i, formed)
 					}
 					time.Sleep(6 * time.Second)
-					if c := g.one(name); len(c.Seats) != x.size {
+					if c := g.checkOneCore(name); len(c.Seats) != x.size {
 						t.Errorf("%s, %d: %+v", name, i, c)
 					}
 				})
@@ -160,14 +160,14 @@
 
 func TestFirstCoreIsSpreadOverZones(t *testing.T) {
 	in(t, func(ctx context.Context, t *testing.T) {
-		g := newForming(ctx, t, 3, "a")
-		for _, p := range []plan{{id: "a", zone: "1"}, {id: "b", zone: "1"}, {id: "c", zone: "2"}, {id: "d", zone: "2"}, {id: "e", zone: "3"}} {
+		g := newFormingCluster(ctx, t, 3, "a")
+		for _, p := range []nodePlan{{id: "a", zone: "1"}, {id: "b", zone: "1"}, {id: "c", zone: "2"}, {id: "d", zone: "2"}, {id: "e", zone: "3"}} {
 			p.disk = true
-			g.begin(p, nil)
+			g.startNode(p, nil)
 		}
 		time.Sleep(4 * time.Second)
 		zones := map[string]bool{}
-		for _, s := range g.one("zones").Seats {
+		for _, s := range g.checkOneCore("zones").Seats {
 			zones[s.Zone] = true
 		}
 		if len(zones) != 3 {
@@ -179,16 +179,16 @@
 func TestSmallerFirstCoreAfterPatience(t *testing.T) {
 	for _, x := range []struct{ disks, size, want int }{{4, 5, 3}, {3, 5, 3}, {2, 3, 1}, {1, 3, 1}} {
 		in(t, func(ctx context.Context, t *testing.T) {
-			g := newForming(ctx, t, x.size, "a", "m")
-			g.beginAll(append(disks([]string{"a", "b", "c", "d"}[:x.disks]...), plan{id: "m"}))
+			g := newFormingCluster(ctx, t, x.size, "a", "m")
+			g.startAll(append(diskNodes([]string{"a", "b", "c", "d"}[:x.disks]...), nodePlan{id: "m"}))
 			time.Sleep(2900 * time.Millisecond)
 			for id, n := range g.all() {
-				if n.v.Core().Epoch > 0 {
-					t.Errorf("%d of %d: %s has a core before the patience ended", x.disks, x.size, id)
+				if n.voter.Core().Epoch > 0 {
+					t.Errorf("%d of %d: %s has a core before the formation timeout", x.disks, x.size, id)
 				}
 			}
 			time.Sleep(4 * time.Second)
-			if c := g.one("small"); len(c.Seats) != x.want {
+			if c := g.checkOneCore("small"); len(c.Seats) != x.want {
 				t.Errorf("%d of %d disks: %+v", x.disks, x.size, c)
 			}
 		})
@@ -197,47 +197,47 @@
 
 func TestNoFirstCoreWhileASeedIsSilent(t *testing.T) {
 	in(t, func(ctx context.Context, t *testing.T) {
-		g := newForming(ctx, t, 3, "a", "b", "m")
-		g.beginAll(disks("a", "b", "c", "d"))
+		g := newFormingCluster(ctx, t, 3, "a", "b", "m")
+		g.startAll(diskNodes("a", "b", "c", "d"))
 		time.Sleep(10 * time.Second)
 		for id, n := range g.all() {
-			if n.v.Core().Epoch > 0 {
+			if n.voter.Core().Epoch > 0 {
 				t.Errorf("%s has a core", id)
 			}
 		}
-		// A disk that is gone is not taken for one that is there, although the seeds
-		// told each other of it.
+		// A dead disk must not be taken for a live one, although the seeds keep telling
+		// each other of it.
 		g.kill("c")
 		time.Sleep(6 * time.Second)
-		g.begin(plan{id: "e", disk: true}, nil)
-		g.begin(plan{id: "m"}, nil)
+		g.startNode(nodePlan{id: "e", disk: true}, nil)
+		g.startNode(nodePlan{id: "m"}, nil)
 		time.Sleep(3 * time.Second)
-		if _, has := g.one("the silent seed is there").Seat("c"); has {
+		if _, has := g.checkOneCore("the silent seed is there").Seat("c"); has {
 			t.Error("a disk that is gone got a seat")
 		}
 	})
 }
 
-// On a later start of the system no core is formed, whatever the disks have become;
-// and one node that knows is enough.
+// On a later start of the system no core is formed, whatever happened to the disks. It is
+// enough that one node knows that it is a later start.
 func TestLaterStartFormsNoCore(t *testing.T) {
 	for name, later := range map[string]string{"all": "abcm", "a seed with a disk": "a", "a seed without": "m"} {
 		in(t, func(ctx context.Context, t *testing.T) {
-			g := newForming(ctx, t, 3, "a", "m")
-			g.drop = func(from, _ string, ask any) bool {
+			g := newFormingCluster(ctx, t, 3, "a", "m")
+			g.dropAsk = func(from, _ string, ask any) bool {
 				if _, form := ask.(FormAsk); form && strings.Contains(later, from) {
 					t.Errorf("%s is later: %s proposed", name, from)
 				}
 				return false
 			}
-			for _, p := range append(disks("a", "b", "c", "d"), plan{id: "m"}) {
+			for _, p := range append(diskNodes("a", "b", "c", "d"), nodePlan{id: "m"}) {
 				for _, l := range later {
-					p.later = p.later || string(l) == p.id
+					p.subsequentStart = p.subsequentStart || string(l) == p.id
 				}
-				g.begin(p, nil)
+				g.startNode(p, nil)
 			}
 			time.Sleep(15 * time.Second)
-			for id, f := range g.formers {
+			for id, f := range g.bootstrappers {
 				if c := f.core(); c.Epoch > 0 {
 					t.Errorf("%s is later: %s knows %+v", name, id, c)
 				}
@@ -245,136 +245,136 @@
 		})
 	}
 	in(t, func(ctx context.Context, t *testing.T) {
-		g := newForming(ctx, t, 1, "z")
-		g.begin(plan{id: "a", disk: true, later: true}, nil)
-		v := g.node("a").v
+		g := newFormingCluster(ctx, t, 1, "z")
+		g.startNode(nodePlan{id: "a", disk: true, subsequentStart: true}, nil)
+		v := g.node("a").voter
 		c := Core{Epoch: 1, Seats: []Seat{v.Seat()}}
 		for _, seal := range []bool{false, true} {
-			if r, err := link.Ask[FormTold](ctx, port{g.city, "t"}, "a", FormAsk{By: "a", Core: c, Seal: seal}); err != nil || r.OK || v.Core().Epoch > 0 {
+			if r, err := link.Ask[FormTold](ctx, nodeTransport{g.cluster, "t"}, "a", FormAsk{By: "a", Core: c, Seal: seal}); err != nil || r.OK || v.Core().Epoch > 0 {
 				t.Errorf("seal %v: %+v %v", seal, r, err)
 			}
 		}
 	})
 }
 
-// The proposer ends in the middle, and comes back with its disk, without it, or not
-// at all.
+// The proposer dies halfway through a formation, and comes back with its disk, with an
+// empty disk, or not at all.
 func TestFormationCutShort(t *testing.T) {
-	for back, want := range map[string]int{"same": 3, "emptied": 3, "never": 3} {
+	for restart, want := range map[string]int{"same": 3, "emptied": 3, "never": 3} {
 		for asks := range 12 {
 			in(t, func(ctx context.Context, t *testing.T) {
-				g := newForming(ctx, t, 3, "b", "m", "n")
+				g := newFormingCluster(ctx, t, 3, "b", "m", "n")
 				n := 0
-				gone := make(chan *mem, 1)
-				g.drop = func(from, _ string, ask any) bool {
+				killed := make(chan *mem, 1)
+				g.dropAsk = func(from, _ string, ask any) bool {
 					if _, form := ask.(FormAsk); !form || from != "a" {
 						return false
 					}
 					if n++; n == asks+1 {
-						time.AfterFunc(0, func() { gone <- g.kill("a") })
+						time.AfterFunc(0, func() { killed <- g.kill("a") })
 					}
 					return n > asks
 				}
-				g.beginAll(append(disks("a", "b", "c", "d"), plan{id: "m"}, plan{id: "n"}))
+				g.startAll(append(diskNodes("a", "b", "c", "d"), nodePlan{id: "m"}, nodePlan{id: "n"}))
 				time.Sleep(3 * time.Second)
 				var m *mem
-				if len(gone) > 0 {
-					m = <-gone
+				if len(killed) > 0 {
+					m = <-killed
 				} else {
-					// It was done before.
+					// The formation was complete before that many requests were sent.
 					m = g.kill("a")
 				}
-				g.set(func() { g.drop = nil })
-				switch back {
+				g.locked(func() { g.dropAsk = nil })
+				switch restart {
 				case "same":
-					g.begin(plan{id: "a", disk: true}, m)
+					g.startNode(nodePlan{id: "a", disk: true}, m)
 				case "emptied":
-					g.begin(plan{id: "a", disk: true}, nil)
+					g.startNode(nodePlan{id: "a", disk: true}, nil)
 				}
 				time.Sleep(15 * time.Second)
 				cores := map[string]bool{}
 				voting := 0
-				for _, f := range g.formers {
+				for _, f := range g.bootstrappers {
 					if c := f.core(); c.Epoch > 0 {
 						cores[fmt.Sprint(c.Seats)] = true
 					}
 				}
 				for _, n := range g.all() {
-					if n.v.Voting() {
+					if n.voter.Voting() {
 						voting++
 					}
 				}
 				if len(cores) != 1 || voting < want-1 {
-					t.Errorf("%s, after %d asks: %d vote in %v", back, asks, voting, cores)
+					t.Errorf("%s, after %d asks: %d vote in %v", restart, asks, voting, cores)
 				}
 			})
 		}
 	}
 }
 
-// Two that both propose at once end with one core.
+// Two nodes that propose a core concurrently end with the same one.
 func TestTwoFormationsAtOnce(t *testing.T) {
 	for i := range 40 {
 		in(t, func(ctx context.Context, t *testing.T) {
 			r := rand.New(rand.NewPCG(uint64(i), 2))
-			g := newForming(ctx, t, 3, "m", "n", "f")
-			// For a while the lower half and the upper half are not told of each other.
+			g := newFormingCluster(ctx, t, 3, "m", "n", "f")
+			// For a while the lower and the upper half of the nodes do not learn of each other.
 			until := time.Now().Add(time.Duration(r.IntN(800)) * time.Millisecond)
 			side := func(id string) bool { return id < "d" }
-			g.drop = func(from, to string, ask any) bool {
+			g.dropAsk = func(from, to string, ask any) bool {
 				a, hello := ask.(HelloAsk)
 				return hello && time.Now().Before(until) && a.Seat.ID != "" && side(a.Seat.ID) == (to == "m") && r.IntN(3) > 0
 			}
-			ps := append(disks("a", "b", "c", "d", "e", "f"), plan{id: "m"}, plan{id: "n"})
+			ps := append(diskNodes("a", "b", "c", "d", "e", "f"), nodePlan{id: "m"}, nodePlan{id: "n"})
 			for k := range ps {
-				ps[k].after = time.Duration(r.IntN(300)) * time.Millisecond
+				ps[k].startDelay = time.Duration(r.IntN(300)) * time.Millisecond
 			}
-			g.beginAll(ps)
+			g.startAll(ps)
 			time.Sleep(10 * time.Second)
-			if c := g.one(fmt.Sprint("seed ", i)); len(c.Seats) != 3 {
+			if c := g.checkOneCore(fmt.Sprint("seed ", i)); len(c.Seats) != 3 {
 				t.Errorf("%d: %+v", i, c)
 			}
 		})
 	}
 }
 
-// Once a core is known a node sends one question in two seconds, and still hears of
-// a newer core, and tells a seed of it.
+// A node that knows a core sends one request every two seconds, which is enough to learn
+// of a newer core and to tell a seed of it.
 func TestKnownCoreIsRecheckedCheaply(t *testing.T) {
 	in(t, func(ctx context.Context, t *testing.T) {
-		g := newForming(ctx, t, 3, "a", "b", "m")
-		g.beginAll(append(disks("a", "b", "c"), plan{id: "m"}, plan{id: "f"}))
+		g := newFormingCluster(ctx, t, 3, "a", "b", "m")
+		g.startAll(append(diskNodes("a", "b", "c"), nodePlan{id: "m"}, nodePlan{id: "f"}))
 		time.Sleep(5 * time.Second)
-		core := g.one("formed")
-		g.set(func() { clear(g.asked) })
+		core := g.checkOneCore("formed")
+		g.locked(func() { clear(g.askCounts) })
 		time.Sleep(20 * time.Second)
-		g.set(func() {
-			for id := range g.formers {
-				if g.asked[id] < 9 || g.asked[id] > 11 {
-					t.Errorf("%s asked %d times in 20 s", id, g.asked[id])
+		g.locked(func() {
+			for id := range g.bootstrappers {
+				if g.askCounts[id] < 9 || g.askCounts[id] > 11 {
+					t.Errorf("%s asked %d times in 20 s", id, g.askCounts[id])
 				}
 			}
 		})
 		next := Core{Epoch: 2, Seats: core.Seats, Before: core.Seats}
-		g.formers["f"].Prop.Learn(next)
+		g.bootstrappers["f"].Proposer.Learn(next)
 		g.kill("a")
 		time.Sleep(12 * time.Second)
-		for id, f := range g.formers {
-			if id != "a" && f.Prop.Core().Epoch != 2 {
-				t.Errorf("%s knows epoch %d", id, f.Prop.Core().Epoch)
+		for id, f := range g.bootstrappers {
+			if id != "a" && f.Proposer.Core().Epoch != 2 {
+				t.Errorf("%s knows epoch %d", id, f.Proposer.Core().Epoch)
 			}
 		}
 	})
 }
 
-// Two that know of nobody in common and propose in the same moment cannot both form:
-// every seed would have to consent to both.
+// Two nodes that know no common disk and propose at the same time cannot both form a core,
+// since every seed would have to consent to both.
 func TestDisjointFormationsNeverBothStand(t *testing.T) {
 	for _, gap := range []time.Duration{-1, 0, 1, 2, 3, 4, 5, 8} {
 		in(t, func(ctx context.Context, t *testing.T) {
-			g := newForming(ctx, t, 3, "m", "n")
+			g := newFormingCluster(ctx, t, 3, "m", "n")
 			for _, id := range []string{"m", "n"} {
-				g.begin(plan{id: id}, nil)
+				g.startNode(nodePlan{id: id}, nil)
 			}
 			groups := [][]string{{"a", "b", "c"}, {"d", "e", "f"}}
 			var fs []*Bootstrapper
@@ -384,24 +384,24 @@
 					all = append(all, g.boot(id, "", nil).seat)
 				}
 				n := g.node(ids[0])
-				f := &Bootstrapper{Seeds: g.seeds, Self: ids[0], Size: 3, Line: port{g.city, ids[0]}, Clock: ice{n: n}, Prop: n.p, Voter: n.v}
+				f := &Bootstrapper{Seeds: g.seeds, Self: ids[0], Size: 3, Transport: nodeTransport{g.cluster, ids[0]}, Clock: freezableClock{node: n}, Proposer: n.proposer, Voter: n.voter}
 				for _, s := range all {
-					f.note(s, 0)
+					f.recordDisk(s, 0)
 				}
-				f.empty = time.Now()
+				f.emptySince = time.Now()
 				fs = append(fs, f)
 			}
 			if gap < 0 {
-				// Each wins one of the seeds.
-				g.set(func() {
-					g.drop = func(from, to string, _ any) bool { return from == "a" && to == "m" || from == "d" && to == "n" }
+				// Each proposer gets the consent of one of the seeds.
+				g.locked(func() {
+					g.dropAsk = func(from, to string, _ any) bool { return from == "a" && to == "m" || from == "d" && to == "n" }
 				})
 				for _, f := range fs {
 					cx, end := context.WithTimeout(ctx, 50*time.Millisecond)
 					defer end()
 					f.propose(cx, nil)
 				}
-				g.set(func() { g.drop = nil })
+				g.locked(func() { g.dropAsk = nil })
 			}
 			for range 3 {
 				for _, i := range []int{1, 0} {
@@ -410,50 +410,50 @@
 				}
 				time.Sleep(500 * time.Millisecond)
 			}
-			stand := 0
+			formed := 0
 			for _, ids := range groups {
-				if g.node(ids[0]).v.Core().Epoch > 0 {
-					stand++
+				if g.node(ids[0]).voter.Core().Epoch > 0 {
+					formed++
 				}
 			}
-			if stand != 1 {
-				t.Errorf("gap %d ms: %d cores stand", gap, stand)
+			if formed != 1 {
+				t.Errorf("gap %d ms: %d cores were formed", gap, formed)
 			}
-			if gap < 0 && g.node("a").v.Core().Epoch == 0 {
-				t.Error("the higher ID went first")
+			if gap < 0 && g.node("a").voter.Core().Epoch == 0 {
+				t.Error("the formation with the higher ID took precedence")
 			}
 		})
 	}
 }
 
-// Of formations whose proposers are gone the highest comes first: only so is one that
-// stands in the way of another found out and dropped.
+// Of several formations whose proposers are dead, the one with the highest proposer ID is
+// resumed first: otherwise one that blocks another would not be found and dropped.
 func TestProposalTakesOverInOrder(t *testing.T) {
 	in(t, func(ctx context.Context, t *testing.T) {
-		g := newForming(ctx, t, 1, "m")
+		g := newFormingCluster(ctx, t, 1, "m")
 		n := g.boot("c", "", nil)
-		f := &Bootstrapper{Seeds: g.seeds, Self: "c", Size: 1, Clock: ice{n: n}, Prop: n.p, Voter: n.v}
-		me, other := knownSeat{s: n.seat}, knownSeat{s: Seat{ID: "d", Addr: "d", Disk: "d"}}
+		b := &Bootstrapper{Seeds: g.seeds, Self: "c", Size: 1, Clock: freezableClock{node: n}, Proposer: n.proposer, Voter: n.voter}
+		self, other := knownSeat{seat: n.seat}, knownSeat{seat: Seat{ID: "d", Addr: "d", Disk: "d"}}
 		of := func(id string) form { return form{id, Core{Epoch: 1, Seats: []Seat{{ID: id}}}} }
 		for name, x := range map[string]struct {
 			all   []knownSeat
 			forms []form
 			want  string // "" for none
-			fresh bool
+			isNew bool
 		}{
-			"none":                       {[]knownSeat{me, other}, []form{{}, {}}, "c", true},
-			"two are gone":               {[]knownSeat{me, other}, []form{of("x"), of("y"), of("b")}, "y", false},
-			"its own and one gone":       {[]knownSeat{me, other}, []form{of("c"), of("b")}, "c", false},
-			"one that is there":          {[]knownSeat{me, other}, []form{of("d")}, "", false},
-			"its own, another there":     {[]knownSeat{me, other}, []form{of("d"), of("c")}, "c", false},
-			"not the lowest":             {[]knownSeat{{s: Seat{ID: "a"}}, me}, []form{of("x")}, "", false},
-			"not the lowest but its own": {[]knownSeat{{s: Seat{ID: "a"}}, me}, []form{of("c")}, "c", false},
-			"not the lowest, none":       {[]knownSeat{{s: Seat{ID: "a"}}, me}, nil, "", false},
+			"none":                       {[]knownSeat{self, other}, []form{{}, {}}, "c", true},
+			"two are gone":               {[]knownSeat{self, other}, []form{of("x"), of("y"), of("b")}, "y", false},
+			"its own and one gone":       {[]knownSeat{self, other}, []form{of("c"), of("b")}, "c", false},
+			"one that is there":          {[]knownSeat{self, other}, []form{of("d")}, "", false},
+			"its own, another there":     {[]knownSeat{self, other}, []form{of("d"), of("c")}, "c", false},
+			"not the lowest":             {[]knownSeat{{seat: Seat{ID: "a"}}, self}, []form{of("x")}, "", false},
+			"not the lowest but its own": {[]knownSeat{{seat: Seat{ID: "a"}}, self}, []form{of("c")}, "c", false},
+			"not the lowest, none":       {[]knownSeat{{seat: Seat{ID: "a"}}, self}, nil, "", false},
 			"nobody known":               {nil, nil, "", false},
 		} {
-			p, fresh, ok := f.proposal(x.all, x.forms, false)
-			if ok != (x.want != "") || ok && (p.By != x.want || fresh != x.fresh) {
-				t.Errorf("%s: %+v fresh %v, %v", name, p, fresh, ok)
+			formation, isNew, ok := b.selectFormation(x.all, x.forms, false)
+			if ok != (x.want != "") || ok && (formation.By != x.want || isNew != x.isNew) {
+				t.Errorf("%s: %+v new %v, %v", name, formation, isNew, ok)
 			}
 		}
 	})
--- a/internal/quorum/city_test.go
+++ b/internal/quorum/city_test.go
@@ -18,87 +18,87 @@
 	"walkrudder/internal/storage"
 )
 
-// life is a disk as one life of its process has it: after the end nothing is
-// written any more.
-type life struct {
+// processDisk is a disk as seen by one process: after the end of the process, writes
+// fail.
+type processDisk struct {
 	*mem
-	mu   sync.Mutex
-	over bool
+	mu    sync.Mutex
+	ended bool
 }
 
-func (d *life) Commit(ps []storage.Put) error {
+func (d *processDisk) Commit(ps []storage.Put) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.over {
+	if d.ended {
 		return errors.New("process ended")
 	}
 	return d.mem.Commit(ps)
 }
 
-func (d *life) end() {
+func (d *processDisk) end() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.over = true
+	d.ended = true
 }
 
-// node is one disk controller of a city, in one life.
+// node is one disk controller of a cluster, from one start to its end.
 type node struct {
-	c     *city
-	seat  Seat
-	mem   *mem
-	disk  *life
-	v     *Voter
-	p     *Proposer
-	w     *Reconfigurer
-	f     *Bootstrapper
-	stop  context.CancelFunc
-	ctx   context.Context
-	fault *fault.Set // of its voter and its reconfigurer
-
-	mu    sync.Mutex
-	heard map[string]knownSeat
-	news  map[item.Key]item.Item // what OnMerge told
-	thaw  time.Time
+	cluster      *cluster
+	seat         Seat
+	mem          *mem
+	disk         *processDisk
+	voter        *Voter
+	proposer     *Proposer
+	reconfigurer *Reconfigurer
+	bootstrapper *Bootstrapper
+	stop         context.CancelFunc
+	ctx          context.Context
+	faults       *fault.Set // of its voter and its reconfigurer
+
+	mu          sync.Mutex
+	heard       map[string]knownSeat
+	merged      map[item.Key]item.Item // what OnMerge reported
+	frozenUntil time.Time
 }
 
-// city is a number of disk controllers that hear each other, can be cut from each other,
-// killed, frozen and started again.
-type city struct {
-	t     *testing.T
-	ctx   context.Context
-	mu    sync.Mutex
-	nodes map[string]*node
-	desks map[string]*link.Desk
-	lives int
-	cut   func(a, b string) bool
-	drop  func(from, to string, ask any) bool
-	asked map[string]int    // questions by sender
-	addrs map[string]string // of nodes that answer elsewhere than at their ID
-	deaf  bool              // nodes learn of each other by their formers alone
-	// tolerance and size are what reconfigurers go by.
+// cluster is a set of disk controllers that hear from each other. They can be partitioned,
+// killed, frozen and restarted.
+type cluster struct {
+	t             *testing.T
+	ctx           context.Context
+	mu            sync.Mutex
+	nodes         map[string]*node
+	desks         map[string]*link.Desk
+	starts        int
+	isCut         func(a, b string) bool
+	dropAsk       func(from, to string, ask any) bool
+	askCounts     map[string]int    // requests by sender
+	addrs         map[string]string // of nodes whose address differs from their ID
+	bootstrapOnly bool              // nodes learn of each other only through their bootstrappers
+	// tolerance and size are the settings of the reconfigurers.
 	tolerance Tolerance
 	size      int
 }
 
-func newCity(ctx context.Context, t *testing.T) *city {
-	return &city{t: t, ctx: ctx, nodes: map[string]*node{}, desks: map[string]*link.Desk{}, asked: map[string]int{}}
+func newCluster(ctx context.Context, t *testing.T) *cluster {
+	return &cluster{t: t, ctx: ctx, nodes: map[string]*node{}, desks: map[string]*link.Desk{}, askCounts: map[string]int{}}
 }
 
-// port is the line of one node.
-type port struct {
-	c    *city
+// nodeTransport is the transport of one node.
+type nodeTransport struct {
+	c    *cluster
 	from string
 }
 
-func (p port) Call(ctx context.Context, to string, ask any) (any, error) {
+func (p nodeTransport) Call(ctx context.Context, to string, ask any) (any, error) {
 	c := p.c
 	c.mu.Lock()
-	c.asked[p.from]++
+	c.askCounts[p.from]++
 	d, n := c.desks[to], c.nodes[to]
-	shut := c.cut != nil && c.cut(p.from, to) || c.drop != nil && c.drop(p.from, to, ask)
+	blocked := c.isCut != nil && c.isCut(p.from, to) || c.dropAsk != nil && c.dropAsk(p.from, to, ask)
 	c.mu.Unlock()
-	if shut {
-		// A cut link does not say so.
+	if blocked {
+		// Over a cut link the sender gets no error, only a timeout.
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
@@ -109,7 +109,7 @@
 		return nil, err
 	}
 	if n != nil {
-		if err := (ice{n: n}).wait(ctx); err != nil {
+		if err := (freezableClock{node: n}).wait(ctx); err != nil {
 			return nil, err
 		}
 	}
@@ -126,122 +126,122 @@
 	return r, nil
 }
 
-// ice is the clock of a node that can be frozen.
-type ice struct {
+// freezableClock is the clock of a node that can be frozen.
+type freezableClock struct {
 	clock.Wall
-	n *node
+	node *node
 }
 
-func (i ice) wait(ctx context.Context) error {
-	i.n.mu.Lock()
-	d := time.Until(i.n.thaw)
-	i.n.mu.Unlock()
+func (fc freezableClock) wait(ctx context.Context) error {
+	fc.node.mu.Lock()
+	d := time.Until(fc.node.frozenUntil)
+	fc.node.mu.Unlock()
 	if d <= 0 {
 		return ctx.Err()
 	}
-	return i.Wall.Sleep(ctx, d)
+	return fc.Wall.Sleep(ctx, d)
 }
 
-func (i ice) Sleep(ctx context.Context, d time.Duration) error {
-	if err := i.Wall.Sleep(ctx, d); err != nil {
+func (fc freezableClock) Sleep(ctx context.Context, d time.Duration) error {
+	if err := fc.Wall.Sleep(ctx, d); err != nil {
 		return err
 	}
-	return i.wait(ctx)
+	return fc.wait(ctx)
 }
 
 func (n *node) freeze(d time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.thaw = time.Now().Add(d)
+	n.frozenUntil = time.Now().Add(d)
 }
 
-// boot starts a node on a disk, an empty one where that is nil; nothing looks after
-// it yet.
-func (c *city) boot(id, zone string, m *mem) *node {
+// boot starts a node with disk m, an empty one if m is nil. Its reconfigurer does not
+// run yet.
+func (c *cluster) boot(id, zone string, m *mem) *node {
 	c.t.Helper()
 	if m == nil {
 		m = newMem()
 	}
 	c.mu.Lock()
-	c.lives++
-	fresh := fmt.Sprintf("%s#%d", id, c.lives)
+	c.starts++
+	fresh := fmt.Sprintf("%s#%d", id, c.starts)
 	c.mu.Unlock()
-	n := &node{c: c, mem: m, disk: &life{mem: m}, fault: &fault.Set{}, heard: map[string]knownSeat{}, news: map[item.Key]item.Item{}}
+	n := &node{cluster: c, mem: m, disk: &processDisk{mem: m}, faults: &fault.Set{}, heard: map[string]knownSeat{}, merged: map[item.Key]item.Item{}}
 	n.ctx, n.stop = context.WithCancel(c.ctx)
 	addr := cmp.Or(c.addrs[id], id)
-	v, err := NewVoter(Seat{ID: id, Addr: addr, Zone: zone}, n.disk, fresh, port{c, id}, n.fault, nil)
+	v, err := NewVoter(Seat{ID: id, Addr: addr, Zone: zone}, n.disk, fresh, nodeTransport{c, id}, n.faults, nil)
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	n.v, n.seat = v, v.Seat()
+	n.voter, n.seat = v, v.Seat()
 	for _, it := range v.Merged() {
-		n.news[it.Key] = it
+		n.merged[it.Key] = it
 	}
 	v.OnMerge = func(its []item.Item) {
 		n.mu.Lock()
 		defer n.mu.Unlock()
 		for _, it := range its {
-			n.news[it.Key] = it
+			n.merged[it.Key] = it
 		}
 	}
-	n.p = NewProposer(fresh, port{c, id}, ice{n: n})
-	n.f = &Bootstrapper{Seeds: []string{id}, Self: id, Line: port{c, id}, Clock: ice{n: n}, Prop: n.p, Voter: v}
-	n.w = &Reconfigurer{Heard: n.listen, Tolerance: c.tolerance, Size: c.size, Prop: n.p, Line: port{c, id}, Clock: ice{n: n}, Faults: n.fault}
+	n.proposer = NewProposer(fresh, nodeTransport{c, id}, freezableClock{node: n})
+	n.bootstrapper = &Bootstrapper{Seeds: []string{id}, Self: id, Transport: nodeTransport{c, id}, Clock: freezableClock{node: n}, Proposer: n.proposer, Voter: v}
+	n.reconfigurer = &Reconfigurer{Contacts: n.contacts, Tolerance: c.tolerance, Size: c.size, Proposer: n.proposer, Transport: nodeTransport{c, id}, Clock: freezableClock{node: n}, Faults: n.faults}
 	d := link.NewDesk()
 	v.Serve(d)
-	n.f.Serve(d)
+	n.bootstrapper.Serve(d)
 	c.mu.Lock()
 	c.nodes[id], c.desks[addr] = n, d
 	c.mu.Unlock()
 	go v.Run(n.ctx)
-	if !c.deaf {
-		go n.hear()
+	if !c.bootstrapOnly {
+		go n.exchangeContacts()
 	}
 	return n
 }
 
-// hear is what a mesh of controllers would do: it hears of all that can be reached, and
-// learns their cores.
-func (n *node) hear() {
-	for (ice{n: n}).Sleep(n.ctx, 250*time.Millisecond) == nil {
-		n.c.mu.Lock()
-		for id, o := range n.c.nodes {
+// exchangeContacts simulates a mesh of controllers: the node hears from all reachable
+// nodes and learns their cores.
+func (n *node) exchangeContacts() {
+	for (freezableClock{node: n}).Sleep(n.ctx, 250*time.Millisecond) == nil {
+		n.cluster.mu.Lock()
+		for id, o := range n.cluster.nodes {
 			o.mu.Lock()
-			frozen := time.Now().Before(o.thaw)
+			frozen := time.Now().Before(o.frozenUntil)
 			o.mu.Unlock()
-			if id == n.seat.ID || frozen || n.c.cut != nil && (n.c.cut(id, n.seat.ID) || n.c.cut(n.seat.ID, id)) {
+			if id == n.seat.ID || frozen || n.cluster.isCut != nil && (n.cluster.isCut(id, n.seat.ID) || n.cluster.isCut(n.seat.ID, id)) {
 				continue
 			}
 			n.mu.Lock()
 			n.heard[id] = knownSeat{o.seat, time.Now()}
 			n.mu.Unlock()
-			n.p.Learn(o.f.core())
+			n.proposer.Learn(o.bootstrapper.core())
 		}
-		n.c.mu.Unlock()
-		n.f.core()
+		n.cluster.mu.Unlock()
+		n.bootstrapper.core()
 	}
 }
 
-func (n *node) listen() []Heard {
+func (n *node) contacts() []DiskContact {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	out := []Heard{{Seat: n.seat}}
+	out := []DiskContact{{Seat: n.seat}}
 	for _, k := range n.heard {
-		out = append(out, Heard{k.s, time.Since(k.at) + time.Microsecond})
+		out = append(out, DiskContact{k.seat, time.Since(k.heardAt) + time.Microsecond})
 	}
 	return out
 }
 
-// start boots a node and has its reconfigurer run.
-func (c *city) start(id, zone string, m *mem) *node {
+// start boots a node and runs its reconfigurer.
+func (c *cluster) start(id, zone string, m *mem) *node {
 	c.t.Helper()
 	n := c.boot(id, zone, m)
-	go n.w.Run(n.ctx)
+	go n.reconfigurer.Run(n.ctx)
 	return n
 }
 
-// kill ends a node; its disk stays with whoever has it.
-func (c *city) kill(id string) *mem {
+// kill stops a node and returns its disk.
+func (c *cluster) kill(id string) *mem {
 	c.mu.Lock()
 	n := c.nodes[id]
 	if n == nil {
@@ -256,27 +256,27 @@
 	return n.mem
 }
 
-// node is the present life of id.
-func (c *city) node(id string) *node {
+// node returns the running node with the given ID.
+func (c *cluster) node(id string) *node {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.nodes[id]
 }
 
-func (c *city) all() map[string]*node {
+func (c *cluster) all() map[string]*node {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return maps.Clone(c.nodes)
 }
 
-func (c *city) set(f func()) {
+func (c *cluster) locked(f func()) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	f()
 }
 
-// found gives the first core to nodes.
-func (c *city) found(ids ...string) Core {
+// formCore makes the given nodes form the first core.
+func (c *cluster) formCore(ids ...string) Core {
 	c.t.Helper()
 	core := Core{Epoch: 1}
 	for _, id := range ids {
@@ -284,23 +284,23 @@
 	}
 	for _, seal := range []bool{false, true} {
 		for _, id := range ids {
-			if r, err := link.Ask[FormTold](c.ctx, port{c, "t"}, id, FormAsk{By: ids[0], Core: core, Seal: seal}); err != nil || !r.OK {
+			if r, err := link.Ask[FormTold](c.ctx, nodeTransport{c, "t"}, id, FormAsk{By: ids[0], Core: core, Seal: seal}); err != nil || !r.OK {
 				c.t.Fatal(r, err)
 			}
 		}
 	}
 	for _, n := range c.all() {
-		n.p.Learn(core)
+		n.proposer.Learn(core)
 	}
 	return core
 }
 
-// core is the newest that any node knows.
-func (c *city) core() (top Core) {
+// core returns the newest core that any node knows.
+func (c *cluster) core() (top Core) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, n := range c.nodes {
-		if k := n.f.core(); k.Epoch > top.Epoch {
+		if k := n.bootstrapper.core(); k.Epoch > top.Epoch {
 			top = k
 		}
 	}
@@ -308,12 +308,12 @@
 }
 
 // voting lists the nodes that vote in the newest core.
-func (c *city) voting() (ids []string) {
+func (c *cluster) voting() (ids []string) {
 	core := c.core()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for id, n := range c.nodes {
-		if k := n.v.Core(); k.Epoch == core.Epoch && n.v.seated(core) {
+		if k := n.voter.Core(); k.Epoch == core.Epoch && n.voter.seated(core) {
 			ids = append(ids, id)
 		}
 	}
@@ -321,8 +321,8 @@
 	return ids
 }
 
-// holds is what a node's disk has of a merge item.
-func (n *node) holds(k item.Key) item.Item {
+// itemOnDisk returns the copy of a merge item on a node's disk.
+func (n *node) itemOnDisk(k item.Key) item.Item {
 	n.mem.mu.Lock()
 	defer n.mem.mu.Unlock()
 	b, ok := n.mem.m[mergeKey(k)]
@@ -331,25 +331,25 @@
 	}
 	it, err := unpackMerge(mergeKey(k), b)
 	if err != nil {
-		n.c.t.Error(err)
+		n.cluster.t.Error(err)
 	}
 	return it
 }
 
-// holders counts the voters of the newest core whose disks hold a copy of it at
-// least as new.
-func (c *city) holders(it item.Item) (n int) {
+// holders counts the voters of the newest core whose disks hold a copy of `it` that is
+// at least as new.
+func (c *cluster) holders(it item.Item) (n int) {
 	for _, id := range c.voting() {
-		if !newer(it, c.node(id).holds(it.Key)) {
+		if !newer(it, c.node(id).itemOnDisk(it.Key)) {
 			n++
 		}
 	}
 	return n
 }
 
-// kept checks that a majority of the newest core holds every item, and that nobody
-// was told otherwise by OnMerge than its disk says.
-func (c *city) kept(when string, items ...item.Item) {
+// checkKept checks that a majority of the newest core holds every item, and that what
+// OnMerge reported agrees with the disk at each node.
+func (c *cluster) checkKept(when string, items ...item.Item) {
 	c.t.Helper()
 	core := c.core()
 	if v := c.voting(); len(v) < len(core.Seats) {
@@ -362,46 +362,46 @@
 	}
 	for id, n := range c.all() {
 		n.mu.Lock()
-		news := maps.Clone(n.news)
+		news := maps.Clone(n.merged)
 		n.mu.Unlock()
 		for k, it := range news {
-			if h := n.holds(k); newer(it, h) || newer(h, it) {
+			if h := n.itemOnDisk(k); newer(it, h) || newer(h, it) {
 				c.t.Errorf("%s: %s was told %v, its disk holds %v", when, id, it, h)
 			}
 		}
 	}
 }
 
-func thing(name string, version uint64, body string) item.Item {
+func testItem(name string, version uint64, body string) item.Item {
 	return item.Item{Key: item.Key{Kind: item.Route, Name: name}, Version: version, Body: []byte(body)}
 }
 
-func (c *city) merge(id string, items ...item.Item) {
+func (c *cluster) merge(id string, items ...item.Item) {
 	c.t.Helper()
-	cx, end := context.WithTimeout(c.ctx, 5*time.Second)
-	defer end()
-	if err := c.node(id).p.Merge(cx, items); err != nil {
+	mergeCtx, cancel := context.WithTimeout(c.ctx, 5*time.Second)
+	defer cancel()
+	if err := c.node(id).proposer.Merge(mergeCtx, items); err != nil {
 		c.t.Errorf("merge by %s: %v", id, err)
 	}
 }
 
-// choices lists all subsets of n of ids.
-func choices(ids []string, n int) (out [][]string) {
+// subsets lists all subsets of ids with n elements.
+func subsets(ids []string, n int) (out [][]string) {
 	if n == 0 {
 		return [][]string{nil}
 	}
 	for i, id := range ids {
-		for _, rest := range choices(ids[i+1:], n-1) {
+		for _, rest := range subsets(ids[i+1:], n-1) {
 			out = append(out, append([]string{id}, rest...))
 		}
 	}
 	return out
 }
 
-// items makes n merge items.
-func items(n int) (its []item.Item) {
+// testItems returns n merge items.
+func testItems(n int) (its []item.Item) {
 	for i := range n {
-		its = append(its, thing(fmt.Sprint("k", i), uint64(i+1), fmt.Sprint("body", i)))
+		its = append(its, testItem(fmt.Sprint("k", i), uint64(i+1), fmt.Sprint("body", i)))
 	}
 	return its
 }
--- a/internal/quorum/domain_test.go
+++ b/internal/quorum/domain_test.go
@@ -9,27 +9,27 @@
 	"github.com/samber/lo"
 )
 
-// catchUp is how long a machine that is back still counts as lost.
-const catchUp = 4 * time.Second
+// settleTime bounds the recovery after a loss or a return; a machine that returned counts as lost for this long.
+const settleTime = 4 * time.Second
 
-// zoned is a city of one machine an ID, whose zone is the ID's first letter, with a core of the first n.
-func zoned(ctx context.Context, t *testing.T, tolerance Tolerance, n int, ids ...string) *city {
+// newZonedCluster starts one machine per ID, in the zone of the ID's first letter, and forms a core of the first n.
+func newZonedCluster(ctx context.Context, t *testing.T, tolerance Tolerance, n int, ids ...string) *cluster {
 	t.Helper()
-	c := newCity(ctx, t)
+	c := newCluster(ctx, t)
 	c.tolerance = tolerance
 	for _, id := range ids {
 		c.start(id, id[:1], nil)
 	}
-	c.found(ids[:n]...)
+	c.formCore(ids[:n]...)
 	return c
 }
 
-func (c *city) seatIDs() []string {
+func (c *cluster) seatIDs() []string {
 	return lo.Map(c.core().Seats, func(s Seat, _ int) string { return s.ID })
 }
 
-// Guards against a core that stays as it was formed: seats that stand too many in one zone are moved to where the core
-// bears what it is to, one after the other, and rest then.
+// Guards against a core that stays as it was formed: if too many seats are in one zone, they are moved one after the
+// other until the core survives the required losses, and no further.
 func TestSeatsMoveToWhereTheCoreBearsMost(t *testing.T) {
 	for name, x := range map[string]struct {
 		tolerance Tolerance
@@ -45,93 +45,93 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			in(t, func(ctx context.Context, t *testing.T) {
-				c := zoned(ctx, t, x.tolerance, x.seats, x.ids...)
-				its := items(20)
+				c := newZonedCluster(ctx, t, x.tolerance, x.seats, x.ids...)
+				its := testItems(20)
 				c.merge(x.ids[0], its...)
-				time.Sleep(2 * catchUp)
+				time.Sleep(2 * settleTime)
 				for _, when := range []string{"at first", "a minute later"} {
 					got := c.seatIDs()
 					slices.Sort(got)
 					if !slices.Equal(got, x.want) {
 						t.Errorf("%s: %v vote, want %v", when, got, x.want)
 					}
-					c.epochIs(x.epoch, when)
+					c.checkEpoch(x.epoch, when)
 					time.Sleep(time.Minute)
 				}
-				c.kept("after all moves", its...)
+				c.checkKept("after all moves", its...)
 			})
 		})
 	}
 }
 
-// Guards against a seat that is lent to a zone whose loss would then take the majority: it waits for its own zone, and
-// its machine takes it back with its disk or without.
+// Guards against moving a seat to a zone whose loss would then cost the majority: the seat waits for a machine of its
+// own zone, and its own machine takes it back, with or without its disk.
 func TestASeatIsNotLentToWhereTheCoreBearsLess(t *testing.T) {
 	for name, keeps := range map[string]bool{"with its disk": true, "with an empty one": false} {
 		t.Run(name, func(t *testing.T) {
 			in(t, func(ctx context.Context, t *testing.T) {
-				c := zoned(ctx, t, Tolerance{Zones: 1}, 3, "a1", "b1", "c1", "b2", "c2")
-				its := items(20)
+				c := newZonedCluster(ctx, t, Tolerance{Zones: 1}, 3, "a1", "b1", "c1", "b2", "c2")
+				its := testItems(20)
 				c.merge("a1", its...)
-				time.Sleep(catchUp)
+				time.Sleep(settleTime)
 				m := c.kill("a1")
 				time.Sleep(time.Minute)
-				c.epochIs(1, "while its zone is down")
+				c.checkEpoch(1, "while its zone is down")
 				if !keeps {
 					m = nil
 				}
 				c.start("a1", "a", m)
-				time.Sleep(catchUp)
-				c.epochIs(lo.Ternary[uint64](keeps, 1, 2), "once it is back")
+				time.Sleep(settleTime)
+				c.checkEpoch(lo.Ternary[uint64](keeps, 1, 2), "once it is back")
 				if got := c.seatIDs(); !slices.Equal(got, []string{"a1", "b1", "c1"}) {
 					t.Errorf("%v vote", got)
 				}
-				c.kept("once it is back", its...)
-				// Another machine of the zone takes the seat of one that does not come back.
+				c.checkKept("once it is back", its...)
+				// Another machine of the zone takes the seat of a machine that does not return.
 				c.start("a2", "a", nil)
-				time.Sleep(catchUp)
+				time.Sleep(settleTime)
 				c.kill("a1")
-				time.Sleep(catchUp)
+				time.Sleep(settleTime)
 				if got := c.seatIDs(); !slices.Contains(got, "a2") {
-					t.Errorf("%v vote after a machine of the same zone stood by", got)
+					t.Errorf("%v vote after a spare machine came up in the same zone", got)
 				}
 			})
 		})
 	}
 }
 
-// No seat is moved while the others are no majority without it: the machine that joins may fail.
+// No seat is moved unless the other seats heard from are a majority: the machine that joins may fail.
 func TestNoSeatIsMovedWhileAnotherIsSilent(t *testing.T) {
 	v := func(silent string) view {
-		v := view{core: Core{Epoch: 1}, now: time.Unix(100, 0), disks: map[string]Heard{}, nodes: map[string]Heard{}}
+		v := view{core: Core{Epoch: 1}, now: time.Unix(100, 0), disks: map[string]DiskContact{}, nodes: map[string]DiskContact{}}
 		for _, id := range []string{"a1", "a2", "b1", "c1"} {
 			s := Seat{ID: id, Addr: id, Zone: id[:1], Disk: id}
 			if len(v.core.Seats) < 3 {
 				v.core.Seats = append(v.core.Seats, s)
 			}
 			if id != silent {
-				v.disks[id], v.nodes[id] = Heard{Seat: s}, Heard{Seat: s}
+				v.disks[id], v.nodes[id] = DiskContact{Seat: s}, DiskContact{Seat: s}
 			}
 		}
 		for _, s := range v.core.Seats {
-			if v.heard(s, recent) {
-				v.seats++
+			if v.heardWithin(s, recentWindow) {
+				v.heardSeats++
 			}
 		}
 		return v
 	}
-	w := &Reconfigurer{Tolerance: Tolerance{Zones: 1}}
-	repair := func(v view) (m move, ok bool) { return w.repair(v, v.located(), v.spares()) }
-	if m, ok := repair(v("")); !ok || m.in.ID != "c1" || m.out.Zone != "a" {
-		t.Errorf("all well: %v, %v", m, ok)
+	rc := &Reconfigurer{Tolerance: Tolerance{Zones: 1}}
+	rebalance := func(v view) (m seatMove, ok bool) { return rc.rebalance(v, v.currentSeats(), v.spares()) }
+	if m, ok := rebalance(v("")); !ok || m.to.ID != "c1" || m.from.Zone != "a" {
+		t.Errorf("all seats healthy: %v, %v", m, ok)
 	}
-	if _, ok := repair(v("b1")); ok {
+	if _, ok := rebalance(v("b1")); ok {
 		t.Error("a seat of a is moved while b is silent")
 	}
 }
 
-// Guards against a first core of whichever disks come first: two in one zone were taken, since they were heard before
-// the third zone was. After the patience of a first core it is formed all the same.
+// Guards against a first core of whichever disks come up first: two disks in one zone were taken because they were
+// heard from before the third zone. After the formation timeout the core is formed with what there is.
 func TestAFirstCoreWaitsForTheDomainsThatItIsToBear(t *testing.T) {
 	for name, x := range map[string]struct {
 		third time.Duration
@@ -142,17 +142,17 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			in(t, func(ctx context.Context, t *testing.T) {
-				g := newForming(ctx, t, 3, "a1", "a2", "b1")
+				g := newFormingCluster(ctx, t, 3, "a1", "a2", "b1")
 				g.tolerance = Tolerance{Zones: 1}
 				for _, id := range []string{"a1", "a2", "b1", "c1"} {
-					p := plan{id: id, zone: id[:1], disk: true}
+					p := nodePlan{id: id, zone: id[:1], disk: true}
 					if id == "c1" {
-						p.after = x.third
+						p.startDelay = x.third
 					}
-					g.beginAll([]plan{p})
+					g.startAll([]nodePlan{p})
 				}
-				time.Sleep(formPatience + 2*time.Second)
-				got := lo.Map(g.one("formed").Seats, func(s Seat, _ int) string { return s.ID })
+				time.Sleep(formationTimeout + 2*time.Second)
+				got := lo.Map(g.checkOneCore("formed").Seats, func(s Seat, _ int) string { return s.ID })
 				if !slices.Equal(got, x.want) {
 					t.Errorf("%v vote, want %v", got, x.want)
 				}
@@ -161,8 +161,8 @@
 	}
 }
 
-// Guards against a core that stays too small for good: formed of the disks that were there at first, it bore no loss
-// after the others had come.
+// Guards against a core that stays too small: formed of the disks that were up at first, it survived no loss even
+// after the others had come up.
 func TestACoreThatWasFormedSmallGrows(t *testing.T) {
 	for name, x := range map[string]struct {
 		tolerance Tolerance
@@ -179,15 +179,15 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			in(t, func(ctx context.Context, t *testing.T) {
-				c := newCity(ctx, t)
+				c := newCluster(ctx, t)
 				c.tolerance, c.size = x.tolerance, x.size
 				for _, id := range x.ids {
 					c.start(id, id[:1], nil)
 				}
-				c.found(x.ids[:x.seats]...)
-				its := items(20)
+				c.formCore(x.ids[:x.seats]...)
+				its := testItems(20)
 				c.merge("a1", its...)
-				time.Sleep(2 * catchUp)
+				time.Sleep(2 * settleTime)
 				got := c.seatIDs()
 				slices.Sort(got)
 				if !slices.Equal(got, x.want) {
@@ -195,14 +195,14 @@
 				}
 				epoch := c.core().Epoch
 				time.Sleep(time.Minute)
-				c.epochIs(epoch, "a minute later")
-				c.kept("after it has grown", its...)
-				// It bears the loss of a machine's disk, whichever it is.
+				c.checkEpoch(epoch, "a minute later")
+				c.checkKept("after it has grown", its...)
+				// It survives the loss of any machine's disk.
 				for _, id := range x.want[:len(x.want)/2] {
 					c.kill(id)
 					c.start(id, id[:1], nil)
-					time.Sleep(2 * catchUp)
-					c.kept("after the loss of "+id, its...)
+					time.Sleep(2 * settleTime)
+					c.checkKept("after the loss of "+id, its...)
 				}
 			})
 		})
--- a/internal/quorum/formation.go
+++ b/internal/quorum/formation.go
@@ -8,114 +8,114 @@
 	"walkrudder/internal/link"
 )
 
-// propose brings a first core about, if that is this node's to do. forms are what
-// the seeds consented to.
-func (f *Bootstrapper) propose(ctx context.Context, forms []form) {
-	late := f.Clock.Now().Sub(f.empty) >= formPatience
-	p, fresh, ok := f.proposal(f.disks(), append(forms, f.consent()), late)
+// propose forms a first core if that is this node's task. consents are the formations
+// that the seeds consented to.
+func (b *Bootstrapper) propose(ctx context.Context, consents []form) {
+	timedOut := b.Clock.Now().Sub(b.emptySince) >= formationTimeout
+	formation, isNew, ok := b.selectFormation(b.liveDisks(), append(consents, b.consent()), timedOut)
 	if !ok {
 		return
 	}
-	a := FormAsk{By: p.By, Core: p.Core}
-	me := f.Voter.Seat()
-	if fresh {
-		// Its own consent comes first, and is kept over a restart: what was once
-		// proposed is proposed again and never altered.
-		if got, _ := f.tell(ctx, []string{me.Addr}, a); len(got) == 0 {
+	ask := FormAsk{By: formation.By, Core: formation.Core}
+	self := b.Voter.Seat()
+	if isNew {
+		// This node consents first, and its consent survives a restart: a formation
+		// that was proposed is proposed again unchanged.
+		if got, _ := b.sendForm(ctx, []string{self.Addr}, ask); len(got) == 0 {
 			return
 		}
 	}
-	seats := make([]string, len(p.Core.Seats))
-	for i, s := range p.Core.Seats {
+	seats := make([]string, len(formation.Core.Seats))
+	for i, s := range formation.Core.Seats {
 		seats[i] = s.Addr
 	}
-	both := append(slices.Clone(f.Seeds), seats...)
-	slices.Sort(both)
-	both = slices.Compact(append(both, me.Addr))
-	got, lower := f.tell(ctx, f.Seeds, a)
+	seedsAndSeats := append(slices.Clone(b.Seeds), seats...)
+	slices.Sort(seedsAndSeats)
+	seedsAndSeats = slices.Compact(append(seedsAndSeats, self.Addr))
+	got, lower := b.sendForm(ctx, b.Seeds, ask)
 	if lower {
-		// The lower ID goes first. That a seed is bound elsewhere shows that this
-		// formation was never sealed, so it may go.
-		a.Drop = true
-		f.tell(ctx, both, a)
+		// The formation with the lower ID takes precedence. A seed that consented to
+		// another formation shows that this one was never sealed, so it can be dropped.
+		ask.Drop = true
+		b.sendForm(ctx, seedsAndSeats, ask)
 		return
 	}
-	if len(got) < len(f.Seeds) {
+	if len(got) < len(b.Seeds) {
 		return
 	}
-	got, _ = f.tell(ctx, seats, a)
-	yes := 0
-	for _, s := range p.Core.Seats {
+	got, _ = b.sendForm(ctx, seats, ask)
+	granted := 0
+	for _, s := range formation.Core.Seats {
 		if slices.Contains(got, s.Disk) {
-			yes++
+			granted++
 		}
 	}
-	if yes == len(seats) || late && yes >= p.Core.Quorum() {
-		// Nobody else can form, so this core stands even if the seal reaches only one
-		// of them now. A seat that is not there yet joins later, like any other.
-		a.Seal = true
-		f.tell(ctx, both, a)
+	if granted == len(seats) || timedOut && granted >= formation.Core.Quorum() {
+		// No other formation can succeed, so this core is valid even if the seal
+		// reaches only one seat now. A seat that is not up yet joins later, like any other.
+		ask.Seal = true
+		b.sendForm(ctx, seedsAndSeats, ask)
 	}
 }
 
-// proposal is the formation that this node is to bring about, if any: one under way
-// that is its own or whose proposer is gone, else a fresh one if it is the lowest
-// disk node. Of several under way the highest proposer's comes first: it is carried
-// through, or found to be in the way of a lower one and dropped.
-func (f *Bootstrapper) proposal(all []knownSeat, forms []form, late bool) (p form, fresh, ok bool) {
-	me := f.Voter.Seat().ID
-	lowest := len(all) > 0 && all[0].s.ID == me
-	other := false
-	for _, g := range forms {
-		there := slices.ContainsFunc(all, func(k knownSeat) bool { return k.s.ID == g.By })
+// selectFormation returns the formation that this node has to carry out, if any: its own
+// unfinished one or one whose proposer is not alive, else a new one if this is the disk
+// node with the lowest ID. Of several unfinished ones the one with the highest proposer
+// ID is taken first: it either completes, or is found to block a lower one and is dropped.
+func (b *Bootstrapper) selectFormation(disks []knownSeat, consents []form, timedOut bool) (formation form, isNew, ok bool) {
+	self := b.Voter.Seat().ID
+	lowest := len(disks) > 0 && disks[0].seat.ID == self
+	othersUnderWay := false
+	for _, consent := range consents {
+		proposerAlive := slices.ContainsFunc(disks, func(k knownSeat) bool { return k.seat.ID == consent.By })
 		switch {
-		case g.By == "":
-		case g.By == me || lowest && !there:
-			if g.By >= p.By {
-				p, ok = g, true
+		case consent.By == "":
+		case consent.By == self || lowest && !proposerAlive:
+			if consent.By >= formation.By {
+				formation, ok = consent, true
 			}
 		default:
-			other = true
+			othersUnderWay = true
 		}
 	}
-	if ok || other || !lowest {
-		return p, false, ok
+	if ok || othersUnderWay || !lowest {
+		return formation, false, ok
 	}
-	n := f.Size
-	if len(all) < n {
-		if !late {
+	size := b.Size
+	if len(disks) < size {
+		if !timedOut {
 			return form{}, false, false
 		}
-		n = len(all) - 1 + len(all)%2
+		size = len(disks) - 1 + len(disks)%2
 	}
-	seats := make([]Seat, len(all))
-	for i, k := range all {
-		seats[i] = k.s
+	seats := make([]Seat, len(disks))
+	for i, k := range disks {
+		seats[i] = k.seat
 	}
-	chosen := f.Tolerance.Choose(seats, n)
-	if !late && !f.Tolerance.Expose(chosen).Within(f.Attainable) {
+	chosen := b.Tolerance.Choose(seats, size)
+	if !timedOut && !b.Tolerance.ExposureOf(chosen).AtMost(b.Attainable) {
 		return form{}, false, false
 	}
-	return form{me, Core{Epoch: 1, Seats: chosen}}, true, true
+	return form{self, Core{Epoch: 1, Seats: chosen}}, true, true
 }
 
-// tell asks all of addrs and yields the disks of those that grant; lower says that
-// one has consented to a formation by a lower ID.
-func (f *Bootstrapper) tell(ctx context.Context, addrs []string, a FormAsk) (disks []string, lower bool) {
+// sendForm sends ask to all of addrs and returns the disks of those that granted it.
+// lower says that one of them has consented to a formation by a lower ID.
+func (b *Bootstrapper) sendForm(ctx context.Context, addrs []string, ask FormAsk) (disks []string, lower bool) {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
-	for _, s := range addrs {
+	for _, addr := range addrs {
 		wg.Go(func() {
-			r, err := link.Ask[FormTold](ctx, f.Line, s, a)
+			answer, err := link.Ask[FormTold](ctx, b.Transport, addr, ask)
 			if err != nil {
 				return
 			}
-			f.Prop.Learn(r.Core)
+			b.Proposer.Learn(answer.Core)
 			mu.Lock()
 			defer mu.Unlock()
-			if r.OK {
-				disks = append(disks, r.Disk)
-			} else if r.Core.Epoch == 0 && r.By != "" && r.By < a.By {
+			if answer.OK {
+				disks = append(disks, answer.Disk)
+			} else if answer.Core.Epoch == 0 && answer.By != "" && answer.By < ask.By {
 				lower = true
 			}
 		})
--- a/internal/quorum/gather.go
+++ b/internal/quorum/gather.go
@@ -8,62 +8,62 @@
 	"walkrudder/internal/link"
 )
 
-// askTime bounds the wait for one voter.
-const askTime = 1500 * time.Millisecond
+// voterTimeout bounds the wait for one voter's reply.
+const voterTimeout = 1500 * time.Millisecond
 
-// heard is a voter's answer with the seat it came from.
-type heard[R any] struct {
-	Seat Seat
-	R    R
+// voterReply is a voter's reply with the seat it came from.
+type voterReply[R any] struct {
+	Seat  Seat
+	Reply R
 }
 
-// gather asks all seats at once and returns the good answers as soon as enough
-// says so, or when all have answered or ctx ends. Asks still under way go on: a
-// third copy is written although nobody waits for it. It learns newer cores on
-// the way.
-func gather[R any](ctx context.Context, p *Proposer, seats []Seat, ask func(Seat) any, told func(R) Told, enough func([]heard[R]) bool) []heard[R] {
-	cx, end := context.WithTimeout(context.WithoutCancel(ctx), askTime)
-	type back struct {
-		h  heard[R]
+// gather sends requests to all seats in parallel and returns the valid replies as soon
+// as enough is satisfied, or when all have replied or ctx ends. Requests still in flight
+// are not canceled, so that the remaining copies are written too. Newer cores found in
+// replies are learned.
+func gather[R any](ctx context.Context, p *Proposer, seats []Seat, ask func(Seat) any, header func(R) Told, enough func([]voterReply[R]) bool) []voterReply[R] {
+	askCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), voterTimeout)
+	type result struct {
+		h  voterReply[R]
 		ok bool
 	}
-	ch := make(chan back, len(seats))
+	results := make(chan result, len(seats))
 	var wg sync.WaitGroup
 	for _, s := range seats {
 		wg.Go(func() {
-			r, err := link.Ask[R](cx, p.Line, s.Addr, ask(s))
+			r, err := link.Ask[R](askCtx, p.Transport, s.Addr, ask(s))
 			if err != nil {
-				ch <- back{}
+				results <- result{}
 				return
 			}
-			t := told(r)
-			if !t.OK {
-				p.Learn(t.Core)
+			head := header(r)
+			if !head.OK {
+				p.Learn(head.Core)
 			}
-			ch <- back{heard[R]{s, r}, t.OK && t.Disk == s.Disk}
+			results <- result{voterReply[R]{s, r}, head.OK && head.Disk == s.Disk}
 		})
 	}
 	go func() {
 		wg.Wait()
-		end()
+		cancel()
 	}()
-	var got []heard[R]
+	var replies []voterReply[R]
 	for range seats {
 		select {
-		case b := <-ch:
-			if b.ok {
-				got = append(got, b.h)
-				if enough(got) {
-					return got
+		case res := <-results:
+			if res.ok {
+				replies = append(replies, res.h)
+				if enough(replies) {
+					return replies
 				}
 			}
 		case <-ctx.Done():
-			return got
+			return replies
 		}
 	}
-	return got
+	return replies
 }
 
-func atLeast[R any](n int) func([]heard[R]) bool {
-	return func(h []heard[R]) bool { return len(h) >= n }
+func atLeast[R any](n int) func([]voterReply[R]) bool {
+	return func(h []voterReply[R]) bool { return len(h) >= n }
 }
--- a/internal/quorum/handover.go
+++ b/internal/quorum/handover.go
@@ -16,177 +16,177 @@
 	"github.com/samber/lo"
 )
 
-// decodeCore reads a core into slices of its own: others are shared between nodes
-// of one process and with what is known.
+// decodeCore decodes a core into newly allocated slices. Those of other copies are
+// shared with the proposer's core and between the nodes of one process.
 func decodeCore(b []byte) (c Core, err error) {
 	err = json.Unmarshal(b, &c)
 	return c, err
 }
 
-// chosenCore reads a core from its register, with the ballot by which it is chosen.
+// chosenCore decodes a core from its register and sets the ballot that chose it.
 func chosenCore(held Item) (Core, error) {
 	c, err := decodeCore(held.Value)
 	c.Decided = held.Accepted
 	return c, err
 }
 
-// carry brings next about: it seals the voters before, then has the seats join that
-// do not vote yet. Every step may be done again, by anybody. It is content once a
-// majority votes: they can be sealed for the swap after, so that a seat that never
-// joins does not stand in the way of its own replacement.
-func (w *Reconfigurer) carry(ctx context.Context, v view, next Core) error {
+// applyCore puts next into effect: it seals the former voters, then makes the seats that
+// do not vote yet join. Every step is idempotent and can be run by any node. It succeeds
+// once a majority votes: that majority can be sealed for the following reconfiguration,
+// so a seat that never joins does not block its own replacement.
+func (rc *Reconfigurer) applyCore(ctx context.Context, v view, next Core) error {
 	if next.Epoch > v.core.Epoch {
-		// A decision may be old. Sealing for a core whose majority is not there would
-		// end the one that works.
-		if err := w.reachable(v, next); err != nil {
+		// The decision may be old. Sealing the voters for a core whose majority is down
+		// would stop the core that works.
+		if err := rc.checkReachable(v, next); err != nil {
 			return err
 		}
 	}
-	at := w.roll(ctx, v, next)
+	sealed := rc.sealVoters(ctx, v, next)
 	if next.Epoch > v.core.Epoch {
-		w.Faults.At(fault.AfterSeal)
+		rc.Faults.At(fault.AfterSeal)
 	}
-	from, err := sources(next, at)
+	from, err := pullSources(next, sealed)
 	if err != nil {
 		return err
 	}
-	w.Prop.Learn(next)
-	votes, open := 0, map[string]time.Time{}
-	var out []Seat
+	rc.Proposer.Learn(next)
+	votes, nonVoting := 0, map[string]time.Time{}
+	var joiners []Seat
 	for _, s := range next.Seats {
-		if at[s.Disk] {
+		if sealed[s.Disk] {
 			votes++
 			continue
 		}
-		since, known := w.open[s.Disk]
-		open[s.Disk] = lo.Ternary(known, since, v.now)
-		if v.heard(s, w.missing()) {
-			out = append(out, s)
+		since, known := rc.nonVoting[s.Disk]
+		nonVoting[s.Disk] = lo.Ternary(known, since, v.now)
+		if v.heardWithin(s, rc.missingAfter()) {
+			joiners = append(joiners, s)
 		}
 	}
 	var mu sync.Mutex
 	var wg sync.WaitGroup
-	for _, s := range out {
+	for _, s := range joiners {
 		wg.Go(func() {
-			n, err := w.join(ctx, next, from, s)
-			if w.Log != nil {
-				w.Log.Info("seat asked to join", "step", "join", "peer", s.ID, "epoch", next.Epoch, "items", n, "err", err)
+			n, err := rc.joinSeat(ctx, next, from, s)
+			if rc.Log != nil {
+				rc.Log.Info("seat asked to join", "step", "join", "peer", s.ID, "epoch", next.Epoch, "items", n, "err", err)
 			}
 			if err == nil {
 				mu.Lock()
 				defer mu.Unlock()
 				votes++
-				delete(open, s.Disk)
+				delete(nonVoting, s.Disk)
 			}
 		})
 	}
 	wg.Wait()
-	w.settled, w.open = next.Epoch, open
+	rc.checkedEpoch, rc.nonVoting = next.Epoch, nonVoting
 	if votes < next.Quorum() {
-		w.settled = 0
+		rc.checkedEpoch = 0
 		return steperr.New("join", "", "%d seats of epoch %d vote, need %d", votes, next.Epoch, next.Quorum())
 	}
 	return nil
 }
 
-// join has s pull what was acknowledged and vote; it tells how many items came.
-func (w *Reconfigurer) join(ctx context.Context, next Core, from source, s Seat) (int, error) {
-	cx, end := context.WithTimeout(ctx, joinTime)
-	defer end()
-	r, err := link.Ask[JoinTold](cx, w.Line, s.Addr, JoinAsk{Next: next, From: w.nearest(from, s)})
-	if err == nil && !r.OK {
-		err = steperr.New("join", s.ID, "stands at a later epoch than %d", next.Epoch)
+// joinSeat makes s pull all acknowledged items and vote; it returns the number of items pulled.
+func (rc *Reconfigurer) joinSeat(ctx context.Context, next Core, from pullSource, s Seat) (int, error) {
+	joinCtx, cancel := context.WithTimeout(ctx, joinTimeout)
+	defer cancel()
+	answer, err := link.Ask[JoinTold](joinCtx, rc.Transport, s.Addr, JoinAsk{Next: next, From: rc.pickSources(from, s)})
+	if err == nil && !answer.OK {
+		err = steperr.New("join", s.ID, "voter is already in a later epoch than %d", next.Epoch)
 	}
-	return r.Items, err
+	return answer.Items, err
 }
 
-// roll tells the nodes of the seats of next, and of those before, that next takes over, and yields the
-// disks that stand at its epoch. A node is asked once, also where it has a seat of each: its answer
-// names the disk that it has now. It does not wait for those that were not heard lately.
-func (w *Reconfigurer) roll(ctx context.Context, v view, next Core) map[string]bool {
+// sealVoters tells the nodes of the seats of next and of the former seats that next takes over, and
+// returns the disks that are in its epoch. A node that has both a new and a former seat is asked once:
+// its answer names its present disk. Nodes that were not heard from recently are not waited for.
+func (rc *Reconfigurer) sealVoters(ctx context.Context, v view, next Core) map[string]bool {
 	seats := slices.Concat(next.Seats, next.Before)
-	lively := map[string]bool{}
+	recentlyHeard := map[string]bool{}
 	for _, s := range seats {
-		if v.heard(s, w.missing()) {
-			lively[s.Addr] = true
+		if v.heardWithin(s, rc.missingAfter()) {
+			recentlyHeard[s.Addr] = true
 		}
 	}
-	nodes := lo.Uniq(lo.Map(seats, func(s Seat, _ int) string { return s.Addr }))
-	cx, end := context.WithTimeout(ctx, rollTime)
-	type back struct {
+	addrs := lo.Uniq(lo.Map(seats, func(s Seat, _ int) string { return s.Addr }))
+	sealCtx, cancel := context.WithTimeout(ctx, sealTimeout)
+	type result struct {
 		addr, disk string
 		sealed     bool
 	}
-	ch := make(chan back, len(nodes))
+	results := make(chan result, len(addrs))
 	var wg sync.WaitGroup
-	for _, addr := range nodes {
+	for _, addr := range addrs {
 		wg.Go(func() {
-			r, err := link.Ask[SealTold](cx, w.Line, addr, SealAsk{Next: next})
+			r, err := link.Ask[SealTold](sealCtx, rc.Transport, addr, SealAsk{Next: next})
 			if err == nil && !r.OK {
-				w.Prop.Learn(r.Core)
+				rc.Proposer.Learn(r.Core)
 			}
-			ch <- back{addr, r.Disk, err == nil && r.OK}
+			results <- result{addr, r.Disk, err == nil && r.OK}
 		})
 	}
 	go func() {
 		wg.Wait()
-		end()
-		close(ch)
+		cancel()
+		close(results)
 	}()
-	at := map[string]bool{}
-	wait := len(lively)
-	for b := range ch {
-		if b.sealed {
-			at[b.disk] = true
+	sealed := map[string]bool{}
+	awaited := len(recentlyHeard)
+	for res := range results {
+		if res.sealed {
+			sealed[res.disk] = true
 		}
-		if lively[b.addr] {
-			wait--
+		if recentlyHeard[res.addr] {
+			awaited--
 		}
-		if wait == 0 {
-			if _, err := sources(next, at); err == nil {
+		if awaited == 0 {
+			if _, err := pullSources(next, sealed); err == nil {
 				break
 			}
 		}
 	}
-	return at
+	return sealed
 }
 
-// source is a set of sealed voters, so many of which a joiner has to pull from.
-type source struct {
-	seats []Seat
-	need  int
+// pullSource is a set of sealed voters; a joining seat has to pull from `required` of them.
+type pullSource struct {
+	seats    []Seat
+	required int
 }
 
-// sources tells whom a joiner of next pulls from, given the disks that stand at its
-// epoch: N-Q+1 of the voters before, which together hold whatever was acknowledged
-// up to the seal; or a majority of next itself, which meets all holders since.
-func sources(next Core, at map[string]bool) (source, error) {
-	of := func(seats []Seat) []Seat {
-		return lo.Filter(seats, func(s Seat, _ int) bool { return at[s.Disk] })
+// pullSources returns the voters that a joining seat of next pulls from, given the disks that are in
+// the epoch of next: N-Q+1 of the former voters, which together hold everything acknowledged up to
+// the seal, or a majority of next itself, which intersects every majority since.
+func pullSources(next Core, sealed map[string]bool) (pullSource, error) {
+	sealedOf := func(seats []Seat) []Seat {
+		return lo.Filter(seats, func(s Seat, _ int) bool { return sealed[s.Disk] })
 	}
-	if own := of(next.Seats); len(own) >= next.Quorum() {
-		return source{own, next.Quorum()}, nil
+	if own := sealedOf(next.Seats); len(own) >= next.Quorum() {
+		return pullSource{own, next.Quorum()}, nil
 	}
 	before := Core{Seats: next.Before}
-	sealed := of(next.Before)
-	if len(next.Before) > 0 && len(sealed) >= before.Blocking() {
-		return source{sealed, before.Blocking()}, nil
+	former := sealedOf(next.Before)
+	if len(next.Before) > 0 && len(former) >= before.Blocking() {
+		return pullSource{former, before.Blocking()}, nil
 	}
-	return source{}, steperr.New("seal", "", "%d of %d voters sealed for epoch %d", len(sealed), before.Blocking(), next.Epoch)
+	return pullSource{}, steperr.New("seal", "", "%d of %d voters sealed for epoch %d", len(former), before.Blocking(), next.Epoch)
 }
 
-// nearest picks from whom s pulls: its own zone first, for what crosses zones is
-// paid for; the rest by chance, so that one that does not answer is passed by at
-// the next try.
-func (w *Reconfigurer) nearest(f source, s Seat) []Seat {
-	shuffle := w.Shuffle
+// pickSources picks the voters that s pulls from: those in its own zone first, since
+// cross-zone traffic costs money; the others in random order, so that a retry is likely
+// to avoid a voter that does not answer.
+func (rc *Reconfigurer) pickSources(from pullSource, s Seat) []Seat {
+	shuffle := rc.Shuffle
 	if shuffle == nil {
 		shuffle = rand.Shuffle
 	}
-	all := slices.Clone(f.seats)
+	all := slices.Clone(from.seats)
 	shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
 	slices.SortStableFunc(all, func(a, b Seat) int {
 		return cmp.Compare(lo.Ternary(a.Zone == s.Zone, 0, 1), lo.Ternary(b.Zone == s.Zone, 0, 1))
 	})
-	return all[:f.need]
+	return all[:from.required]
 }
--- a/internal/quorum/lab_test.go
+++ b/internal/quorum/lab_test.go
@@ -137,7 +137,7 @@
 func (l *lab) get(p *Proposer, k string) string {
 	l.t.Helper()
 	v, err := p.Read(l.ctx, k)
-	if err != nil && !Nothing(err) {
+	if err != nil && !IsNeverWritten(err) {
 		l.t.Fatal(err)
 	}
 	return string(v)
--- a/internal/quorum/mergecode_test.go
+++ b/internal/quorum/mergecode_test.go
@@ -9,8 +9,8 @@
 
 func TestMergeItemsComeBackFromDisk(t *testing.T) {
 	for _, it := range []item.Item{
-		thing("r/with/slashes", 7, "body"),
-		thing("", 0, ""),
+		testItem("r/with/slashes", 7, "body"),
+		testItem("", 0, ""),
 		{Key: item.Key{Kind: item.Limits, Name: "é\x00\xff"}, Version: 1<<64 - 1, Gone: true},
 		{Key: item.Key{Kind: 255, Name: "m/1/x"}, Version: 1 << 40, Body: make([]byte, 4000)},
 	} {
@@ -27,7 +27,7 @@
 		}
 	}
 	for _, k := range []string{"", "m/", "m/1", "m/x/y", "m/256/y", "i/1/y"} {
-		if _, err := unpackMerge(k, packMerge(thing("y", 1, "b"))); err == nil {
+		if _, err := unpackMerge(k, packMerge(testItem("y", 1, "b"))); err == nil {
 			t.Errorf("key %q was read", k)
 		}
 	}
@@ -39,7 +39,7 @@
 }
 
 func FuzzMergeItems(f *testing.F) {
-	f.Add("m/1/y", packMerge(thing("y", 300, "b")))
+	f.Add("m/1/y", packMerge(testItem("y", 300, "b")))
 	f.Add("m/3/", []byte("\x01\x01\x05"))
 	f.Add("m/01/y", []byte("\x01\x00\x80\x00"))
 	f.Fuzz(func(t *testing.T, k string, b []byte) {
--- a/internal/quorum/placement_test.go
+++ b/internal/quorum/placement_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// drawnLayout draws a tolerance and machines with a disk: uneven zones, uneven regions, zones without any disk.
-func drawnLayout(r *rand.Rand) (t Tolerance, all []Seat) {
+// randomLayout returns a random tolerance and machines with a disk: uneven zones, uneven regions, zones without disks.
+func randomLayout(r *rand.Rand) (t Tolerance, all []Seat) {
 	t = Tolerance{Machines: r.IntN(3), Zones: r.IntN(3), Regions: r.IntN(2)}
 	zones := 1 + r.IntN(6)
 	regions := 1 + r.IntN(4)
@@ -20,49 +20,49 @@
 	return t, all
 }
 
-// least tries all choices of n machines.
-func (t Tolerance) least(all, taken []Seat, n int) int {
+// bestExposure returns the lowest exposure over all choices of n machines.
+func (t Tolerance) bestExposure(all, taken []Seat, n int) int {
 	if n == 0 {
-		return t.Expose(taken).Total()
+		return t.ExposureOf(taken).Total()
 	}
-	best := mostSeats * mostSeats
+	best := maxSeats * maxSeats
 	for i := 0; i+n <= len(all); i++ {
-		best = min(best, t.least(all[i+1:], append(taken, all[i]), n-1))
+		best = min(best, t.bestExposure(all[i+1:], append(taken, all[i]), n-1))
 	}
 	return best
 }
 
-// The seats that a first core takes are exposed to no more loss than the best choice of machines is: two seats
-// in one region were lost at once with the configuration.
+// The seats chosen for a first core have the lowest exposure that the machines allow. Guards against a choice that put
+// two seats in one region, where they were lost at once together with the configuration.
 func TestChosenSeatsBearWhatTheMachinesAllow(t *testing.T) {
 	tried := 0
 	for seed := range uint64(4000) {
 		r := rand.New(rand.NewPCG(seed, 34))
-		tol, all := drawnLayout(r)
-		n := min(tol.Seats(nil), len(all))
+		tolerance, all := randomLayout(r)
+		n := min(tolerance.MinSeats(nil), len(all))
 		if n == 0 || len(all) > 12 {
 			continue
 		}
 		tried++
-		got := tol.Choose(all, n)
+		got := tolerance.Choose(all, n)
 		if len(got) != n {
 			t.Fatalf("seed %d: %d seats chosen, want %d", seed, len(got), n)
 		}
-		if e, want := tol.Expose(got).Total(), tol.least(all, nil, n); e != want {
-			t.Errorf("seed %d: %+v of %v: chosen %v exposed by %d, the best choice by %d", seed, tol, all, got, e, want)
+		if e, want := tolerance.ExposureOf(got).Total(), tolerance.bestExposure(all, nil, n); e != want {
+			t.Errorf("seed %d: %+v of %v: chosen %v exposed by %d, the best choice by %d", seed, tolerance, all, got, e, want)
 		}
 	}
 	t.Logf("%d layouts", tried)
 }
 
-// From any seats, moves one at a time lead to a core that bears as much as the machines allow, each move raises
-// the exposure to no kind of loss, and they come to an end.
+// From any seats, single moves lead to the lowest exposure that the machines allow; no move raises the exposure to any
+// kind of loss, and the moves come to an end.
 func TestSeatsAreMovedUntilTheCoreBearsWhatTheMachinesAllow(t *testing.T) {
 	most := 0
 	for seed := range uint64(4000) {
 		r := rand.New(rand.NewPCG(seed, 35))
-		tol, all := drawnLayout(r)
-		n := min(tol.Seats(nil), len(all))
+		tolerance, all := randomLayout(r)
+		n := min(tolerance.MinSeats(nil), len(all))
 		if n == 0 || len(all) > 12 {
 			continue
 		}
@@ -71,12 +71,12 @@
 			seats[i] = all[k]
 		}
 		moves := 0
-		for tol.Expose(seats).Total() > 0 {
-			m, found := tol.improve(seats, without(all, seats))
+		for tolerance.ExposureOf(seats).Total() > 0 {
+			m, found := tolerance.bestMove(seats, excluding(all, seats))
 			if !found {
 				break
 			}
-			if next := m.apply(seats); tol.Expose(next).Within(tol.Expose(seats)) {
+			if next := m.apply(seats); tolerance.ExposureOf(next).AtMost(tolerance.ExposureOf(seats)) {
 				seats = next
 			} else {
 				t.Fatalf("seed %d: the move %v exposes more", seed, m)
@@ -86,14 +86,14 @@
 			}
 		}
 		most = max(most, moves)
-		if e, want := tol.Expose(seats).Total(), tol.least(all, nil, n); e != want {
-			t.Errorf("seed %d: %+v of %v: exposed by %d, the best choice by %d", seed, tol, all, e, want)
+		if e, want := tolerance.ExposureOf(seats).Total(), tolerance.bestExposure(all, nil, n); e != want {
+			t.Errorf("seed %d: %+v of %v: exposed by %d, the best choice by %d", seed, tolerance, all, e, want)
 		}
 	}
 	t.Logf("%d moves at most", most)
 }
 
-// The number of seats is the least that bears what is to be borne, and the least there is where none does.
+// The number of seats is the least that survives the required losses, and the minimum if no number does.
 func TestSeatsOfATolerance(t *testing.T) {
 	zones := func(regions ...int) map[string]string {
 		out := map[string]string{}
@@ -118,11 +118,11 @@
 		{Tolerance{Regions: 1}, zones(3, 3), 3, false},
 		{Tolerance{Regions: 1}, zones(4, 1, 1), 3, true},
 		{Tolerance{Regions: 1}, zones(20, 20), 3, false},
-		{Tolerance{Machines: 16}, zones(3, 3), mostSeats, true},
+		{Tolerance{Machines: 16}, zones(3, 3), maxSeats, true},
 	} {
-		got := x.tolerance.Seats(x.zones)
+		got := x.tolerance.MinSeats(x.zones)
 		if bears := x.tolerance.Attainable(x.zones, got).Total() == 0; got != x.want || bears != x.bears {
-			t.Errorf("%+v in %d zones: %d seats that bear it: %v, want %d, %v", x.tolerance, len(x.zones), got, bears, x.want, x.bears)
+			t.Errorf("%+v in %d zones: %d seats that survive it: %v, want %d, %v", x.tolerance, len(x.zones), got, bears, x.want, x.bears)
 		}
 	}
 }
--- a/internal/quorum/proposer.go
+++ b/internal/quorum/proposer.go
@@ -13,38 +13,38 @@
 )
 
 var (
-	// ErrNoQuorum says that no majority of the voters answered; whether a change
-	// under way took effect is not known.
+	// ErrNoQuorum says that no majority of the voters answered; it is unknown whether
+	// a change in progress took effect.
 	ErrNoQuorum = errors.New("no majority of the core answers")
-	// ErrNoCore says that no core is known here yet.
+	// ErrNoCore says that this process does not know a core yet.
 	ErrNoCore = errors.New("no core known yet")
 )
 
-// Proposer changes and reads items through a majority of the voters. Any controller
+// Proposer changes and reads items through a majority of the voters. Every controller
 // has one (design 4.1).
 type Proposer struct {
-	By    string
-	Line  link.Line
-	Clock clock.Clock
+	ID        string
+	Transport link.Line
+	Clock     clock.Clock
 
-	mu   sync.Mutex
-	core Core
-	last map[string]uint64 // highest ballot number met, by key
+	mu         sync.Mutex
+	core       Core
+	lastBallot map[string]uint64 // highest ballot number seen or used, by key
 }
 
-// NewProposer makes a proposer; by must differ between processes and restarts.
-func NewProposer(by string, l link.Line, c clock.Clock) *Proposer {
-	return &Proposer{By: by, Line: l, Clock: c, last: map[string]uint64{}}
+// NewProposer returns a proposer; id must be unique across processes and restarts.
+func NewProposer(id string, transport link.Line, clk clock.Clock) *Proposer {
+	return &Proposer{ID: id, Transport: transport, Clock: clk, lastBallot: map[string]uint64{}}
 }
 
-// Core is the newest core this proposer has met.
+// Core returns the newest core known to this proposer.
 func (p *Proposer) Core() Core {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.core
 }
 
-// Learn takes c if it is newer.
+// Learn records c if it is newer than the known core, and reports whether it is.
 func (p *Proposer) Learn(c Core) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -55,31 +55,31 @@
 	return false
 }
 
-func (p *Proposer) next(key string, over uint64) Ballot {
+func (p *Proposer) nextBallot(key string, above uint64) Ballot {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if len(p.last) > 20000 {
-		p.last = map[string]uint64{}
+	if len(p.lastBallot) > 20000 {
+		p.lastBallot = map[string]uint64{}
 	}
-	n := max(p.last[key], over) + 1
-	p.last[key] = n
-	return Ballot{N: n, By: p.By}
+	n := max(p.lastBallot[key], above) + 1
+	p.lastBallot[key] = n
+	return Ballot{N: n, By: p.ID}
 }
 
-// ErrSuperseded says that a newer core is known than the one that was to be asked.
+// ErrSuperseded says that a newer core is known than the one an operation is bound to.
 var ErrSuperseded = errors.New("a newer core is known")
 
-// Change applies f to the item's chosen value and returns the value that is then
-// chosen. f sees nil for an item never written; when it returns an error nothing
-// is written and Change hands the error on with the value that f saw. f may run
+// Change applies f to the item's chosen value and returns the newly chosen value.
+// f gets nil for an item that was never written. If f returns an error, nothing is
+// written, and Change returns that error with the value that f got. f may be called
 // more than once.
 func (p *Proposer) Change(ctx context.Context, key string, f func([]byte) ([]byte, error)) ([]byte, error) {
 	it, err := p.change(ctx, key, f, func() (Core, error) { return p.Core(), nil })
 	return it.Value, err
 }
 
-// ChangeIn is Change in the register of one core only; it returns the ballot, too, by which
-// the value is chosen.
+// ChangeIn is Change restricted to the register of one core; it also returns the ballot
+// that chose the value.
 func (p *Proposer) ChangeIn(ctx context.Context, core Core, key string, f func([]byte) ([]byte, error)) (Item, error) {
 	return p.change(ctx, key, f, func() (Core, error) {
 		if p.Core().Epoch != core.Epoch {
@@ -89,57 +89,57 @@
 	})
 }
 
-// change tries one ballot after the other, each at the core that of then names.
-func (p *Proposer) change(ctx context.Context, key string, f func([]byte) ([]byte, error), of func() (Core, error)) (Item, error) {
-	var over uint64
+// change retries with new ballots, each in the core that currentCore returns.
+func (p *Proposer) change(ctx context.Context, key string, f func([]byte) ([]byte, error), currentCore func() (Core, error)) (Item, error) {
+	var highest uint64
 	for try := 0; ; try++ {
-		core, err := of()
+		core, err := currentCore()
 		if err != nil {
 			return Item{}, err
 		}
-		it, again, err := p.attempt(ctx, core, key, &over, f)
-		if !again {
+		it, retry, err := p.attempt(ctx, core, key, &highest, f)
+		if !retry {
 			return it, err
 		}
 		if ctx.Err() != nil {
 			return Item{}, steperr.At("change "+key, "", errors.Join(ErrNoQuorum, ctx.Err()))
 		}
-		w := time.Duration(1+rand.IntN(4<<min(try, 5))) * time.Millisecond
-		if p.Clock.Sleep(ctx, w) != nil {
+		pause := time.Duration(1+rand.IntN(4<<min(try, 5))) * time.Millisecond
+		if p.Clock.Sleep(ctx, pause) != nil {
 			return Item{}, steperr.At("change "+key, "", errors.Join(ErrNoQuorum, ctx.Err()))
 		}
 	}
 }
 
-// attempt is one ballot: promises from a majority, then accepts from a majority.
-func (p *Proposer) attempt(ctx context.Context, core Core, key string, over *uint64, f func([]byte) ([]byte, error)) (it Item, again bool, err error) {
+// attempt runs one ballot: promises from a majority, then accepts from a majority.
+func (p *Proposer) attempt(ctx context.Context, core Core, key string, highest *uint64, f func([]byte) ([]byte, error)) (it Item, retry bool, err error) {
 	if core.Epoch == 0 {
 		return Item{}, true, ErrNoCore
 	}
-	b := p.next(key, *over)
+	b := p.nextBallot(key, *highest)
 	m := Mark{Epoch: core.Epoch}
-	yes := func(h []heard[PrepareTold]) int {
+	yes := func(h []voterReply[PrepareTold]) int {
 		n := 0
 		for _, x := range h {
-			if x.R.Yes {
+			if x.Reply.Yes {
 				n++
 			}
 		}
 		return n
 	}
-	got := gather(ctx, p, core.Seats, func(Seat) any { return PrepareAsk{m, key, b} },
+	promises := gather(ctx, p, core.Seats, func(Seat) any { return PrepareAsk{m, key, b} },
 		func(r PrepareTold) Told { return r.Told },
-		func(h []heard[PrepareTold]) bool { return yes(h) >= core.Quorum() })
+		func(h []voterReply[PrepareTold]) bool { return yes(h) >= core.Quorum() })
 	var best Item
 	n := 0
-	for _, h := range got {
-		*over = max(*over, h.R.Item.Promised.N, h.R.Item.Accepted.N)
-		if !h.R.Yes {
+	for _, h := range promises {
+		*highest = max(*highest, h.Reply.Item.Promised.N, h.Reply.Item.Accepted.N)
+		if !h.Reply.Yes {
 			continue
 		}
 		n++
-		if h.R.Item.Accepted.Compare(best.Accepted) > 0 {
-			best = h.R.Item
+		if h.Reply.Item.Accepted.Compare(best.Accepted) > 0 {
+			best = h.Reply.Item
 		}
 	}
 	if n < core.Quorum() {
@@ -147,38 +147,38 @@
 	}
 	val, err := f(best.Value)
 	if err != nil {
-		// The value seen may be one that no majority holds yet: finish it before
-		// anybody is told of it.
+		// The value may not be held by a majority yet: complete its write before
+		// reporting it to anyone.
 		if best.Accepted.Zero() {
 			return Item{}, false, err
 		}
-		it, again, _ := p.finish(ctx, core, key, b, best.Value)
+		it, again, _ := p.acceptValue(ctx, core, key, b, best.Value)
 		if again {
 			return Item{}, true, nil
 		}
 		return it, false, err
 	}
-	return p.finish(ctx, core, key, b, val)
+	return p.acceptValue(ctx, core, key, b, val)
 }
 
-// finish has a value accepted. All seats are asked, also those whose promise was
-// not waited for: one that has promised nothing higher may accept, and its copy is
-// then as new as the others'.
-func (p *Proposer) finish(ctx context.Context, core Core, key string, b Ballot, val []byte) (Item, bool, error) {
-	acc := gather(ctx, p, core.Seats, func(s Seat) any { return AcceptAsk{Mark{core.Epoch, s.Disk}, key, b, val} },
+// acceptValue gets a value accepted. It asks all seats, also those whose promise was
+// not waited for: a voter that has promised nothing higher may accept, which brings its
+// copy up to date.
+func (p *Proposer) acceptValue(ctx context.Context, core Core, key string, b Ballot, val []byte) (Item, bool, error) {
+	replies := gather(ctx, p, core.Seats, func(s Seat) any { return AcceptAsk{Mark{core.Epoch, s.Disk}, key, b, val} },
 		func(r AcceptTold) Told { return r.Told },
-		func(h []heard[AcceptTold]) bool {
+		func(h []voterReply[AcceptTold]) bool {
 			n := 0
 			for _, x := range h {
-				if x.R.Yes {
+				if x.Reply.Yes {
 					n++
 				}
 			}
 			return n >= core.Quorum()
 		})
 	n := 0
-	for _, h := range acc {
-		if h.R.Yes {
+	for _, h := range replies {
+		if h.Reply.Yes {
 			n++
 		}
 	}
@@ -188,48 +188,47 @@
 	return Item{Promised: b, Accepted: b, Value: val}, false, nil
 }
 
-// Read tells the item's chosen value: at once when a majority holds the same
-// accepted ballot, else by a ballot of its own, which mends the old copies
-// (design 4.3).
+// Read returns the item's chosen value: at once if a majority holds the same accepted
+// ballot, else after a ballot of its own, which repairs outdated copies (design 4.3).
 func (p *Proposer) Read(ctx context.Context, key string) ([]byte, error) {
 	it, err := p.ReadIn(ctx, p.Core(), key)
 	if errors.Is(err, ErrSuperseded) {
-		return p.Change(ctx, key, unchanged)
+		return p.Change(ctx, key, keepValue)
 	}
 	return it.Value, err
 }
 
-// ReadIn is Read in the register of one core only; it returns the ballot, too, by which the value
-// is chosen.
+// ReadIn is Read restricted to the register of one core; it also returns the ballot that
+// chose the value.
 func (p *Proposer) ReadIn(ctx context.Context, core Core, key string) (Item, error) {
 	if core.Epoch == 0 {
 		return Item{}, ErrNoCore
 	}
-	got := gather(ctx, p, core.Seats, func(Seat) any { return ReadAsk{Mark{Epoch: core.Epoch}, key} },
+	replies := gather(ctx, p, core.Seats, func(Seat) any { return ReadAsk{Mark{Epoch: core.Epoch}, key} },
 		func(r ReadTold) Told { return r.Told }, atLeast[ReadTold](core.Quorum()))
-	if len(got) >= core.Quorum() {
-		it := got[0].R.Item
+	if len(replies) >= core.Quorum() {
+		it := replies[0].Reply.Item
 		same := true
-		for _, h := range got[1:] {
-			same = same && h.R.Item.Accepted == it.Accepted
+		for _, h := range replies[1:] {
+			same = same && h.Reply.Item.Accepted == it.Accepted
 		}
 		if same {
 			return it, nil
 		}
 	}
-	return p.ChangeIn(ctx, core, key, unchanged)
+	return p.ChangeIn(ctx, core, key, keepValue)
 }
 
-// unchanged keeps a value as it is.
-func unchanged(v []byte) ([]byte, error) {
+// keepValue returns the value unchanged, for a ballot that only reads.
+func keepValue(v []byte) ([]byte, error) {
 	if v == nil {
-		return nil, errNothing
+		return nil, errNeverWritten
 	}
 	return v, nil
 }
 
-// errNothing ends a read of an item that was never written.
-var errNothing = errors.New("never written")
+// errNeverWritten stops the read of an item that was never written.
+var errNeverWritten = errors.New("never written")
 
-// Nothing tells whether err only says that an item was never written.
-func Nothing(err error) bool { return errors.Is(err, errNothing) }
+// IsNeverWritten reports whether err only says that an item was never written.
+func IsNeverWritten(err error) bool { return errors.Is(err, errNeverWritten) }
--- a/internal/quorum/proposer_test.go
+++ b/internal/quorum/proposer_test.go
@@ -76,19 +76,19 @@
 			l.set(p, fmt.Sprint("m", i), "3")
 		}
 		l.close(nil)
-		n, err := p.Mend(ctx)
+		n, err := p.RepairCopies(ctx)
 		time.Sleep(time.Second)
 		if err != nil || n != 6 || l.copy("c", "m4") != "3" || l.copy("a", "k") != "2" {
-			t.Errorf("the sweep mended %d, %v; c holds %q", n, err, l.copy("c", "m4"))
+			t.Errorf("the sweep repaired %d, %v; c holds %q", n, err, l.copy("c", "m4"))
 		}
-		if n, err := p.Mend(ctx); n != 0 || err != nil {
-			t.Errorf("a second sweep mended %d, %v", n, err)
+		if n, err := p.RepairCopies(ctx); n != 0 || err != nil {
+			t.Errorf("a second sweep repaired %d, %v", n, err)
 		}
 	})
 }
 
-// An accept that reached one voter alone is either finished or never seen; a
-// reader may not see it and then lose it.
+// An accept that reached only one voter is either completed or never seen: a reader must
+// not see the value if it can still be lost.
 func TestHalfWrittenValueIsFinishedBeforeItIsTold(t *testing.T) {
 	in(t, func(ctx context.Context, t *testing.T) {
 		l, _ := newLab(ctx, t)
@@ -96,9 +96,9 @@
 			_, acc := ask.(AcceptAsk)
 			return acc && a != "a"
 		})
-		cx, end := context.WithTimeout(ctx, 300*time.Millisecond)
-		defer end()
-		if _, err := l.prop("p").Change(cx, "k", func([]byte) ([]byte, error) { return []byte("half"), nil }); !errors.Is(err, ErrNoQuorum) {
+		shortCtx, cancel := context.WithTimeout(ctx, 300*time.Millisecond)
+		defer cancel()
+		if _, err := l.prop("p").Change(shortCtx, "k", func([]byte) ([]byte, error) { return []byte("half"), nil }); !errors.Is(err, ErrNoQuorum) {
 			t.Fatalf("%v, want no majority", err)
 		}
 		l.close(nil)
@@ -112,7 +112,7 @@
 		if errors.Is(err, refuse) {
 			l.close(func(a string, _ any) bool { return a == "a" })
 			if got := l.get(l.prop("r"), "k"); got != "half" || string(v) != "half" {
-				t.Errorf("told %q, then %q was read without a", v, got)
+				t.Errorf("Change returned %q, but with a unreachable %q was read", v, got)
 			}
 		} else if err != nil || string(v) != "mine" {
 			t.Errorf("%q %v", v, err)
@@ -145,7 +145,7 @@
 			t.Errorf("last %s %q %v", k, v, err)
 		}
 		l.close(nil)
-		if err := p.Lift(ctx, "x/", "x/20"); err != nil {
+		if err := p.DropBelow(ctx, "x/", "x/20"); err != nil {
 			t.Fatal(err)
 		}
 		if r, _ := link.Ask[PrepareTold](ctx, l, "a", PrepareAsk{Mark{Epoch: 1}, "x/03", Ballot{99, "z"}}); r.Yes {
--- a/internal/quorum/proposerdecide.go
+++ b/internal/quorum/proposerdecide.go
@@ -13,31 +13,31 @@
 	"walkrudder/internal/steperr"
 )
 
-// ErrPartly says that a call can neither be confirmed nor refused: another content of one of
-// its versions is settled, while another item that came by this very call may be in force. That
-// takes two calls that share some names and not others, and a third one that finished a part.
-var ErrPartly = errors.New("a part of the change is overtaken by a conflicting one, another part may be in force")
+// ErrPartialConflict says that a call can neither be confirmed nor refused: other content is settled
+// for one of its versions, while another item from this very call may be in force. It takes two calls
+// with partly overlapping names, and a third call that completed a part of one of them.
+var ErrPartialConflict = errors.New("a part of the change is overtaken by a conflicting one, another part may be in force")
 
-// ConflictError says that a version of an item has another content than the one given.
-// Nothing of the call was or will be in force.
+// ConflictError says that a version of an item has other content than the given one.
+// Nothing of the call has been or will be in force.
 type ConflictError struct {
 	Key     item.Key
 	Version uint64
 }
 
-// Error tells the name and the version.
+// Error returns the item's name and version.
 func (e ConflictError) Error() string {
 	return fmt.Sprintf("%s: version %d has another content", e.Key.Name, e.Version)
 }
 
-// itemBallots is the name under which a proposer counts its ballots for item registers.
-const itemBallots = "\x00items"
+// itemBallotKey is the key under which a proposer counts its ballots for item registers.
+const itemBallotKey = "\x00items"
 
-// Decide has one content settled for each item's version and returns the items that stand
-// then under those names: the ones given, or newer ones. They are settled, but no majority
-// needs to hold them as merge items yet. Where another content of a version is settled it
-// returns a ConflictError, once nothing of the call can come into force any more. It tries
-// until ctx ends; what becomes of the items after another error is not known.
+// Decide settles one content for each item's version and returns the items that are current
+// under those names afterwards: the given ones or newer ones. They are settled, but need not
+// be held by a majority as merge items yet. If other content of a version is settled, it
+// returns a ConflictError, once nothing of the call can come into force any more. It retries
+// until ctx ends; after any other error the fate of the items is unknown.
 func (p *Proposer) Decide(ctx context.Context, items []item.Item) ([]item.Item, error) {
 	for _, it := range items {
 		if err := checkMerge(it); err != nil {
@@ -56,8 +56,8 @@
 		core := p.Core()
 		if core.Epoch == 0 {
 			cause = ErrNoCore
-		} else if stands, err, done := r.run(ctx, core); done {
-			return stands, err
+		} else if current, err, done := r.run(ctx, core); done {
+			return current, err
 		}
 		if ctx.Err() == nil && p.Core().Epoch > core.Epoch && try < 3 {
 			continue
@@ -69,45 +69,45 @@
 	}
 }
 
-// decideRound is one call of Decide.
+// decideRound is the state of one call of Decide.
 type decideRound struct {
 	*Proposer
-	items []item.Item
-	keys  []item.Key
-	call  string
-	over  uint64 // the highest number of a ballot met
+	items         []item.Item
+	keys          []item.Key
+	call          string
+	highestBallot uint64 // highest ballot number seen
 }
 
-// run is one ballot: promises from a majority, then accepts from a majority. done says that
-// the call has its outcome.
+// run executes one ballot: promises from a majority, then accepts from a majority. done says
+// that the outcome of the call is known.
 func (r *decideRound) run(ctx context.Context, core Core) (stands []item.Item, err error, done bool) {
-	ballot := r.next(itemBallots, r.over)
-	held, ok := r.offer(ctx, core, ballot)
+	ballot := r.nextBallot(itemBallotKey, r.highestBallot)
+	held, ok := r.collectPromises(ctx, core, ballot)
 	if !ok {
 		return nil, nil, false
 	}
 	decisions := make([]Decision, len(held))
 	var conflict error
-	settled, mine := true, false
+	settled, ownCurrent := true, false
 	for i, h := range held {
 		next, v := h.Decision.offer(r.items[i], r.call)
 		decisions[i] = next
 		stands := h.Decision.Decided() && h.Decision.Item.Same(r.items[i])
-		settled, mine = settled && stands && h.Settled, mine || stands && h.Decision.Call == r.call
+		settled, ownCurrent = settled && stands && h.Settled, ownCurrent || stands && h.Decision.Call == r.call
 		if v == conflicting && conflict == nil {
 			conflict = ConflictError{r.items[i].Key, r.items[i].Version}
 		}
 	}
 	if conflict != nil {
-		// What stands is accepted anew by this ballot before anything is refused: an item of
-		// this call that a minority accepted in an earlier try can't come into force then.
+		// The current decisions are accepted again with this ballot before the call is refused:
+		// an item of this call that a minority accepted in an earlier try can't be chosen later.
 		decisions = lo.Map(held, func(h HeldDecision, _ int) Decision { return h.Decision })
 		settled = false
-		if mine {
-			conflict = ErrPartly
+		if ownCurrent {
+			conflict = ErrPartialConflict
 		}
 	}
-	if !settled && !r.decide(ctx, core, ballot, decisions) {
+	if !settled && !r.acceptDecisions(ctx, core, ballot, decisions) {
 		return nil, nil, false
 	}
 	if conflict != nil {
@@ -116,59 +116,59 @@
 	return lo.Map(decisions, func(d Decision, _ int) item.Item { return d.Item }), nil, true
 }
 
-// offer asks for promises, and joins what a majority holds of each register.
-func (r *decideRound) offer(ctx context.Context, core Core, ballot Ballot) ([]HeldDecision, bool) {
-	got := gather(ctx, r.Proposer, core.Seats,
+// collectPromises asks for promises and merges, for each register, what a majority holds.
+func (r *decideRound) collectPromises(ctx context.Context, core Core, ballot Ballot) ([]HeldDecision, bool) {
+	promises := gather(ctx, r.Proposer, core.Seats,
 		func(s Seat) any { return OfferAsk{Mark{Epoch: core.Epoch, Disk: s.Disk}, ballot, r.keys} },
 		func(t OfferTold) Told { return t.Told },
-		func(h []heard[OfferTold]) bool {
-			return lo.CountBy(h, func(x heard[OfferTold]) bool { return x.R.Yes }) >= core.Quorum()
+		func(h []voterReply[OfferTold]) bool {
+			return lo.CountBy(h, func(x voterReply[OfferTold]) bool { return x.Reply.Yes }) >= core.Quorum()
 		})
-	out := make([]HeldDecision, len(r.keys))
+	merged := make([]HeldDecision, len(r.keys))
 	yes := 0
-	for _, h := range got {
-		r.over = max(r.over, h.R.Over.N)
-		if !h.R.Yes || len(h.R.Held) != len(r.keys) {
+	for _, h := range promises {
+		r.highestBallot = max(r.highestBallot, h.Reply.Over.N)
+		if !h.Reply.Yes || len(h.Reply.Held) != len(r.keys) {
 			continue
 		}
 		yes++
-		for i, x := range h.R.Held {
-			if x.Accepted.Compare(out[i].Accepted) > 0 {
-				out[i].Accepted, out[i].Decision = x.Accepted, x.Decision
+		for i, x := range h.Reply.Held {
+			if x.Accepted.Compare(merged[i].Accepted) > 0 {
+				merged[i].Accepted, merged[i].Decision = x.Accepted, x.Decision
 			}
 		}
 	}
 	if yes < core.Quorum() {
 		return nil, false
 	}
-	// An item that is known to be settled stands over one that is no newer.
-	for _, h := range got {
-		for i, x := range h.R.Held {
-			if d := out[i].Decision; x.Settled && (!d.Decided() || x.Decision.Item.Version >= d.Item.Version) {
-				out[i].Decision, out[i].Settled = d.under(x.Decision.Item), true
+	// An item known to be settled replaces a decision whose item is not newer.
+	for _, h := range promises {
+		for i, x := range h.Reply.Held {
+			if d := merged[i].Decision; x.Settled && (!d.Decided() || x.Decision.Item.Version >= d.Item.Version) {
+				merged[i].Decision, merged[i].Settled = d.under(x.Decision.Item), true
 			}
 		}
 	}
-	return out, true
+	return merged, true
 }
 
-// decide asks to accept decisions, and tells whether a majority did. All seats are asked, also
-// those whose promise was not waited for.
-func (r *decideRound) decide(ctx context.Context, core Core, ballot Ballot, decisions []Decision) bool {
-	accepted := func(h []heard[DecideTold]) int {
-		return lo.CountBy(h, func(x heard[DecideTold]) bool { return x.R.Yes })
+// acceptDecisions asks all seats to accept decisions, also those whose promise was not waited
+// for, and reports whether a majority did.
+func (r *decideRound) acceptDecisions(ctx context.Context, core Core, ballot Ballot, decisions []Decision) bool {
+	accepted := func(h []voterReply[DecideTold]) int {
+		return lo.CountBy(h, func(x voterReply[DecideTold]) bool { return x.Reply.Yes })
 	}
-	got := gather(ctx, r.Proposer, core.Seats,
+	replies := gather(ctx, r.Proposer, core.Seats,
 		func(s Seat) any { return DecideAsk{Mark{core.Epoch, s.Disk}, ballot, r.keys, decisions} },
 		func(t DecideTold) Told { return t.Told },
-		func(h []heard[DecideTold]) bool { return accepted(h) >= core.Quorum() })
-	for _, h := range got {
-		r.over = max(r.over, h.R.Over.N)
+		func(h []voterReply[DecideTold]) bool { return accepted(h) >= core.Quorum() })
+	for _, h := range replies {
+		r.highestBallot = max(r.highestBallot, h.Reply.Over.N)
 	}
-	return accepted(got) >= core.Quorum()
+	return accepted(replies) >= core.Quorum()
 }
 
-// Trace tells whether any voter of a majority has accepted an item of a call, or holds it.
+// Trace reports whether any voter of a majority has accepted an item of a call, or holds it.
 // It writes nothing.
 func (p *Proposer) Trace(ctx context.Context, items []item.Item) (found bool, err error) {
 	core := p.Core()
@@ -179,9 +179,9 @@
 	for _, it := range items {
 		ask.Items = append(ask.Items, TracedItem{it.Key, it.Version, it.Digest()})
 	}
-	got := gather(ctx, p, core.Seats, func(Seat) any { return ask }, func(t TraceTold) Told { return t.Told }, atLeast[TraceTold](core.Quorum()))
-	if len(got) < core.Quorum() {
+	replies := gather(ctx, p, core.Seats, func(Seat) any { return ask }, func(t TraceTold) Told { return t.Told }, atLeast[TraceTold](core.Quorum()))
+	if len(replies) < core.Quorum() {
 		return false, steperr.At("trace", "", ErrNoQuorum)
 	}
-	return lo.SomeBy(got, func(h heard[TraceTold]) bool { return h.R.Found }), nil
+	return lo.SomeBy(replies, func(h voterReply[TraceTold]) bool { return h.Reply.Found }), nil
 }
--- a/internal/quorum/proposerlist.go
+++ b/internal/quorum/proposerlist.go
@@ -9,66 +9,66 @@
 	"walkrudder/internal/steperr"
 )
 
-// Last tells the last written key under prefix and its chosen value, "" if none.
+// Last returns the last written key under prefix and its chosen value, "" if there is none.
 func (p *Proposer) Last(ctx context.Context, prefix string) (string, []byte, error) {
 	core := p.Core()
 	if core.Epoch == 0 {
 		return "", nil, ErrNoCore
 	}
-	got := gather(ctx, p, core.Seats, func(Seat) any { return ListAsk{Mark: Mark{Epoch: core.Epoch}, Prefix: prefix, Last: true} },
+	replies := gather(ctx, p, core.Seats, func(Seat) any { return ListAsk{Mark: Mark{Epoch: core.Epoch}, Prefix: prefix, Last: true} },
 		func(r ListTold) Told { return r.Told }, atLeast[ListTold](core.Quorum()))
-	if len(got) < core.Quorum() {
+	if len(replies) < core.Quorum() {
 		return "", nil, steperr.At("last "+prefix, "", ErrNoQuorum)
 	}
-	var top Entry
+	var newest Entry
 	n := 0
-	for _, h := range got {
-		for _, e := range h.R.Entries {
-			if e.Key > top.Key {
-				top, n = e, 0
+	for _, h := range replies {
+		for _, e := range h.Reply.Entries {
+			if e.Key > newest.Key {
+				newest, n = e, 0
 			}
-			if e.Key == top.Key && e.Item.Accepted == top.Item.Accepted {
+			if e.Key == newest.Key && e.Item.Accepted == newest.Item.Accepted {
 				n++
 			}
 		}
 	}
-	if top.Key == "" || n >= core.Quorum() {
-		return top.Key, top.Item.Value, nil
+	if newest.Key == "" || n >= core.Quorum() {
+		return newest.Key, newest.Item.Value, nil
 	}
-	v, err := p.Read(ctx, top.Key)
-	return top.Key, v, err
+	v, err := p.Read(ctx, newest.Key)
+	return newest.Key, v, err
 }
 
-// List yields all chosen items under prefix past after, in order. An item that
-// only a minority holds is finished first, and so mended.
+// List yields all chosen items under prefix with keys after `after`, in order. The write of an
+// item that only a minority holds is completed first, which also repairs its copies.
 func (p *Proposer) List(ctx context.Context, prefix, after string, yield func(key string, val []byte) error) error {
 	for {
 		core := p.Core()
 		if core.Epoch == 0 {
 			return ErrNoCore
 		}
-		got := gather(ctx, p, core.Seats, func(Seat) any {
+		replies := gather(ctx, p, core.Seats, func(Seat) any {
 			return ListAsk{Mark: Mark{Epoch: core.Epoch}, Prefix: prefix, After: after, Max: 2000}
 		}, func(r ListTold) Told { return r.Told }, atLeast[ListTold](core.Quorum()))
-		if len(got) < core.Quorum() {
+		if len(replies) < core.Quorum() {
 			return steperr.At("list "+prefix, "", ErrNoQuorum)
 		}
-		to, more := until(got)
+		upTo, more := completeUpTo(replies)
 		type held struct {
 			it Item
 			n  int
 		}
-		by := map[string]*held{}
+		newest := map[string]*held{}
 		var keys []string
-		for _, h := range got {
-			for _, e := range h.R.Entries {
-				if more && e.Key > to {
+		for _, h := range replies {
+			for _, e := range h.Reply.Entries {
+				if more && e.Key > upTo {
 					break
 				}
-				x := by[e.Key]
+				x := newest[e.Key]
 				if x == nil {
 					x = &held{}
-					by[e.Key] = x
+					newest[e.Key] = x
 					keys = append(keys, e.Key)
 				}
 				switch c := e.Item.Accepted.Compare(x.it.Accepted); {
@@ -81,10 +81,10 @@
 		}
 		slices.Sort(keys)
 		for _, k := range keys {
-			v := by[k].it.Value
-			if by[k].n < core.Quorum() {
+			v := newest[k].it.Value
+			if newest[k].n < core.Quorum() {
 				w, err := p.Read(ctx, k)
-				if Nothing(err) {
+				if IsNeverWritten(err) {
 					continue
 				}
 				if err != nil {
@@ -99,56 +99,56 @@
 		if !more {
 			return nil
 		}
-		after = to
+		after = upTo
 	}
 }
 
-// until is the key up to which every listing is complete.
-func until(got []heard[ListTold]) (to string, more bool) {
-	for _, h := range got {
-		if !h.R.More || len(h.R.Entries) == 0 {
+// completeUpTo returns the key up to which every listing is complete.
+func completeUpTo(replies []voterReply[ListTold]) (to string, more bool) {
+	for _, h := range replies {
+		if !h.Reply.More || len(h.Reply.Entries) == 0 {
 			continue
 		}
-		if k := h.R.Entries[len(h.R.Entries)-1].Key; !more || k < to {
+		if k := h.Reply.Entries[len(h.Reply.Entries)-1].Key; !more || k < to {
 			to, more = k, true
 		}
 	}
 	return to, more
 }
 
-// Lift lets the voters drop the items under prefix that are below floor.
-func (p *Proposer) Lift(ctx context.Context, prefix, floor string) error {
+// DropBelow lets the voters drop the items under prefix that are below floor.
+func (p *Proposer) DropBelow(ctx context.Context, prefix, floor string) error {
 	core := p.Core()
-	got := gather(ctx, p, core.Seats, func(Seat) any { return LiftAsk{Mark{Epoch: core.Epoch}, prefix, floor} },
+	replies := gather(ctx, p, core.Seats, func(Seat) any { return LiftAsk{Mark{Epoch: core.Epoch}, prefix, floor} },
 		func(r LiftTold) Told { return r.Told }, atLeast[LiftTold](len(core.Seats)))
-	if len(got) < core.Quorum() {
-		return steperr.At("lift "+prefix, "", fmt.Errorf("%w: %d of %d", ErrNoQuorum, len(got), len(core.Seats)))
+	if len(replies) < core.Quorum() {
+		return steperr.At("lift "+prefix, "", fmt.Errorf("%w: %d of %d", ErrNoQuorum, len(replies), len(core.Seats)))
 	}
 	return nil
 }
 
-// Mend looks through all items at all voters that answer and runs a ballot for
-// each that some voter holds an older copy of. It tells how many.
-func (p *Proposer) Mend(ctx context.Context) (int, error) {
+// RepairCopies compares all items at all voters that answer, runs a ballot for each item
+// of which some voter holds an outdated copy, and returns the number of such items.
+func (p *Proposer) RepairCopies(ctx context.Context) (int, error) {
 	core := p.Core()
 	if core.Epoch == 0 {
 		return 0, ErrNoCore
 	}
-	held := map[string]map[string]Ballot{}
-	top := map[string]Ballot{}
+	copies := map[string]map[string]Ballot{}
+	newest := map[string]Ballot{}
 	for _, s := range core.Seats {
 		at := map[string]Ballot{}
 		after := ""
 		for {
-			t, err := link.Ask[ListTold](ctx, p.Line, s.Addr, ListAsk{Mark: Mark{Epoch: core.Epoch}, After: after})
+			t, err := link.Ask[ListTold](ctx, p.Transport, s.Addr, ListAsk{Mark: Mark{Epoch: core.Epoch}, After: after})
 			if err != nil || !t.OK || t.Disk != s.Disk {
 				at = nil
 				break
 			}
 			for _, e := range t.Entries {
 				at[e.Key], after = e.Item.Accepted, e.Key
-				if e.Item.Accepted.Compare(top[e.Key]) > 0 {
-					top[e.Key] = e.Item.Accepted
+				if e.Item.Accepted.Compare(newest[e.Key]) > 0 {
+					newest[e.Key] = e.Item.Accepted
 				}
 			}
 			if !t.More {
@@ -156,24 +156,24 @@
 			}
 		}
 		if at != nil {
-			held[s.Disk] = at
+			copies[s.Disk] = at
 		}
 	}
 	n := 0
-	for k, b := range top {
-		old := false
-		for _, at := range held {
-			old = old || at[k] != b
+	for k, b := range newest {
+		outdated := false
+		for _, at := range copies {
+			outdated = outdated || at[k] != b
 		}
-		if !old {
+		if !outdated {
 			continue
 		}
 		if _, err := p.Change(ctx, k, func(v []byte) ([]byte, error) {
 			if v == nil {
-				return nil, errNothing
+				return nil, errNeverWritten
 			}
 			return v, nil
-		}); err != nil && !Nothing(err) {
+		}); err != nil && !IsNeverWritten(err) {
 			return n, err
 		}
 		n++
--- a/internal/quorum/proposermerge.go
+++ b/internal/quorum/proposermerge.go
@@ -11,22 +11,22 @@
 	"walkrudder/internal/steperr"
 )
 
-// mergeChunk bounds the bytes of one MergeAsk, well below a frame.
-const mergeChunk = 1 << 20
+// maxMergeBytes bounds the size of one MergeAsk, well below the frame limit.
+const maxMergeBytes = 1 << 20
 
-// Merge hands items to all voters and returns nil once a majority of the seats of
-// one epoch, each on the disk that the core names, hold copies at least as new of
-// all of them, synced. What that is worth stands at Voter.merge. It tries again
-// until ctx ends; whether a merge that ended in ErrNoQuorum lasts is not known.
+// Merge sends items to all voters and returns nil once a majority of the seats of one
+// epoch, each on the disk that the core names, hold synced copies of all of them that are
+// at least as new. Voter.merge documents what that guarantees. It retries until ctx ends;
+// after ErrNoQuorum it is unknown whether the merge will last.
 func (p *Proposer) Merge(ctx context.Context, items []item.Item) error {
-	_, err := p.MergeOver(ctx, items)
+	_, err := p.MergeReportingSuperseded(ctx, items)
 	return err
 }
 
-// MergeOver is Merge, and names the items that some voter of that majority does
-// not hold as given, for another copy stands there: a newer version, or another
-// content of the same version.
-func (p *Proposer) MergeOver(ctx context.Context, items []item.Item) (over []item.Key, err error) {
+// MergeReportingSuperseded is Merge and also returns the items that some voter of that
+// majority does not hold as given, because it has a newer version, or other content of the
+// same version.
+func (p *Proposer) MergeReportingSuperseded(ctx context.Context, items []item.Item) (superseded []item.Key, err error) {
 	for _, it := range items {
 		if err := checkMerge(it); err != nil {
 			return nil, err
@@ -35,18 +35,18 @@
 	for len(items) > 0 {
 		n, size := 0, 0
 		for n < len(items) {
-			if size += len(items[n].Name) + len(items[n].Body) + 32; n > 0 && size > mergeChunk {
+			if size += len(items[n].Name) + len(items[n].Body) + 32; n > 0 && size > maxMergeBytes {
 				break
 			}
 			n++
 		}
 		o, err := p.mergeChunk(ctx, items[:n])
 		if err != nil {
-			return over, err
+			return superseded, err
 		}
-		over, items = append(over, o...), items[n:]
+		superseded, items = append(superseded, o...), items[n:]
 	}
-	return over, nil
+	return superseded, nil
 }
 
 func (p *Proposer) mergeChunk(ctx context.Context, items []item.Item) ([]item.Key, error) {
@@ -56,38 +56,38 @@
 		if core.Epoch == 0 {
 			cause = ErrNoCore
 		} else if got := p.mergeRound(ctx, core, items); len(got) >= core.Quorum() {
-			return mergedOver(items, got), nil
+			return supersededKeys(items, got), nil
 		}
-		// A newer core is known by now if that was the reason: ask it at once.
+		// If that failed because of a newer core, the newer core is known by now: ask it at once.
 		if ctx.Err() == nil && p.Core().Epoch > core.Epoch && try < 3 {
 			continue
 		}
-		w := time.Duration(5+rand.IntN(10<<min(try, 5))) * time.Millisecond
-		if ctx.Err() != nil || p.Clock.Sleep(ctx, w) != nil {
+		pause := time.Duration(5+rand.IntN(10<<min(try, 5))) * time.Millisecond
+		if ctx.Err() != nil || p.Clock.Sleep(ctx, pause) != nil {
 			return nil, steperr.At("merge", "", errors.Join(ErrNoQuorum, cause, ctx.Err()))
 		}
 	}
 }
 
-// mergeRound asks all seats of core once. An answer from a later epoch ends it, for
-// the round may have no majority left to wait for.
-func (p *Proposer) mergeRound(ctx context.Context, core Core, items []item.Item) []heard[MergeTold] {
-	cx, stop := context.WithCancel(ctx)
-	defer stop()
-	return gather(cx, p, core.Seats,
+// mergeRound asks all seats of core once. A reply from a later epoch cancels the round,
+// since there may be no majority left to wait for.
+func (p *Proposer) mergeRound(ctx context.Context, core Core, items []item.Item) []voterReply[MergeTold] {
+	roundCtx, cancel := context.WithCancel(ctx)
+	defer cancel()
+	return gather(roundCtx, p, core.Seats,
 		func(s Seat) any { return MergeAsk{Mark{core.Epoch, s.Disk}, items} },
 		func(r MergeTold) Told {
 			if !r.OK && p.Learn(r.Core) {
-				stop()
+				cancel()
 			}
 			return r.Told
 		},
 		atLeast[MergeTold](core.Quorum()))
 }
 
-func mergedOver(items []item.Item, got []heard[MergeTold]) (keys []item.Key) {
-	for _, h := range got {
-		for _, i := range h.R.Over {
+func supersededKeys(items []item.Item, replies []voterReply[MergeTold]) (keys []item.Key) {
+	for _, h := range replies {
+		for _, i := range h.Reply.Over {
 			if i >= 0 && i < len(items) && !slices.Contains(keys, items[i].Key) {
 				keys = append(keys, items[i].Key)
 			}
--- a/internal/quorum/reconfigurer_test.go
+++ b/internal/quorum/reconfigurer_test.go
@@ -14,19 +14,19 @@
 	"walkrudder/internal/fault"
 )
 
-// staffed is a city whose first n disks vote, with a reconfigurer at every one of them.
-func staffed(ctx context.Context, t *testing.T, n int, ids ...string) *city {
+// newRunningCluster starts a node with a reconfigurer for each ID, and forms a core of the first n.
+func newRunningCluster(ctx context.Context, t *testing.T, n int, ids ...string) *cluster {
 	t.Helper()
-	c := newCity(ctx, t)
+	c := newCluster(ctx, t)
 	for _, id := range ids {
 		c.start(id, "", nil)
 	}
-	c.found(ids[:n]...)
+	c.formCore(ids[:n]...)
 	time.Sleep(5 * time.Second)
 	return c
 }
 
-func (c *city) epochIs(want uint64, when string) {
+func (c *cluster) checkEpoch(want uint64, when string) {
 	c.t.Helper()
 	if got := c.core().Epoch; got != want {
 		c.t.Errorf("%s: epoch %d, want %d: %+v", when, got, want, c.core())
@@ -35,78 +35,78 @@
 
 func TestCalmStewardsSendNothing(t *testing.T) {
 	in(t, func(ctx context.Context, t *testing.T) {
-		c := staffed(ctx, t, 3, "a", "b", "c", "d")
-		c.set(func() { clear(c.asked) })
+		c := newRunningCluster(ctx, t, 3, "a", "b", "c", "d")
+		c.locked(func() { clear(c.askCounts) })
 		time.Sleep(time.Minute)
-		c.set(func() {
-			if len(c.asked) > 0 {
-				t.Errorf("in calm: %v", c.asked)
+		c.locked(func() {
+			if len(c.askCounts) > 0 {
+				t.Errorf("requests were sent with all seats filled: %v", c.askCounts)
 			}
 		})
-		c.epochIs(1, "after a calm minute")
-		// A seat is missing and nobody stands by: nothing to be done, nothing sent.
+		c.checkEpoch(1, "after a minute without failures")
+		// A seat is missing and there is no spare disk: nothing to do, so nothing is sent.
 		c.kill("d")
 		time.Sleep(5 * time.Second)
 		m := c.kill("c")
 		time.Sleep(5 * time.Second)
-		c.set(func() { clear(c.asked) })
+		c.locked(func() { clear(c.askCounts) })
 		time.Sleep(time.Minute)
-		c.set(func() {
-			if len(c.asked) > 0 {
-				t.Errorf("with nobody to stand in: %v", c.asked)
+		c.locked(func() {
+			if len(c.askCounts) > 0 {
+				t.Errorf("requests were sent without a spare disk: %v", c.askCounts)
 			}
 		})
 		c.start("c", "", m)
 		time.Sleep(10 * time.Second)
-		c.set(func() { clear(c.asked) })
+		c.locked(func() { clear(c.askCounts) })
 		time.Sleep(time.Minute)
-		c.set(func() {
-			if len(c.asked) > 0 {
-				t.Errorf("calm again: %v", c.asked)
+		c.locked(func() {
+			if len(c.askCounts) > 0 {
+				t.Errorf("requests were sent after the seat returned: %v", c.askCounts)
 			}
 		})
-		c.epochIs(1, "after it came back")
+		c.checkEpoch(1, "after it came back")
 	})
 }
 
-// An acknowledgement outlives the loss of any t disks while the rest lose power,
-// with the least number of copies; and so does it the loss of any other t once the
-// seats are filled again.
+// An acknowledged item survives the loss of any t disks while the other nodes lose power,
+// even with the minimum number of copies. Once the seats are filled again it survives the
+// loss of any other t disks.
 func TestAcknowledgedSurvivesTheLossOfAnyDisks(t *testing.T) {
 	for _, ids := range [][]string{{"a", "b", "c"}, {"a", "b", "c", "d", "e"}} {
 		lose := len(ids) / 2
-		all := choices(ids, lose)
-		for i, deaf := range all {
+		all := subsets(ids, lose)
+		for i, unreached := range all {
 			for j, lost := range all {
-				// The second loss takes each choice in turn.
+				// The second loss goes through all choices.
 				second := all[(i+j)%len(all)]
 				in(t, func(ctx context.Context, t *testing.T) {
-					c := newCity(ctx, t)
+					c := newCluster(ctx, t)
 					for _, id := range ids {
 						c.start(id, "", nil)
 					}
-					c.found(ids...)
-					c.set(func() {
-						c.drop = func(_, to string, ask any) bool { _, m := ask.(MergeAsk); return m && slices.Contains(deaf, to) }
+					c.formCore(ids...)
+					c.locked(func() {
+						c.dropAsk = func(_, to string, ask any) bool { _, m := ask.(MergeAsk); return m && slices.Contains(unreached, to) }
 					})
-					it := thing("k", 1, strings.Join(append(deaf, lost...), ""))
+					it := testItem("k", 1, strings.Join(append(unreached, lost...), ""))
 					c.merge(ids[j%len(ids)], it)
 					c.powerLoss(ids, lost)
-					c.set(func() { c.drop = nil })
+					c.locked(func() { c.dropAsk = nil })
 					time.Sleep(8 * time.Second)
-					c.kept(fmt.Sprint("deaf ", deaf, ", lost ", lost), it)
+					c.checkKept(fmt.Sprint("not merged at ", unreached, ", lost ", lost), it)
 					c.powerLoss(ids, second)
 					time.Sleep(8 * time.Second)
-					c.kept(fmt.Sprint("deaf ", deaf, ", lost ", lost, " then ", second), it)
+					c.checkKept(fmt.Sprint("not merged at ", unreached, ", lost ", lost, " then ", second), it)
 				})
 			}
 		}
 	}
 }
 
-// powerLoss ends all ids at once and starts them again, those in lost with empty
+// powerLoss stops all ids at once and starts them again, those in lost with empty
 // disks.
-func (c *city) powerLoss(ids, lost []string) {
+func (c *cluster) powerLoss(ids, lost []string) {
 	ms := map[string]*mem{}
 	for _, id := range ids {
 		ms[id] = c.kill(id)
@@ -122,8 +122,8 @@
 
 func TestSeatsAreExchangedOneAfterTheOther(t *testing.T) {
 	in(t, func(ctx context.Context, t *testing.T) {
-		c := staffed(ctx, t, 3, "a", "b", "c")
-		its := items(20)
+		c := newRunningCluster(ctx, t, 3, "a", "b", "c")
+		its := testItems(20)
 		c.merge("a", its...)
 		for i, id := range []string{"a", "b", "c", "d", "e", "f"} {
 			c.kill(id)
@@ -131,27 +131,27 @@
 			next := string(rune('d' + i))
 			c.start(next, "", nil)
 			time.Sleep(4 * time.Second)
-			c.kept("after "+id, its...)
-			more := thing(fmt.Sprint("more", i), 1, id)
+			c.checkKept("after "+id, its...)
+			more := testItem(fmt.Sprint("more", i), 1, id)
 			c.merge(next, more)
 			its = append(its, more)
-			c.kept("merged after "+id, its...)
+			c.checkKept("merged after "+id, its...)
 		}
 		core := c.core()
 		for _, s := range core.Seats {
 			if s.ID < "g" {
-				t.Errorf("%s has still a seat in %+v", s.ID, core)
+				t.Errorf("%s still has a seat in %+v", s.ID, core)
 			}
 		}
-		c.epochIs(7, "after six exchanges")
+		c.checkEpoch(7, "after six exchanges")
 	})
 }
 
 func TestEmptiedDiskVotesAgainSoon(t *testing.T) {
 	for _, id := range []string{"a", "b", "c"} {
 		in(t, func(ctx context.Context, t *testing.T) {
-			c := staffed(ctx, t, 3, "a", "b", "c", "x")
-			its := items(5)
+			c := newRunningCluster(ctx, t, 3, "a", "b", "c", "x")
+			its := testItems(5)
 			c.merge("a", its...)
 			c.kill(id)
 			time.Sleep(500 * time.Millisecond)
@@ -160,35 +160,35 @@
 			if v := c.voting(); !slices.Contains(v, id) || len(v) != 3 {
 				t.Errorf("4 s after %s came back %v vote", id, v)
 			}
-			c.kept("after "+id, its...)
+			c.checkKept("after "+id, its...)
 		})
 	}
 }
 
 func TestStandByTakesASilentSeat(t *testing.T) {
 	in(t, func(ctx context.Context, t *testing.T) {
-		c := staffed(ctx, t, 3, "a", "b", "c", "x")
-		its := items(5)
+		c := newRunningCluster(ctx, t, 3, "a", "b", "c", "x")
+		its := testItems(5)
 		c.merge("a", its...)
 		c.kill("a")
 		time.Sleep(time.Second)
-		c.epochIs(1, "a second after the loss")
+		c.checkEpoch(1, "a second after the loss")
 		time.Sleep(3 * time.Second)
 		if v := c.voting(); !slices.Equal(v, []string{"b", "c", "x"}) {
 			t.Errorf("%v vote", v)
 		}
-		c.kept("after the loss", its...)
+		c.checkKept("after the loss", its...)
 	})
 }
 
 func TestStandByIsTakenWhereZonesAreSpread(t *testing.T) {
 	for lost, want := range map[string]string{"a": "p", "b": "z", "c": "y"} {
 		in(t, func(ctx context.Context, t *testing.T) {
-			c := newCity(ctx, t)
+			c := newCluster(ctx, t)
 			for id, zone := range map[string]string{"a": "1", "b": "2", "c": "3", "p": "1", "y": "3", "z": "2"} {
 				c.start(id, zone, nil)
 			}
-			c.found("a", "b", "c")
+			c.formCore("a", "b", "c")
 			time.Sleep(5 * time.Second)
 			c.kill(lost)
 			time.Sleep(4 * time.Second)
@@ -199,31 +199,31 @@
 	}
 }
 
-// Two reconfigurers that both act, at the same moment and for different seats, agree.
+// Two reconfigurers that act at the same moment and for different seats agree on one core.
 func TestTwoStewardsAtOnce(t *testing.T) {
 	for _, gap := range []time.Duration{0, time.Millisecond, 3 * time.Millisecond, 10 * time.Millisecond} {
 		in(t, func(ctx context.Context, t *testing.T) {
-			c := newCity(ctx, t)
+			c := newCluster(ctx, t)
 			for _, id := range []string{"a", "b", "c", "x", "y"} {
 				c.boot(id, "", nil)
 			}
-			core := c.found("a", "b", "c")
-			its := items(5)
+			core := c.formCore("a", "b", "c")
+			its := testItems(5)
 			c.merge("a", its...)
 			time.Sleep(time.Second)
 			for _, p := range []struct{ by, out, in string }{{"a", "c", "x"}, {"b", "a", "y"}} {
 				out, _ := core.Seat(p.out)
-				w := c.node(p.by).w
-				v := w.view()
-				go func() { _ = w.swap(ctx, v, move{out, c.node(p.in).seat}.apply(v.core.Seats)) }()
+				rc := c.node(p.by).reconfigurer
+				v := rc.view()
+				go func() { _ = rc.reconfigure(ctx, v, seatMove{out, c.node(p.in).seat}.apply(v.core.Seats)) }()
 				time.Sleep(gap)
 			}
 			time.Sleep(5 * time.Second)
-			c.epochIs(2, "after two swaps at once")
-			c.kept("after two swaps at once", its...)
+			c.checkEpoch(2, "after two swaps at once")
+			c.checkKept("after two swaps at once", its...)
 			seats := map[string]bool{}
 			for _, n := range c.all() {
-				if k := n.v.Core(); k.Epoch == 2 {
+				if k := n.voter.Core(); k.Epoch == 2 {
 					seats[fmt.Sprint(k.Seats)] = true
 				}
 			}
@@ -237,34 +237,34 @@
 func TestMinorityNeverSwaps(t *testing.T) {
 	for _, small := range []string{"a", "ax", "bx", "axy"} {
 		in(t, func(ctx context.Context, t *testing.T) {
-			c := staffed(ctx, t, 3, "a", "b", "c", "x", "y")
-			its := items(5)
+			c := newRunningCluster(ctx, t, 3, "a", "b", "c", "x", "y")
+			its := testItems(5)
 			c.merge("a", its...)
 			side := func(id string) bool { return strings.Contains(small, id) }
-			c.set(func() { c.cut = func(a, b string) bool { return side(a) != side(b) }; clear(c.asked) })
+			c.locked(func() { c.isCut = func(a, b string) bool { return side(a) != side(b) }; clear(c.askCounts) })
 			time.Sleep(20 * time.Second)
 			for id, n := range c.all() {
-				if k := n.f.core(); side(id) && k.Epoch != 1 {
+				if k := n.bootstrapper.core(); side(id) && k.Epoch != 1 {
 					t.Errorf("%s, cut off with %s, knows %+v", id, small, k)
 				}
-				c.set(func() {
-					if side(id) && c.asked[id] > 0 {
-						t.Errorf("%s, cut off with %s, asked %d times", id, small, c.asked[id])
+				c.locked(func() {
+					if side(id) && c.askCounts[id] > 0 {
+						t.Errorf("%s, cut off with %s, asked %d times", id, small, c.askCounts[id])
 					}
 				})
 			}
-			c.set(func() { c.cut = nil })
+			c.locked(func() { c.isCut = nil })
 			time.Sleep(10 * time.Second)
-			c.kept("after the cut", its...)
+			c.checkKept("after the cut", its...)
 		})
 	}
 }
 
-// The lowest is cut off from one seat alone and would act; when it freezes, the
-// next does.
+// The node with the lowest ID freezes when a seat is lost, which it would replace; the
+// node with the next rank acts instead.
 func TestFrozenActorIsReplaced(t *testing.T) {
 	in(t, func(ctx context.Context, t *testing.T) {
-		c := staffed(ctx, t, 3, "b", "c", "d", "a", "x")
+		c := newRunningCluster(ctx, t, 3, "b", "c", "d", "a", "x")
 		c.kill("d")
 		time.Sleep(500 * time.Millisecond)
 		c.node("a").freeze(30 * time.Second)
@@ -272,19 +272,19 @@
 		if v := c.voting(); !slices.Equal(v, []string{"b", "c", "x"}) {
 			t.Errorf("%v vote", v)
 		}
-		// It wakes up and knows nothing of the swap: it must not act on what it heard
-		// before.
+		// When it resumes it does not know of the reconfiguration: it must not act on what
+		// it heard before.
 		time.Sleep(40 * time.Second)
-		c.epochIs(2, "after the frozen one woke up")
+		c.checkEpoch(2, "after the frozen node resumed")
 	})
 }
 
-// A node that stood still hears old news first and must not pass seats on for it.
+// After a pause a node processes outdated reports first, and must not move seats because of them.
 func TestStewardThatStoodStillWaits(t *testing.T) {
 	in(t, func(ctx context.Context, t *testing.T) {
-		c := staffed(ctx, t, 3, "a", "b", "c", "x")
+		c := newRunningCluster(ctx, t, 3, "a", "b", "c", "x")
 		n := c.node("a")
-		// The others are heard of late after the pause.
+		// After the pause the others' last reports are old.
 		n.freeze(10 * time.Second)
 		time.Sleep(20 * time.Second)
 		if got := c.core(); got.Epoch != 2 {
@@ -296,7 +296,7 @@
 			}
 			time.Sleep(3 * time.Second)
 		}
-		c.epochIs(2, "after short pauses of all")
+		c.checkEpoch(2, "after short pauses of all")
 	})
 }
 
@@ -304,17 +304,17 @@
 	for _, point := range []int{fault.AfterSeal, fault.AfterPull} {
 		for _, again := range []bool{false, true} {
 			in(t, func(ctx context.Context, t *testing.T) {
-				c := staffed(ctx, t, 3, "a", "b", "c", "x")
-				its := items(5)
+				c := newRunningCluster(ctx, t, 3, "a", "b", "c", "x")
+				its := testItems(5)
 				c.merge("a", its...)
 				lost := make(chan *mem, 3)
 				lose := func() { lost <- c.kill("x") }
 				if point == fault.AfterSeal {
 					for _, id := range []string{"a", "b"} {
-						c.node(id).fault.Arm(point, lose)
+						c.node(id).faults.Arm(point, lose)
 					}
 				} else {
-					c.node("x").fault.Arm(point, lose)
+					c.node("x").faults.Arm(point, lose)
 				}
 				c.kill("c")
 				time.Sleep(6 * time.Second)
@@ -325,95 +325,95 @@
 				if v := c.voting(); len(v) != 2 {
 					t.Errorf("%v vote while the joiner is gone", v)
 				}
-				// The two that are left go on.
-				more := thing("more", 1, "x")
+				// The two remaining seats continue to work.
+				more := testItem("more", 1, "x")
 				c.merge("b", more)
 				its = append(its, more)
 				if again {
 					c.start("x", "", m)
 				} else {
-					// It never comes, and is replaced in its turn.
+					// It never returns, and is replaced in turn.
 					c.start("y", "", nil)
 				}
 				time.Sleep(6 * time.Second)
-				c.kept(fmt.Sprint("point ", point, ", the same again ", again), its...)
+				c.checkKept(fmt.Sprint("point ", point, ", the same again ", again), its...)
 			})
 		}
 	}
 }
 
-// A seat that is heard but never manages to join gives way.
+// A seat that is heard from but never manages to join is replaced.
 func TestSeatThatNeverJoinsGivesWay(t *testing.T) {
 	in(t, func(ctx context.Context, t *testing.T) {
-		c := staffed(ctx, t, 3, "a", "b", "c", "x", "y")
-		its := items(5)
+		c := newRunningCluster(ctx, t, 3, "a", "b", "c", "x", "y")
+		its := testItems(5)
 		c.merge("a", its...)
-		c.set(func() {
-			c.drop = func(_, to string, ask any) bool { _, j := ask.(JoinAsk); return j && to == "x" }
+		c.locked(func() {
+			c.dropAsk = func(_, to string, ask any) bool { _, j := ask.(JoinAsk); return j && to == "x" }
 		})
 		c.kill("c")
 		time.Sleep(30 * time.Second)
 		if v := c.voting(); !slices.Equal(v, []string{"a", "b", "y"}) {
 			t.Errorf("%v vote", v)
 		}
-		c.kept("without x", its...)
+		c.checkKept("without x", its...)
 	})
 }
 
-// A swap ended with its actor when one voter that stays and the one that leaves were
-// sealed, and then the other that stays is lost: what is left must find each other.
+// The acting node dies during a reconfiguration, after one remaining voter and the leaving
+// voter were sealed; the other nodes must complete it.
 func TestSwapCutShortIsFinishedByOthers(t *testing.T) {
 	in(t, func(ctx context.Context, t *testing.T) {
-		c := newCity(ctx, t)
+		c := newCluster(ctx, t)
 		for _, id := range []string{"a", "b", "c", "x", "y"} {
 			c.boot(id, "", nil)
 		}
-		core := c.found("a", "b", "c")
+		core := c.formCore("a", "b", "c")
 		time.Sleep(time.Second)
-		it := thing("k", 1, "v")
-		// Only b and c hold it.
-		c.set(func() { c.drop = func(_, to string, ask any) bool { _, m := ask.(MergeAsk); return m && to == "a" } })
+		it := testItem("k", 1, "v")
+		// Only b and c hold the item.
+		c.locked(func() { c.dropAsk = func(_, to string, ask any) bool { _, m := ask.(MergeAsk); return m && to == "a" } })
 		c.merge("b", it)
-		c.set(func() {
-			c.drop = func(_, to string, ask any) bool {
+		c.locked(func() {
+			c.dropAsk = func(_, to string, ask any) bool {
 				_, s := ask.(SealAsk)
 				_, j := ask.(JoinAsk)
 				return s && to == "b" || j
 			}
 		})
-		w := c.node("b").w
-		cx, end := context.WithTimeout(ctx, 3*time.Second)
-		defer end()
-		_ = w.swap(cx, w.view(), move{core.Seats[2], c.node("x").seat}.apply(core.Seats))
-		if a, b := c.node("a").v.Core().Epoch, c.node("b").v.Core().Epoch; a != 2 || b != 1 {
+		rc := c.node("b").reconfigurer
+		actorCtx, cancel := context.WithTimeout(ctx, 3*time.Second)
+		defer cancel()
+		_ = rc.reconfigure(actorCtx, rc.view(), seatMove{core.Seats[2], c.node("x").seat}.apply(core.Seats))
+		if a, b := c.node("a").voter.Core().Epoch, c.node("b").voter.Core().Epoch; a != 2 || b != 1 {
 			t.Fatalf("a stands at epoch %d, b at %d", a, b)
 		}
 		c.kill("b")
-		c.set(func() { c.drop = nil })
+		c.locked(func() { c.dropAsk = nil })
 		for _, id := range []string{"a", "c", "x", "y"} {
-			go c.node(id).w.Run(c.node(id).ctx)
+			go c.node(id).reconfigurer.Run(c.node(id).ctx)
 		}
 		time.Sleep(12 * time.Second)
-		c.kept("after the actor was lost", it)
+		c.checkKept("after the actor was lost", it)
 	})
 }
 
-// A decision that nobody carried out is carried out later, but not while its core
-// would have no majority: that would end the core that works. Then it is given up for a core
-// whose seats are there, and stays so when its own come back.
+// A decision that nobody carried out is carried out later, but not while a majority of its
+// core is unreachable, which would stop the core that works. It is then abandoned for a core
+// whose seats are reachable, and stays abandoned when its own seats return.
 func TestOldDecisionIsCarriedOutWithCare(t *testing.T) {
 	for _, there := range []bool{true, false} {
 		in(t, func(ctx context.Context, t *testing.T) {
-			c := newCity(ctx, t)
+			c := newCluster(ctx, t)
 			for _, id := range []string{"a", "b", "c", "x", "y"} {
 				c.boot(id, "", nil)
 			}
-			core := c.found("a", "b", "c")
-			its := items(3)
+			core := c.formCore("a", "b", "c")
+			its := testItems(3)
 			c.merge("a", its...)
 			next := Core{Epoch: 2, Before: core.Seats, Seats: []Seat{core.Seats[0], core.Seats[1], c.node("x").seat}}
 			raw, _ := json.Marshal(next)
-			if _, err := c.node("a").p.Change(ctx, coreRegister, func([]byte) ([]byte, error) { return raw, nil }); err != nil {
+			if _, err := c.node("a").proposer.Change(ctx, coreRegister, func([]byte) ([]byte, error) { return raw, nil }); err != nil {
 				t.Fatal(err)
 			}
 			if !there {
@@ -421,38 +421,37 @@
 			}
 			c.kill("b")
 			for _, id := range []string{"a", "c", "y"} {
-				go c.node(id).w.Run(c.node(id).ctx)
+				go c.node(id).reconfigurer.Run(c.node(id).ctx)
 			}
 			if there {
-				go c.node("x").w.Run(c.node("x").ctx)
+				go c.node("x").reconfigurer.Run(c.node("x").ctx)
 			}
 			time.Sleep(15 * time.Second)
-			more := thing("more", 1, "x")
+			more := testItem("more", 1, "x")
 			c.merge("a", more)
 			if there {
-				c.kept("the decision carried out, then b replaced", append(its, more)...)
+				c.checkKept("the decision carried out, then b replaced", append(its, more)...)
 				return
 			}
-			c.epochIs(3, "while neither x nor b is there")
+			c.checkEpoch(3, "while neither x nor b is there")
 			if v := c.voting(); c.core().Succeeds(2) || !slices.Equal(v, []string{"a", "c", "y"}) {
-				t.Errorf("the core after the one given up: %+v, %v vote", c.core(), v)
+				t.Errorf("the core after the abandoned one: %+v, %v vote", c.core(), v)
 			}
-			c.kept("the decision given up, b replaced", append(its, more)...)
+			c.checkKept("the decision abandoned, b replaced", append(its, more)...)
 			c.start("x", "", nil)
 			c.start("b", "", nil)
 			time.Sleep(15 * time.Second)
-			c.epochIs(3, "x and b are back")
-			c.kept("x and b are back", append(its, more)...)
+			c.checkEpoch(3, "x and b are back")
+			c.checkKept("x and b are back", append(its, more)...)
 		})
 	}
 }
 
-// A voter that was away while another seat was swapped comes back into the newest
-// core.
+// A voter that was down while other seats were replaced returns to the newest core.
 func TestVoterThatWasAwayIsBroughtUp(t *testing.T) {
 	in(t, func(ctx context.Context, t *testing.T) {
-		c := staffed(ctx, t, 5, "a", "b", "c", "d", "e")
-		its := items(3)
+		c := newRunningCluster(ctx, t, 5, "a", "b", "c", "d", "e")
+		its := testItems(3)
 		c.merge("a", its...)
 		m := c.kill("e")
 		for _, id := range []string{"c", "d", "b"} {
@@ -461,23 +460,23 @@
 			c.start(id, "", nil)
 			time.Sleep(5 * time.Second)
 		}
-		c.epochIs(4, "after three emptied disks")
+		c.checkEpoch(4, "after three emptied disks")
 		c.start("e", "", m)
 		time.Sleep(5 * time.Second)
-		c.kept("after e came back", its...)
-		c.epochIs(4, "after e came back")
+		c.checkKept("after e came back", its...)
+		c.checkEpoch(4, "after e came back")
 	})
 }
 
-// A swap does not wait for what is silent.
+// A reconfiguration does not wait for silent nodes.
 func TestSwapDoesNotWaitForTheLost(t *testing.T) {
 	in(t, func(ctx context.Context, t *testing.T) {
-		c := staffed(ctx, t, 3, "a", "b", "c", "x")
-		c.merge("a", items(3)...)
+		c := newRunningCluster(ctx, t, 3, "a", "b", "c", "x")
+		c.merge("a", testItems(3)...)
 		var first, last time.Time
-		c.set(func() {
-			c.cut = func(a, b string) bool { return a == "c" || b == "c" }
-			c.drop = func(_, to string, ask any) bool {
+		c.locked(func() {
+			c.isCut = func(a, b string) bool { return a == "c" || b == "c" }
+			c.dropAsk = func(_, to string, ask any) bool {
 				if _, s := ask.(SealAsk); s && first.IsZero() {
 					first = time.Now()
 				}
@@ -488,24 +487,24 @@
 			}
 		})
 		time.Sleep(4 * time.Second)
-		c.set(func() {
+		c.locked(func() {
 			if d := last.Sub(first); first.IsZero() || d <= 0 || d > 100*time.Millisecond {
 				t.Errorf("sealed and pulled in %v", d)
 			}
 		})
-		c.epochIs(2, "after the cut")
+		c.checkEpoch(2, "after the cut")
 	})
 }
 
-// A seat whose join failed is asked again for as long as it is heard.
+// A seat whose join failed is asked again as long as it is heard from.
 func TestFailedJoinIsTriedAgain(t *testing.T) {
 	in(t, func(ctx context.Context, t *testing.T) {
-		c := staffed(ctx, t, 3, "a", "b", "c", "x")
-		its := items(3)
+		c := newRunningCluster(ctx, t, 3, "a", "b", "c", "x")
+		its := testItems(3)
 		c.merge("a", its...)
 		until := time.Now().Add(20 * time.Second)
-		c.set(func() {
-			c.drop = func(_, _ string, ask any) bool {
+		c.locked(func() {
+			c.dropAsk = func(_, _ string, ask any) bool {
 				_, pull := ask.(MergedAsk)
 				return pull && time.Now().Before(until)
 			}
@@ -516,51 +515,51 @@
 			t.Errorf("%v vote before x could pull", v)
 		}
 		time.Sleep(10 * time.Second)
-		c.kept("after some tries", its...)
-		c.epochIs(2, "after some tries")
+		c.checkKept("after the retries", its...)
+		c.checkEpoch(2, "after some tries")
 	})
 }
 
-// A decision that its actor never carried out is found: after a start, and when a
-// seat was silent for a while.
+// A decision that was never carried out is found: after a start of a reconfigurer, and after
+// a seat was silent for a while.
 func TestDecisionLeftOverIsFound(t *testing.T) {
-	decide := func(ctx context.Context, t *testing.T, c *city, core Core) {
+	decide := func(ctx context.Context, t *testing.T, c *cluster, core Core) {
 		next := Core{Epoch: 2, Before: core.Seats, Seats: []Seat{core.Seats[0], core.Seats[1], c.node("x").seat}}
 		raw, _ := json.Marshal(next)
-		if _, err := c.node("a").p.Change(ctx, coreRegister, func([]byte) ([]byte, error) { return raw, nil }); err != nil {
+		if _, err := c.node("a").proposer.Change(ctx, coreRegister, func([]byte) ([]byte, error) { return raw, nil }); err != nil {
 			t.Fatal(err)
 		}
 	}
 	in(t, func(ctx context.Context, t *testing.T) {
-		c := newCity(ctx, t)
+		c := newCluster(ctx, t)
 		for _, id := range []string{"a", "b", "c", "x"} {
 			c.boot(id, "", nil)
 		}
-		decide(ctx, t, c, c.found("a", "b", "c"))
-		go c.node("b").w.Run(ctx)
+		decide(ctx, t, c, c.formCore("a", "b", "c"))
+		go c.node("b").reconfigurer.Run(ctx)
 		time.Sleep(5 * time.Second)
-		c.epochIs(2, "after a start")
-		c.kept("after a start")
+		c.checkEpoch(2, "after a start")
+		c.checkKept("after a start")
 	})
 	in(t, func(ctx context.Context, t *testing.T) {
-		c := staffed(ctx, t, 3, "a", "b", "c", "x")
+		c := newRunningCluster(ctx, t, 3, "a", "b", "c", "x")
 		decide(ctx, t, c, c.core())
 		time.Sleep(5 * time.Second)
-		c.epochIs(1, "nothing was silent")
-		c.set(func() { c.cut = func(a, b string) bool { return (a > "b") != (b > "b") } })
+		c.checkEpoch(1, "nothing was silent")
+		c.locked(func() { c.isCut = func(a, b string) bool { return (a > "b") != (b > "b") } })
 		time.Sleep(3 * time.Second)
-		c.set(func() { c.cut = nil })
+		c.locked(func() { c.isCut = nil })
 		time.Sleep(5 * time.Second)
-		c.epochIs(2, "c was silent")
-		c.kept("c was silent")
+		c.checkEpoch(2, "c was silent")
+		c.checkKept("c was silent")
 	})
 }
 
-// The same disk at another address keeps its vote.
+// A disk that is at another address keeps its vote.
 func TestSeatFollowsItsAddress(t *testing.T) {
 	in(t, func(ctx context.Context, t *testing.T) {
-		c := staffed(ctx, t, 3, "a", "b", "c", "x")
-		its := items(3)
+		c := newRunningCluster(ctx, t, 3, "a", "b", "c", "x")
+		its := testItems(3)
 		c.merge("a", its...)
 		m := c.kill("c")
 		c.addrs = map[string]string{"c": "elsewhere"}
@@ -571,22 +570,22 @@
 		if !ok || s.Addr != "elsewhere" {
 			t.Errorf("%+v", c.core())
 		}
-		c.kept("after the move", its...)
+		c.checkKept("after the move", its...)
 	})
 }
 
-// late is a clock whose next sleep takes longer.
-type late struct {
+// delayedClock is a clock whose next sleep takes longer.
+type delayedClock struct {
 	clock.Wall
-	by atomic.Int64
+	delay atomic.Int64
 }
 
-func (l *late) Sleep(ctx context.Context, d time.Duration) error {
-	return l.Wall.Sleep(ctx, d+time.Duration(l.by.Swap(0)))
+func (l *delayedClock) Sleep(ctx context.Context, d time.Duration) error {
+	return l.Wall.Sleep(ctx, d+time.Duration(l.delay.Swap(0)))
 }
 
-// What was heard before a pause of this process, or before it was cut off, says
-// nothing about others.
+// What was heard before this process was paused or cut off says nothing about the present
+// state of others.
 func TestStewardActsOnlyWhenWell(t *testing.T) {
 	for name, x := range map[string]struct {
 		pause, alone time.Duration
@@ -597,39 +596,39 @@
 		"heard no others": {alone: 900 * time.Millisecond},
 	} {
 		in(t, func(ctx context.Context, t *testing.T) {
-			c := newCity(ctx, t)
+			c := newCluster(ctx, t)
 			for _, id := range []string{"a", "b", "c", "x"} {
 				c.boot(id, "", nil)
 			}
-			c.found("a", "b", "c")
+			c.formCore("a", "b", "c")
 			start := time.Now()
 			begin := 10 * time.Second
 			n := c.node("a")
-			clock := &late{}
-			w := n.w
-			w.Clock = clock
-			w.Heard = func() []Heard {
+			clock := &delayedClock{}
+			rc := n.reconfigurer
+			rc.Clock = clock
+			rc.Contacts = func() []DiskContact {
 				at := time.Since(start)
-				hs := []Heard{{Seat: n.seat}}
+				hs := []DiskContact{{Seat: n.seat}}
 				for _, id := range []string{"b", "c", "x"} {
 					ago := time.Millisecond
 					switch {
 					case id == "b" && at > begin && at < begin+x.alone:
 						ago = 5 * time.Second
 					case id == "c" && at > begin && at < begin+x.alone+1200*time.Millisecond:
-						// Silent at first, then heard again.
+						// Silent at first, then heard from again.
 						ago = 5 * time.Second
 					}
-					hs = append(hs, Heard{c.node(id).seat, ago})
+					hs = append(hs, DiskContact{c.node(id).seat, ago})
 				}
 				return hs
 			}
-			go w.Run(ctx)
+			go rc.Run(ctx)
 			time.Sleep(begin - time.Second)
-			c.set(func() { clear(c.asked) })
-			// The pause lasts until what is heard is the old news.
+			c.locked(func() { clear(c.askCounts) })
+			// The pause is long enough for the last reports to be outdated.
 			time.Sleep(500 * time.Millisecond)
-			clock.by.Store(int64(x.pause))
+			clock.delay.Store(int64(x.pause))
 			time.Sleep(5 * time.Second)
 			if acts := c.core().Epoch > 1; acts != x.acts {
 				t.Errorf("%s: acted %v", name, acts)
@@ -638,7 +637,7 @@
 	}
 }
 
-// Whom a joiner pulls from: never so few that they could all lack something.
+// A joiner pulls from enough voters that no acknowledged item can be missing at all of them.
 func TestSourcesMeetEveryMajority(t *testing.T) {
 	for _, n := range []int{1, 2, 3, 4, 5} {
 		var before []Seat
@@ -657,14 +656,14 @@
 					own += min(i, 1)
 				}
 			}
-			f, err := sources(next, at)
+			source, err := pullSources(next, at)
 			if ok := len(at) >= n-q+1 || own >= q; ok != (err == nil) {
 				t.Errorf("%d of %d before, %d of next: %v", len(at), n, own, err)
 			}
 			if err != nil {
 				continue
 			}
-			got := (&Reconfigurer{}).nearest(f, Seat{ID: "x"})
+			got := (&Reconfigurer{}).pickSources(source, Seat{ID: "x"})
 			if len(got) < n-q+1 {
 				t.Errorf("%d of %d: pulls from %v", len(at), n, got)
 			}
@@ -678,16 +677,16 @@
 }
 
 func TestJoinerPullsFromItsZoneFirst(t *testing.T) {
-	f := source{[]Seat{{ID: "a", Zone: "1"}, {ID: "b", Zone: "2"}, {ID: "c", Zone: "3"}}, 2}
+	source := pullSource{[]Seat{{ID: "a", Zone: "1"}, {ID: "b", Zone: "2"}, {ID: "c", Zone: "3"}}, 2}
 	other := map[string]bool{}
 	for range 50 {
-		got := (&Reconfigurer{}).nearest(f, Seat{ID: "x", Zone: "2"})
+		got := (&Reconfigurer{}).pickSources(source, Seat{ID: "x", Zone: "2"})
 		if got[0].ID != "b" {
 			t.Errorf("%v", got)
 		}
 		other[got[1].ID] = true
 	}
 	if len(other) != 2 {
-		t.Errorf("always %v besides", other)
+		t.Errorf("the second source was always %v", other)
 	}
 }
--- a/internal/quorum/reconfigurerview.go
+++ b/internal/quorum/reconfigurerview.go
@@ -6,25 +6,25 @@
 	"time"
 )
 
-// view is what a reconfigurer knows at one look.
+// view is a snapshot of what a reconfigurer knows in one step.
 type view struct {
-	core  Core
-	now   time.Time
-	disks map[string]Heard // by disk
-	nodes map[string]Heard // by node; of several disks the one heard last
-	rank  int              // among the disks heard lately, 0 the lowest; -1 unknown
-	seats int              // of the core, heard lately
+	core       Core
+	now        time.Time
+	disks      map[string]DiskContact // by disk
+	nodes      map[string]DiskContact // by node; of several disks the one heard from last
+	rank       int                    // of this node among the disks heard from recently, 0 the lowest; -1 unknown
+	heardSeats int                    // seats of the core heard from recently
 }
 
-func (w *Reconfigurer) view() view {
-	v := view{core: w.Prop.Core(), now: w.Clock.Now(), disks: map[string]Heard{}, nodes: map[string]Heard{}, rank: -1}
-	var me string
-	for _, h := range w.Heard() {
+func (rc *Reconfigurer) view() view {
+	v := view{core: rc.Proposer.Core(), now: rc.Clock.Now(), disks: map[string]DiskContact{}, nodes: map[string]DiskContact{}, rank: -1}
+	var self string
+	for _, h := range rc.Contacts() {
 		if h.Seat.ID == "" || h.Seat.Disk == "" {
 			continue
 		}
-		if h.Ago <= 0 && me == "" {
-			me = h.Seat.ID
+		if h.Ago <= 0 && self == "" {
+			self = h.Seat.ID
 		}
 		if o, ok := v.disks[h.Seat.Disk]; !ok || h.Ago < o.Ago {
 			v.disks[h.Seat.Disk] = h
@@ -33,86 +33,88 @@
 			v.nodes[h.Seat.ID] = h
 		}
 	}
-	if me != "" {
+	if self != "" {
 		v.rank = 0
 		for id, h := range v.nodes {
-			if h.Ago < recent && id < me {
+			if h.Ago < recentWindow && id < self {
 				v.rank++
 			}
 		}
 	}
 	for _, s := range v.core.Seats {
-		if v.heard(s, recent) {
-			v.seats++
+		if v.heardWithin(s, recentWindow) {
+			v.heardSeats++
 		}
 	}
 	return v
 }
 
-// heard tells whether the seat's disk was heard within d.
-func (v view) heard(s Seat, d time.Duration) bool {
+// heardWithin reports whether the seat's disk was heard from within d.
+func (v view) heardWithin(s Seat, d time.Duration) bool {
 	h, ok := v.disks[s.Disk]
 	return ok && h.Seat.ID == s.ID && h.Ago < d
 }
 
-func (w *Reconfigurer) missing() time.Duration { return cmp.Or(w.Missing, missing) }
+func (rc *Reconfigurer) missingAfter() time.Duration {
+	return cmp.Or(rc.MissingAfter, defaultMissingAfter)
+}
 
-// note keeps in mind since when each seat is known here: a disk never heard is
-// silent from then on.
-func (w *Reconfigurer) note(v view) {
+// trackSeats records since when each seat is known here: the silence of a disk that
+// was never heard from is counted from then on.
+func (rc *Reconfigurer) trackSeats(v view) {
 	next := make(map[string]time.Time, len(v.core.Seats))
 	for _, s := range v.core.Seats {
-		at, ok := w.noted[s.Disk]
+		at, ok := rc.trackedSince[s.Disk]
 		if !ok {
 			at = v.now
 		}
 		next[s.Disk] = at
 	}
-	w.noted = next
+	rc.trackedSince = next
 }
 
-// silence is for how long nothing came from a seat's disk.
-func (w *Reconfigurer) silence(v view, s Seat) time.Duration {
+// silentFor returns the time since the seat's disk was last heard from.
+func (rc *Reconfigurer) silentFor(v view, s Seat) time.Duration {
 	if h, ok := v.disks[s.Disk]; ok && h.Seat.ID == s.ID {
 		return h.Ago
 	}
-	return v.now.Sub(w.noted[s.Disk])
+	return v.now.Sub(rc.trackedSince[s.Disk])
 }
 
-// choose finds the seats that the next core is to have, if it is to have others than this one: a seat passes on, is
-// moved, or is added.
-func (w *Reconfigurer) choose(v view) (next []Seat, ok bool) {
-	// The same node with an emptied disk, or at another address, is sure to be the
-	// one: nobody else is its node. It takes its own seat at once.
+// chooseSeats returns the seats of the next core if they should differ from the present ones: a seat is replaced,
+// moved or added.
+func (rc *Reconfigurer) chooseSeats(v view) (next []Seat, ok bool) {
+	// A node that comes back with an emptied disk or at another address owns its
+	// seat: no other node has its ID. It takes the seat over at once.
 	for _, s := range v.core.Seats {
-		h, known := v.nodes[s.ID]
-		if known && h.Ago < recent && (h.Seat.Disk != s.Disk || h.Seat.Addr != s.Addr) {
-			return move{s, h.Seat}.apply(v.core.Seats), true
+		h, found := v.nodes[s.ID]
+		if found && h.Ago < recentWindow && (h.Seat.Disk != s.Disk || h.Seat.Addr != s.Addr) {
+			return seatMove{s, h.Seat}.apply(v.core.Seats), true
 		}
 	}
-	seats, spares := v.located(), v.spares()
+	seats, spares := v.currentSeats(), v.spares()
 	for _, s := range v.core.Seats {
-		since, open := w.open[s.Disk]
-		if w.silence(v, s) < w.missing() && !(open && v.now.Sub(since) > joinPatience) {
+		since, pending := rc.nonVoting[s.Disk]
+		if rc.silentFor(v, s) < rc.missingAfter() && !(pending && v.now.Sub(since) > joinGrace) {
 			continue
 		}
-		if in, ok := w.Tolerance.StandBy(seats, s, spares); ok {
-			return move{s, in}.apply(v.core.Seats), true
+		if in, ok := rc.Tolerance.Replacement(seats, s, spares); ok {
+			return seatMove{s, in}.apply(v.core.Seats), true
 		}
 	}
-	if w.Tolerance.Expose(seats).Total() == 0 {
+	if rc.Tolerance.ExposureOf(seats).Total() == 0 {
 		return nil, false
 	}
-	if m, ok := w.repair(v, seats, spares); ok {
+	if m, ok := rc.rebalance(v, seats, spares); ok {
 		return m.apply(v.core.Seats), true
 	}
-	return w.grow(v, seats, spares)
+	return rc.grow(v, seats, spares)
 }
 
-// spares are the machines with a disk and without a seat that were heard lately, by ID.
+// spares returns the machines with a disk and without a seat that were heard from recently, sorted by ID.
 func (v view) spares() (spares []Seat) {
 	for id, h := range v.nodes {
-		if _, has := v.core.Seat(id); !has && h.Ago < recent {
+		if _, has := v.core.Seat(id); !has && h.Ago < recentWindow {
 			spares = append(spares, h.Seat)
 		}
 	}
@@ -120,38 +122,38 @@
 	return spares
 }
 
-// located are the seats of the core where their machines stand now.
-func (v view) located() []Seat {
-	heard := make([]Heard, 0, len(v.nodes))
+// currentSeats returns the seats of the core with the present domains of their machines.
+func (v view) currentSeats() []Seat {
+	contacts := make([]DiskContact, 0, len(v.nodes))
 	for _, h := range v.nodes {
-		heard = append(heard, h)
+		contacts = append(contacts, h)
 	}
-	return Located(v.core.Seats, heard)
+	return UpdateDomains(v.core.Seats, contacts)
 }
 
-// repair moves the seat of a machine that is well, where the core bears less than it is to and less than it could.
-// The seats that stay must be a majority by themselves: the one that joins may fail.
-func (w *Reconfigurer) repair(v view, seats, spares []Seat) (m move, ok bool) {
-	m, found := w.Tolerance.improve(seats, spares)
+// rebalance moves the seat of a healthy machine if the core's exposure is higher than it needs to be.
+// The remaining seats must be a majority by themselves, since the joining one may fail.
+func (rc *Reconfigurer) rebalance(v view, seats, spares []Seat) (m seatMove, ok bool) {
+	m, found := rc.Tolerance.bestMove(seats, spares)
 	if !found {
 		return m, false
 	}
-	stay := v.seats
-	if out, _ := v.core.Seat(m.out.ID); v.heard(out, recent) {
-		stay--
+	remaining := v.heardSeats
+	if out, _ := v.core.Seat(m.from.ID); v.heardWithin(out, recentWindow) {
+		remaining--
 	}
-	return m, stay >= v.core.Quorum()
+	return m, remaining >= v.core.Quorum()
 }
 
-// grow adds seats to a core that was formed of fewer than it is to have: as many as make the next odd number, since an even
-// one bears no more. All seats must be well, for the ones that join may fail.
-func (w *Reconfigurer) grow(v view, seats, spares []Seat) (next []Seat, ok bool) {
+// grow adds seats to a core that was formed with fewer than Size: as many as make the next odd number, since an
+// even number survives no more losses. All seats must be healthy, since the joining ones may fail.
+func (rc *Reconfigurer) grow(v view, seats, spares []Seat) (next []Seat, ok bool) {
 	n := len(seats)
-	if v.seats < n || n >= w.Size {
+	if v.heardSeats < n || n >= rc.Size {
 		return nil, false
 	}
-	added := w.Tolerance.add(seats, spares, 1+n%2)
-	if len(added) == 0 || !w.Tolerance.Expose(slices.Concat(seats, added)).Within(w.Tolerance.Expose(seats)) {
+	added := rc.Tolerance.chooseAdditional(seats, spares, 1+n%2)
+	if len(added) == 0 || !rc.Tolerance.ExposureOf(slices.Concat(seats, added)).AtMost(rc.Tolerance.ExposureOf(seats)) {
 		return nil, false
 	}
 	return slices.Concat(v.core.Seats, added), true
--- a/internal/quorum/tolerance.go
+++ b/internal/quorum/tolerance.go
@@ -7,74 +7,74 @@
 )
 
 const (
-	// mostSeats bounds the seats of a core.
-	mostSeats = 33
-	// moreSeats is how many times the loss to be borne a core may have seats beyond the least number, where
-	// that many bear a domain that the least number does not.
-	moreSeats = 2
+	// maxSeats bounds the number of seats of a core.
+	maxSeats = 33
+	// extraSeatsFactor bounds the seats beyond the minimum for the tolerated loss to this multiple of it. The
+	// extra seats are used where they let the core survive the loss of a domain.
+	extraSeatsFactor = 2
 )
 
-// Tolerance says what may be lost at once with its disks: so many machines, or zones, or
-// regions (design 4.6).
+// Tolerance says how many machines, zones or regions may be lost at once together with their disks
+// (design 4.6). The core must survive each kind of loss.
 type Tolerance struct {
 	Machines int `json:"machines" validate:"min=0,max=16"`
 	Zones    int `json:"zones" validate:"min=0,max=16"`
 	Regions  int `json:"regions" validate:"min=0,max=16"`
 }
 
-// Exposure is by how many seats the worst loss that a tolerance allows exceeds what a core bears,
-// for each kind of failure domain; all zero where the core bears each of them.
+// Exposure is, for each kind of failure domain, the number of seats by which the worst loss within a
+// tolerance exceeds what a core survives; all zero if the core survives each of them.
 type Exposure struct {
 	Machines int `json:"machines"`
 	Zones    int `json:"zones"`
 	Regions  int `json:"regions"`
 }
 
-// Total is the sum over all kinds.
+// Total returns the sum over all kinds.
 func (e Exposure) Total() int { return e.Machines + e.Zones + e.Regions }
 
-// Within tells whether e is at most o for each kind.
-func (e Exposure) Within(o Exposure) bool {
+// AtMost reports whether e is at most o for each kind.
+func (e Exposure) AtMost(o Exposure) bool {
 	return e.Machines <= o.Machines && e.Zones <= o.Zones && e.Regions <= o.Regions
 }
 
-// Expose judges a set of seats. A core of N seats goes on, and holds what was acknowledged, as long as
-// a majority of its disks is left.
-func (t Tolerance) Expose(seats []Seat) Exposure {
-	bearable := len(seats) - Core{Seats: seats}.Quorum()
+// ExposureOf computes the exposure of a set of seats. A core stays available, and keeps what was
+// acknowledged, as long as a majority of its disks is left.
+func (t Tolerance) ExposureOf(seats []Seat) Exposure {
+	tolerated := len(seats) - Core{Seats: seats}.Quorum()
 	excess := func(domains int, label func(Seat) string) int {
-		return max(0, fullest(seats, domains, label)-bearable)
+		return max(0, seatsInLargest(seats, domains, label)-tolerated)
 	}
 	return Exposure{Machines: excess(t.Machines, machineOf), Zones: excess(t.Zones, zoneOf), Regions: excess(t.Regions, regionOf)}
 }
 
-// Most is how many machines may be lost at once, as far as that does not depend on where they stand.
-func (t Tolerance) Most() int { return max(t.Machines, t.Zones, t.Regions) }
+// MaxLoss returns the number of machines whose loss must be survived, whatever their domains.
+func (t Tolerance) MaxLoss() int { return max(t.Machines, t.Zones, t.Regions) }
 
-// Seats is the least odd number of seats that can bear each loss where machines with a disk stand in all
-// of zones, a table of their regions. Where no number can, or the zones are not known, it is what bears the
-// loss of as many machines.
-func (t Tolerance) Seats(zones map[string]string) int {
-	least := 2*t.Most() + 1
-	for n := least; n <= min(mostSeats, least+moreSeats*t.Most()) && len(zones) > 0; n += 2 {
+// MinSeats returns the least odd number of seats that can survive each loss if every zone has machines
+// with a disk; zones maps each zone to its region. If no number can, or the zones are not known, it
+// returns the number that survives the loss of MaxLoss machines.
+func (t Tolerance) MinSeats(zones map[string]string) int {
+	minimum := 2*t.MaxLoss() + 1
+	for n := minimum; n <= min(maxSeats, minimum+extraSeatsFactor*t.MaxLoss()) && len(zones) > 0; n += 2 {
 		if t.Attainable(zones, n).Total() == 0 {
 			return n
 		}
 	}
-	return least
+	return minimum
 }
 
-// Attainable is the least exposure of n seats where machines with a disk stand in all of zones; none
-// where the zones are not known.
+// Attainable returns the lowest exposure of n seats if every zone has machines with a disk; zero
+// if the zones are not known.
 func (t Tolerance) Attainable(zones map[string]string, n int) Exposure {
 	if len(zones) == 0 {
 		return Exposure{}
 	}
-	return t.Expose(t.Choose(everywhere(zones, n), n))
+	return t.ExposureOf(t.Choose(seatsInAllZones(zones, n), n))
 }
 
-// everywhere lists n machines in each zone.
-func everywhere(zones map[string]string, n int) (all []Seat) {
+// seatsInAllZones lists n machines in each zone.
+func seatsInAllZones(zones map[string]string, n int) (all []Seat) {
 	for zone, region := range zones {
 		for i := range n {
 			all = append(all, Seat{ID: fmt.Sprintf("%s-%02d", zone, i), Zone: zone, Region: region})
@@ -90,8 +90,8 @@
 
 func byID(a, b Seat) int { return cmp.Compare(a.ID, b.ID) }
 
-// count counts seats by a label.
-func count(seats []Seat, label func(Seat) string) map[string]int {
+// countBy counts seats by a label.
+func countBy(seats []Seat, label func(Seat) string) map[string]int {
 	n := make(map[string]int, len(seats))
 	for _, s := range seats {
 		n[label(s)]++
@@ -99,13 +99,13 @@
 	return n
 }
 
-// fullest is how many seats stand in the fullest domains of a kind together.
-func fullest(seats []Seat, domains int, label func(Seat) string) (sum int) {
+// seatsInLargest returns the number of seats in the given number of domains with the most seats.
+func seatsInLargest(seats []Seat, domains int, label func(Seat) string) (sum int) {
 	if domains == 0 {
 		return 0
 	}
 	var sizes []int
-	for _, n := range count(seats, label) {
+	for _, n := range countBy(seats, label) {
 		sizes = append(sizes, n)
 	}
 	slices.Sort(sizes)
--- a/internal/quorum/votermerge_test.go
+++ b/internal/quorum/votermerge_test.go
@@ -14,12 +14,12 @@
 )
 
 // three is a city of three voters without stewards.
-func three(ctx context.Context, t *testing.T) *city {
-	c := newCity(ctx, t)
+func three(ctx context.Context, t *testing.T) *cluster {
+	c := newCluster(ctx, t)
 	for _, id := range []string{"a", "b", "c"} {
 		c.boot(id, "", nil)
 	}
-	c.found("a", "b", "c")
+	c.formCore("a", "b", "c")
 	return c
 }
 
@@ -36,7 +36,7 @@
 					if k%3 > 0 {
 						v += uint64((k + i) % 2)
 					}
-					it := thing(fmt.Sprint("k", k), v, fmt.Sprint(by, k))
+					it := testItem(fmt.Sprint("k", k), v, fmt.Sprint(by, k))
 					if k%7 == 0 && i == 1 {
 						it.Gone, it.Body = true, nil
 					}
@@ -48,9 +48,9 @@
 		time.Sleep(2 * time.Second)
 		for k := range 30 {
 			key := item.Key{Kind: item.Route, Name: fmt.Sprint("k", k)}
-			a := c.node("a").holds(key)
+			a := c.node("a").itemOnDisk(key)
 			for _, id := range []string{"b", "c"} {
-				if o := c.node(id).holds(key); newer(a, o) || newer(o, a) || a.Version == 0 {
+				if o := c.node(id).itemOnDisk(key); newer(a, o) || newer(o, a) || a.Version == 0 {
 					t.Errorf("%s: a holds %v, %s %v", key.Name, a, id, o)
 				}
 			}
@@ -58,33 +58,33 @@
 				t.Errorf("%s ended at version %d", key.Name, a.Version)
 			}
 		}
-		c.kept("at the end")
+		c.checkKept("at the end")
 	})
 }
 
 func TestEqualVersionOfTwoContents(t *testing.T) {
 	in(t, func(ctx context.Context, t *testing.T) {
 		c := three(ctx, t)
-		x, y := thing("k", 3, "one"), thing("k", 3, "two")
+		x, y := testItem("k", 3, "one"), testItem("k", 3, "two")
 		if x.Compare(y) > 0 {
 			x, y = y, x
 		}
-		p := c.node("a").p
-		if over, err := p.MergeOver(ctx, []item.Item{x}); err != nil || len(over) > 0 {
+		p := c.node("a").proposer
+		if over, err := p.MergeReportingSuperseded(ctx, []item.Item{x}); err != nil || len(over) > 0 {
 			t.Fatal(over, err)
 		}
-		if over, err := p.MergeOver(ctx, []item.Item{x}); err != nil || len(over) > 0 {
+		if over, err := p.MergeReportingSuperseded(ctx, []item.Item{x}); err != nil || len(over) > 0 {
 			t.Error("the same again:", over, err)
 		}
-		if over, err := p.MergeOver(ctx, []item.Item{thing("else", 1, ""), y}); err != nil || len(over) > 0 {
+		if over, err := p.MergeReportingSuperseded(ctx, []item.Item{testItem("else", 1, ""), y}); err != nil || len(over) > 0 {
 			t.Error("the content that stands:", over, err)
 		}
-		if over, err := p.MergeOver(ctx, []item.Item{thing("else", 1, ""), x}); err != nil || len(over) != 1 || over[0] != x.Key {
+		if over, err := p.MergeReportingSuperseded(ctx, []item.Item{testItem("else", 1, ""), x}); err != nil || len(over) != 1 || over[0] != x.Key {
 			t.Error("the content that does not stand:", over, err)
 		}
 		time.Sleep(time.Second)
 		for id, n := range c.all() {
-			if h := n.holds(x.Key); string(h.Body) != string(y.Body) {
+			if h := n.itemOnDisk(x.Key); string(h.Body) != string(y.Body) {
 				t.Errorf("%s holds %s", id, h.Body)
 			}
 		}
@@ -94,28 +94,28 @@
 func TestOlderCopyChangesNothing(t *testing.T) {
 	in(t, func(ctx context.Context, t *testing.T) {
 		c := three(ctx, t)
-		c.merge("a", thing("k", 9, "new"), item.Item{Key: item.Key{Kind: item.Route, Name: "gone"}, Version: 9, Gone: true})
+		c.merge("a", testItem("k", 9, "new"), item.Item{Key: item.Key{Kind: item.Route, Name: "gone"}, Version: 9, Gone: true})
 		time.Sleep(time.Second)
 		for _, n := range c.all() {
 			n.mu.Lock()
-			clear(n.news)
+			clear(n.merged)
 			n.mu.Unlock()
 		}
-		over, err := c.node("b").p.MergeOver(ctx, []item.Item{thing("k", 8, "old"), thing("gone", 8, "old")})
+		over, err := c.node("b").proposer.MergeReportingSuperseded(ctx, []item.Item{testItem("k", 8, "old"), testItem("gone", 8, "old")})
 		if err != nil || len(over) != 2 {
 			t.Error(over, err)
 		}
 		time.Sleep(time.Second)
 		for id, n := range c.all() {
 			n.mu.Lock()
-			if len(n.news) > 0 {
-				t.Errorf("%s was told %v", id, n.news)
+			if len(n.merged) > 0 {
+				t.Errorf("%s was told %v", id, n.merged)
 			}
 			n.mu.Unlock()
-			if h := n.holds(item.Key{Kind: item.Route, Name: "k"}); string(h.Body) != "new" {
+			if h := n.itemOnDisk(item.Key{Kind: item.Route, Name: "k"}); string(h.Body) != "new" {
 				t.Errorf("%s holds %v", id, h)
 			}
-			if h := n.holds(item.Key{Kind: item.Route, Name: "gone"}); !h.Gone || h.Version != 9 {
+			if h := n.itemOnDisk(item.Key{Kind: item.Route, Name: "gone"}); !h.Gone || h.Version != 9 {
 				t.Errorf("%s holds %v", id, h)
 			}
 		}
@@ -127,11 +127,11 @@
 		c := three(ctx, t)
 		n := c.node("a")
 		told := 0
-		if err := n.v.do(ctx, func() {
-			n.v.OnMerge = func(its []item.Item) {
+		if err := n.voter.do(ctx, func() {
+			n.voter.OnMerge = func(its []item.Item) {
 				told += len(its)
 				for _, it := range its {
-					if h := n.holds(it.Key); h.Version != it.Version {
+					if h := n.itemOnDisk(it.Key); h.Version != it.Version {
 						t.Errorf("told of %v, the disk holds %v", it, h)
 					}
 				}
@@ -141,29 +141,29 @@
 		}
 		ask := func(it item.Item) error {
 			before := told
-			r, err := link.Ask[MergeTold](ctx, port{c, "t"}, "a", MergeAsk{Mark{1, n.seat.Disk}, []item.Item{it}})
+			r, err := link.Ask[MergeTold](ctx, nodeTransport{c, "t"}, "a", MergeAsk{Mark{1, n.seat.Disk}, []item.Item{it}})
 			if err == nil && (!r.OK || told != before+1) {
 				t.Errorf("answered %+v after %d items were told", r, told-before)
 			}
 			return err
 		}
-		if err := ask(thing("k", 1, "x")); err != nil {
+		if err := ask(testItem("k", 1, "x")); err != nil {
 			t.Fatal(err)
 		}
 		n.mem.breaks(true)
-		if err := ask(thing("k", 2, "y")); !errors.Is(err, ErrBad) || told != 1 {
+		if err := ask(testItem("k", 2, "y")); !errors.Is(err, ErrBad) || told != 1 {
 			t.Errorf("%v on a disk that failed, %d told", err, told)
 		}
 		n.mem.breaks(false)
-		if err := ask(thing("k", 3, "z")); !errors.Is(err, ErrBad) {
+		if err := ask(testItem("k", 3, "z")); !errors.Is(err, ErrBad) {
 			t.Errorf("%v after a failed sync", err)
 		}
 		// The other two are a majority.
-		c.merge("b", thing("k", 4, "w"))
+		c.merge("b", testItem("k", 4, "w"))
 		c.node("c").mem.breaks(true)
 		cx, end := context.WithTimeout(ctx, time.Second)
 		defer end()
-		if err := c.node("b").p.Merge(cx, []item.Item{thing("k", 5, "v")}); !errors.Is(err, ErrNoQuorum) {
+		if err := c.node("b").proposer.Merge(cx, []item.Item{testItem("k", 5, "v")}); !errors.Is(err, ErrNoQuorum) {
 			t.Errorf("%v with one disk of three", err)
 		}
 	})
@@ -173,8 +173,8 @@
 	in(t, func(ctx context.Context, t *testing.T) {
 		c := three(ctx, t)
 		for name, m := range map[string]Mark{"another disk": {1, "other"}, "no disk": {1, ""}, "another epoch": {2, c.node("a").seat.Disk}} {
-			r, err := link.Ask[MergeTold](ctx, port{c, "t"}, "a", MergeAsk{m, []item.Item{thing("k", 1, "x")}})
-			if err != nil || r.OK || c.node("a").holds(item.Key{Kind: item.Route, Name: "k"}).Version > 0 {
+			r, err := link.Ask[MergeTold](ctx, nodeTransport{c, "t"}, "a", MergeAsk{m, []item.Item{testItem("k", 1, "x")}})
+			if err != nil || r.OK || c.node("a").itemOnDisk(item.Key{Kind: item.Route, Name: "k"}).Version > 0 {
 				t.Errorf("%s: %+v %v", name, r, err)
 			}
 		}
@@ -185,8 +185,8 @@
 func TestRegistersAndMergeItemsStayApart(t *testing.T) {
 	in(t, func(ctx context.Context, t *testing.T) {
 		c := three(ctx, t)
-		p := c.node("a").p
-		it := thing("x", 4, "merged")
+		p := c.node("a").proposer
+		it := testItem("x", 4, "merged")
 		c.merge("a", it)
 		if _, err := p.Change(ctx, mergeKey(it.Key), func(v []byte) ([]byte, error) {
 			if v != nil {
@@ -205,21 +205,21 @@
 			t.Error(keys, err)
 		}
 		// An item that one voter lacks is no register to be mended.
-		c.set(func() { c.drop = func(_, to string, ask any) bool { _, m := ask.(MergeAsk); return m && to == "c" } })
-		c.merge("a", thing("y", 1, "b"))
+		c.locked(func() { c.dropAsk = func(_, to string, ask any) bool { _, m := ask.(MergeAsk); return m && to == "c" } })
+		c.merge("a", testItem("y", 1, "b"))
 		time.Sleep(2 * time.Second)
-		c.set(func() { c.drop = nil })
-		if n, err := p.Mend(ctx); n != 0 || err != nil {
+		c.locked(func() { c.dropAsk = nil })
+		if n, err := p.RepairCopies(ctx); n != 0 || err != nil {
 			t.Errorf("the sweep mended %d, %v", n, err)
 		}
 		for _, id := range []string{"a", "b", "c"} {
 			m := c.kill(id)
 			n := c.boot(id, "", m)
-			if h := n.holds(it.Key); string(h.Body) != "merged" || len(n.v.Merged()) == 0 {
-				t.Errorf("%s holds %v after a restart, tells %v", id, h, n.v.Merged())
+			if h := n.itemOnDisk(it.Key); string(h.Body) != "merged" || len(n.voter.Merged()) == 0 {
+				t.Errorf("%s holds %v after a restart, tells %v", id, h, n.voter.Merged())
 			}
 		}
-		q := c.node("b").p
+		q := c.node("b").proposer
 		q.Learn(c.core())
 		if v, err := q.Read(ctx, mergeKey(it.Key)); string(v) != "register" || err != nil {
 			t.Errorf("the register after a restart: %q %v", v, err)
@@ -230,19 +230,19 @@
 func TestMergeIsBounded(t *testing.T) {
 	in(t, func(ctx context.Context, t *testing.T) {
 		c := three(ctx, t)
-		p := c.node("a").p
+		p := c.node("a").proposer
 		for name, it := range map[string]item.Item{
-			"name": thing(strings.Repeat("n", maxMergeName+1), 1, ""),
+			"name": testItem(strings.Repeat("n", maxMergeName+1), 1, ""),
 			"body": {Key: item.Key{Kind: item.Route, Name: "k"}, Version: 1, Body: make([]byte, MaxValue+1)},
 		} {
 			if err := p.Merge(ctx, []item.Item{it}); err == nil {
 				t.Errorf("too long a %s was taken", name)
 			}
-			if _, err := link.Ask[MergeTold](ctx, port{c, "t"}, "a", MergeAsk{Mark{1, c.node("a").seat.Disk}, []item.Item{it}}); err == nil {
+			if _, err := link.Ask[MergeTold](ctx, nodeTransport{c, "t"}, "a", MergeAsk{Mark{1, c.node("a").seat.Disk}, []item.Item{it}}); err == nil {
 				t.Errorf("a voter took too long a %s", name)
 			}
 		}
-		v := c.node("a").v
+		v := c.node("a").voter
 		if err := v.do(ctx, func() {
 			for i := len(v.merged); i < maxMerged-1; i++ {
 				v.merged[item.Key{Kind: item.Service, Name: fmt.Sprint(i)}] = item.Item{}
@@ -251,16 +251,16 @@
 			t.Fatal(err)
 		}
 		ask := func(its ...item.Item) error {
-			_, err := link.Ask[MergeTold](ctx, port{c, "t"}, "a", MergeAsk{Mark{1, c.node("a").seat.Disk}, its})
+			_, err := link.Ask[MergeTold](ctx, nodeTransport{c, "t"}, "a", MergeAsk{Mark{1, c.node("a").seat.Disk}, its})
 			return err
 		}
-		if err := ask(thing("last", 1, "")); err != nil {
+		if err := ask(testItem("last", 1, "")); err != nil {
 			t.Error("the last place:", err)
 		}
-		if err := ask(thing("more", 1, "")); err == nil {
+		if err := ask(testItem("more", 1, "")); err == nil {
 			t.Error("the table grew past its bound")
 		}
-		if err := ask(thing("last", 2, "")); err != nil {
+		if err := ask(testItem("last", 2, "")); err != nil {
 			t.Error("a newer version in a full table:", err)
 		}
 	})
@@ -274,32 +274,32 @@
 			c := three(ctx, t)
 			old := c.core()
 			only := func(id string, its ...item.Item) {
-				if r, err := link.Ask[MergeTold](ctx, port{c, "t"}, id, MergeAsk{Mark{1, c.node(id).seat.Disk}, its}); err != nil || !r.OK {
+				if r, err := link.Ask[MergeTold](ctx, nodeTransport{c, "t"}, id, MergeAsk{Mark{1, c.node(id).seat.Disk}, its}); err != nil || !r.OK {
 					t.Fatal(r, err)
 				}
 			}
 			var all []item.Item
 			for i := range 30 {
-				all = append(all, thing(fmt.Sprint("large", i), 1, strings.Repeat("x", 300_000)))
+				all = append(all, testItem(fmt.Sprint("large", i), 1, strings.Repeat("x", 300_000)))
 			}
 			c.merge("a", all...)
-			x1, x2, y1, y2 := thing("x", 1, "old"), thing("x", 2, "new"), thing("y", 1, "old"), thing("y", 2, "new")
+			x1, x2, y1, y2 := testItem("x", 1, "old"), testItem("x", 2, "new"), testItem("y", 1, "old"), testItem("y", 2, "new")
 			only("a", x2, y1)
 			only("b", x1, y2)
 			d := c.boot("d", "", nil)
-			if err := d.v.do(ctx, func() { d.v.take(thing("own", 9, "kept")); d.v.take(thing("x", 1, "old")) }); err != nil {
+			if err := d.voter.do(ctx, func() { d.voter.take(testItem("own", 9, "kept")); d.voter.take(testItem("x", 1, "old")) }); err != nil {
 				t.Fatal(err)
 			}
-			only("a", thing("own", 8, "older"))
+			only("a", testItem("own", 8, "older"))
 			next := Core{Epoch: 2, Before: old.Seats, Seats: []Seat{old.Seats[0], old.Seats[1], d.seat}}
 			for _, s := range []string{"a", "b"} {
-				if r, err := link.Ask[SealTold](ctx, port{c, "t"}, s, SealAsk{next}); err != nil || !r.OK {
+				if r, err := link.Ask[SealTold](ctx, nodeTransport{c, "t"}, s, SealAsk{next}); err != nil || !r.OK {
 					t.Fatal(r, err)
 				}
 			}
 			pages := 0
-			c.set(func() {
-				c.drop = func(from, _ string, ask any) bool {
+			c.locked(func() {
+				c.dropAsk = func(from, _ string, ask any) bool {
 					if _, ok := ask.(MergedAsk); ok {
 						pages++
 					}
@@ -310,18 +310,18 @@
 			if turn {
 				from[0], from[1] = from[1], from[0]
 			}
-			if r, err := link.Ask[JoinTold](ctx, port{c, "t"}, "d", JoinAsk{next, from}); err != nil || !r.OK || r.Items < len(all)+2 {
+			if r, err := link.Ask[JoinTold](ctx, nodeTransport{c, "t"}, "d", JoinAsk{next, from}); err != nil || !r.OK || r.Items < len(all)+2 {
 				t.Fatal(r, err)
 			}
 			if pages < 8 {
 				t.Errorf("%d pages", pages)
 			}
-			for _, it := range append(all, x2, y2, thing("own", 9, "kept")) {
-				if h := d.holds(it.Key); newer(it, h) || newer(h, it) {
+			for _, it := range append(all, x2, y2, testItem("own", 9, "kept")) {
+				if h := d.itemOnDisk(it.Key); newer(it, h) || newer(h, it) {
 					t.Errorf("%s: holds version %d", it.Name, h.Version)
 				}
 			}
-			c.kept("after the join", append(all, x2, y2)...)
+			c.checkKept("after the join", append(all, x2, y2)...)
 		})
 	}
 }
