--- a/internal/quorum/voterseal_test.go
+++ b/internal/quorum/voterseal_test.go
@@ -12,11 +12,11 @@
 // its seals come; and before that, one that was sealed for it accepts no other.
 func TestASealOfAGivenUpCoreIsRefused(t *testing.T) {
 	in(t, func(ctx context.Context, t *testing.T) {
-		c := newCity(ctx, t)
+		c := newCluster(ctx, t)
 		for _, id := range []string{"a", "b", "c", "x", "y"} {
 			c.boot(id, "", nil)
 		}
-		core := c.found("a", "b", "c")
+		core := c.formCore("a", "b", "c")
 		successor := func(epoch uint64, id string) Core {
 			return Core{Epoch: epoch, After: core.Epoch, Before: core.Seats, Seats: []Seat{core.Seats[0], core.Seats[1], c.node(id).seat}}
 		}
@@ -26,7 +26,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			held, err := c.node("a").p.ChangeIn(ctx, core, coreRegister, func([]byte) ([]byte, error) { return raw, nil })
+			held, err := c.node("a").proposer.ChangeIn(ctx, core, coreRegister, func([]byte) ([]byte, error) { return raw, nil })
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -38,7 +38,7 @@
 		}
 		sealed := func(id string, next Core) bool {
 			t.Helper()
-			r, err := link.Ask[SealTold](ctx, port{c, "x"}, c.node(id).seat.Addr, SealAsk{Next: next})
+			r, err := link.Ask[SealTold](ctx, nodeTransport{c, "x"}, c.node(id).seat.Addr, SealAsk{Next: next})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -60,7 +60,7 @@
 				t.Errorf("%s is not sealed for the core that stands", id)
 			}
 		}
-		if _, err := c.node("b").p.ChangeIn(ctx, core, coreRegister, func(old []byte) ([]byte, error) { return old, nil }); err == nil {
+		if _, err := c.node("b").proposer.ChangeIn(ctx, core, coreRegister, func(old []byte) ([]byte, error) { return old, nil }); err == nil {
 			t.Error("sealed seats decide on a successor of their old epoch")
 		}
 	})
--- a/internal/quorum/votertransfer_test.go
+++ b/internal/quorum/votertransfer_test.go
@@ -15,15 +15,15 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, end := context.WithCancel(t.Context())
 		defer end()
-		c := newCity(ctx, t)
+		c := newCluster(ctx, t)
 		for i := range 4 {
 			c.boot(fmt.Sprint("n", i), "z", nil)
 		}
-		core := c.found("n0", "n1", "n2")
-		p := c.node("n0").p
+		core := c.formCore("n0", "n1", "n2")
+		p := c.node("n0").proposer
 		var all []item.Item
 		for i := range 40 {
-			all = append(all, thing(fmt.Sprintf("k%02d", i), 1, string(bytes.Repeat([]byte{byte('a' + i%26)}, 200<<10))))
+			all = append(all, testItem(fmt.Sprintf("k%02d", i), 1, string(bytes.Repeat([]byte{byte('a' + i%26)}, 200<<10))))
 		}
 		for _, it := range all {
 			stands, err := p.Decide(ctx, []item.Item{it})
@@ -36,13 +36,13 @@
 		}
 		next := Core{Epoch: 2, Seats: append(append([]Seat(nil), core.Seats[:2]...), c.node("n3").seat), Before: core.Seats}
 		for _, id := range []string{"n0", "n1"} {
-			if _, err := (port{c, "t"}).Call(ctx, id, SealAsk{Next: next}); err != nil {
+			if _, err := (nodeTransport{c, "t"}).Call(ctx, id, SealAsk{Next: next}); err != nil {
 				t.Fatal(err)
 			}
 		}
 		pages, left := 0, 0
-		c.set(func() {
-			c.drop = func(from, _ string, ask any) bool {
+		c.locked(func() {
+			c.dropAsk = func(from, _ string, ask any) bool {
 				switch ask.(type) {
 				case ListAsk, RecordsAsk, MergedAsk:
 					if from != "n3" {
@@ -58,9 +58,9 @@
 		})
 		joined, tries := false, 0
 		for ; !joined && tries < 40; tries++ {
-			c.set(func() { left = 2 })
-			cx, stop := context.WithTimeout(ctx, joinTime)
-			r, err := (port{c, "t"}).Call(cx, "n3", JoinAsk{Next: next, From: core.Seats[:2]})
+			c.locked(func() { left = 2 })
+			cx, stop := context.WithTimeout(ctx, joinTimeout)
+			r, err := (nodeTransport{c, "t"}).Call(cx, "n3", JoinAsk{Next: next, From: core.Seats[:2]})
 			stop()
 			joined = err == nil && r.(JoinTold).OK
 		}
@@ -73,7 +73,7 @@
 			t.Errorf("%d pages", pages)
 		}
 		for _, it := range all {
-			if h := c.node("n3").holds(it.Key); !h.Same(it) {
+			if h := c.node("n3").itemOnDisk(it.Key); !h.Same(it) {
 				t.Errorf("%v is missing", it.Key)
 			}
 		}
@@ -83,7 +83,7 @@
 // A record whose body was left out takes that of the merge item, keeps its call only where that is
 // the very item, and is refused where nobody told the body.
 func TestBodiesThatWereLeftOutAreCompleted(t *testing.T) {
-	told := thing("k", 3, "three")
+	told := testItem("k", 3, "three")
 	bare := told
 	bare.Body = nil
 	pulled := func(known ...item.Item) *transfer {
@@ -99,10 +99,10 @@
 		fails bool
 	}{
 		"the same":  {[]item.Item{told}, Decision{Item: told, Call: "c"}, false},
-		"a newer":   {[]item.Item{thing("k", 4, "four")}, Decision{Item: thing("k", 4, "four")}, false},
-		"an older":  {[]item.Item{thing("k", 2, "two")}, Decision{}, true},
+		"a newer":   {[]item.Item{testItem("k", 4, "four")}, Decision{Item: testItem("k", 4, "four")}, false},
+		"an older":  {[]item.Item{testItem("k", 2, "two")}, Decision{}, true},
 		"none":      {nil, Decision{}, true},
-		"another's": {[]item.Item{thing("l", 3, "three")}, Decision{}, true},
+		"another's": {[]item.Item{testItem("l", 3, "three")}, Decision{}, true},
 	} {
 		tr := pulled(x.known...)
 		err := tr.complete()
--- a/internal/sim/history_test.go
+++ b/internal/sim/history_test.go
@@ -130,7 +130,7 @@
 	defer end()
 	if !o.cas {
 		v, err := p.Read(cx, o.key)
-		if err != nil && !quorum.Nothing(err) {
+		if err != nil && !quorum.IsNeverWritten(err) {
 			return res{unknown: true}
 		}
 		return res{val: string(v)}
--- a/internal/sim/model/domains.go
+++ b/internal/sim/model/domains.go
@@ -100,8 +100,8 @@
 		return // the nodes that know a newer one may be down
 	}
 	before := w.exposed
-	w.exposed = exposedCore{core.Epoch, w.tolerance().Expose(core.Seats)}
-	if before.epoch > 0 && !w.exposed.exposure.Within(before.exposure) {
+	w.exposed = exposedCore{core.Epoch, w.tolerance().ExposureOf(core.Seats)}
+	if before.epoch > 0 && !w.exposed.exposure.AtMost(before.exposure) {
 		w.history.note("the core of epoch %d is exposed to more than that of epoch %d: %+v, before %+v", core.Epoch, before.epoch, w.exposed.exposure, before.exposure)
 	}
 }
@@ -118,7 +118,7 @@
 		size = len(core.Seats)
 	}
 	t := w.tolerance()
-	if got, want := t.Expose(core.Seats), t.Expose(t.Choose(all, size)); got.Total() > want.Total() {
+	if got, want := t.ExposureOf(core.Seats), t.ExposureOf(t.Choose(all, size)); got.Total() > want.Total() {
 		w.history.note("the core of epoch %d is exposed to %+v, and need not be to more than %+v: %v", core.Epoch, got, want, core.Seats)
 	}
 }
--- a/internal/sim/model/node.go
+++ b/internal/sim/model/node.go
@@ -84,8 +84,8 @@
 	if n.w.blind {
 		tolerance = quorum.Tolerance{}
 	}
-	p.reconf = &quorum.Reconfigurer{Tolerance: tolerance, Size: n.w.scenario.Size, Heard: func() []quorum.Heard { return n.heard(seat) }, Prop: c.Prop, Line: line, Clock: clk, Shuffle: func(int, func(i, j int)) {}}
-	p.boots = &quorum.Bootstrapper{Seeds: n.w.seeds(), Self: n.id, Size: n.w.scenario.Seats, Later: !n.first(), Line: line, Clock: clk, Prop: c.Prop, Voter: c.Voter, Draw: func(int) int { return 0 }}
+	p.reconf = &quorum.Reconfigurer{Tolerance: tolerance, Size: n.w.scenario.Size, Contacts: func() []quorum.DiskContact { return n.heard(seat) }, Proposer: c.Prop, Transport: line, Clock: clk, Shuffle: func(int, func(i, j int)) {}}
+	p.boots = &quorum.Bootstrapper{Seeds: n.w.seeds(), Self: n.id, Size: n.w.scenario.Seats, SubsequentStart: !n.first(), Transport: line, Clock: clk, Proposer: c.Prop, Voter: c.Voter, RandIntN: func(int) int { return 0 }}
 	go func() {
 		defer close(p.stopped)
 		c.Voter.Run(p.ctx)
@@ -153,8 +153,8 @@
 }
 
 // heard is what this node heard of the others: all that run, just now.
-func (n *node) heard(own quorum.Seat) []quorum.Heard {
-	out := []quorum.Heard{{Seat: own}}
+func (n *node) heard(own quorum.Seat) []quorum.DiskContact {
+	out := []quorum.DiskContact{{Seat: own}}
 	for _, o := range n.w.list {
 		v := o.voter()
 		if o == n || v == nil {
@@ -164,7 +164,7 @@
 		if n.w.cut(o.id, n.id) || n.w.cut(n.id, o.id) {
 			ago = time.Minute
 		}
-		out = append(out, quorum.Heard{Seat: v.Seat(), Ago: ago})
+		out = append(out, quorum.DiskContact{Seat: v.Seat(), Ago: ago})
 	}
 	return out
 }
--- a/internal/watch/mesh.go
+++ b/internal/watch/mesh.go
@@ -452,17 +452,17 @@
 }
 
 // Heard are the disks of the controllers that answered, with how long ago, and the own one.
-func (m *Mesh) Heard() []quorum.Heard {
+func (m *Mesh) Heard() []quorum.DiskContact {
 	now := m.Clock.Now()
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	var out []quorum.Heard
+	var out []quorum.DiskContact
 	if s := m.Me().Seat; s.ID != "" {
-		out = append(out, quorum.Heard{Seat: s})
+		out = append(out, quorum.DiskContact{Seat: s})
 	}
 	for _, p := range m.peers {
 		if p.controller.Seat.ID != "" && !p.heard.IsZero() {
-			out = append(out, quorum.Heard{Seat: p.controller.Seat, Ago: now.Sub(p.heard)})
+			out = append(out, quorum.DiskContact{Seat: p.controller.Seat, Ago: now.Sub(p.heard)})
 		}
 	}
 	return out
