--- a/internal/quorum/bootstrapper_test.go
+++ b/internal/quorum/bootstrapper_test.go
@@ -16,7 +16,7 @@
 type nodePlan struct {
 	id              string
 	zone            string
-	disk            bool
+	hasDisk         bool
 	subsequentStart bool
 	startDelay      time.Duration
 }
@@ -42,7 +42,7 @@
 	b := &Bootstrapper{Seeds: g.seeds, Self: p.id, Size: g.size, Tolerance: g.tolerance, SubsequentStart: p.subsequentStart, Transport: nodeTransport{g.cluster, p.id}, Clock: freezableClock{node: &node{}}}
 	ctx := g.ctx
 	var d *link.Desk
-	if p.disk {
+	if p.hasDisk {
 		n := g.boot(p.id, p.zone, m)
 		b.Proposer, b.Voter, ctx = n.proposer, n.voter, n.ctx
 		d = link.NewDesk()
@@ -97,7 +97,7 @@
 
 func diskNodes(ids ...string) (ps []nodePlan) {
 	for _, id := range ids {
-		ps = append(ps, nodePlan{id: id, disk: true})
+		ps = append(ps, nodePlan{id: id, hasDisk: true})
 	}
 	return ps
 }
@@ -162,7 +162,7 @@
 	in(t, func(ctx context.Context, t *testing.T) {
 		g := newFormingCluster(ctx, t, 3, "a")
 		for _, p := range []nodePlan{{id: "a", zone: "1"}, {id: "b", zone: "1"}, {id: "c", zone: "2"}, {id: "d", zone: "2"}, {id: "e", zone: "3"}} {
-			p.disk = true
+			p.hasDisk = true
 			g.startNode(p, nil)
 		}
 		time.Sleep(4 * time.Second)
@@ -209,11 +209,11 @@
 		// each other of it.
 		g.kill("c")
 		time.Sleep(6 * time.Second)
-		g.startNode(nodePlan{id: "e", disk: true}, nil)
+		g.startNode(nodePlan{id: "e", hasDisk: true}, nil)
 		g.startNode(nodePlan{id: "m"}, nil)
 		time.Sleep(3 * time.Second)
-		if _, has := g.checkOneCore("the silent seed is there").Seat("c"); has {
-			t.Error("a disk that is gone got a seat")
+		if _, has := g.checkOneCore("the silent seed is up").Seat("c"); has {
+			t.Error("a dead disk got a seat")
 		}
 	})
 }
@@ -226,7 +226,7 @@
 			g := newFormingCluster(ctx, t, 3, "a", "m")
 			g.dropAsk = func(from, _ string, ask any) bool {
 				if _, form := ask.(FormAsk); form && strings.Contains(later, from) {
-					t.Errorf("%s is later: %s proposed", name, from)
+					t.Errorf("later start at %s: %s proposed", name, from)
 				}
 				return false
 			}
@@ -239,14 +239,14 @@
 			time.Sleep(15 * time.Second)
 			for id, f := range g.bootstrappers {
 				if c := f.core(); c.Epoch > 0 {
-					t.Errorf("%s is later: %s knows %+v", name, id, c)
+					t.Errorf("later start at %s: %s knows %+v", name, id, c)
 				}
 			}
 		})
 	}
 	in(t, func(ctx context.Context, t *testing.T) {
 		g := newFormingCluster(ctx, t, 1, "z")
-		g.startNode(nodePlan{id: "a", disk: true, subsequentStart: true}, nil)
+		g.startNode(nodePlan{id: "a", hasDisk: true, subsequentStart: true}, nil)
 		v := g.node("a").voter
 		c := Core{Epoch: 1, Seats: []Seat{v.Seat()}}
 		for _, seal := range []bool{false, true} {
@@ -287,9 +287,9 @@
 				g.locked(func() { g.dropAsk = nil })
 				switch restart {
 				case "same":
-					g.startNode(nodePlan{id: "a", disk: true}, m)
+					g.startNode(nodePlan{id: "a", hasDisk: true}, m)
 				case "emptied":
-					g.startNode(nodePlan{id: "a", disk: true}, nil)
+					g.startNode(nodePlan{id: "a", hasDisk: true}, nil)
 				}
 				time.Sleep(15 * time.Second)
 				cores := map[string]bool{}
--- a/internal/quorum/city_test.go
+++ b/internal/quorum/cluster_test.go
@@ -118,9 +118,9 @@
 		return nil, err
 	}
 	c.mu.Lock()
-	gone := c.desks[to] != d
+	closed := c.desks[to] != d
 	c.mu.Unlock()
-	if gone {
+	if closed {
 		return nil, errors.New("connection reset")
 	}
 	return r, nil
@@ -366,7 +366,7 @@
 		n.mu.Unlock()
 		for k, it := range news {
 			if h := n.itemOnDisk(k); newer(it, h) || newer(h, it) {
-				c.t.Errorf("%s: %s was told %v, its disk holds %v", when, id, it, h)
+				c.t.Errorf("%s: OnMerge at %s reported %v, its disk holds %v", when, id, it, h)
 			}
 		}
 	}
--- a/internal/quorum/domain_test.go
+++ b/internal/quorum/domain_test.go
@@ -145,7 +145,7 @@
 				g := newFormingCluster(ctx, t, 3, "a1", "a2", "b1")
 				g.tolerance = Tolerance{Zones: 1}
 				for _, id := range []string{"a1", "a2", "b1", "c1"} {
-					p := nodePlan{id: id, zone: id[:1], disk: true}
+					p := nodePlan{id: id, zone: id[:1], hasDisk: true}
 					if id == "c1" {
 						p.startDelay = x.third
 					}
--- a/internal/quorum/gather.go
+++ b/internal/quorum/gather.go
@@ -24,8 +24,8 @@
 func gather[R any](ctx context.Context, p *Proposer, seats []Seat, ask func(Seat) any, header func(R) Told, enough func([]voterReply[R]) bool) []voterReply[R] {
 	askCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), voterTimeout)
 	type result struct {
-		h  voterReply[R]
-		ok bool
+		reply voterReply[R]
+		ok    bool
 	}
 	results := make(chan result, len(seats))
 	var wg sync.WaitGroup
@@ -52,7 +52,7 @@
 		select {
 		case res := <-results:
 			if res.ok {
-				replies = append(replies, res.h)
+				replies = append(replies, res.reply)
 				if enough(replies) {
 					return replies
 				}
--- a/internal/quorum/placement_test.go
+++ b/internal/quorum/placement_test.go
@@ -108,7 +108,7 @@
 		tolerance Tolerance
 		zones     map[string]string
 		want      int
-		bears     bool
+		survives  bool
 	}{
 		{Tolerance{}, zones(3), 1, true},
 		{Tolerance{Machines: 2}, nil, 5, true},
@@ -121,8 +121,8 @@
 		{Tolerance{Machines: 16}, zones(3, 3), maxSeats, true},
 	} {
 		got := x.tolerance.MinSeats(x.zones)
-		if bears := x.tolerance.Attainable(x.zones, got).Total() == 0; got != x.want || bears != x.bears {
-			t.Errorf("%+v in %d zones: %d seats that survive it: %v, want %d, %v", x.tolerance, len(x.zones), got, bears, x.want, x.bears)
+		if survives := x.tolerance.Attainable(x.zones, got).Total() == 0; got != x.want || survives != x.survives {
+			t.Errorf("%+v in %d zones: %d seats that survive it: %v, want %d, %v", x.tolerance, len(x.zones), got, survives, x.want, x.survives)
 		}
 	}
 }
--- a/internal/quorum/proposerdecide.go
+++ b/internal/quorum/proposerdecide.go
@@ -80,7 +80,7 @@
 
 // run executes one ballot: promises from a majority, then accepts from a majority. done says
 // that the outcome of the call is known.
-func (r *decideRound) run(ctx context.Context, core Core) (stands []item.Item, err error, done bool) {
+func (r *decideRound) run(ctx context.Context, core Core) (current []item.Item, err error, done bool) {
 	ballot := r.nextBallot(itemBallotKey, r.highestBallot)
 	held, ok := r.collectPromises(ctx, core, ballot)
 	if !ok {
@@ -92,8 +92,8 @@
 	for i, h := range held {
 		next, v := h.Decision.offer(r.items[i], r.call)
 		decisions[i] = next
-		stands := h.Decision.Decided() && h.Decision.Item.Same(r.items[i])
-		settled, ownCurrent = settled && stands && h.Settled, ownCurrent || stands && h.Decision.Call == r.call
+		isCurrent := h.Decision.Decided() && h.Decision.Item.Same(r.items[i])
+		settled, ownCurrent = settled && isCurrent && h.Settled, ownCurrent || isCurrent && h.Decision.Call == r.call
 		if v == conflicting && conflict == nil {
 			conflict = ConflictError{r.items[i].Key, r.items[i].Version}
 		}
--- a/internal/quorum/reconfigurer_test.go
+++ b/internal/quorum/reconfigurer_test.go
@@ -219,8 +219,8 @@
 				time.Sleep(gap)
 			}
 			time.Sleep(5 * time.Second)
-			c.checkEpoch(2, "after two swaps at once")
-			c.checkKept("after two swaps at once", its...)
+			c.checkEpoch(2, "after two concurrent reconfigurations")
+			c.checkKept("after two concurrent reconfigurations", its...)
 			seats := map[string]bool{}
 			for _, n := range c.all() {
 				if k := n.voter.Core(); k.Epoch == 2 {
@@ -302,7 +302,7 @@
 
 func TestJoinerLostBetweenSealAndPull(t *testing.T) {
 	for _, point := range []int{fault.AfterSeal, fault.AfterPull} {
-		for _, again := range []bool{false, true} {
+		for _, sameReturns := range []bool{false, true} {
 			in(t, func(ctx context.Context, t *testing.T) {
 				c := newRunningCluster(ctx, t, 3, "a", "b", "c", "x")
 				its := testItems(5)
@@ -323,20 +323,20 @@
 				}
 				m := <-lost
 				if v := c.voting(); len(v) != 2 {
-					t.Errorf("%v vote while the joiner is gone", v)
+					t.Errorf("%v vote while the joiner is down", v)
 				}
 				// The two remaining seats continue to work.
 				more := testItem("more", 1, "x")
 				c.merge("b", more)
 				its = append(its, more)
-				if again {
+				if sameReturns {
 					c.start("x", "", m)
 				} else {
 					// It never returns, and is replaced in turn.
 					c.start("y", "", nil)
 				}
 				time.Sleep(6 * time.Second)
-				c.checkKept(fmt.Sprint("point ", point, ", the same again ", again), its...)
+				c.checkKept(fmt.Sprint("point ", point, ", the same again ", sameReturns), its...)
 			})
 		}
 	}
@@ -386,7 +386,7 @@
 		defer cancel()
 		_ = rc.reconfigure(actorCtx, rc.view(), seatMove{core.Seats[2], c.node("x").seat}.apply(core.Seats))
 		if a, b := c.node("a").voter.Core().Epoch, c.node("b").voter.Core().Epoch; a != 2 || b != 1 {
-			t.Fatalf("a stands at epoch %d, b at %d", a, b)
+			t.Fatalf("a is in epoch %d, b in %d", a, b)
 		}
 		c.kill("b")
 		c.locked(func() { c.dropAsk = nil })
@@ -402,7 +402,7 @@
 // core is unreachable, which would stop the core that works. It is then abandoned for a core
 // whose seats are reachable, and stays abandoned when its own seats return.
 func TestOldDecisionIsCarriedOutWithCare(t *testing.T) {
-	for _, there := range []bool{true, false} {
+	for _, reachable := range []bool{true, false} {
 		in(t, func(ctx context.Context, t *testing.T) {
 			c := newCluster(ctx, t)
 			for _, id := range []string{"a", "b", "c", "x", "y"} {
@@ -416,24 +416,24 @@
 			if _, err := c.node("a").proposer.Change(ctx, coreRegister, func([]byte) ([]byte, error) { return raw, nil }); err != nil {
 				t.Fatal(err)
 			}
-			if !there {
+			if !reachable {
 				c.kill("x")
 			}
 			c.kill("b")
 			for _, id := range []string{"a", "c", "y"} {
 				go c.node(id).reconfigurer.Run(c.node(id).ctx)
 			}
-			if there {
+			if reachable {
 				go c.node("x").reconfigurer.Run(c.node("x").ctx)
 			}
 			time.Sleep(15 * time.Second)
 			more := testItem("more", 1, "x")
 			c.merge("a", more)
-			if there {
+			if reachable {
 				c.checkKept("the decision carried out, then b replaced", append(its, more)...)
 				return
 			}
-			c.checkEpoch(3, "while neither x nor b is there")
+			c.checkEpoch(3, "while neither x nor b is up")
 			if v := c.voting(); c.core().Succeeds(2) || !slices.Equal(v, []string{"a", "c", "y"}) {
 				t.Errorf("the core after the abandoned one: %+v, %v vote", c.core(), v)
 			}
