--- a/internal/proxy/acquire.go
+++ b/internal/proxy/acquire.go
@@ -6,80 +6,81 @@
 )
 
 const (
-	// waitPart is the part of its aim for which a request waits for room. A refusal is
-	// to be back at its caller within a quarter.
-	waitPart = 5
-	// fewPeers is how many of each rank may wait though it seems in vain.
-	fewPeers = 2
-	// minRetry is the least that a refused caller is told to wait.
-	minRetry = 100 * time.Millisecond
+	// maxWaitDivisor: a request waits for capacity for at most its latency target divided by
+	// this. A refusal must reach the caller within a quarter of the target.
+	maxWaitDivisor = 5
+	// minQueuedPerRank is how many requests of each rank may queue even if their expected wait is too long.
+	minQueuedPerRank = 2
+	// minRetryAfter is the shortest delay that a refused caller is told.
+	minRetryAfter = 100 * time.Millisecond
 )
 
-// grant is a place for one request at a run, from at on; none where e is nil.
+// grant is a slot for one request at a run, held from startedAt; e is nil if there is none.
 type grant struct {
-	e  *endpoint
-	at time.Time
+	e         *endpoint
+	startedAt time.Time
 }
 
-// hold counts a request at a run.
-func (s *service) hold(e *endpoint, now time.Time) grant {
+// reserve counts a request at a run.
+func (s *service) reserve(e *endpoint, now time.Time) grant {
 	e.starts = append(e.starts, now)
 	s.limit.begin()
 	return grant{e, now}
 }
 
-// take chooses a run at once, or none.
-func (s *service) take(x *exchange) grant {
+// tryAcquire selects a run without waiting; the grant is empty if there is none.
+func (s *service) tryAcquire(x *exchange) grant {
 	now := s.n.clock.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.queue.list) > 0 {
-		// Who waits goes first.
+		// Queued requests go first.
 		return grant{}
 	}
 	if e, _ := s.pick(now, x); e != nil {
-		return s.hold(e, now)
+		return s.reserve(e, now)
 	}
 	return grant{}
 }
 
-// acquire chooses a run, and waits for room where none has any: in all no longer than
-// is worth a refusal still early in the aim, and a quarter of the time left. Where it has none to give, retry is when room is likely.
+// acquire selects a run and waits for capacity if none has any: early enough in the latency
+// target for a refusal to be useful, and at most a quarter of the remaining time. If there is
+// no grant, retry is when capacity is likely.
 func (s *service) acquire(x *exchange) (g grant, retry time.Duration) {
 	now := s.n.clock.Now()
 	left := x.deadline.Sub(now)
 	limit := left / 4
-	if x.aim > 0 {
-		limit = min(limit, x.aim/waitPart-now.Sub(x.came))
+	if x.latencyTarget > 0 {
+		limit = min(limit, x.latencyTarget/maxWaitDivisor-now.Sub(x.receivedAt))
 	}
 	s.mu.Lock()
 	s.usedAt = now
-	s.pace.fade(now)
-	s.pace.asked++
+	s.pace.decay(now)
+	s.pace.requested++
 	if len(s.queue.list) > 0 {
 		s.dispatch(now)
 	}
 	e, known := s.pick(now, x)
 	if e != nil {
-		g = s.hold(e, now)
+		g = s.reserve(e, now)
 		s.mu.Unlock()
 		return g, 0
 	}
 	w := &waiter{x: x, rank: x.priority, came: now, got: make(chan grant, 1), index: -1}
 	before, peers := s.queue.ahead(w)
-	// Who would wait in vain is told so at once, but for some of each rank: the turn of
-	// the longest waiting may come to them.
-	out := w
-	if known && limit > 0 && (s.eta(now, before) <= limit || peers < fewPeers) {
-		out = s.queue.push(w)
-	}
-	if out == w {
-		retry = s.retry(now, left)
+	// Requests that would wait in vain are refused at once, except a few of each rank: these
+	// may get the turn that goes to the request that has waited longest.
+	displaced := w
+	if known && limit > 0 && (s.expectedWait(now, before) <= limit || peers < minQueuedPerRank) {
+		displaced = s.queue.push(w)
+	}
+	if displaced == w {
+		retry = s.retryAfter(now, left)
 		s.mu.Unlock()
 		return g, retry
 	}
-	if out != nil {
-		out.got <- grant{}
+	if displaced != nil {
+		displaced.got <- grant{}
 	}
 	s.mu.Unlock()
 	s.n.stats.waited.Add(1)
@@ -88,7 +89,7 @@
 	case g = <-w.got:
 		stop()
 	case <-c:
-	case <-s.n.lastCall:
+	case <-s.n.sendsClosed:
 		stop()
 	}
 	if g.e != nil {
@@ -106,32 +107,32 @@
 		default:
 		}
 	}
-	return g, s.retry(now, x.deadline.Sub(now))
+	return g, s.retryAfter(now, x.deadline.Sub(now))
 }
 
-// eta is how long a request waits that so many go before: by what was done in the last second
-// or, where that is more, by what the runs at hand should do for this node.
-func (s *service) eta(now time.Time, before int) time.Duration {
+// expectedWait estimates the wait of a request behind so many others, from the completion rate of the last
+// second or, if that is higher, the rate this node should get from the runs in its zone.
+func (s *service) expectedWait(now time.Time, before int) time.Duration {
 	slots := 0.0
 	for _, e := range s.work {
 		if e.near && e.takes() && e.suspicion(now) < suspectAt {
 			slots += float64(e.slots())
 		}
 	}
-	should := slots / s.usual().Seconds() / float64(max(1, s.n.gatewaysNear.Load()))
-	rate := max(s.pace.rate(now), should, 1)
+	expectedRate := slots / s.usual().Seconds() / float64(max(1, s.n.gatewaysNear.Load()))
+	rate := max(s.pace.completionRate(now), expectedRate, 1)
 	return time.Duration(float64(before+1) / rate * float64(time.Second))
 }
 
-// retry is what a refused caller is told: when room is likely, later the more ask for
-// each that is done, and in time for a try that can still succeed.
-func (s *service) retry(now time.Time, left time.Duration) time.Duration {
-	eta := s.eta(now, len(s.queue.list))
-	d := time.Duration(float64(max(eta, minRetry)) * s.pace.crowd(now))
-	return min(d, max(minRetry, left/3))
+// retryAfter is the delay told to a refused caller: when capacity is likely, longer the more requests
+// arrive per completed one, and short enough for a retry that can still succeed.
+func (s *service) retryAfter(now time.Time, left time.Duration) time.Duration {
+	eta := s.expectedWait(now, len(s.queue.list))
+	d := time.Duration(float64(max(eta, minRetryAfter)) * s.pace.overloadRatio(now))
+	return min(d, max(minRetryAfter, left/3))
 }
 
-// dispatch hands free room to those who wait, in their order.
+// dispatch assigns free capacity to queued requests, in order.
 func (s *service) dispatch(now time.Time) {
 	var kept []*waiter
 	for len(s.queue.list) > 0 && len(kept) < 4 {
@@ -143,35 +144,35 @@
 			continue
 		}
 		s.queue.given++
-		w.got <- s.hold(e, now)
+		w.got <- s.reserve(e, now)
 	}
 	for _, w := range kept {
 		s.queue.push(w)
 	}
 }
 
-// release ends the counting of a request at a run, notes what it showed, and hands
-// the room on.
+// release ends a request at a run, records its outcome and assigns the freed
+// capacity.
 func (s *service) release(g grant, o outcome, took, aim time.Duration) {
-	e, began := g.e, g.at
+	e, began := g.e, g.startedAt
 	now := s.n.clock.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if i := slices.IndexFunc(e.starts, began.Equal); i >= 0 {
 		e.starts = slices.Delete(e.starts, i, i+1)
 	}
-	s.limit.end(now, o == turnedAway || o == reset || o == stale, aim > 0 && took > aim)
+	s.limit.end(now, o == outcomeRejected || o == outcomeReset || o == outcomeStaleConn, aim > 0 && took > aim)
 	if !s.n.noFates {
 		e.met(now, began, o, took)
-	} else if o == erred {
-		o = answered
+	} else if o == outcomeServerError {
+		o = outcomeAnswered
 	}
 	switch o {
-	case erred:
+	case outcomeServerError:
 		e.cleared()
-		s.pace.fade(now)
-		s.pace.done++
-	case answered:
+		s.pace.decay(now)
+		s.pace.completed++
+	case outcomeAnswered:
 		e.answered(now, took)
 		e.prove(now)
 		w := slower / 4
@@ -179,21 +180,21 @@
 			w = 1
 		}
 		s.took += time.Duration(w * float64(took-s.took))
-		s.pace.fade(now)
-		s.pace.done++
-	case turnedAway:
+		s.pace.decay(now)
+		s.pace.completed++
+	case outcomeRejected:
 		e.cleared()
 		e.fullTill = now.Add(max(20*time.Millisecond, s.usual()/2))
-	case misdirected:
+	case outcomeMisdirected:
 		e.gone, e.goneSeq = true, e.run.Seq
 		e.closeIdle()
-	case unreachable, mute:
+	case outcomeUnreachable, outcomeSilent:
 		e.failed(now, began, firstPenalty)
 		e.closeIdle()
-	case spoilt, reset:
+	case outcomeInvalid, outcomeReset:
 		e.failed(now, began, shortPenalty)
 		e.closeIdle()
-	case stale:
+	case outcomeStaleConn:
 		s.staleAt = now
 		e.closeIdle()
 	}
--- a/internal/proxy/answer.go
+++ b/internal/proxy/answer.go
@@ -12,45 +12,45 @@
 	"github.com/valyala/fasthttp"
 )
 
-// answer is what goes back to a caller, whole.
+// answer is a complete answer to a caller.
 type answer struct {
 	status int
 	head   []byte // field lines
 	body   []byte
-	// length is what a Content-Length tells where no body follows it; -1 is none.
-	length int
-	// bare says that neither body nor length is sent.
-	bare bool
-	held int   // bytes reserved
-	room int64 // of it, in the room of large answers
-	// passing is the body of an answer that still comes in; nil is one that is held whole.
-	passing *passing
-	// owed is the delivery of a large body on a narrow link.
-	owed *delivery
+	// contentLength is the Content-Length sent if no body follows it; -1 for none.
+	contentLength int
+	// noBodyOrLength means that neither a body nor a length is sent.
+	noBodyOrLength bool
+	reservedBytes  int   // charged to the memory budget
+	largeReserved  int64 // the part reserved from the memory for large answers
+	// stream is the body of an answer that is still being received; nil if the body is complete.
+	stream *bodyStream
+	// pending is the delivery of a large body on a narrow link.
+	pending *delivery
 }
 
 func (a *answer) free() {
-	if a.passing != nil {
-		putBuffer(a.passing.body)
+	if a.stream != nil {
+		putBuffer(a.stream.body)
 	}
 	putBuffer(a.head)
 	putBuffer(a.body)
 	a.head, a.body = nil, nil
 }
 
-// bodySize is how long the body is that goes to the caller.
+// bodySize is the length of the body that goes to the caller.
 func (a *answer) bodySize() int {
-	if a.passing != nil {
-		return a.passing.size
+	if a.stream != nil {
+		return a.stream.size
 	}
 	return len(a.body)
 }
 
-// own makes an answer of this node's own. Of retry a caller is told where it is not 0.
-func (n *Node) own(id []byte, status int, retry time.Duration, why string) *answer {
-	a := &answer{status: status, length: -1, head: getBuffer(), body: append(getBuffer(), why...)}
+// localAnswer builds an answer of the node itself. A retry of 0 adds no Retry-After field.
+func (n *Node) localAnswer(id []byte, status int, retry time.Duration, reason string) *answer {
+	a := &answer{status: status, contentLength: -1, head: getBuffer(), body: append(getBuffer(), reason...)}
 	a.body = append(a.body, '\n')
-	d := n.set.Dialect
+	d := n.settings.Headers
 	if len(id) > 0 {
 		a.head = appendField(a.head, d.RequestID, id)
 	}
@@ -61,42 +61,42 @@
 	return a
 }
 
-// Why an answer is no answer to the request.
+// Reasons for which an answer is rejected.
 var (
-	errOther    = errors.New("an answer that names no request, or two")
-	errSurplus  = errors.New("an answer to another request")
-	errSeal     = errors.New("a success without seal")
-	errEncoding = errors.New("an answer in an encoding that nobody asked for")
-	errPromise  = errors.New("a status that promises not run, without the target's word for it")
-	errOpen     = errors.New("an answer whose end is not known")
-	errStatus   = errors.New("a status that is none")
+	errRequestID     = errors.New("the answer does not name exactly one request")
+	errOtherRequest  = errors.New("the answer belongs to another request")
+	errNoSeal        = errors.New("success without a seal")
+	errEncoding      = errors.New("the answer has a content encoding that was not requested")
+	errNoNotRun      = errors.New("the status implies that the request did not run, but the target does not state it")
+	errNoFraming     = errors.New("the answer has neither a length nor chunked framing")
+	errInvalidStatus = errors.New("invalid status")
 )
 
-// reply is what a target's answer says besides.
-type reply struct {
-	notRun bool // the target's word that the request did not run
-	moved  bool // another run has this address
-	keep   time.Duration
-	close  bool
+// answerControl is what a target's answer says about the request and the connection.
+type answerControl struct {
+	notRun      bool // the target states that the request did not run
+	misdirected bool // another run has this address
+	idleTimeout time.Duration
+	close       bool
 }
 
-// mostSurplus bounds the answers to earlier requests that are passed over before the
-// one that is due.
-const mostSurplus = 2
+// maxSurplusAnswers bounds the answers to earlier requests that are skipped before the
+// expected one.
+const maxSurplusAnswers = 2
 
-// readAnswer reads one answer to the request id and checks it: what it returns is
-// whole by its framing, names the request, and is sealed if it is a success. Interim
-// answers are passed over, and so is, on a connection that was used before, a whole
-// answer that names another request: a target in trouble may answer an earlier request
-// once more, in the place where the next answer is due, and the one that is due comes
-// behind it. Such a connection is not used again.
+// readAnswer reads the answer to the request id and validates it: an answer that is returned
+// is complete by its framing, names the request, and carries a seal if it is a success. Interim
+// answers are skipped. On a reused connection, so are complete answers that name another request:
+// an overloaded or faulty target may repeat the answer to an earlier request ahead of
+// the expected one. Such a connection is not reused again.
 //
-// pass is asked whether a large body goes on to the caller while it comes in; such an
-// answer is returned also where it broke off, and belongs to who took it. nil is never.
-func (n *Node) readAnswer(c *conn, id []byte, head bool, pass func(*answer) bool) (*answer, reply, error) {
+// pass, which may be nil, is asked whether a large body is streamed to the caller while it is
+// received; such an answer is returned even if it was cut off, and then belongs to whoever
+// accepted it.
+func (n *Node) readAnswer(c *conn, id []byte, head bool, allowStream func(*answer) bool) (*answer, answerControl, error) {
 	for surplus := 0; ; surplus++ {
-		a, p, err := n.readOne(c, id, head, pass)
-		if errors.Is(err, errSurplus) && c.uses > 1 && surplus < mostSurplus {
+		a, p, err := n.readNextAnswer(c, id, head, allowStream)
+		if errors.Is(err, errOtherRequest) && c.uses > 1 && surplus < maxSurplusAnswers {
 			n.stats.surplus.Add(1)
 			continue
 		}
@@ -105,109 +105,109 @@
 	}
 }
 
-// readOne reads one answer. errSurplus says that it was a whole one to another request.
-func (n *Node) readOne(c *conn, id []byte, head bool, pass func(*answer) bool) (*answer, reply, error) {
+// readNextAnswer reads one answer. errOtherRequest means a complete answer to another request.
+func (n *Node) readNextAnswer(c *conn, id []byte, head bool, allowStream func(*answer) bool) (*answer, answerControl, error) {
 	h := &c.h
 	for {
 		h.Reset()
 		h.DisableNormalizing()
 		h.SetNoDefaultContentType(true)
-		if err := oneLength(c.r); err != nil {
-			return nil, reply{}, err
+		if err := checkAnswerHead(c.r); err != nil {
+			return nil, answerControl{}, err
 		}
 		if err := h.Read(c.r); err != nil {
-			return nil, reply{}, early(err)
+			return nil, answerControl{}, unexpectedEOF(err)
 		}
 		if s := h.StatusCode(); s == 101 || s < 100 || s > 599 {
-			return nil, reply{}, errStatus
+			return nil, answerControl{}, errInvalidStatus
 		} else if s >= 200 {
 			break
 		}
 	}
-	a := &answer{status: h.StatusCode(), length: -1, head: getBuffer()}
+	a := &answer{status: h.StatusCode(), contentLength: -1, head: getBuffer()}
 	p, err := n.readFields(h, a, id)
-	other := errors.Is(err, errSurplus)
-	if size := c.h.ContentLength(); err == nil && pass != nil && !head && a.status < 300 && size >= bulkFrom && size <= n.set.MaxAnswer {
-		a.passing = newPassing(c, size)
-		if pass(a) {
-			room := func(k int) {
-				n.mem.force(k)
-				a.held += k
+	otherRequest := errors.Is(err, errOtherRequest)
+	if size := c.h.ContentLength(); err == nil && allowStream != nil && !head && a.status < 300 && size >= largeBodySize && size <= n.settings.MaxAnswerBytes {
+		a.stream = newBodyStream(c, size)
+		if allowStream(a) {
+			reserve := func(k int) {
+				n.memory.reserve(k)
+				a.reservedBytes += k
 			}
-			err := a.passing.read(c.r, room, func(k int) { n.in.wait(size, k, c.hard) })
-			a.passing.end(err)
+			err := a.stream.fill(c.r, reserve, func(k int) { n.inbound.wait(size, k, c.deadline) })
+			a.stream.finish(err)
 			return a, p, err
 		}
-		a.passing = nil
+		a.stream = nil
 	}
-	if err == nil || other {
-		// What answers another request is read to its end, and that is all.
-		if e := n.readAnswerBody(c, a, head && !other); e != nil {
+	if err == nil || otherRequest {
+		// The body of an answer to another request is only consumed.
+		if e := n.readAnswerBody(c, a, head && !otherRequest); e != nil {
 			err = e
 		}
 	}
 	if err != nil {
-		n.release(a)
+		n.releaseAnswer(a)
 		a.free()
 		return nil, p, err
 	}
 	return a, p, nil
 }
 
-func (n *Node) readFields(h *fasthttp.ResponseHeader, a *answer, id []byte) (reply, error) {
-	d := &n.set.Dialect
-	p := reply{keep: idleTime, close: h.ConnectionClose()}
+func (n *Node) readFields(h *fasthttp.ResponseHeader, a *answer, id []byte) (answerControl, error) {
+	d := &n.settings.Headers
+	p := answerControl{idleTimeout: defaultIdleTimeout, close: h.ConnectionClose()}
 	sealed, encoded := false, false
-	names, ours := 0, false
+	idFields, matches := 0, false
 	for k, v := range h.All() {
 		switch {
-		case same(k, d.RequestID):
-			names++
-			ours = bytes.Equal(v, id)
-		case same(k, d.Seal):
+		case equalFieldName(k, d.RequestID):
+			idFields++
+			matches = bytes.Equal(v, id)
+		case equalFieldName(k, d.Seal):
 			sealed = sealed || len(v) > 0
-		case same(k, d.NotRun):
+		case equalFieldName(k, d.NotRun):
 			p.notRun = true
-		case same(k, "Content-Encoding"):
+		case equalFieldName(k, "Content-Encoding"):
 			encoded = true
-		case same(k, "Connection"):
-			p.close = p.close || lists(v, "close")
+		case equalFieldName(k, "Connection"):
+			p.close = p.close || listContains(v, "close")
 			continue
-		case same(k, "Keep-Alive"):
-			p.keep = keepAlive(v)
+		case equalFieldName(k, "Keep-Alive"):
+			p.idleTimeout = keepAliveTimeout(v)
 			continue
-		case same(k, "Content-Length"):
+		case equalFieldName(k, "Content-Length"):
 			continue
 		}
-		if !hop(k) {
+		if !isHopByHop(k) {
 			a.head = appendField(a.head, k, v)
 		}
 	}
 	switch {
-	case names != 1:
-		return p, errOther
-	case !ours:
-		return p, errSurplus
+	case idFields != 1:
+		return p, errRequestID
+	case !matches:
+		return p, errOtherRequest
 	case encoded:
 		return p, errEncoding
 	case a.status < 300 && !sealed:
-		return p, errSeal
+		return p, errNoSeal
 	}
 	if a.status == 421 {
-		p.notRun, p.moved = true, true
+		p.notRun, p.misdirected = true, true
 	}
 	if a.status < 300 {
-		// A success says that it ran, whatever stands beside it.
+		// A success means that the request ran, whatever the other fields say.
 		p.notRun = false
 	}
-	if !p.notRun && promise(a.status) {
-		return p, errPromise
+	if !p.notRun && impliesNotRun(a.status) {
+		return p, errNoNotRun
 	}
 	return p, nil
 }
 
-// promise tells whether a status says that the request did not run and never will.
-func promise(status int) bool {
+// impliesNotRun reports whether a status means that the request did not run and never will.
+func impliesNotRun(status int) bool {
 	return status == 408 || status == 421 || status == 429 || status == 503
 }
 
@@ -215,72 +215,72 @@
 	size := c.h.ContentLength()
 	switch {
 	case a.status == 204 || a.status == 304:
-		a.bare = true
+		a.noBodyOrLength = true
 		return nil
 	case head:
-		a.length, a.bare = max(size, -1), true
+		a.contentLength, a.noBodyOrLength = max(size, -1), true
 		return nil
-	case size < chunked:
-		// It ends where the connection does, as a broken one would.
-		return errOpen
+	case size < chunkedLength:
+		// The body ends where the connection does, and a truncated one would look the same.
+		return errNoFraming
 	}
-	if size > n.set.MaxAnswer {
+	if size > n.settings.MaxAnswerBytes {
 		return errTooLarge
 	}
 	var err error
-	if a.room, err = n.room.reserve(size, c.hard, n.clock); err != nil {
+	if a.largeReserved, err = n.largeAnswers.reserve(size, c.deadline, n.clock); err != nil {
 		return err
 	}
 	body := getBuffer()
-	if a.room > 0 {
-		// There is room for all of it: it need not grow, which leaves much behind.
+	if a.largeReserved > 0 {
+		// Memory for all of it is reserved. Growing the slice would leave garbage behind.
 		body = slices.Grow(body, size)
 	}
-	a.body, err = readBody(c.r, size, n.set.MaxAnswer, body, func(k int) bool {
-		n.in.wait(size, k, c.hard)
-		n.mem.force(k)
-		a.held += k
+	a.body, err = readBody(c.r, size, n.settings.MaxAnswerBytes, body, func(k int) bool {
+		n.inbound.wait(size, k, c.deadline)
+		n.memory.reserve(k)
+		a.reservedBytes += k
 		return true
 	})
 	return err
 }
 
-// keepAlive is how long a target keeps an idle connection, by its own word, less what
-// a request needs to get there. Without a number it is the usual time.
-func keepAlive(v []byte) time.Duration {
-	for t := range tokens(v) {
-		if k, s, ok := bytes.Cut(t, []byte{'='}); ok && same(bytes.Trim(k, " "), "timeout") {
-			if s, ok := number(bytes.Trim(s, " \"")); ok {
+// keepAliveTimeout is how long a target keeps an idle connection according to its Keep-Alive field, less the
+// time a request needs to get there. Without a number it is the default.
+func keepAliveTimeout(v []byte) time.Duration {
+	for t := range listTokens(v) {
+		if k, s, ok := bytes.Cut(t, []byte{'='}); ok && equalFieldName(bytes.Trim(k, " "), "timeout") {
+			if s, ok := parseDigits(bytes.Trim(s, " \"")); ok {
 				d := time.Duration(s) * time.Second
 				return max(0, min(d-max(300*time.Millisecond, d/10), time.Minute))
 			}
 		}
 	}
-	return idleTime
+	return defaultIdleTimeout
 }
 
-// start is how every answer begins.
-var start = []byte("HTTP/1.")
+// statusLinePrefix is the start of every answer.
+var statusLinePrefix = []byte("HTTP/1.")
 
-// oneLength refuses what does not begin as an answer, and one with two lengths, of which fasthttp takes the last:
-// of two readers each may take another. It looks without taking anything from r.
-func oneLength(r *bufio.Reader) error {
+// checkAnswerHead rejects input that does not start like an answer, and answers with two Content-Length
+// fields: fasthttp uses the last one, other parsers may use the first. It only peeks into r.
+func checkAnswerHead(r *bufio.Reader) error {
 	for n := 1; ; n = r.Buffered() + 1 {
 		_, err := r.Peek(n)
 		b, _ := r.Peek(r.Buffered())
-		if k := min(len(b), len(start)); !bytes.Equal(b[:k], start[:k]) {
+		if k := min(len(b), len(statusLinePrefix)); !bytes.Equal(b[:k], statusLinePrefix[:k]) {
 			return errFraming
 		}
 		i := bytes.Index(b, []byte("\r\n\r\n"))
 		if i < 0 {
 			if err != nil {
-				return early(err)
+				return unexpectedEOF(err)
 			}
 			continue
 		}
 		seen := 0
 		for line := range bytes.SplitSeq(b[:i], []byte{'\n'}) {
-			if k, _, ok := bytes.Cut(line, []byte{':'}); ok && same(bytes.TrimRight(k, " \t"), "Content-Length") {
+			if k, _, ok := bytes.Cut(line, []byte{':'}); ok && equalFieldName(bytes.TrimRight(k, " \t"), "Content-Length") {
 				seen++
 			}
 		}
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -8,173 +8,173 @@
 	"time"
 )
 
-// outcome is how an attempt at one run ended.
+// outcome is the result of an attempt at one run.
 type outcome uint8
 
 const (
-	answered    outcome = iota + 1 // with a proper answer, success or not
-	turnedAway                     // the target says that it did not run the request
-	misdirected                    // another run has the address
-	unreachable                    // no connection, so no byte left
-	reset                          // the connection ended after the request left
-	stale                          // so did a kept connection, before any byte came back
-	spoilt                         // what came back is no answer to the request
-	mute                           // silence for longer than its answers make plausible
-	cutShort                       // given up, or out of time, before that
-	withheld                       // not sent, for no fault of the run
-	erred                          // with a proper answer that tells of the run's own failure
-	outcomes
+	outcomeAnswered    outcome = iota + 1 // a valid answer, successful or not
+	outcomeRejected                       // the target states that it did not run the request
+	outcomeMisdirected                    // another run has the address
+	outcomeUnreachable                    // no connection, so no byte was sent
+	outcomeReset                          // the connection ended after the request was sent
+	outcomeStaleConn                      // the same on a reused connection, before any byte was received
+	outcomeInvalid                        // the answer received is not a valid answer to the request
+	outcomeSilent                         // silence for longer than earlier answers make plausible
+	outcomeCanceled                       // aborted or out of time before that
+	outcomeNotSent                        // not sent, for reasons other than the run
+	outcomeServerError                    // a valid answer that reports a failure of the run itself
+	outcomeCount
 )
 
-// whole tells whether there is an answer for the caller.
-func (o outcome) whole() bool { return o == answered || o == erred }
+// hasAnswer reports whether there is an answer for the caller.
+func (o outcome) hasAnswer() bool { return o == outcomeAnswered || o == outcomeServerError }
 
-// attempt sends the request to one run and reads its answer.
+// attempt sends the request to one run and reads the answer.
 func (n *Node) attempt(x *exchange, g grant) (o outcome) {
-	x.try(g.e)
+	x.markTried(g.e)
 	began := n.clock.Now()
 	paused := n.pauses.At(began)
 	o = n.send(x, g.e, began)
 	now := n.clock.Now()
-	// Time in which this node itself stood still tells nothing of the run.
-	still := n.pauses.At(now) - paused
-	took := max(0, now.Sub(began)-still)
-	if o == cutShort && still == 0 {
+	// Time during which this process was paused is not held against the run.
+	pausedFor := n.pauses.At(now) - paused
+	took := max(0, now.Sub(began)-pausedFor)
+	if o == outcomeCanceled && pausedFor == 0 {
 		g.e.svc.mu.Lock()
-		if took >= g.e.plausible(x.aim, x.deadline.Sub(began)) {
-			o = mute
+		if took >= g.e.plausible(x.latencyTarget, x.deadline.Sub(began)) {
+			o = outcomeSilent
 		}
 		g.e.svc.mu.Unlock()
 	}
-	g.e.svc.release(g, o, took, x.aim)
+	g.e.svc.release(g, o, took, x.latencyTarget)
 	g.e.svc.tally(x.entry.Name, g.e, o, took)
-	n.stats.note(o)
+	n.stats.record(o)
 	return o
 }
 
 func (n *Node) send(x *exchange, e *endpoint, began time.Time) outcome {
 	for fresh := false; ; fresh = true {
-		c, reused, err := e.connect(began, x.deadline, x.once, fresh)
+		c, reused, err := e.getConn(began, x.deadline, x.atMostOnce, fresh)
 		if err != nil {
-			return unreachable
+			return outcomeUnreachable
 		}
-		o, again := n.use(x, e, c, reused)
+		o, again := n.sendOn(x, e, c, reused)
 		if !again {
 			return o
 		}
-		// No byte left on a kept connection: the same run is asked over a new one.
+		// No byte was sent on the reused connection: the same run is tried over a new one.
 	}
 }
 
-// use sends the request over one connection. again tells that nothing left, for the
-// connection was dead.
-func (n *Node) use(x *exchange, e *endpoint, c *conn, reused bool) (o outcome, again bool) {
+// sendOn sends the request over one connection. again reports that the connection was dead
+// and nothing was sent.
+func (n *Node) sendOn(x *exchange, e *endpoint, c *conn, reused bool) (o outcome, again bool) {
 	now := n.clock.Now()
 	left := x.deadline.Sub(now)
 	e.svc.mu.Lock()
 	ok, run := e.takes(), e.run.ID
-	after := e.plausible(x.aim, left)
+	after := e.plausible(x.latencyTarget, left)
 	e.svc.mu.Unlock()
-	// News may have come while the connection was made, or grown old.
-	if !ok || left < minLeft || n.outdated() || !x.enter(c) {
-		e.keepUnused(c, now)
-		return withheld, false
+	// The state may have changed, or become outdated, while the connection was made.
+	if !ok || left < minLeft || n.outdated() || !x.beginSend(c) {
+		e.putUnused(c, now)
+		return outcomeNotSent, false
 	}
-	c.buf = x.appendHead(c.buf[:0], n.set.Dialect, run, left)
+	c.buf = x.appendHead(c.buf[:0], n.settings.Headers, run, left)
 	sent, err := c.write(c.buf, x.body)
 	if err != nil && sent == 0 {
-		x.leave(c, true, false)
+		x.endSend(c, true, false)
 		e.discard(c, true)
-		if o = classify(c, err, reused); o == stale {
+		if o = classifyError(c, err, reused); o == outcomeStaleConn {
 			return o, true
 		}
 		return o, false
 	}
 	if err == nil {
-		if !x.once && x.attempts > 1 {
+		if !x.atMostOnce && x.maxAttempts > 1 {
 			paused := n.pauses.At(now)
-			c.soft, c.slow = now.Add(after), func() time.Time {
+			c.softDeadline, c.onSoftDeadline = now.Add(after), func() time.Time {
 				now := n.clock.Now()
 				next := now.Add(max(after/2, 50*time.Millisecond))
 				if p := n.pauses.At(now); p != paused {
 					paused = p
 					return next
 				}
-				n.elsewhere(x)
+				n.hedge(x)
 				return next
 			}
 		}
 		var a *answer
-		var p reply
+		var p answerControl
 		if a, p, err = n.readAnswer(c, x.id, x.noBody, n.passer(x, e, c)); err == nil {
-			return n.take(x, e, c, a, p), false
+			return n.acceptAnswer(x, e, c, a, p), false
 		}
-		if a != nil && c.stop.Load() {
-			// The caller went away while its answer came, for no fault of the run.
+		if a != nil && c.aborted.Load() {
+			// The caller disconnected during the answer; this is no fault of the run.
 			e.discard(c, true)
-			return withheld, false
+			return outcomeNotSent, false
 		}
 	}
-	x.leave(c, false, false)
+	x.endSend(c, false, false)
 	e.discard(c, true)
-	o = classify(c, err, reused)
-	if o == spoilt {
-		n.warn("an answer was thrown away", "step", "answer", "peer", run, "err", err)
+	o = classifyError(c, err, reused)
+	if o == outcomeInvalid {
+		n.warnLimited("an answer was thrown away", "step", "answer", "peer", run, "err", err)
 	}
 	return o, false
 }
 
-// take deals with a whole answer.
-func (n *Node) take(x *exchange, e *endpoint, c *conn, a *answer, p reply) (o outcome) {
-	x.leave(c, false, p.notRun)
+// acceptAnswer handles a complete answer.
+func (n *Node) acceptAnswer(x *exchange, e *endpoint, c *conn, a *answer, p answerControl) (o outcome) {
+	x.endSend(c, false, p.notRun)
 	status := a.status
-	if p.close || c.r.Buffered() > 0 || c.stop.Load() {
-		// Bytes behind a whole answer belong to no request.
+	if p.close || c.r.Buffered() > 0 || c.aborted.Load() {
+		// Bytes after a complete answer belong to no request.
 		e.discard(c, true)
 	} else {
-		e.keep(c, p.keep)
+		e.putIdle(c, p.idleTimeout)
 	}
-	if a.passing == nil && (p.notRun || !x.win(a)) {
-		n.release(a)
+	if a.stream == nil && (p.notRun || !x.offerResult(a)) {
+		n.releaseAnswer(a)
 		a.free()
 	}
 	switch {
-	case p.moved:
-		return misdirected
+	case p.misdirected:
+		return outcomeMisdirected
 	case p.notRun:
-		return turnedAway
+		return outcomeRejected
 	case status >= 500:
-		return erred
+		return outcomeServerError
 	}
-	return answered
+	return outcomeAnswered
 }
 
-// classify tells what a failed use of a connection shows.
-func classify(c *conn, err error, reused bool) outcome {
+// classifyError returns the outcome for a failed use of a connection.
+func classifyError(c *conn, err error, reused bool) outcome {
 	var ne net.Error
 	switch {
-	case c.stop.Load(), errors.Is(err, errGivenUp), errors.Is(err, errMute), errors.As(err, &ne) && ne.Timeout():
-		return cutShort
-	case c.got:
-		return spoilt
+	case c.aborted.Load(), errors.Is(err, errAborted), errors.Is(err, errNoAnswer), errors.As(err, &ne) && ne.Timeout():
+		return outcomeCanceled
+	case c.receivedByte:
+		return outcomeInvalid
 	case reused:
-		return stale
+		return outcomeStaleConn
 	case errors.As(err, new(*net.OpError)), errors.Is(err, io.ErrUnexpectedEOF):
-		return reset
+		return outcomeReset
 	}
-	return spoilt
+	return outcomeInvalid
 }
 
-// appendHead writes the head of the request for one attempt: what came, the run that
-// is meant, and what is left of the time.
-func (x *exchange) appendHead(b []byte, d Dialect, run string, left time.Duration) []byte {
+// appendHead appends the request head for one attempt: the forwarded fields, the run that
+// is addressed, and the remaining time.
+func (x *exchange) appendHead(b []byte, d HeaderNames, run string, left time.Duration) []byte {
 	b = append(b, x.head...)
-	b = appendField(b, d.Expect, run)
-	b = append(b, d.Remaining...)
+	b = appendField(b, d.ExpectedRun, run)
+	b = append(b, d.RemainingTime...)
 	b = append(b, ": "...)
 	b = strconv.AppendInt(b, max(1, left.Milliseconds()), 10)
 	b = append(b, "\r\n"...)
-	if x.framed {
+	if x.hasBody {
 		b = append(b, "Content-Length: "...)
 		b = strconv.AppendInt(b, int64(len(x.body)), 10)
 		b = append(b, "\r\n"...)
@@ -182,12 +182,12 @@
 	return append(b, "\r\n"...)
 }
 
-// together is up to which size a body is copied behind its head, to leave in one piece.
-const together = 8 << 10
+// maxJoinedBody is the largest body that is copied behind its head to be sent in one write.
+const maxJoinedBody = 8 << 10
 
-// write sends head and body; n counts what the system took.
+// write sends head and body; n is the number of bytes that the kernel accepted.
 func (c *conn) write(head, body []byte) (n int64, err error) {
-	if len(body) <= together {
+	if len(body) <= maxJoinedBody {
 		c.buf = append(head, body...)
 		k, err := c.nc.Write(c.buf)
 		return int64(k), err
@@ -196,27 +196,27 @@
 	return bs.WriteTo(c.nc)
 }
 
-// elsewhere is called while a repeatable request waits for longer than is plausible:
-// it asks another run besides (design 13.14), unless one is being asked.
-func (n *Node) elsewhere(x *exchange) {
-	if x.besides() != nil || !x.more() {
+// hedge is called when a repeatable request has waited longer than is plausible: it asks
+// a second run in parallel (design 13.14), unless one is being asked already.
+func (n *Node) hedge(x *exchange) {
+	if x.hedgeInProgress() != nil || !x.canSend() {
 		return
 	}
-	g := x.svc.take(x)
+	g := x.svc.tryAcquire(x)
 	if g.e == nil {
 		return
 	}
 	done := make(chan struct{})
 	x.mu.Lock()
-	x.hedge = done
+	x.hedgeDone = done
 	x.mu.Unlock()
-	x.shared = true
+	x.buffersShared = true
 	n.stats.hedges.Add(1)
 	go func() {
 		n.attempt(x, g)
 		n.leavePassed(x, g)
 		x.mu.Lock()
-		x.hedge = nil
+		x.hedgeDone = nil
 		x.mu.Unlock()
 		close(done)
 	}()
--- a/internal/proxy/bench_test.go
+++ b/internal/proxy/bench_test.go
@@ -17,8 +17,8 @@
 // BenchmarkRequest is one request over loopback, kept connections on both sides. The
 // stand-in target and the caller are in the figures, too.
 func BenchmarkRequest(b *testing.B) {
-	n := New(Parts{Settings: Settings{ID: "f", Zone: "a", Dialect: dialect}, Clock: clock.Wall{}})
-	n.TakeItems([]item.Item{
+	n := New(Options{Settings: Settings{ID: "f", Zone: "a", Headers: dialect}, Clock: clock.Wall{}})
+	n.ApplyItems([]item.Item{
 		route.Service{Name: "svc", Version: 1}.Item(),
 		route.Route{Name: "r", Version: 1, Host: "h", Prefix: "/a/", Repeat: route.Idempotent, Attempts: 2, AimMS: 400, Shares: []route.Share{{Service: "svc", Weight: 1}}}.Item(),
 	})
@@ -49,7 +49,7 @@
 			}()
 		}
 	}()
-	n.TakeRuns([]target.Run{{ID: "t", Service: "svc", Addr: to.Addr().String(), Zone: "a", Slots: 4, State: target.Ready, Seq: 1}})
+	n.ApplyRuns([]target.Run{{ID: "t", Service: "svc", Addr: to.Addr().String(), Zone: "a", Slots: 4, State: target.Ready, Seq: 1}})
 	ln := loopback{}.listen()
 	go func() { _ = n.Serve(ln) }()
 	defer ln.Close()
--- a/internal/proxy/body.go
+++ b/internal/proxy/body.go
@@ -14,23 +14,23 @@
 )
 
 const (
-	// step is how much of a body is made room for at once: a length that is only
-	// claimed costs nothing.
-	step = 64 << 10
-	// maxTrailer bounds the trailer of a chunked body, which is read and dropped.
+	// readStep is how much memory is reserved for a body at once, so that a large claimed
+	// length alone costs nothing.
+	readStep = 64 << 10
+	// maxTrailer bounds the trailer of a chunked body, which is read and discarded.
 	maxTrailer = 8 << 10
-	// chunked is how fasthttp tells that a body comes in chunks.
-	chunked = -1
+	// chunkedLength is the ContentLength that fasthttp reports for a chunked body.
+	chunkedLength = -1
 )
 
-// readBody appends a body of n bytes, or in chunks, to dst. An end that comes before
-// the framing's own is an error. room is asked before each growth.
-func readBody(r *bufio.Reader, n, most int, dst []byte, room func(int) bool) ([]byte, error) {
+// readBody appends a body of n bytes, or a chunked one, to dst. Input that ends before the
+// framing does is an error. reserve is called before each growth.
+func readBody(r *bufio.Reader, n, limit int, dst []byte, reserve func(int) bool) ([]byte, error) {
 	if n >= 0 {
-		if n > most {
+		if n > limit {
 			return dst, errTooLarge
 		}
-		return readFixed(r, n, dst, room)
+		return readFixed(r, n, dst, reserve)
 	}
 	for {
 		size, err := chunkSize(r)
@@ -40,51 +40,51 @@
 		if size == 0 {
 			return dst, readTrailer(r)
 		}
-		if size > most-len(dst) {
+		if size > limit-len(dst) {
 			return dst, errTooLarge
 		}
-		if dst, err = readFixed(r, size, dst, room); err != nil {
+		if dst, err = readFixed(r, size, dst, reserve); err != nil {
 			return dst, err
 		}
-		if err := crlf(r); err != nil {
+		if err := readCRLF(r); err != nil {
 			return dst, err
 		}
 	}
 }
 
-func readFixed(r *bufio.Reader, n int, dst []byte, room func(int) bool) ([]byte, error) {
+func readFixed(r *bufio.Reader, n int, dst []byte, reserve func(int) bool) ([]byte, error) {
 	for n > 0 {
-		k := min(n, step)
-		if !room(k) {
+		k := min(n, readStep)
+		if !reserve(k) {
 			return dst, errMemory
 		}
 		at := len(dst)
 		dst = slices.Grow(dst, k)[:at+k]
 		if m, err := io.ReadFull(r, dst[at:]); err != nil {
-			return dst[:at+m], early(err)
+			return dst[:at+m], unexpectedEOF(err)
 		}
 		n -= k
 	}
 	return dst, nil
 }
 
-// early turns a clean end in the middle of a message into what it is.
-func early(err error) error {
+// unexpectedEOF turns io.EOF in the middle of a message into io.ErrUnexpectedEOF.
+func unexpectedEOF(err error) error {
 	if err == io.EOF {
 		return io.ErrUnexpectedEOF
 	}
 	return err
 }
 
-// chunkSize reads the line before a chunk. It is strict: what two readers may take
-// for two things would let one request hide in another.
+// chunkSize reads the chunk-size line. It is strict: input that two parsers may read
+// differently would allow request smuggling.
 func chunkSize(r *bufio.Reader) (int, error) {
 	line, err := r.ReadSlice('\n')
 	if err == bufio.ErrBufferFull {
 		return 0, errFraming
 	}
 	if err != nil {
-		return 0, early(err)
+		return 0, unexpectedEOF(err)
 	}
 	n, digits := 0, 0
 	for i, c := range line {
@@ -109,11 +109,11 @@
 	return 0, errFraming
 }
 
-func crlf(r *bufio.Reader) error {
+func readCRLF(r *bufio.Reader) error {
 	for _, want := range []byte("\r\n") {
 		c, err := r.ReadByte()
 		if err != nil {
-			return early(err)
+			return unexpectedEOF(err)
 		}
 		if c != want {
 			return errFraming
@@ -122,7 +122,7 @@
 	return nil
 }
 
-// readTrailer reads to the empty line that ends a chunked body.
+// readTrailer reads up to the empty line that ends a chunked body.
 func readTrailer(r *bufio.Reader) error {
 	for n := 0; ; {
 		line, err := r.ReadSlice('\n')
@@ -130,7 +130,7 @@
 			return errFraming
 		}
 		if err != nil {
-			return early(err)
+			return unexpectedEOF(err)
 		}
 		if len(line) < 2 || line[len(line)-2] != '\r' {
 			return errFraming
--- a/internal/proxy/body_test.go
+++ b/internal/proxy/body_test.go
@@ -11,10 +11,10 @@
 	"testing"
 )
 
-func anyRoom(int) bool { return true }
+func noLimit(int) bool { return true }
 
 func TestReadBody(t *testing.T) {
-	big := strings.Repeat("b", 3*step+5)
+	big := strings.Repeat("b", 3*readStep+5)
 	for _, c := range []struct {
 		name, in string
 		size     int
@@ -44,7 +44,7 @@
 		{"long trailer", "0\r\n" + strings.Repeat("T: "+strings.Repeat("v", 100)+"\r\n", 100) + "\r\n", -1, "", errFraming, ""},
 	} {
 		r := bufio.NewReader(strings.NewReader(c.in))
-		b, err := readBody(r, c.size, 512<<10, nil, anyRoom)
+		b, err := readBody(r, c.size, 512<<10, nil, noLimit)
 		if !errors.Is(err, c.err) || err == nil && string(b) != c.want {
 			t.Errorf("%s: %d bytes, %v", c.name, len(b), err)
 		}
@@ -52,21 +52,21 @@
 			t.Errorf("%s: left %q", c.name, rest)
 		}
 	}
-	asked := 0
-	_, err := readBody(bufio.NewReader(strings.NewReader(big)), len(big), 1<<20, nil, func(k int) bool { asked += k; return asked <= step })
-	if err != errMemory || asked > 2*step {
-		t.Errorf("%v after %d", err, asked)
+	reserved := 0
+	_, err := readBody(bufio.NewReader(strings.NewReader(big)), len(big), 1<<20, nil, func(k int) bool { reserved += k; return reserved <= readStep })
+	if err != errMemory || reserved > 2*readStep {
+		t.Errorf("%v after %d", err, reserved)
 	}
 }
 
-// FuzzChunks: what is read as whole is read alike by the standard library, and nothing
-// behind it is taken.
+// FuzzChunks checks that what is read as complete is read the same way by the standard library,
+// and that nothing after it is consumed.
 func FuzzChunks(f *testing.F) {
 	for _, s := range []string{"2\r\nab\r\n0\r\n\r\n", "a;b\r\n0123456789\r\n0\r\nT: v\r\n\r\n", "0\r\n\r\nGET", "1\r\n\r\n\r\n"} {
 		f.Add([]byte(s))
 	}
 	f.Fuzz(func(t *testing.T, in []byte) {
-		b, err := readBody(bufio.NewReader(bytes.NewReader(in)), chunked, 1<<20, nil, anyRoom)
+		b, err := readBody(bufio.NewReader(bytes.NewReader(in)), chunkedLength, 1<<20, nil, noLimit)
 		if err != nil {
 			return
 		}
@@ -79,7 +79,7 @@
 
 func TestKeepAlive(t *testing.T) {
 	for v, want := range map[string]string{"timeout=10": "9s", "timeout=1": "700ms", "max=5, timeout=2": "1.7s", "": "5s", "timeout=x": "5s", "timeout=0": "0s", "Timeout = 4": "3.6s"} {
-		if got := keepAlive([]byte(v)); fmt.Sprint(got) != want {
+		if got := keepAliveTimeout([]byte(v)); fmt.Sprint(got) != want {
 			t.Errorf("%q: %v, want %v", v, got, want)
 		}
 	}
--- a/internal/proxy/bulk.go
+++ b/internal/proxy/bulk.go
@@ -8,50 +8,50 @@
 )
 
 const (
-	// wideMbps is the width of a link from which on large bodies do not hold small
-	// messages up.
-	wideMbps = 50
-	// bulkPart is the part of a narrow link that large bodies use together: what is left
-	// keeps the queue short in which requests, answers and news wait behind them. These need
-	// no more for the link being wider, so no more than spareMbps is left.
-	bulkPart  = 0.6
-	spareMbps = 1.28
-	// bulkFrom is the size from which a body is large, and bulkStep what of it is passed
-	// on at once.
-	bulkFrom, bulkStep = 16 << 10, 4 << 10
+	// wideLinkMbps is the link rate from which large bodies no longer delay small
+	// messages.
+	wideLinkMbps = 50
+	// largeBodyShare is the part of a narrow link that all large bodies use together. The rest keeps
+	// the link queue short, in which requests, answers and updates wait behind them. Their demand does
+	// not grow with the link rate, so at most maxReservedMbps is kept free.
+	largeBodyShare  = 0.6
+	maxReservedMbps = 1.28
+	// largeBodySize is the size from which a body is large; largeBodyStep is how much of it is
+	// transferred at once.
+	largeBodySize, largeBodyStep = 16 << 10, 4 << 10
 )
 
-// bulk paces large bodies in one direction of a narrow link. A link is one queue: what
-// a fast writer puts into it at once, all others wait for.
-type bulk struct {
-	n   *Node
-	lim *rate.Limiter // nil for a wide link
+// bodyPacer limits the rate of large bodies in one direction of a narrow link. The link is a single
+// queue: everything waits behind what a fast writer puts into it at once.
+type bodyPacer struct {
+	n       *Node
+	limiter *rate.Limiter // nil for a wide link
 }
 
-func newBulk(n *Node, mbps float64) bulk {
-	if mbps <= 0 || mbps >= wideMbps {
-		return bulk{n: n}
+func newBodyPacer(n *Node, mbps float64) bodyPacer {
+	if mbps <= 0 || mbps >= wideLinkMbps {
+		return bodyPacer{n: n}
 	}
-	return bulk{n, rate.NewLimiter(rate.Limit(bulkMbps(mbps)*1e6/8), 2*bulkStep)}
+	return bodyPacer{n, rate.NewLimiter(rate.Limit(largeBodyMbps(mbps)*1e6/8), 2*largeBodyStep)}
 }
 
-// widen gives large bodies the whole link: a node that takes no more callers has nothing else to send.
-func (b bulk) widen(mbps float64) {
-	if b.lim != nil {
-		b.lim.SetLimit(rate.Limit(mbps * 1e6 / 8))
+// useWholeLink lets large bodies use the whole link, once a node accepts no more callers and has nothing else to send.
+func (b bodyPacer) useWholeLink(mbps float64) {
+	if b.limiter != nil {
+		b.limiter.SetLimit(rate.Limit(mbps * 1e6 / 8))
 	}
 }
 
-// bulkMbps is what large bodies use together of a narrow link.
-func bulkMbps(mbps float64) float64 { return max(bulkPart*mbps, mbps-spareMbps) }
+// largeBodyMbps is the rate that all large bodies together may use on a narrow link.
+func largeBodyMbps(mbps float64) float64 { return max(largeBodyShare*mbps, mbps-maxReservedMbps) }
 
-// wait returns when k bytes more of a body of size may pass, or at until.
-func (b bulk) wait(size, k int, until time.Time) {
-	if b.lim == nil || size < bulkFrom {
+// wait returns when the next k bytes of a body with the given size may be transferred, or at until.
+func (b bodyPacer) wait(size, k int, until time.Time) {
+	if b.limiter == nil || size < largeBodySize {
 		return
 	}
 	now := b.n.clock.Now()
-	d := b.lim.ReserveN(now, min(k, 2*bulkStep)).DelayFrom(now)
+	d := b.limiter.ReserveN(now, min(k, 2*largeBodyStep)).DelayFrom(now)
 	if d = min(d, until.Sub(now)); d > 0 {
 		_ = b.n.clock.Sleep(context.Background(), d)
 	}
--- a/internal/proxy/bytes_test.go
+++ b/internal/proxy/bytes_test.go
@@ -12,12 +12,12 @@
 	"walkrudder/internal/route"
 )
 
-// TestBytesUnchanged: method, path, query and body reach the target as they came, also
-// where they look like something else.
+// TestBytesUnchanged checks that method, path, query and body reach the target unchanged, even
+// if they look like something else.
 func TestBytesUnchanged(t *testing.T) {
-	l := newLab(t, loopback{}, nil)
+	l := newHarness(t, loopback{}, nil)
 	l.routes(1)
-	l.stand("one", nil, sealed)
+	l.startTarget("one", nil, serveOK)
 	c := l.client()
 	defer c.c.Close()
 	paths := []string{"/once/a%2F..//b/./../c;x=1?q=%00&&a=//../&b=%zz", "/once/%2e%2e/x", "/once/ü\"<>|?a=b?c#d", "/once/?", "/once/x?\\"}
@@ -41,24 +41,24 @@
 			if err != nil || !g.proper(id) {
 				t.Fatalf("%s %s: %+v, %v", m, p, g, err)
 			}
-			all := l.arrivals()
+			all := l.requests()
 			if s := all[len(all)-1]; s.method != m || s.uri != p || string(s.body) != body || s.id != id || s.host != "h" {
 				t.Errorf("sent %s %s, arrived %+v", m, p, s)
 			}
 		}
 	}
-	if n := len(l.arrivals()); n != 6*len(paths) {
+	if n := len(l.requests()); n != 6*len(paths) {
 		t.Errorf("%d arrived", n)
 	}
 }
 
-// TestFields: fields of one connection stay behind, others go on; a caller names no
-// run; what is left of the time is told.
+// TestFields checks that hop-by-hop fields are removed and others forwarded, that a caller can't
+// select the run, and that the target gets the remaining time.
 func TestFields(t *testing.T) {
-	l := newLab(t, loopback{}, nil)
+	l := newHarness(t, loopback{}, nil)
 	l.routes(1)
-	l.stand("one", nil, func(l *lab, c net.Conn, s *seen) bool {
-		return say(c, "200 OK", s.id, "X-Seal: s\r\nX-Own: 1\r\nX-Own: 2\r\nSet-Cookie: a=b\r\nSet-Cookie: c=d\r\nKeep-Alive: timeout=9\r\nUpgrade: x\r\n", bodyOf(s.id))
+	l.startTarget("one", nil, func(l *harness, c net.Conn, s *receivedRequest) bool {
+		return writeAnswer(c, "200 OK", s.id, "X-Seal: s\r\nX-Own: 1\r\nX-Own: 2\r\nSet-Cookie: a=b\r\nSet-Cookie: c=d\r\nKeep-Alive: timeout=9\r\nUpgrade: x\r\n", answerBody(s.id))
 	})
 	c := l.client()
 	defer c.c.Close()
@@ -70,28 +70,28 @@
 	if err != nil || !g.proper("q1") {
 		t.Fatalf("%+v, %v", g, err)
 	}
-	if len(g.head["X-Own"]) != 2 || len(g.head["Set-Cookie"]) != 2 || g.head.Get("Upgrade") != "" || strings.Contains(g.head.Get("Keep-Alive"), "9") && g.head.Get("Keep-Alive") == "timeout=9" {
-		t.Errorf("answer %v", g.head)
+	if len(g.header["X-Own"]) != 2 || len(g.header["Set-Cookie"]) != 2 || g.header.Get("Upgrade") != "" || strings.Contains(g.header.Get("Keep-Alive"), "9") && g.header.Get("Keep-Alive") == "timeout=9" {
+		t.Errorf("answer %v", g.header)
 	}
-	s := l.arrivals()[0].head
+	s := l.requests()[0].header
 	if s.Get("X-Lower") != "1" || len(s["X-Twice"]) != 2 || s.Get("Cookie") != "k=v" || s.Get("User-Agent") != "u" {
 		t.Errorf("missing: %v", s)
 	}
 	if s.Get("X-Hop") != "" || s.Get("Te") != "" || s.Get("Upgrade") != "" || s.Get("Connection") != "" || len(s["X-Run"]) != 1 || s.Get("X-Run") != "one" {
 		t.Errorf("too much: %v", s)
 	}
-	if left, ok := number([]byte(s.Get("X-Left"))); !ok || left <= 0 || left >= 5000 || len(s["X-Left"]) != 1 {
+	if left, ok := parseDigits([]byte(s.Get("X-Left"))); !ok || left <= 0 || left >= 5000 || len(s["X-Left"]) != 1 {
 		t.Errorf("left %v", s["X-Left"])
 	}
 }
 
-// TestRefusedHeads: what two readers may take for two things is refused, and nothing of
-// it reaches a target.
+// TestRefusedHeads checks that ambiguous request heads are refused and that nothing of them
+// reaches a target.
 func TestRefusedHeads(t *testing.T) {
-	l := newLab(t, loopback{}, nil)
+	l := newHarness(t, loopback{}, nil)
 	l.routes(1)
-	l.node.TakeItems([]item.Item{route.Limits{Version: 1, HeaderBytes: 6000, BodyBytes: 100, HeaderMS: 5000, IdleMS: 5000}.Item()})
-	l.stand("one", nil, sealed)
+	l.node.ApplyItems([]item.Item{route.Limits{Version: 1, HeaderBytes: 6000, BodyBytes: 100, HeaderMS: 5000, IdleMS: 5000}.Item()})
+	l.startTarget("one", nil, serveOK)
 	base := "POST /once/x HTTP/1.1\r\nHost: h\r\nX-Id: q\r\n"
 	for text, want := range map[string]int{
 		base + "Content-Length: 1\r\nContent-Length: 2\r\n\r\nab":                 400,
@@ -115,24 +115,24 @@
 		"GET /once/x y HTTP/1.1\r\nHost: h\r\nX-Id: q\r\n\r\n":                    400,
 		"garble\r\n\r\n": 400,
 	} {
-		if got, body := raw(t, l, text); got != want {
+		if got, body := sendRawText(t, l, text); got != want {
 			t.Errorf("%.120q: %d (%s), want %d", text, got, body, want)
 		}
 	}
-	if n := l.arrivals(); len(n) != 0 {
+	if n := l.requests(); len(n) != 0 {
 		t.Errorf("%d reached a target", len(n))
 	}
-	// A large head within the limit is no trouble.
-	if got, _ := raw(t, l, base+"X-Big: "+strings.Repeat("b", 5000)+"\r\nContent-Length: 2\r\n\r\nab"); got != 200 {
+	// A large head within the limit is accepted.
+	if got, _ := sendRawText(t, l, base+"X-Big: "+strings.Repeat("b", 5000)+"\r\nContent-Length: 2\r\n\r\nab"); got != 200 {
 		t.Errorf("a head of 5000 bytes: %d", got)
 	}
 }
 
-// TestPipelined: what comes behind a request is the next one, not a part of it.
+// TestPipelined checks that bytes after a request are read as the next request.
 func TestPipelined(t *testing.T) {
-	l := newLab(t, loopback{}, nil)
+	l := newHarness(t, loopback{}, nil)
 	l.routes(1)
-	l.stand("one", nil, sealed)
+	l.startTarget("one", nil, serveOK)
 	c := l.client()
 	defer c.c.Close()
 	if _, err := io.WriteString(c.c, "GET /once/1 HTTP/1.1\r\nHost: h\r\nX-Id: q1\r\n\r\nPOST /once/2 HTTP/1.1\r\nHost: h\r\nX-Id: q2\r\nContent-Length: 3\r\n\r\nabcHEAD /once/3 HTTP/1.1\r\nHost: h\r\nX-Id: q3\r\n\r\n"); err != nil {
@@ -143,18 +143,18 @@
 			t.Errorf("%+v, %v", g, err)
 		}
 	}
-	for i, s := range l.arrivals() {
+	for i, s := range l.requests() {
 		if s.uri != fmt.Sprint("/once/", i+1) {
 			t.Errorf("%+v", s)
 		}
 	}
 }
 
-// TestContinue: a caller that waits for a word before its body gets one.
+// TestContinue checks that a caller that expects 100 Continue gets it before sending the body.
 func TestContinue(t *testing.T) {
-	l := newLab(t, loopback{}, nil)
+	l := newHarness(t, loopback{}, nil)
 	l.routes(1)
-	l.stand("one", nil, sealed)
+	l.startTarget("one", nil, serveOK)
 	c := l.client()
 	defer c.c.Close()
 	if err := c.send("POST", "/once/x", "q1", 5*time.Second, "Expect: 100-continue\r\nContent-Length: 3\r\n", ""); err != nil {
@@ -169,18 +169,18 @@
 	if _, err := io.WriteString(c.c, "abc"); err != nil {
 		t.Fatal(err)
 	}
-	if g, err := c.read(); err != nil || !g.proper("q1") || string(l.arrivals()[0].body) != "abc" {
+	if g, err := c.read(); err != nil || !g.proper("q1") || string(l.requests()[0].body) != "abc" {
 		t.Errorf("%+v, %v", g, err)
 	}
 }
 
-// TestLargeBodies go both ways whole, and leave no memory held.
+// TestLargeBodies checks that large bodies pass in both directions completely and that all memory is released.
 func TestLargeBodies(t *testing.T) {
-	l := newLab(t, loopback{}, nil)
+	l := newHarness(t, loopback{}, nil)
 	l.routes(1)
 	big := strings.Repeat("0123456789abcdef", 1<<16)
-	l.stand("one", nil, func(l *lab, c net.Conn, s *seen) bool {
-		return string(s.body) == big && say(c, "200 OK", s.id, "X-Seal: s\r\n", big)
+	l.startTarget("one", nil, func(l *harness, c net.Conn, s *receivedRequest) bool {
+		return string(s.body) == big && writeAnswer(c, "200 OK", s.id, "X-Seal: s\r\n", big)
 	})
 	for i := range 3 {
 		c := l.client()
@@ -198,22 +198,22 @@
 	}
 }
 
-// TestOverfull: a node that holds too much turns bodies away at once, and a caller that
-// reads slowly stops no other.
+// TestOverfull checks that a node at its memory limit refuses bodies at once, and that a slow
+// caller does not block others.
 func TestOverfull(t *testing.T) {
-	l := newLab(t, loopback{}, func(s *Settings) { s.MemoryMB = 1 })
+	l := newHarness(t, loopback{}, func(s *Settings) { s.MemoryMB = 1 })
 	l.routes(1)
-	l.stand("one", nil, sealed)
-	slow := l.client()
-	defer slow.c.Close()
-	if err := slow.send("POST", "/once/x", "slow", 10*time.Second, "Content-Length: 1000000\r\n", ""); err != nil {
+	l.startTarget("one", nil, serveOK)
+	slowCaller := l.client()
+	defer slowCaller.c.Close()
+	if err := slowCaller.send("POST", "/once/x", "slow", 10*time.Second, "Content-Length: 1000000\r\n", ""); err != nil {
 		t.Fatal(err)
 	}
-	if g := l.call("/once/x", "q1", 5*time.Second); !g.proper("q1") {
+	if g := l.request("/once/x", "q1", 5*time.Second); !g.proper("q1") {
 		t.Errorf("beside a slow caller: %+v", g)
 	}
-	status, _ := raw(t, l, "POST /once/x HTTP/1.1\r\nHost: h\r\nX-Id: q2\r\nContent-Length: 300000\r\n\r\n"+strings.Repeat("x", 300000))
-	if status != 503 || l.runs("q2") != 0 {
-		t.Errorf("%d, ran %d times", status, l.runs("q2"))
+	status, _ := sendRawText(t, l, "POST /once/x HTTP/1.1\r\nHost: h\r\nX-Id: q2\r\nContent-Length: 300000\r\n\r\n"+strings.Repeat("x", 300000))
+	if status != 503 || l.runCount("q2") != 0 {
+		t.Errorf("%d, ran %d times", status, l.runCount("q2"))
 	}
 }
--- a/internal/proxy/caller.go
+++ b/internal/proxy/caller.go
@@ -16,78 +16,78 @@
 )
 
 const (
-	// smallHead is the first buffer of a caller's connection; a larger head gets a
-	// larger one, up to the limit.
-	smallHead = 4 << 10
-	// base is what a request is taken to hold besides its body.
-	base = 8 << 10
-	// unknownWait is how long a caller is taken to wait that does not say.
-	unknownWait = 30 * time.Second
+	// initialBufferSize is the first read buffer of a caller's connection; a larger request
+	// head gets a larger buffer, up to the limit.
+	initialBufferSize = 4 << 10
+	// requestOverhead is the memory charged for a request in addition to its body.
+	requestOverhead = 8 << 10
+	// defaultCallerTimeout is used for callers that do not send their remaining time.
+	defaultCallerTimeout = 30 * time.Second
 )
 
-var readers = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, smallHead) }}
+var readerPool = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, initialBufferSize) }}
 
-// caller is one connection of a caller. Its goroutine reads a request, leads it to a
+// callerConn is the connection of a caller. Its goroutine reads a request, forwards it to a
 // target and writes the answer.
-type caller struct {
+type callerConn struct {
 	n      *Node
 	nc     net.Conn
 	r      *bufio.Reader
 	h      fasthttp.RequestHeader
-	writer answerWriter // of the answer that is written now
-	// leads is the request that waits for its answer; nil is none.
-	leads atomic.Pointer[exchange]
-	// serves is the request that was read and is not answered yet; nil is none.
-	serves atomic.Pointer[exchange]
+	writer answerWriter // of the answer being written
+	// awaiting is the request that waits for its answer, or nil.
+	awaiting atomic.Pointer[exchange]
+	// current is the request that was read and is not answered yet, or nil.
+	current atomic.Pointer[exchange]
 
-	mu    sync.Mutex
-	idle  bool // waits for the first byte of a request
-	first time.Time
-	// expects says that the caller waits for a word before it sends the body.
-	expects bool
+	mu          sync.Mutex
+	idle        bool // waiting for the first byte of a request
+	firstByteAt time.Time
+	// expectContinue is set if the caller waits for 100 Continue before it sends the body.
+	expectContinue bool
 }
 
-// refused is an answer of this node's own to a request that it does not lead.
-type refused struct {
-	status int
-	why    string
-	retry  time.Duration
-	id     []byte
-	keep   bool // the request was read whole, so the connection may stay
+// rejection is an answer that the node itself gives to a request that it does not forward.
+type rejection struct {
+	status     int
+	reason     string
+	retryAfter time.Duration
+	requestID  []byte
+	keepOpen   bool // the request was read completely, so the connection can be reused
 }
 
-func (c *caller) serve() {
-	c.r = readers.Get().(*bufio.Reader)
+func (c *callerConn) serve() {
+	c.r = readerPool.Get().(*bufio.Reader)
 	c.r.Reset(c.nc)
 	defer func() {
 		_ = c.nc.Close()
-		if c.r.Size() == smallHead {
+		if c.r.Size() == initialBufferSize {
 			c.r.Reset(nil)
-			readers.Put(c.r)
+			readerPool.Put(c.r)
 		}
 	}()
-	for c.rest() && c.one() {
+	for c.waitForRequest() && c.serveOne() {
 	}
 }
 
-// limits are the bounds that stand, with defaults until some are known.
+// limits returns the configured limits, with defaults until they are known.
 func (n *Node) limits() route.Limits {
 	l := n.view.Load().limits
-	def(&l.HeaderBytes, 32<<10)
-	def(&l.BodyBytes, 64<<20)
-	def(&l.HeaderMS, 5000)
-	def(&l.IdleMS, 60000)
+	setDefault(&l.HeaderBytes, 32<<10)
+	setDefault(&l.BodyBytes, 64<<20)
+	setDefault(&l.HeaderMS, 5000)
+	setDefault(&l.IdleMS, 60000)
 	return l
 }
 
-// rest waits for the first byte of a request. Whoever stops the node ends the wait by
-// the deadline and touches no connection that is past it, so no request is lost.
-func (c *caller) rest() bool {
+// waitForRequest waits for the first byte of a request. A planned stop ends the wait by setting the
+// deadline and does not touch connections that are past it, so no request is lost.
+func (c *callerConn) waitForRequest() bool {
 	c.mu.Lock()
 	c.idle = true
 	d := c.n.clock.Now().Add(time.Duration(c.n.limits().IdleMS) * time.Millisecond)
-	if c.n.leaving.Load() {
-		d = past
+	if c.n.closingIdle.Load() {
+		d = pastDeadline
 	}
 	err := c.nc.SetReadDeadline(d)
 	c.mu.Unlock()
@@ -101,69 +101,69 @@
 	if err != nil {
 		return false
 	}
-	c.first = c.n.clock.Now()
-	return c.nc.SetReadDeadline(c.first.Add(time.Duration(c.n.limits().HeaderMS)*time.Millisecond)) == nil
+	c.firstByteAt = c.n.clock.Now()
+	return c.nc.SetReadDeadline(c.firstByteAt.Add(time.Duration(c.n.limits().HeaderMS)*time.Millisecond)) == nil
 }
 
-// release ends the wait for a request, if the caller is in it.
-func (c *caller) release() {
+// interruptIdle ends the wait for a request if the connection is idle.
+func (c *callerConn) interruptIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.idle {
-		_ = c.nc.SetReadDeadline(past)
+		_ = c.nc.SetReadDeadline(pastDeadline)
 	}
 }
 
-// one serves one request and tells whether the connection stays.
-func (c *caller) one() bool {
+// serveOne serves one request and reports whether the connection stays open.
+func (c *callerConn) serveOne() bool {
 	n := c.n
 	n.stats.inside.Add(1)
 	defer n.stats.inside.Add(-1)
-	l := n.limits()
-	if why := c.readHead(l); why != nil {
-		return why.status != 0 && c.refuse(why)
+	limits := n.limits()
+	if rejected := c.readHead(limits); rejected != nil {
+		return rejected.status != 0 && c.refuse(rejected)
 	}
 	n.stats.requests.Add(1)
-	x, why := c.request(l)
-	if why == nil {
-		why = n.place(x)
+	x, rejected := c.readRequest(limits)
+	if rejected == nil {
+		rejected = n.matchRoute(x)
 	}
 	if !c.h.IsHTTP11() {
 		c.h.SetConnectionClose()
 	}
-	if why != nil {
+	if rejected != nil {
 		if x != nil {
 			x.free()
 		}
-		return c.refuse(why)
+		return c.refuse(rejected)
 	}
-	c.serves.Store(x)
-	defer c.serves.Store(nil)
-	c.leads.Store(x)
+	c.current.Store(x)
+	defer c.current.Store(nil)
+	c.awaiting.Store(x)
 	a := n.lead(x)
-	c.leads.Store(nil)
-	x.progress.enter(answering)
+	c.awaiting.Store(nil)
+	x.progress.setStage(stageAnswering)
 	keep := c.write(a, x.noBody, !c.h.ConnectionClose())
-	if a.passing != nil {
-		a.passing.stop()
+	if a.stream != nil {
+		a.stream.abort()
 	}
-	n.downs.over(a)
-	n.release(a)
+	n.downloads.endDelivery(a)
+	n.releaseAnswer(a)
 	a.free()
 	x.free()
 	return keep
 }
 
-// readHead reads request line and fields. A refusal without status is a connection
-// that ended before a request began.
-func (c *caller) readHead(l route.Limits) *refused {
+// readHead reads the request line and the header fields. A rejection without a status means that
+// the connection ended before a request began.
+func (c *callerConn) readHead(limits route.Limits) *rejection {
 	for {
 		c.h.DisableNormalizing()
 		c.h.SetNoDefaultContentType(true)
 		err := c.h.Read(c.r)
 		if err == nil {
-			if len(c.h.RawHeaders())+len(c.h.RequestURI()) > l.HeaderBytes {
-				return &refused{status: 431, why: "the head is too large"}
+			if len(c.h.RawHeaders())+len(c.h.RequestURI()) > limits.HeaderBytes {
+				return &rejection{status: 431, reason: "the head is too large"}
 			}
 			return nil
 		}
@@ -171,96 +171,96 @@
 		var ne net.Error
 		switch {
 		case errors.As(err, &small):
-			if c.r.Size() >= l.HeaderBytes+len("\r\n\r\n") {
-				return &refused{status: 431, why: "the head is too large"}
+			if c.r.Size() >= limits.HeaderBytes+len("\r\n\r\n") {
+				return &rejection{status: 431, reason: "the head is too large"}
 			}
 			b, _ := c.r.Peek(c.r.Buffered())
 			in := io.MultiReader(bytes.NewReader(bytes.Clone(b)), c.nc)
-			c.r = bufio.NewReaderSize(in, l.HeaderBytes+len("\r\n\r\n"))
+			c.r = bufio.NewReaderSize(in, limits.HeaderBytes+len("\r\n\r\n"))
 		case errors.Is(err, io.EOF):
-			return &refused{}
+			return &rejection{}
 		case errors.As(err, &ne) && ne.Timeout():
-			return &refused{status: 408, why: "the head did not come in time"}
+			return &rejection{status: 408, reason: "the head did not come in time"}
 		case errors.As(err, new(*net.OpError)), errors.As(err, new(fasthttp.ErrNothingRead)):
-			return &refused{}
+			return &rejection{}
 		default:
 			c.n.stats.malformed.Add(1)
-			return &refused{status: 400, why: "the head can't be read"}
+			return &rejection{status: 400, reason: "the head can't be read"}
 		}
 	}
 }
 
-// request checks the head, and reads the body.
-func (c *caller) request(l route.Limits) (*exchange, *refused) {
-	n, h, d := c.n, &c.h, &c.n.set.Dialect
-	x := &exchange{n: n, came: c.first, noBody: h.IsHead(), host: h.Host()}
-	bad := func(why string) (*exchange, *refused) {
+// readRequest validates the head and reads the body.
+func (c *callerConn) readRequest(limits route.Limits) (*exchange, *rejection) {
+	n, h, d := c.n, &c.h, &c.n.settings.Headers
+	x := &exchange{n: n, receivedAt: c.firstByteAt, noBody: h.IsHead(), host: h.Host()}
+	badRequest := func(why string) (*exchange, *rejection) {
 		n.stats.malformed.Add(1)
-		return x, &refused{status: 400, why: why, id: x.id}
+		return x, &rejection{status: 400, reason: why, requestID: x.id}
 	}
-	wait, hosts, lengths, codings, ids := unknownWait, 0, 0, 0, 0
-	var drop [][]byte
-	c.expects = false
+	timeout, hosts, lengths, codings, ids := defaultCallerTimeout, 0, 0, 0, 0
+	var connectionFields [][]byte
+	c.expectContinue = false
 	for k, v := range h.AllInOrder() {
 		switch {
 		case bytes.IndexByte(k, ' ') >= 0:
-			// Read as another field by some: a request could hide behind it.
-			return bad("a blank in a field's name")
-		case same(k, "Host"):
+			// Some parsers read this as another field, which allows request smuggling.
+			return badRequest("a blank in a field's name")
+		case equalFieldName(k, "Host"):
 			hosts++
-		case same(k, "Content-Length"):
+		case equalFieldName(k, "Content-Length"):
 			lengths++
-		case same(k, "Transfer-Encoding"):
+		case equalFieldName(k, "Transfer-Encoding"):
 			codings++
-		case same(k, "Connection"):
-			for t := range tokens(v) {
-				drop = append(drop, t)
+		case equalFieldName(k, "Connection"):
+			for t := range listTokens(v) {
+				connectionFields = append(connectionFields, t)
 			}
-		case same(k, "Expect"):
-			c.expects = h.IsHTTP11() && lists(v, "100-continue")
-		case same(k, d.RequestID):
+		case equalFieldName(k, "Expect"):
+			c.expectContinue = h.IsHTTP11() && listContains(v, "100-continue")
+		case equalFieldName(k, d.RequestID):
 			ids++
 			x.id = bytes.Clone(v)
-		case same(k, d.Remaining):
-			if ms, ok := number(v); ok {
-				wait = time.Duration(ms) * time.Millisecond
+		case equalFieldName(k, d.RemainingTime):
+			if ms, ok := parseDigits(v); ok {
+				timeout = time.Duration(ms) * time.Millisecond
 			}
 		}
 	}
 	uri := h.RequestURI()
 	switch {
 	case ids != 1 || len(x.id) == 0:
-		return bad("one " + d.RequestID + " is wanted")
+		return badRequest("one " + d.RequestID + " is wanted")
 	case hosts != 1 || lengths > 1 || codings > 1 || lengths > 0 && codings > 0:
-		return bad("the head says two things")
+		return badRequest("the head says two things")
 	case uri[0] != '/' || bytes.IndexByte(uri, 0) >= 0:
-		return bad("a path is wanted")
+		return badRequest("a path is wanted")
 	}
 	x.path, _, _ = bytes.Cut(uri, []byte{'?'})
-	x.wait = wait
-	x.deadline = x.came.Add(wait)
-	x.head = n.appendRequest(getBuffer(), h, drop)
-	if why := c.readBody(x, l); why != nil {
+	x.timeout = timeout
+	x.deadline = x.receivedAt.Add(timeout)
+	x.head = n.appendRequest(getBuffer(), h, connectionFields)
+	if why := c.readBody(x, limits); why != nil {
 		return x, why
 	}
 	return x, nil
 }
 
-// appendRequest writes what of the request goes on as it came: method and path as
-// their bytes are, and all fields but those of this connection and those that each
-// attempt writes itself.
+// appendRequest appends the part of the head that is forwarded unchanged: the bytes of method
+// and URI, and all fields except hop-by-hop fields and those that each attempt writes
+// itself.
 func (n *Node) appendRequest(b []byte, h *fasthttp.RequestHeader, drop [][]byte) []byte {
-	d := &n.set.Dialect
+	d := &n.settings.Headers
 	b = append(b, h.Method()...)
 	b = append(b, ' ')
 	b = append(b, h.RequestURI()...)
 	b = append(b, " HTTP/1.1\r\n"...)
 	for k, v := range h.AllInOrder() {
 		switch {
-		case hop(k), same(k, "Content-Length"), same(k, "Expect"), same(k, d.Remaining), same(k, d.Expect):
+		case isHopByHop(k), equalFieldName(k, "Content-Length"), equalFieldName(k, "Expect"), equalFieldName(k, d.RemainingTime), equalFieldName(k, d.ExpectedRun):
 			continue
-		case same(k, d.RequestID), same(k, "Host"):
-		case named(drop, k):
+		case equalFieldName(k, d.RequestID), equalFieldName(k, "Host"):
+		case containsFold(drop, k):
 			continue
 		}
 		b = appendField(b, k, v)
@@ -268,7 +268,7 @@
 	return b
 }
 
-func named(list [][]byte, k []byte) bool {
+func containsFold(list [][]byte, k []byte) bool {
 	for _, t := range list {
 		if bytes.EqualFold(t, k) {
 			return true
@@ -277,40 +277,40 @@
 	return false
 }
 
-func (c *caller) readBody(x *exchange, l route.Limits) *refused {
+func (c *callerConn) readBody(x *exchange, limits route.Limits) *rejection {
 	n, size := c.n, c.h.ContentLength()
-	overfull := func() *refused {
+	overloaded := func() *rejection {
 		n.stats.overfull.Add(1)
-		return &refused{status: 503, why: "this node holds too much", retry: n.spreadOut(3 * minRetry), id: x.id}
+		return &rejection{status: 503, reason: "this node holds too much", retryAfter: n.jitter(3 * minRetryAfter), requestID: x.id}
 	}
-	if size > l.BodyBytes {
-		return &refused{status: 413, why: "the body is too large", id: x.id}
+	if size > limits.BodyBytes {
+		return &rejection{status: 413, reason: "the body is too large", requestID: x.id}
 	}
-	if !n.mem.take(base) {
-		return overfull()
+	if !n.memory.tryReserve(requestOverhead) {
+		return overloaded()
 	}
-	x.held = base
-	if size < chunked {
+	x.reservedBytes = requestOverhead
+	if size < chunkedLength {
 		return nil
 	}
-	x.framed = true
+	x.hasBody = true
 	if size == 0 {
 		return nil
 	}
-	if c.expects {
+	if c.expectContinue {
 		if _, err := c.writerFor().write([]byte("HTTP/1.1 100 Continue\r\n\r\n")); err != nil {
-			return &refused{}
+			return &rejection{}
 		}
 	}
 	if err := c.nc.SetReadDeadline(x.deadline); err != nil {
-		return &refused{}
+		return &rejection{}
 	}
 	var err error
-	x.body, err = readBody(c.r, size, l.BodyBytes, getBuffer(), func(k int) bool {
-		if !n.mem.take(k) {
+	x.body, err = readBody(c.r, size, limits.BodyBytes, getBuffer(), func(k int) bool {
+		if !n.memory.tryReserve(k) {
 			return false
 		}
-		x.held += k
+		x.reservedBytes += k
 		return true
 	})
 	var ne net.Error
@@ -318,14 +318,14 @@
 	case err == nil:
 		return nil
 	case errors.Is(err, errTooLarge):
-		return &refused{status: 413, why: "the body is too large", id: x.id}
+		return &rejection{status: 413, reason: "the body is too large", requestID: x.id}
 	case errors.Is(err, errMemory):
-		return overfull()
+		return overloaded()
 	case errors.Is(err, errFraming):
 		n.stats.malformed.Add(1)
-		return &refused{status: 400, why: "the body can't be read", id: x.id}
+		return &rejection{status: 400, reason: "the body can't be read", requestID: x.id}
 	case errors.As(err, &ne) && ne.Timeout():
-		return &refused{status: 408, why: "the body did not come in time", id: x.id}
+		return &rejection{status: 408, reason: "the body did not come in time", requestID: x.id}
 	}
-	return &refused{}
+	return &rejection{}
 }
--- a/internal/proxy/choice.go
+++ b/internal/proxy/choice.go
@@ -67,7 +67,7 @@
 		ids[i] = e.run.ID
 	}
 	out := make([]*endpoint, 0, min(len(es), s.runs))
-	for i, at := range spread.Order(s.n.set.ID, ids) {
+	for i, at := range spread.Order(s.n.settings.ID, ids) {
 		if i == s.runs {
 			break
 		}
@@ -147,7 +147,7 @@
 	bad := s.judge(now)
 	bestTier, bestScore := 0, 0.0
 	for _, e := range s.work {
-		if !e.takes() || x.once && e.onTrial() || x.didTry(e) || slices.ContainsFunc(bad, func(j judged) bool { return j.e == e }) {
+		if !e.takes() || x.atMostOnce && e.onTrial() || x.hasTried(e) || slices.ContainsFunc(bad, func(j judged) bool { return j.e == e }) {
 			continue
 		}
 		known = true
@@ -156,7 +156,7 @@
 			continue
 		}
 		score := (1 + underWay*float64(len(e.starts)) + spreadBias*e.rank) * float64(e.expected(now)) * e.far
-		if !e.warm(now, x.once) {
+		if !e.hasIdleConn(now, x.atMostOnce) {
 			score += float64(freshCost)
 		}
 		if best == nil || tier < bestTier || tier == bestTier && score < bestScore {
@@ -177,7 +177,7 @@
 	case e.room(now, slots) > 0:
 	case e.room(now, slots+1) > 0:
 		level = 1
-	case !x.once && e.room(now, 2*slots) > 0:
+	case !x.atMostOnce && e.room(now, 2*slots) > 0:
 		level = 2
 	default:
 		return -1
@@ -186,7 +186,7 @@
 	if x.kind == route.Download {
 		order = [2][3]int{{3, 4, 5}, {0, 1, 2}}
 	}
-	if e.near || x.kind != route.Download && e.far <= farZone {
+	if e.near || x.kind != route.Download && e.far <= sameRegionDistance {
 		return order[1][level]
 	}
 	return order[0][level]
--- a/internal/proxy/choice_test.go
+++ b/internal/proxy/choice_test.go
@@ -15,10 +15,10 @@
 
 // plan is a node without network, for choices alone.
 func plan(runs ...target.Run) (*Node, *service) {
-	n := New(Parts{Settings: Settings{ID: "gateway1", Zone: "a", Zones: map[string]string{"a": "r", "b": "r", "c": "far"}, Dialect: dialect}, Clock: clock.Wall{}})
-	n.TakeItems([]item.Item{route.Service{Name: "svc", Version: 1, MaxConns: 100, Health: "/health"}.Item()})
+	n := New(Options{Settings: Settings{ID: "gateway1", Zone: "a", Zones: map[string]string{"a": "r", "b": "r", "c": "far"}, Headers: dialect}, Clock: clock.Wall{}})
+	n.ApplyItems([]item.Item{route.Service{Name: "svc", Version: 1, MaxConns: 100, Health: "/health"}.Item()})
 	n.SetGateways(1, 1)
-	n.TakeRuns(runs)
+	n.ApplyRuns(runs)
 	return n, n.services["svc"]
 }
 
@@ -28,13 +28,13 @@
 
 func ask(n *Node, s *service, k route.Repeat) *exchange {
 	now := n.clock.Now()
-	return &exchange{n: n, svc: s, kind: k, once: !k.Repeatable(), attempts: 3, came: now, deadline: now.Add(2 * time.Second), aim: 400 * time.Millisecond}
+	return &exchange{n: n, svc: s, kind: k, atMostOnce: !k.Repeatable(), maxAttempts: 3, receivedAt: now, deadline: now.Add(2 * time.Second), latencyTarget: 400 * time.Millisecond}
 }
 
 // fill takes places until there are none, and tells at whom.
 func fill(n *Node, s *service, k route.Repeat) (ids []string) {
 	for {
-		g := s.take(ask(n, s, k))
+		g := s.tryAcquire(ask(n, s, k))
 		if g.e == nil {
 			return ids
 		}
@@ -83,7 +83,7 @@
 		}
 		count := map[string]int{}
 		for range 20 {
-			count[s.take(ask(n, s, route.Once)).e.run.ID]++
+			count[s.tryAcquire(ask(n, s, route.Once)).e.run.ID]++
 		}
 		if count["fast"] < 3*count["slow"] || count["slow"] == 0 {
 			t.Errorf("%v", count)
@@ -97,7 +97,7 @@
 		cold := at("cold", "a", 20)
 		cold.Cold = 5 * time.Second
 		n, s := plan(cold, at("warm", "a", 20))
-		if g := s.take(ask(n, s, route.Once)); g.e.run.ID != "warm" {
+		if g := s.tryAcquire(ask(n, s, route.Once)); g.e.run.ID != "warm" {
 			t.Error("the cold one went first")
 		}
 		time.Sleep(6 * time.Second)
@@ -111,12 +111,12 @@
 func TestNodesBeginApart(t *testing.T) {
 	firsts := map[string]bool{}
 	for i := range 20 {
-		n := New(Parts{Settings: Settings{ID: fmt.Sprint("gateway", i), Zone: "a", Dialect: dialect}, Clock: clock.Wall{}})
+		n := New(Options{Settings: Settings{ID: fmt.Sprint("gateway", i), Zone: "a", Headers: dialect}, Clock: clock.Wall{}})
 		for k := range 9 {
-			n.TakeRuns([]target.Run{at(fmt.Sprint("r", k), "a", 2)})
+			n.ApplyRuns([]target.Run{at(fmt.Sprint("r", k), "a", 2)})
 		}
 		s := n.services["svc"]
-		firsts[s.take(ask(n, s, route.Once)).e.run.ID] = true
+		firsts[s.tryAcquire(ask(n, s, route.Once)).e.run.ID] = true
 	}
 	if len(firsts) < 5 {
 		t.Errorf("20 nodes begin with %d of 9 runs", len(firsts))
@@ -152,7 +152,7 @@
 			default:
 				r := runs[k]
 				r.Silent, r.Seq = uint64(9-k), 1
-				n.TakeRuns([]target.Run{r})
+				n.ApplyRuns([]target.Run{r})
 			}
 		}
 		if got := used(); len(got) != 3 || got["r0"] || got["r1"] {
@@ -161,7 +161,7 @@
 		// A beat that the control plane heard after all.
 		r := runs[5]
 		r.Seq = 20
-		n.TakeRuns([]target.Run{r})
+		n.ApplyRuns([]target.Run{r})
 		if s.all["r5"].suspicion(now) != 0 {
 			t.Error("still suspected")
 		}
@@ -204,7 +204,7 @@
 		n, s := plan(at("a1", "a", 2), at("b1", "b", 2), at("b2", "b", 2))
 		now := n.clock.Now()
 		s.all["a1"].failed(now, now, firstPenalty)
-		if g := s.take(ask(n, s, route.Download)); g.e == nil || g.e.near {
+		if g := s.tryAcquire(ask(n, s, route.Download)); g.e == nil || g.e.near {
 			t.Errorf("%+v", g)
 		}
 	})
@@ -222,17 +222,17 @@
 		for _, order := range [][]int{{0, 1, 2, 3}, {3, 2, 1, 0}, {1, 0, 3, 2}, {2, 3, 0, 1}} {
 			n, s := plan()
 			for _, i := range order {
-				n.TakeRuns([]target.Run{news[i]})
+				n.ApplyRuns([]target.Run{news[i]})
 			}
 			if r := n.runs["r0"].run; r.State != target.Ended || r.Seq != 6 || s.all["r0"] != nil {
 				t.Errorf("%v: %+v", order, r)
 			}
-			n.TakeRuns([]target.Run{later})
+			n.ApplyRuns([]target.Run{later})
 			if s.all["r0"] != nil {
 				t.Errorf("%v: an ended run came back", order)
 			}
-			time.Sleep(endedFor + time.Second)
-			n.forget(n.clock.Now())
+			time.Sleep(endedRunRetention + time.Second)
+			n.dropEndedRuns(n.clock.Now())
 			if len(n.runs) != 0 {
 				t.Error("remembered for good")
 			}
@@ -257,7 +257,7 @@
 				x := ask(n, s, route.Once)
 				x.priority = 3
 				g, retry := s.acquire(x)
-				if g.e != nil || retry < minRetry {
+				if g.e != nil || retry < minRetryAfter {
 					t.Errorf("%+v, %v", g, retry)
 				}
 				waited <- time.Since(began)
@@ -268,12 +268,12 @@
 			switch d := <-waited; d {
 			case 0:
 				n0++
-			case 400 * time.Millisecond / waitPart:
+			case 400 * time.Millisecond / maxWaitDivisor:
 			default:
 				t.Errorf("waited %v", d)
 			}
 		}
-		if n0 != 5-fewPeers {
+		if n0 != 5-minQueuedPerRank {
 			t.Errorf("%d of 5 were refused at once", n0)
 		}
 	})
@@ -292,7 +292,7 @@
 			}
 			count := map[string]int{}
 			for range 12 {
-				count[s.take(ask(n, s, kind)).e.run.ID]++
+				count[s.tryAcquire(ask(n, s, kind)).e.run.ID]++
 			}
 			if count["b1"] > 0 != want || count["c1"] != 0 || count["a1"] == 0 {
 				t.Errorf("%d: %v", kind, count)
@@ -329,7 +329,7 @@
 		}
 		var held []grant
 		for range mostRuns {
-			held = append(held, s.take(ask(n, s, route.Idempotent)))
+			held = append(held, s.tryAcquire(ask(n, s, route.Idempotent)))
 		}
 		look(1)
 		if len(s.work) != mostRuns {
@@ -341,7 +341,7 @@
 			}
 		}
 		for _, g := range held {
-			s.release(g, answered, 100*time.Millisecond, time.Second)
+			s.release(g, outcomeAnswered, 100*time.Millisecond, time.Second)
 		}
 		look(2)
 		if len(s.work) != mostRuns {
@@ -356,19 +356,19 @@
 	synctest.Test(t, func(t *testing.T) {
 		n, s := plan(at("a1", "a", 2), at("a2", "a", 2), at("a3", "a", 2))
 		last := s.work[2]
-		last.idle = []*conn{{idleAt: n.clock.Now(), life: idleTime}}
+		last.idle = []*conn{{idleSince: n.clock.Now(), idleTimeout: defaultIdleTimeout}}
 		for kind, want := range map[route.Repeat]bool{route.Idempotent: true, route.Once: true} {
-			g := s.take(ask(n, s, kind))
+			g := s.tryAcquire(ask(n, s, kind))
 			if got := g.e == last; got != want {
 				t.Errorf("%d: the kept connection is used: %v", kind, got)
 			}
-			s.release(g, withheld, 0, time.Second)
+			s.release(g, outcomeNotSent, 0, time.Second)
 		}
-		time.Sleep(onceIdle)
-		if g := s.take(ask(n, s, route.Once)); g.e == last {
+		time.Sleep(maxIdleAtMostOnce)
+		if g := s.tryAcquire(ask(n, s, route.Once)); g.e == last {
 			t.Error("asked for a kept connection that may be dead")
 		}
-		if g := s.take(ask(n, s, route.Idempotent)); g.e != last {
+		if g := s.tryAcquire(ask(n, s, route.Idempotent)); g.e != last {
 			t.Error("a kept connection was left aside")
 		}
 	})
--- a/internal/proxy/conn.go
+++ b/internal/proxy/conn.go
@@ -15,37 +15,37 @@
 )
 
 const (
-	// idleTime is how long a connection to a target may lie idle and be used again
-	// where the target said nothing.
-	idleTime = 5 * time.Second
-	// readSize is the buffer of a connection; an answer's fields must fit into it.
-	readSize = 8 << 10
+	// defaultIdleTimeout is how long an idle connection to a target may be reused if the
+	// target does not say.
+	defaultIdleTimeout = 5 * time.Second
+	// readBufferSize is the buffer of a connection; the header fields of an answer must fit into it.
+	readBufferSize = 8 << 10
 )
 
 var (
-	errGivenUp = errors.New("given up, for another answer came first")
-	errMute    = errors.New("no answer before the deadline")
-	past       = time.Unix(1, 0)
+	errAborted   = errors.New("aborted: another answer came first")
+	errNoAnswer  = errors.New("no answer before the deadline")
+	pastDeadline = time.Unix(1, 0)
 )
 
-// conn is one connection to a target, used by one request at a time.
+// conn is a connection to a target, used by one request at a time.
 type conn struct {
 	nc  net.Conn
-	raw syscall.RawConn // nil where there is none
+	raw syscall.RawConn // nil if not available
 	r   *bufio.Reader
 	h   fasthttp.ResponseHeader
-	buf []byte // the head of a request
+	buf []byte // the request head being sent
 
-	idleAt time.Time     // since when it lies idle
-	life   time.Duration // how long it may
-	uses   int
+	idleSince   time.Time
+	idleTimeout time.Duration
+	uses        int
 
-	// hard ends the reading. At soft, where set, slow is called, and says when next;
-	// the reading goes on.
-	hard, soft, set time.Time
-	slow            func() time.Time
-	stop            atomic.Bool
-	got             bool // a byte came back in this use
+	// deadline ends reading. At softDeadline, if set, onSoftDeadline is called and returns
+	// the next soft deadline; reading continues.
+	deadline, softDeadline, appliedDeadline time.Time
+	onSoftDeadline                          func() time.Time
+	aborted                                 atomic.Bool
+	receivedByte                            bool // a byte was received during this use
 }
 
 func newConn(nc net.Conn) *conn {
@@ -53,20 +53,20 @@
 	if s, ok := nc.(syscall.Conn); ok {
 		c.raw, _ = s.SyscallConn()
 	}
-	c.r = bufio.NewReaderSize(c, readSize)
+	c.r = bufio.NewReaderSize(c, readBufferSize)
 	return c
 }
 
-// begin readies the connection for a use that ends by hard.
-func (c *conn) begin(hard time.Time) error {
-	c.hard, c.set, c.soft, c.slow, c.got = hard, hard, time.Time{}, nil, false
+// startUse prepares the connection for a use that ends by deadline.
+func (c *conn) startUse(hard time.Time) error {
+	c.deadline, c.appliedDeadline, c.softDeadline, c.onSoftDeadline, c.receivedByte = hard, hard, time.Time{}, nil, false
 	c.uses++
 	return c.nc.SetDeadline(hard)
 }
 
-// alive looks, without waiting, whether the other side has closed the connection or
-// sent something that nobody asked for. begin must have been called: a deadline that
-// has passed would hide what there is.
+// alive checks, without blocking, that the other side has neither closed the connection nor
+// sent unsolicited bytes. startUse must have been called: an expired deadline would hide
+// pending data.
 func (c *conn) alive() bool {
 	if c.r.Buffered() > 0 {
 		return false
@@ -83,53 +83,53 @@
 	return err == nil && quiet
 }
 
-// Read reads for the buffer. It waits past soft deadlines, so that whoever parses an
-// answer needs to know nothing of them.
+// Read implements io.Reader for the buffer. It continues past soft deadlines, so the
+// answer parser does not need to handle them.
 func (c *conn) Read(p []byte) (int, error) {
 	for {
-		d := c.hard
-		if c.slow != nil && !c.soft.IsZero() && c.soft.Before(d) {
-			d = c.soft
+		d := c.deadline
+		if c.onSoftDeadline != nil && !c.softDeadline.IsZero() && c.softDeadline.Before(d) {
+			d = c.softDeadline
 		}
-		if d != c.set {
-			c.set = d
+		if d != c.appliedDeadline {
+			c.appliedDeadline = d
 			if err := c.nc.SetReadDeadline(d); err != nil {
 				return 0, err
 			}
 		}
-		// Whoever stops this reading sets the mark before the deadline, so one of the
-		// two is seen.
-		if c.stop.Load() {
-			return 0, errGivenUp
+		// abort sets the flag before the deadline, so one of the two is
+		// always seen.
+		if c.aborted.Load() {
+			return 0, errAborted
 		}
 		n, err := c.nc.Read(p)
 		if n > 0 {
-			c.got = true
+			c.receivedByte = true
 		}
 		if err == nil || !errors.Is(err, os.ErrDeadlineExceeded) {
 			return n, err
 		}
 		switch {
-		case c.stop.Load():
-			return n, errGivenUp
+		case c.aborted.Load():
+			return n, errAborted
 		case n > 0:
 			return n, nil
-		case d.Equal(c.hard):
-			return 0, errMute
+		case d.Equal(c.deadline):
+			return 0, errNoAnswer
 		}
-		c.soft = c.slow()
+		c.softDeadline = c.onSoftDeadline()
 	}
 }
 
-// giveUp ends a reading or writing of another goroutine.
-func (c *conn) giveUp() {
-	c.stop.Store(true)
-	_ = c.nc.SetDeadline(past)
+// abort interrupts a read or write in another goroutine.
+func (c *conn) abort() {
+	c.aborted.Store(true)
+	_ = c.nc.SetDeadline(pastDeadline)
 }
 
-// drop closes the connection and throws away what has not left: the system would go
-// on sending it, and the target run what was given up long ago.
-func (c *conn) drop() {
+// closeWithReset closes the connection and discards unsent data: the kernel would otherwise
+// continue to send it, and the target would run a request that was abandoned long ago.
+func (c *conn) closeWithReset() {
 	if t, ok := c.nc.(*net.TCPConn); ok {
 		_ = t.SetLinger(0)
 	}
--- a/internal/proxy/conn_test.go
+++ b/internal/proxy/conn_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-func pair(t *testing.T) (*conn, net.Conn) {
+func connPair(t *testing.T) (*conn, net.Conn) {
 	ln := loopback{}.listen()
 	defer ln.Close()
 	a, err := net.Dial("tcp", ln.Addr().String())
@@ -21,8 +21,8 @@
 	return newConn(a), b
 }
 
-// TestAlive: a look at a connection sees a close, a reset and surplus bytes, takes
-// nothing, and does not wait.
+// TestAlive checks that alive detects a close, a reset and unsolicited bytes without consuming
+// anything or blocking.
 func TestAlive(t *testing.T) {
 	for name, end := range map[string]func(net.Conn){
 		"closed":  func(b net.Conn) { _ = b.Close() },
@@ -30,8 +30,8 @@
 		"reset":   func(b net.Conn) { cutOff(b) },
 		"surplus": func(b net.Conn) { _, _ = b.Write([]byte("x")) },
 	} {
-		c, b := pair(t)
-		if err := c.begin(time.Now().Add(time.Hour)); err != nil {
+		c, b := connPair(t)
+		if err := c.startUse(time.Now().Add(time.Hour)); err != nil {
 			t.Fatal(err)
 		}
 		for range 3 {
@@ -44,23 +44,23 @@
 	}
 }
 
-// TestGiveUp ends a reading from another goroutine, whenever it comes.
+// TestGiveUp checks that abort ends a read in another goroutine, whenever it is called.
 func TestGiveUp(t *testing.T) {
 	for i := range 200 {
-		c, _ := pair(t)
-		if err := c.begin(time.Now().Add(time.Hour)); err != nil {
+		c, _ := connPair(t)
+		if err := c.startUse(time.Now().Add(time.Hour)); err != nil {
 			t.Fatal(err)
 		}
 		if i%2 == 0 {
-			c.soft, c.slow = time.Now(), func() time.Time { return time.Now().Add(time.Microsecond) }
+			c.softDeadline, c.onSoftDeadline = time.Now(), func() time.Time { return time.Now().Add(time.Microsecond) }
 		}
 		done := make(chan error)
 		go func() {
 			_, err := c.Read(make([]byte, 1))
 			done <- err
 		}()
-		c.giveUp()
-		if err := <-done; err != errGivenUp {
+		c.abort()
+		if err := <-done; err != errAborted {
 			t.Errorf("%v", err)
 		}
 	}
--- a/internal/proxy/downloads.go
+++ b/internal/proxy/downloads.go
@@ -10,95 +10,95 @@
 )
 
 const (
-	// bulkEach is the width that each of the downloads under way at once is to have.
-	bulkEach = 1.6
-	// owedPart is the part of a planned stop's time that what is owed to callers may take to write for
-	// one more download to start. The rest is left for the work of its target, for a body larger
-	// than most, and for callers who read slowly.
-	owedPart = 0.5
-	// finishMargin is left between the expected end of an answer and that of a planned stop.
+	// mbpsPerDownload is the link rate that each concurrent download should get.
+	mbpsPerDownload = 1.6
+	// pendingShare is the part of a planned stop's time that writing all pending bodies may take for
+	// another download to start. The rest is for the target's processing time, for bodies larger
+	// than the mean, and for callers that read slowly.
+	pendingShare = 0.5
+	// finishMargin is the minimum time between the expected end of an answer and that of a planned stop.
 	finishMargin = 300 * time.Millisecond
-	// firstSize and firstLargest are what bodies are taken for before any was seen.
-	firstSize, firstLargest = 64 << 10, 256 << 10
-	// sizeOver and largestOver are over how many bodies their mean and their greatest length are kept.
-	sizeOver, largestOver = 16, 64
-	// slowWrite is after what time a caller counts as one that does not read: what it is owed holds
-	// nobody up, for the pace does not wait for it.
-	slowWrite = 500 * time.Millisecond
-	// queueTick is how often waiting downloads look for such callers.
-	queueTick = 100 * time.Millisecond
+	// initialMeanSize and initialMaxSize are the estimates before any body was seen.
+	initialMeanSize, initialMaxSize = 64 << 10, 256 << 10
+	// meanSizeWindow and maxSizeWindow are the numbers of bodies over which the mean and the largest size are averaged.
+	meanSizeWindow, maxSizeWindow = 16, 64
+	// stalledWriteAge is the duration of a write after which the caller counts as not reading. Its pending
+	// bytes are then ignored, because they no longer use the paced rate.
+	stalledWriteAge = 500 * time.Millisecond
+	// queuePollInterval is how often queued downloads check for such callers.
+	queuePollInterval = 100 * time.Millisecond
 )
 
-// downloads decides when a download may start on a narrow link (design 24.9). A download is
-// started only if a planned stop that began now could still write its answer: what was once sent to a
-// target is to be answered whole, and how fast that goes is known, for the link is.
+// downloadLimiter decides when a download may start on a narrow link (design 24.9). A download
+// starts only if a planned stop beginning now could still write its answer: a request that was sent
+// to a target must be answered completely, and the time that takes follows from the known link rate.
 //
-// A place is held from the start until the body has come in from the target, and then given back:
-// reading slowly holds a sender back only when its window is full, and many windows make a long
-// queue before this machine. What came in is owed until it was written.
-type downloads struct {
-	clock  clock.Clock
-	places int
-	rate   float64 // bytes a second of large bodies to callers
-	most   float64 // bytes that may be owed, in all, with one download more
+// A slot is held from the start until the body was received from the target, and then released:
+// a slow reader would throttle the sender only once the TCP window is full, and many windows make
+// a long queue on the link to this machine. A received body is pending until it was written.
+type downloadLimiter struct {
+	clock          clock.Clock
+	maxActive      int
+	bytesPerSecond float64 // rate of large bodies to callers
+	maxPending     float64 // total bytes that may be pending with one more download
 
-	mu       sync.Mutex
-	active   int // places taken
-	starting int // downloads started whose size is not known yet
-	owed     []*delivery
-	queue    []*downloadWaiter
-	size     float64 // of a body, on average
-	largest  float64 // of a body, of late
-	stopEnd  time.Time
+	mu           sync.Mutex
+	active       int // slots in use
+	starting     int // downloads started whose size is not known yet
+	deliveries   []*delivery
+	queue        []*downloadWaiter
+	meanSize     float64 // of recent bodies
+	maxSize      float64 // of recent bodies, slowly decaying
+	stopDeadline time.Time
 }
 
-// delivery is a large body on its way to a caller.
+// delivery is a large body being written to a caller.
 type delivery struct {
-	left    int
-	writing time.Time // since when a write of it is under way; zero is none
+	remaining    int
+	writeStarted time.Time // of the write in progress; zero if there is none
 }
 
-// downloadWaiter is a download that waits for its start.
+// downloadWaiter is a queued download.
 type downloadWaiter struct {
-	work    time.Duration // that its target will need
-	started chan bool     // one answer: whether it starts
+	targetTime time.Duration // expected processing time at the target
+	result     chan bool     // receives one value: whether the download starts
 }
 
-// newDownloads is nil for a link on which large bodies hold nobody up.
-func newDownloads(c clock.Clock, mbps float64, stopTime time.Duration) *downloads {
-	if mbps <= 0 || mbps >= wideMbps {
+// newDownloadLimiter returns nil for a link on which large bodies do not delay others.
+func newDownloadLimiter(c clock.Clock, mbps float64, stopTime time.Duration) *downloadLimiter {
+	if mbps <= 0 || mbps >= wideLinkMbps {
 		return nil
 	}
-	rate := bulkMbps(mbps) * 1e6 / 8
-	return &downloads{clock: c, places: max(2, int(mbps/bulkEach)), rate: rate, most: rate * owedPart * stopTime.Seconds(),
-		size: firstSize, largest: firstLargest}
+	rate := largeBodyMbps(mbps) * 1e6 / 8
+	return &downloadLimiter{clock: c, maxActive: max(2, int(mbps/mbpsPerDownload)), bytesPerSecond: rate, maxPending: rate * pendingShare * stopTime.Seconds(),
+		meanSize: initialMeanSize, maxSize: initialMaxSize}
 }
 
-// start waits for a place, so long at most, and tells whether there is one. It is told at once where
-// a planned stop leaves too little time.
-func (d *downloads) start(wait, work time.Duration) bool {
+// acquire waits for a slot for at most the time wait, and reports whether it got one. It returns false at
+// once if a planned stop leaves too little time.
+func (d *downloadLimiter) acquire(wait, targetTime time.Duration) bool {
 	if d == nil {
 		return true
 	}
-	w := &downloadWaiter{work: work, started: make(chan bool, 1)}
+	waiter := &downloadWaiter{targetTime: targetTime, result: make(chan bool, 1)}
 	until := d.clock.Now().Add(wait)
 	d.mu.Lock()
-	d.queue = append(d.queue, w)
+	d.queue = append(d.queue, waiter)
 	d.admit()
 	d.mu.Unlock()
 	for {
 		left := until.Sub(d.clock.Now())
-		c, stop := d.clock.After(min(left, queueTick))
+		c, stop := d.clock.After(min(left, queuePollInterval))
 		select {
-		case ok := <-w.started:
+		case ok := <-waiter.result:
 			stop()
 			return ok
 		case <-c:
 		}
 		d.mu.Lock()
 		d.admit()
-		i := slices.Index(d.queue, w)
-		if i >= 0 && left <= queueTick {
+		i := slices.Index(d.queue, waiter)
+		if i >= 0 && left <= queuePollInterval {
 			d.queue = slices.Delete(d.queue, i, i+1)
 			d.mu.Unlock()
 			return false
@@ -107,60 +107,60 @@
 	}
 }
 
-// admit starts who may start, in the order of arrival, and turns away whom a planned stop leaves too
+// admit starts queued downloads in order of arrival, and rejects those for which a planned stop leaves too
 // little time. Under mu.
-func (d *downloads) admit() {
+func (d *downloadLimiter) admit() {
 	now := d.clock.Now()
-	owed := d.owedBy(now)
-	for len(d.queue) > 0 && d.finishes(d.queue[0], 0, owed, now) && d.room(owed) {
-		d.queue[0].started <- true
+	owed := d.pendingBytes(now)
+	for len(d.queue) > 0 && d.canFinish(d.queue[0], 0, owed, now) && d.hasRoom(owed) {
+		d.queue[0].result <- true
 		d.queue = d.queue[1:]
 		d.active++
 		d.starting++
 	}
 	before := 0
 	d.queue = slices.DeleteFunc(d.queue, func(w *downloadWaiter) bool {
-		if d.finishes(w, before, owed, now) {
+		if d.canFinish(w, before, owed, now) {
 			before++
 			return false
 		}
-		w.started <- false
+		w.result <- false
 		return true
 	})
 }
 
-// room tells whether one more may start beside what is under way.
-func (d *downloads) room(owed float64) bool {
-	if d.active >= d.places {
+// hasRoom reports whether one more download may start.
+func (d *downloadLimiter) hasRoom(owed float64) bool {
+	if d.active >= d.maxActive {
 		return false
 	}
-	return owed == 0 && d.starting == 0 || owed+d.size*float64(d.starting+1) <= d.most
+	return owed == 0 && d.starting == 0 || owed+d.meanSize*float64(d.starting+1) <= d.maxPending
 }
 
-// finishes tells whether a download that starts behind so many others will be answered before a
-// planned stop ends; without one, it will.
-func (d *downloads) finishes(w *downloadWaiter, before int, owed float64, now time.Time) bool {
-	if d.stopEnd.IsZero() {
+// canFinish reports whether a download that starts behind so many others will be answered before the
+// planned stop ends; true if none is under way.
+func (d *downloadLimiter) canFinish(w *downloadWaiter, before int, owed float64, now time.Time) bool {
+	if d.stopDeadline.IsZero() {
 		return true
 	}
-	bytes := owed + d.size*float64(d.starting+before) + d.largest
-	takes := w.work + time.Duration(bytes/d.rate*float64(time.Second)) + finishMargin
-	return !now.Add(takes).After(d.stopEnd)
+	bytes := owed + d.meanSize*float64(d.starting+before) + d.maxSize
+	needed := w.targetTime + time.Duration(bytes/d.bytesPerSecond*float64(time.Second)) + finishMargin
+	return !now.Add(needed).After(d.stopDeadline)
 }
 
-// owedBy is what is to be written of bodies on their way to callers who read. Under mu.
-func (d *downloads) owedBy(now time.Time) float64 {
+// pendingBytes is the number of bytes still to be written to callers that are reading. Under mu.
+func (d *downloadLimiter) pendingBytes(now time.Time) float64 {
 	sum := 0
-	for _, x := range d.owed {
-		if x.writing.IsZero() || now.Sub(x.writing) < slowWrite {
-			sum += x.left
+	for _, x := range d.deliveries {
+		if x.writeStarted.IsZero() || now.Sub(x.writeStarted) < stalledWriteAge {
+			sum += x.remaining
 		}
 	}
 	return float64(sum)
 }
 
-// end gives a place back.
-func (d *downloads) end() {
+// release returns a slot.
+func (d *downloadLimiter) release() {
 	if d == nil {
 		return
 	}
@@ -170,8 +170,8 @@
 	d.admit()
 }
 
-// answered tells that a download which was started has its answer, and begins its delivery.
-func (d *downloads) answered(a *answer) {
+// answerReceived records that a started download has its answer, and begins its delivery.
+func (d *downloadLimiter) answerReceived(a *answer) {
 	if d == nil {
 		return
 	}
@@ -180,77 +180,77 @@
 	d.starting--
 	if a.status < 300 {
 		size := float64(a.bodySize())
-		d.size += (size - d.size) / sizeOver
-		d.largest = math.Max(size, d.largest*(1-1.0/largestOver))
+		d.meanSize += (size - d.meanSize) / meanSizeWindow
+		d.maxSize = math.Max(size, d.maxSize*(1-1.0/maxSizeWindow))
 	}
-	d.owe(a)
+	d.addDelivery(a)
 	d.admit()
 }
 
-// deliver begins the delivery of an answer, if it is large and did not begin yet.
-func (d *downloads) deliver(a *answer) {
-	if d == nil || a.owed != nil || a.bodySize() < bulkFrom {
+// startDelivery begins the delivery of an answer if it is large and was not begun before.
+func (d *downloadLimiter) startDelivery(a *answer) {
+	if d == nil || a.pending != nil || a.bodySize() < largeBodySize {
 		return
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.owe(a)
+	d.addDelivery(a)
 }
 
-// owe notes a large body. Under mu.
-func (d *downloads) owe(a *answer) {
-	if size := a.bodySize(); size >= bulkFrom {
-		a.owed = &delivery{left: size}
-		d.owed = append(d.owed, a.owed)
+// addDelivery records a large body as pending. Under mu.
+func (d *downloadLimiter) addDelivery(a *answer) {
+	if size := a.bodySize(); size >= largeBodySize {
+		a.pending = &delivery{remaining: size}
+		d.deliveries = append(d.deliveries, a.pending)
 	}
 }
 
-// write notes that a write of a delivery begins.
-func (d *downloads) write(x *delivery, now time.Time) {
+// writeBegins records that a write of a delivery begins.
+func (d *downloadLimiter) writeBegins(x *delivery, now time.Time) {
 	if x == nil {
 		return
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	x.writing = now
+	x.writeStarted = now
 }
 
-// wrote notes that k bytes more of a delivery were taken.
-func (d *downloads) wrote(x *delivery, k int) {
+// writeDone records that k more bytes of a delivery were accepted.
+func (d *downloadLimiter) writeDone(x *delivery, k int) {
 	if x == nil {
 		return
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	x.writing = time.Time{}
-	x.left -= k
+	x.writeStarted = time.Time{}
+	x.remaining -= k
 	d.admit()
 }
 
-// over ends the delivery of an answer, whole or not.
-func (d *downloads) over(a *answer) {
-	if a.owed == nil {
+// endDelivery ends the delivery of an answer, complete or not.
+func (d *downloadLimiter) endDelivery(a *answer) {
+	if a.pending == nil {
 		return
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.owed = slices.DeleteFunc(d.owed, func(x *delivery) bool { return x == a.owed })
+	d.deliveries = slices.DeleteFunc(d.deliveries, func(x *delivery) bool { return x == a.pending })
 	d.admit()
 }
 
-// stop tells when a planned stop ends: who would not be answered by then starts no more.
-func (d *downloads) stop(end time.Time) {
+// setStopDeadline sets the end of a planned stop: downloads that would not be answered by then no longer start.
+func (d *downloadLimiter) setStopDeadline(end time.Time) {
 	if d == nil {
 		return
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.stopEnd = end
+	d.stopDeadline = end
 	d.admit()
 }
 
-// places taken, for tests and reports.
-func (d *downloads) taken() int {
+// activeCount returns the number of slots in use, for tests and reports.
+func (d *downloadLimiter) activeCount() int {
 	if d == nil {
 		return 0
 	}
--- a/internal/proxy/downloads_test.go
+++ b/internal/proxy/downloads_test.go
@@ -8,122 +8,122 @@
 	"walkrudder/internal/clock"
 )
 
-// stopTime is that of a usual node.
+// stopTime is the stop timeout of a node with default settings.
 const stopTime = 5700 * time.Millisecond
 
-// largeAnswer is one of a target, of so many bytes.
+// largeAnswer returns a successful answer with a body of the given size.
 func largeAnswer(size int) *answer { return &answer{status: 200, body: make([]byte, size)} }
 
-// TestDownloadPlaces: on a narrow link so many downloads are under way at once and no more; who
-// waits in vain is told so in time.
+// TestDownloadPlaces checks that the number of concurrent downloads on a narrow link is bounded, and that a
+// download that gets no slot is told so in time.
 func TestDownloadPlaces(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := clock.Wall{}
-		if newDownloads(w, 0, stopTime) != nil || newDownloads(w, wideMbps, stopTime) != nil || newDownloads(w, 1, stopTime).places != 2 || newDownloads(w, 16, stopTime).places != 10 {
+		if newDownloadLimiter(w, 0, stopTime) != nil || newDownloadLimiter(w, wideLinkMbps, stopTime) != nil || newDownloadLimiter(w, 1, stopTime).maxActive != 2 || newDownloadLimiter(w, 16, stopTime).maxActive != 10 {
 			t.Error("places")
 		}
-		d := newDownloads(w, 3.2, stopTime)
+		d := newDownloadLimiter(w, 3.2, stopTime)
 		for range 2 {
-			if !d.start(0, 0) {
+			if !d.acquire(0, 0) {
 				t.Fatal("no place")
 			}
 		}
 		began := time.Now()
-		if d.start(300*time.Millisecond, 0) || time.Since(began) != 300*time.Millisecond {
-			t.Errorf("a third after %v", time.Since(began))
+		if d.acquire(300*time.Millisecond, 0) || time.Since(began) != 300*time.Millisecond {
+			t.Errorf("a third download started, or was refused after %v", time.Since(began))
 		}
 		go func() {
 			time.Sleep(150 * time.Millisecond)
-			d.end()
+			d.release()
 		}()
-		if began = time.Now(); !d.start(300*time.Millisecond, 0) || time.Since(began) != 150*time.Millisecond {
+		if began = time.Now(); !d.acquire(300*time.Millisecond, 0) || time.Since(began) != 150*time.Millisecond {
 			t.Errorf("not handed on after %v", time.Since(began))
 		}
-		var wide *downloads
+		var wide *downloadLimiter
 		for range 100 {
-			if !wide.start(0, 0) {
-				t.Fatal("a wide link has places")
+			if !wide.acquire(0, 0) {
+				t.Fatal("a wide link must not limit downloads")
 			}
 		}
-		wide.end()
+		wide.release()
 	})
 }
 
-// TestDownloadsOwed: no download starts while more is to be written than a planned stop has the time for;
-// what a caller does not read holds nobody up.
+// TestDownloadsOwed checks that no download starts while more bytes are pending than can be written during a
+// planned stop, and that a caller that does not read delays no other.
 func TestDownloadsOwed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := newDownloads(clock.Wall{}, 3.2, stopTime)
+		d := newDownloadLimiter(clock.Wall{}, 3.2, stopTime)
 		var all []*answer
-		for d.start(0, 0) {
+		for d.acquire(0, 0) {
 			a := largeAnswer(120_000)
-			d.answered(a)
-			d.end()
+			d.answerReceived(a)
+			d.release()
 			all = append(all, a)
 			if len(all) > 100 {
 				t.Fatal("no bound")
 			}
 		}
-		owed := 0
+		pending := 0
 		for _, a := range all {
-			owed += a.owed.left
+			pending += a.pending.remaining
 		}
-		// The last one may be larger than the mean by which it was let in.
-		if most := int(d.most); owed > most+120_000 || owed < most-120_000 {
-			t.Errorf("%d bytes owed of %d that may be", owed, most)
+		// The last one may be larger than the mean with which it was admitted.
+		if most := int(d.maxPending); pending > most+120_000 || pending < most-120_000 {
+			t.Errorf("%d bytes pending, limit %d", pending, most)
 		}
 		began := time.Now()
 		go func() {
 			time.Sleep(150 * time.Millisecond)
-			d.over(all[0])
+			d.endDelivery(all[0])
 		}()
-		if !d.start(time.Second, 0) || time.Since(began) != 150*time.Millisecond {
+		if !d.acquire(time.Second, 0) || time.Since(began) != 150*time.Millisecond {
 			t.Errorf("not started after %v", time.Since(began))
 		}
-		d.write(all[1].owed, time.Now())
+		d.writeBegins(all[1].pending, time.Now())
 		began = time.Now()
-		if !d.start(time.Second, 0) || time.Since(began) > slowWrite+queueTick {
+		if !d.acquire(time.Second, 0) || time.Since(began) > stalledWriteAge+queuePollInterval {
 			t.Errorf("held up by a caller that does not read for %v", time.Since(began))
 		}
 	})
 }
 
-// TestDownloadsBeforeStop: once a stop has begun only those start that will be answered before it ends,
-// and the others are told so at once.
+// TestDownloadsBeforeStop checks that once a stop has begun only downloads start that will be answered before
+// it ends, and that the others are refused at once.
 func TestDownloadsBeforeStop(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := newDownloads(clock.Wall{}, 3.2, stopTime)
-		for range d.places {
-			if !d.start(0, 0) {
+		d := newDownloadLimiter(clock.Wall{}, 3.2, stopTime)
+		for range d.maxActive {
+			if !d.acquire(0, 0) {
 				t.Fatal("no place")
 			}
 		}
-		type told struct {
+		type decision struct {
 			ok    bool
 			after time.Duration
 		}
-		waits := func() chan told {
-			c := make(chan told, 1)
+		enqueue := func() chan decision {
+			c := make(chan decision, 1)
 			began := time.Now()
-			go func() { c <- told{d.start(3*time.Second, 0), time.Since(began)} }()
+			go func() { c <- decision{d.acquire(3*time.Second, 0), time.Since(began)} }()
 			synctest.Wait()
 			return c
 		}
-		long := waits()
+		long := enqueue()
 		time.Sleep(time.Second)
-		// So long that what is under way ends, and nothing more.
-		d.stop(time.Now().Add(time.Second))
+		// Long enough for the downloads in progress, but for no further one.
+		d.setStopDeadline(time.Now().Add(time.Second))
 		if got := <-long; got.ok || got.after != time.Second {
-			t.Errorf("who waited: %+v", got)
+			t.Errorf("queued before the stop: %+v", got)
 		}
-		if got := <-waits(); got.ok || got.after != 0 {
-			t.Errorf("who came later: %+v", got)
+		if got := <-enqueue(); got.ok || got.after != 0 {
+			t.Errorf("queued after the stop began: %+v", got)
 		}
-		d.stop(time.Now().Add(5 * time.Second))
-		free := waits()
-		d.end()
+		d.setStopDeadline(time.Now().Add(5 * time.Second))
+		free := enqueue()
+		d.release()
 		if got := <-free; !got.ok || got.after != 0 {
-			t.Errorf("who has the time: %+v", got)
+			t.Errorf("with enough time left: %+v", got)
 		}
 	})
 }
--- a/internal/proxy/exchange.go
+++ b/internal/proxy/exchange.go
@@ -8,169 +8,169 @@
 	"walkrudder/internal/route"
 )
 
-// exchange is one request and what befell it. All but the part under mu is written
+// exchange is a request and its processing state. All fields except those under mu are written
 // before the first attempt and only read after it.
 type exchange struct {
-	n        *Node
-	svc      *service
-	kind     route.Repeat
-	once     bool
-	attempts int
-	priority int
-	aim      time.Duration
-	came     time.Time
-	wait     time.Duration // for which the caller waits
-	deadline time.Time     // by which the caller has an answer
-
-	host, path []byte  // the caller's, until its next request is read
-	lot        float64 // drawn from 0 to 1, for the share of a new version
-	view       *view   // by which it was placed last
-	entry      *route.Entry
-
-	id     []byte // of the request, as the caller gave it
-	head   []byte // request line and fields, up to those of each attempt
-	body   []byte
-	framed bool // the request had a body, maybe an empty one
-	noBody bool // the answer has no body, as to HEAD
-	held   int  // bytes reserved
-	shared bool // an attempt of another goroutine may still read the buffers
+	n             *Node
+	svc           *service
+	kind          route.Repeat
+	atMostOnce    bool
+	maxAttempts   int
+	priority      int
+	latencyTarget time.Duration
+	receivedAt    time.Time
+	timeout       time.Duration // how long the caller waits
+	deadline      time.Time     // by which the caller must have an answer
+
+	host, path  []byte       // in the caller's buffer, valid until its next request is read
+	versionDraw float64      // random number in [0, 1) that decides on the share of a new version
+	view        *routingView // used for the last route lookup
+	entry       *route.Entry
+
+	id            []byte // of the request, as the caller sent it
+	head          []byte // request line and fields, without those that each attempt appends
+	body          []byte
+	hasBody       bool // the request had a body, possibly an empty one
+	noBody        bool // the answer has no body, as for HEAD
+	reservedBytes int  // memory charged
+	buffersShared bool // an attempt in another goroutine may still read the buffers
 
 	progress progress
 
-	mu       sync.Mutex
-	tried    []*endpoint
-	arrivals int  // attempts of which a byte may have left
-	loose    int  // of these, without the target's word that it did not run
-	paid     bool // the next arrival is paid for from the budget
-	live     []*conn
-	won      *answer
-	left     bool          // the caller has closed its connection
-	passed   chan struct{} // closed once won goes on to the caller while it comes; nil where none may
-	reader   *endpoint     // the run that it comes from
-	hedge    chan struct{} // closed when the attempt besides is over; nil is none
+	mu            sync.Mutex
+	tried         []*endpoint
+	sends         int  // attempts of which a byte may have been sent
+	unresolved    int  // sends for which the target has not stated that the request did not run
+	budgetPaid    bool // the next send is already charged to the retry budget
+	activeConns   []*conn
+	result        *answer
+	callerGone    bool          // the caller has closed its connection
+	streamStarted chan struct{} // closed once result is streamed to the caller; nil if streaming is not allowed
+	streamSource  *endpoint     // the run from which it is streamed
+	hedgeDone     chan struct{} // closed when the hedged attempt is over; nil if there is none
 }
 
-// didTry tells whether the run was asked already.
-func (x *exchange) didTry(e *endpoint) bool {
+// hasTried reports whether the run was asked already.
+func (x *exchange) hasTried(e *endpoint) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	return slices.Contains(x.tried, e)
 }
 
-// enter begins an attempt's use of a connection. It is the last word before the first
-// byte leaves: no more targets than allowed, none but the first without the budget's
-// leave, none once there is an answer, and for a request that may run once none while
-// it may have run.
-func (x *exchange) enter(c *conn) bool {
+// beginSend starts an attempt's use of a connection and is the final check before the first byte
+// is sent. It allows at most maxAttempts targets, each after the first only if the retry budget
+// permits, none once there is an answer, and for an at-most-once request none while it may have
+// run.
+func (x *exchange) beginSend(c *conn) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if x.won != nil || x.left || x.n.lastCalled() || x.arrivals >= x.attempts || x.once && x.loose > 0 || !x.pay() {
+	if x.result != nil || x.callerGone || x.n.lastCalled() || x.sends >= x.maxAttempts || x.atMostOnce && x.unresolved > 0 || !x.payBudget() {
 		return false
 	}
-	x.paid = false
-	x.arrivals++
-	x.loose++
-	x.live = append(x.live, c)
+	x.budgetPaid = false
+	x.sends++
+	x.unresolved++
+	x.activeConns = append(x.activeConns, c)
 	return true
 }
 
-// pay makes sure that one more arrival is paid for.
-func (x *exchange) pay() bool {
-	if x.arrivals > 0 && !x.paid {
-		if x.paid = x.svc.acct.Extra(); !x.paid {
+// payBudget makes sure that one more send is charged to the retry budget.
+func (x *exchange) payBudget() bool {
+	if x.sends > 0 && !x.budgetPaid {
+		if x.budgetPaid = x.svc.acct.Extra(); !x.budgetPaid {
 			x.n.stats.overBudget.Add(1)
 		}
 	}
-	return x.paid || x.arrivals == 0
+	return x.budgetPaid || x.sends == 0
 }
 
-// more tells whether another target may be asked.
-func (x *exchange) more() bool {
+// canSend reports whether another target may be asked.
+func (x *exchange) canSend() bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	return x.won == nil && !x.left && x.arrivals < x.attempts && !(x.once && x.loose > 0) && x.pay()
+	return x.result == nil && !x.callerGone && x.sends < x.maxAttempts && !(x.atMostOnce && x.unresolved > 0) && x.payBudget()
 }
 
-// leave ends the use of a connection, with what is known then: notSent is that no byte
-// left, notRun the target's word.
-func (x *exchange) leave(c *conn, notSent, notRun bool) {
+// endSend ends the use of a connection: notSent means that no byte was sent, notRun that the
+// target stated that the request did not run.
+func (x *exchange) endSend(c *conn, notSent, notRun bool) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.live = slices.DeleteFunc(x.live, func(l *conn) bool { return l == c })
+	x.activeConns = slices.DeleteFunc(x.activeConns, func(l *conn) bool { return l == c })
 	if notSent {
-		x.arrivals--
-		// What was paid for it pays for the next one.
-		x.paid = x.arrivals > 0
+		x.sends--
+		// The charge for it covers the next send.
+		x.budgetPaid = x.sends > 0
 	}
 	if notSent || notRun {
-		x.loose--
+		x.unresolved--
 	}
 }
 
-// win makes a the answer, unless there is one, and gives up the other attempts.
-func (x *exchange) win(a *answer) bool {
+// offerResult makes a the result and aborts the other attempts, unless there is a result already.
+func (x *exchange) offerResult(a *answer) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if x.won != nil {
+	if x.result != nil {
 		return false
 	}
-	x.conclude(a)
+	x.setResult(a)
 	return true
 }
 
-// conclude makes a the answer and gives up what is under way. Under mu.
-func (x *exchange) conclude(a *answer) {
-	x.won = a
-	for _, c := range x.live {
-		c.giveUp()
+// setResult makes a the result and aborts the sends in progress. Under mu.
+func (x *exchange) setResult(a *answer) {
+	x.result = a
+	for _, c := range x.activeConns {
+		c.abort()
 	}
 }
 
-// end closes the exchange without an answer of a target; what is under way is given up.
-func (x *exchange) end(a *answer) *answer {
-	if !x.win(a) {
+// finish ends the exchange with an answer of the node itself; sends in progress are aborted.
+func (x *exchange) finish(a *answer) *answer {
+	if !x.offerResult(a) {
 		a.free()
 	}
-	return x.won
+	return x.result
 }
 
-// sent tells whether any byte may have left, or is about to.
-func (x *exchange) sent() bool {
+// anySent reports whether any byte may have been sent, or is about to be.
+func (x *exchange) anySent() bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	return x.arrivals > 0
+	return x.sends > 0
 }
 
-// mayHaveRun tells whether some target may have run it.
+// mayHaveRun reports whether some target may have run the request.
 func (x *exchange) mayHaveRun() bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	return x.loose > 0
+	return x.unresolved > 0
 }
 
 func (x *exchange) answer() *answer {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	return x.won
+	return x.result
 }
 
-// try notes that the run is asked.
-func (x *exchange) try(e *endpoint) {
+// markTried records that the run is asked.
+func (x *exchange) markTried(e *endpoint) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.tried = append(x.tried, e)
 }
 
-func (x *exchange) besides() chan struct{} {
+func (x *exchange) hedgeInProgress() chan struct{} {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	return x.hedge
+	return x.hedgeDone
 }
 
-// free gives back what the request held.
+// free releases the memory of the request.
 func (x *exchange) free() {
-	x.n.mem.give(x.held)
-	if x.shared {
+	x.n.memory.release(x.reservedBytes)
+	if x.buffersShared {
 		return
 	}
 	putBuffer(x.head)
--- a/internal/proxy/failure_test.go
+++ b/internal/proxy/failure_test.go
@@ -29,32 +29,32 @@
 // way is one way in which the first target that gets a request can fail.
 type way struct {
 	name       string
-	do         act
+	do         handler
 	once, idem int // the caller's status
 	// onceRuns is how often a request that may run once runs.
 	onceRuns int
 }
 
-func ranThen(do act) act {
-	return func(l *lab, c net.Conn, s *seen) bool {
-		l.run(s)
+func ranThen(do handler) handler {
+	return func(l *harness, c net.Conn, s *receivedRequest) bool {
+		l.recordRun(s)
 		return do(l, c, s)
 	}
 }
 
-func text(f string) act {
-	return func(_ *lab, c net.Conn, s *seen) bool {
+func text(f string) handler {
+	return func(_ *harness, c net.Conn, s *receivedRequest) bool {
 		return write(c, strings.ReplaceAll(strings.ReplaceAll(f, "\n", "\r\n"), "ID", s.id))
 	}
 }
 
-func textThenClose(f string) act {
-	return func(l *lab, c net.Conn, s *seen) bool { text(f)(l, c, s); return false }
+func textThenClose(f string) handler {
+	return func(l *harness, c net.Conn, s *receivedRequest) bool { text(f)(l, c, s); return false }
 }
 
 var ways = []way{
-	{"reset after reading", ranThen(func(_ *lab, c net.Conn, _ *seen) bool { return cutOff(c) }), 502, 200, 1},
-	{"closed after reading", ranThen(func(*lab, net.Conn, *seen) bool { return false }), 502, 200, 1},
+	{"reset after reading", ranThen(func(_ *harness, c net.Conn, _ *receivedRequest) bool { return cutOff(c) }), 502, 200, 1},
+	{"closed after reading", ranThen(func(*harness, net.Conn, *receivedRequest) bool { return false }), 502, 200, 1},
 	{"half a body", ranThen(textThenClose("HTTP/1.1 200 OK\nX-Id: ID\nX-Seal: s\nContent-Length: 10\n\nhalf")), 502, 200, 1},
 	{"half a head", ranThen(textThenClose("HTTP/1.1 200 OK\nX-Id: ID\nX-Se")), 502, 200, 1},
 	{"no last chunk", ranThen(textThenClose("HTTP/1.1 200 OK\nX-Id: ID\nX-Seal: s\nTransfer-Encoding: chunked\n\n4\nhalf\n")), 502, 200, 1},
@@ -70,24 +70,24 @@
 	{"two lengths", ranThen(text("HTTP/1.1 200 OK\nX-Id: ID\nX-Seal: s\nContent-Length: 4\nContent-Length: 1\n\nx123")), 502, 200, 1},
 	{"no end", ranThen(textThenClose("HTTP/1.1 200 OK\nX-Id: ID\nX-Seal: s\n\nall of it?")), 502, 200, 1},
 	{"no end, but as chunks", ranThen(textThenClose("HTTP/1.1 200 OK\nX-Id: ID\nX-Seal: s\n\n4\nbody\n0\n\n")), 502, 200, 1},
-	{"a success that says it did not run", ranThen(func(_ *lab, c net.Conn, s *seen) bool {
-		return say(c, "200 OK", s.id, "X-Seal: s\r\nX-Not-Run: 1\r\n", bodyOf(s.id))
+	{"a success that says it did not run", ranThen(func(_ *harness, c net.Conn, s *receivedRequest) bool {
+		return writeAnswer(c, "200 OK", s.id, "X-Seal: s\r\nX-Not-Run: 1\r\n", answerBody(s.id))
 	}), 200, 200, 1},
 	{"no HTTP", ranThen(textThenClose("garble garble\n\n")), 502, 200, 1},
 	{"switching protocols", ranThen(text("HTTP/1.1 101 Switching\nX-Id: ID\nX-Seal: s\n\n")), 502, 200, 1},
 	{"not run, full", text("HTTP/1.1 503 Full\nX-Id: ID\nX-Not-Run: 1\nContent-Length: 0\n\n"), 200, 200, 1},
 	{"not run, 429", text("HTTP/1.1 429 Full\nX-Id: ID\nX-Not-Run: 1\nContent-Length: 0\n\n"), 200, 200, 1},
-	{"misdirected", misdirect, 200, 200, 1},
+	{"misdirected", answerMisdirected, 200, 200, 1},
 	{"503 without a word", ranThen(text("HTTP/1.1 503 Bad\nX-Id: ID\nContent-Length: 0\n\n")), 502, 200, 1},
 	{"429 without a word", ranThen(text("HTTP/1.1 429 Bad\nX-Id: ID\nContent-Length: 0\n\n")), 502, 200, 1},
 	{"its own 500", ranThen(text("HTTP/1.1 500 Bad\nX-Id: ID\nContent-Length: 3\n\nbad")), 500, 500, 1},
 	{"its own 504", ranThen(text("HTTP/1.1 504 Late\nX-Id: ID\nContent-Length: 0\n\n")), 504, 504, 1},
-	{"interim answers", ranThen(func(l *lab, c net.Conn, s *seen) bool {
+	{"interim answers", ranThen(func(l *harness, c net.Conn, s *receivedRequest) bool {
 		return text("HTTP/1.1 100 Continue\n\nHTTP/1.1 103 Hints\nX-Id: other\n\n")(l, c, s) &&
-			say(c, "200 OK", s.id, "X-Seal: s\r\n", bodyOf(s.id))
+			writeAnswer(c, "200 OK", s.id, "X-Seal: s\r\n", answerBody(s.id))
 	}), 200, 200, 1},
-	{"closing", ranThen(func(_ *lab, c net.Conn, s *seen) bool {
-		say(c, "200 OK", s.id, "X-Seal: s\r\nConnection: Close\r\n", bodyOf(s.id))
+	{"closing", ranThen(func(_ *harness, c net.Conn, s *receivedRequest) bool {
+		writeAnswer(c, "200 OK", s.id, "X-Seal: s\r\nConnection: Close\r\n", answerBody(s.id))
 		return false
 	}), 200, 200, 1},
 }
@@ -100,25 +100,25 @@
 		for _, kind := range []string{"once", "idem", "down"} {
 			t.Run(w.name+"/"+kind, func(t *testing.T) {
 				t.Parallel()
-				l := newLab(t, loopback{}, nil)
+				l := newHarness(t, loopback{}, nil)
 				l.routes(2)
-				l.stand("one", nil, first(w.do))
-				l.stand("two", nil, first(w.do))
+				l.startTarget("one", nil, failFirst(w.do))
+				l.startTarget("two", nil, failFirst(w.do))
 				want := w.idem
 				if kind == "once" {
 					want = w.once
 				}
-				g := l.call("/"+kind+"/x", "q1", 5*time.Second)
+				g := l.request("/"+kind+"/x", "q1", 5*time.Second)
 				if g.status != want || want == 200 && !g.proper("q1") {
 					t.Errorf("caller got %+v, want %d", g, want)
 				}
-				if kind == "once" && l.runs("q1") != w.onceRuns {
-					t.Errorf("ran %d times, want %d", l.runs("q1"), w.onceRuns)
+				if kind == "once" && l.runCount("q1") != w.onceRuns {
+					t.Errorf("ran %d times, want %d", l.runCount("q1"), w.onceRuns)
 				}
 				// What it left behind harms no later request.
 				for i := range 3 {
 					id := fmt.Sprint("later", i)
-					if g := l.call("/"+kind+"/x", id, 5*time.Second); !g.proper(id) {
+					if g := l.request("/"+kind+"/x", id, 5*time.Second); !g.proper(id) {
 						t.Errorf("%s got %+v", id, g)
 					}
 				}
@@ -131,18 +131,18 @@
 // attempt, and is not asked by the next request.
 func TestRefusedConnect(t *testing.T) {
 	for _, kind := range []string{"once", "idem", "down"} {
-		l := newLab(t, loopback{}, func(s *Settings) { s.BudgetRatio = 0 })
+		l := newHarness(t, loopback{}, func(s *Settings) { s.BudgetRatio = 0 })
 		l.routes(1)
 		for _, id := range []string{"one", "two", "three"} {
-			s := l.stand(id, nil, sealed)
+			s := l.startTarget(id, nil, serveOK)
 			if id != "two" {
 				s.stop()
 			}
 		}
 		for i := range 4 {
 			id := fmt.Sprint(kind, i)
-			if g := l.call("/"+kind+"/x", id, 5*time.Second); !g.proper(id) || l.runs(id) != 1 {
-				t.Errorf("%s got %+v, ran %d times", id, g, l.runs(id))
+			if g := l.request("/"+kind+"/x", id, 5*time.Second); !g.proper(id) || l.runCount(id) != 1 {
+				t.Errorf("%s got %+v, ran %d times", id, g, l.runCount(id))
 			}
 		}
 		// At most half of the three are passed over together, so one of the two that are
@@ -157,9 +157,9 @@
 // here whether it read: it runs at most once, and elsewhere only if no byte left.
 func TestResetBeforeReading(t *testing.T) {
 	for _, kind := range []string{"once", "idem"} {
-		l := newLab(t, loopback{}, nil)
+		l := newHarness(t, loopback{}, nil)
 		l.routes(2)
-		l.stand("good", nil, sealed)
+		l.startTarget("good", nil, serveOK)
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
@@ -174,15 +174,15 @@
 				cutOff(c)
 			}
 		}()
-		l.node.TakeRuns([]target.Run{{ID: "full", Service: "svc", Addr: ln.Addr().String(), Zone: "a", Slots: 40, State: target.Ready, Seq: 1}})
+		l.node.ApplyRuns([]target.Run{{ID: "full", Service: "svc", Addr: ln.Addr().String(), Zone: "a", Slots: 40, State: target.Ready, Seq: 1}})
 		for i := range 20 {
 			id := fmt.Sprint(kind, i)
-			g := l.call("/"+kind+"/x", id, 5*time.Second)
+			g := l.request("/"+kind+"/x", id, 5*time.Second)
 			switch {
-			case g.proper(id) && l.runs(id) == 1:
-			case kind == "once" && g.status == 502 && l.runs(id) == 0:
+			case g.proper(id) && l.runCount(id) == 1:
+			case kind == "once" && g.status == 502 && l.runCount(id) == 0:
 			default:
-				t.Errorf("%s got %+v, ran %d times", id, g, l.runs(id))
+				t.Errorf("%s got %+v, ran %d times", id, g, l.runCount(id))
 			}
 		}
 	}
@@ -191,21 +191,21 @@
 // TestSurplus: bytes behind a whole answer belong to no request.
 func TestSurplus(t *testing.T) {
 	for _, kind := range []string{"once", "idem"} {
-		l := newLab(t, loopback{}, nil)
+		l := newHarness(t, loopback{}, nil)
 		l.routes(2)
-		l.stand("one", nil, func(l *lab, c net.Conn, s *seen) bool {
-			l.run(s)
-			b := fmt.Sprintf("HTTP/1.1 200 OK\r\nX-Id: %s\r\nX-Seal: s\r\nContent-Length: %d\r\n\r\n%s", s.id, len(bodyOf(s.id)), bodyOf(s.id))
+		l.startTarget("one", nil, func(l *harness, c net.Conn, s *receivedRequest) bool {
+			l.recordRun(s)
+			b := fmt.Sprintf("HTTP/1.1 200 OK\r\nX-Id: %s\r\nX-Seal: s\r\nContent-Length: %d\r\n\r\n%s", s.id, len(answerBody(s.id)), answerBody(s.id))
 			return write(c, b+"HTTP/1.1 200 OK\r\nX-Id: next\r\nX-Seal: s\r\nContent-Length: 1\r\n\r\nx")
 		})
 		for i := range 5 {
 			id := fmt.Sprint("q", i)
-			if g := l.call("/"+kind+"/x", id, 5*time.Second); !g.proper(id) {
+			if g := l.request("/"+kind+"/x", id, 5*time.Second); !g.proper(id) {
 				t.Errorf("got %+v", g)
 			}
 		}
-		for _, s := range l.arrivals() {
-			if s.onConn != 1 {
+		for _, s := range l.requests() {
+			if s.connIndex != 1 {
 				t.Errorf("%s came over a connection with surplus bytes", s.id)
 			}
 		}
@@ -216,15 +216,15 @@
 // dead before a request is written to it.
 func TestForgottenIdle(t *testing.T) {
 	for _, kind := range []string{"once", "idem"} {
-		l := newLab(t, loopback{}, nil)
+		l := newHarness(t, loopback{}, nil)
 		l.routes(1)
-		s := l.stand("one", nil, sealed)
+		s := l.startTarget("one", nil, serveOK)
 		for i := range 5 {
 			id := fmt.Sprint("q", i)
-			if g := l.call("/"+kind+"/x", id, 5*time.Second); !g.proper(id) || l.runs(id) != 1 {
-				t.Errorf("%s got %+v, ran %d times", id, g, l.runs(id))
+			if g := l.request("/"+kind+"/x", id, 5*time.Second); !g.proper(id) || l.runCount(id) != 1 {
+				t.Errorf("%s got %+v, ran %d times", id, g, l.runCount(id))
 			}
-			s.cut()
+			s.closeConns()
 			waitFor(t, func() bool { return !idleAlive(l.node) })
 		}
 		if n := l.node.Stats().Stale; n != 0 {
@@ -235,7 +235,7 @@
 
 // idleAlive tells whether any idle connection still looks alive.
 func idleAlive(n *Node) bool {
-	for _, s := range n.all() {
+	for _, s := range n.allServices() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		for _, e := range s.all {
@@ -262,12 +262,12 @@
 
 // TestReuse: calm requests share connections.
 func TestReuse(t *testing.T) {
-	l := newLab(t, loopback{}, nil)
+	l := newHarness(t, loopback{}, nil)
 	l.routes(1)
-	l.stand("one", nil, sealed)
+	l.startTarget("one", nil, serveOK)
 	for i := range 10 {
 		id := fmt.Sprint("q", i)
-		if g := l.call("/once/x", id, 5*time.Second); !g.proper(id) {
+		if g := l.request("/once/x", id, 5*time.Second); !g.proper(id) {
 			t.Errorf("got %+v", g)
 		}
 	}
@@ -279,15 +279,15 @@
 // TestMisdirectedIsGone: a run at whose address another one answers is asked no more
 // until news of it come.
 func TestMisdirectedIsGone(t *testing.T) {
-	l := newLab(t, loopback{}, nil)
+	l := newHarness(t, loopback{}, nil)
 	l.routes(3)
-	other := l.stand("other", func(r *target.Run) { r.Service = "else" }, sealed)
-	l.stand("good", nil, sealed)
+	other := l.startTarget("other", func(r *target.Run) { r.Service = "else" }, serveOK)
+	l.startTarget("good", nil, serveOK)
 	was := target.Run{ID: "was", Service: "svc", Addr: other.ln.Addr().String(), Zone: "a", Slots: 4, State: target.Ready, Seq: 1}
-	l.node.TakeRuns([]target.Run{was})
+	l.node.ApplyRuns([]target.Run{was})
 	asked := func() (n int) {
-		for _, s := range l.arrivals() {
-			if s.run == "other" {
+		for _, s := range l.requests() {
+			if s.targetID == "other" {
 				n++
 			}
 		}
@@ -295,14 +295,14 @@
 	}
 	for i := range 30 {
 		id := fmt.Sprint("q", i)
-		if g := l.call("/once/x", id, 5*time.Second); !g.proper(id) || l.runs(id) != 1 {
-			t.Errorf("%s got %+v, ran %d times", id, g, l.runs(id))
+		if g := l.request("/once/x", id, 5*time.Second); !g.proper(id) || l.runCount(id) != 1 {
+			t.Errorf("%s got %+v, ran %d times", id, g, l.runCount(id))
 		}
 	}
 	if n := asked(); n > 1 {
 		t.Errorf("asked %d times", n)
 	}
-	s := l.node.all()
+	s := l.node.allServices()
 	for _, v := range s {
 		v.mu.Lock()
 		if e := v.all["was"]; e != nil {
@@ -311,7 +311,7 @@
 		v.mu.Unlock()
 	}
 	was.Seq = 2
-	l.node.TakeRuns([]target.Run{was})
+	l.node.ApplyRuns([]target.Run{was})
 	for _, v := range s {
 		v.mu.Lock()
 		if e := v.all["was"]; e != nil && e.gone {
@@ -325,24 +325,24 @@
 // its deadline; a repeatable one is asked of another run besides.
 func TestMute(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		mute := ranThen(func(_ *lab, c net.Conn, _ *seen) bool {
+		mute := ranThen(func(_ *harness, c net.Conn, _ *receivedRequest) bool {
 			_, _ = io.Copy(io.Discard, c)
 			return false
 		})
 		for kind, want := range map[string]int{"once": 504, "idem": 200, "down": 200} {
-			l := newLab(t, newPipes(), nil)
+			l := newHarness(t, newPipes(), nil)
 			l.routes(2)
-			l.stand("one", nil, first(mute))
-			l.stand("two", nil, first(mute))
+			l.startTarget("one", nil, failFirst(mute))
+			l.startTarget("two", nil, failFirst(mute))
 			began := time.Now()
-			g := l.call("/"+kind+"/x", "q1", 2*time.Second)
+			g := l.request("/"+kind+"/x", "q1", 2*time.Second)
 			took := time.Since(began)
 			if g.status != want || want == 200 && !g.proper("q1") {
 				t.Errorf("%s got %+v", kind, g)
 			}
 			if kind == "once" {
-				if l.runs("q1") != 1 || took < 1900*time.Millisecond || took >= 2*time.Second {
-					t.Errorf("ran %d times, answered after %v", l.runs("q1"), took)
+				if l.runCount("q1") != 1 || took < 1900*time.Millisecond || took >= 2*time.Second {
+					t.Errorf("ran %d times, answered after %v", l.runCount("q1"), took)
 				}
 			} else if took > time.Second {
 				t.Errorf("%s: answered after %v", kind, took)
@@ -359,18 +359,18 @@
 // counts, and the other attempt is cut.
 func TestHedgeLoses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := newLab(t, newPipes(), nil)
+		l := newHarness(t, newPipes(), nil)
 		l.routes(2)
-		do := func(l *lab, c net.Conn, s *seen) bool {
-			if s.nth == 1 {
-				return after(time.Second, sealed)(l, c, s)
+		do := func(l *harness, c net.Conn, s *receivedRequest) bool {
+			if s.index == 1 {
+				return delayed(time.Second, serveOK)(l, c, s)
 			}
-			return after(1500*time.Millisecond, sealed)(l, c, s)
+			return delayed(1500*time.Millisecond, serveOK)(l, c, s)
 		}
-		l.stand("one", nil, do)
-		l.stand("two", nil, do)
+		l.startTarget("one", nil, do)
+		l.startTarget("two", nil, do)
 		began := time.Now()
-		if g := l.call("/idem/x", "q1", 4*time.Second); !g.proper("q1") || time.Since(began) != time.Second {
+		if g := l.request("/idem/x", "q1", 4*time.Second); !g.proper("q1") || time.Since(began) != time.Second {
 			t.Errorf("got %+v after %v", g, time.Since(began))
 		}
 		s := l.node.Stats()
@@ -389,17 +389,17 @@
 func TestSilentConnect(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPipes()
-		l := newLab(t, p, nil)
+		l := newHarness(t, p, nil)
 		l.routes(1)
 		dead := p.listen()
 		for _, id := range []string{"cut1", "cut2"} {
-			l.node.TakeRuns([]target.Run{{ID: id, Service: "svc", Addr: dead.Addr().String(), Zone: "a", Slots: 4, State: target.Ready, Seq: 1}})
+			l.node.ApplyRuns([]target.Run{{ID: id, Service: "svc", Addr: dead.Addr().String(), Zone: "a", Slots: 4, State: target.Ready, Seq: 1}})
 		}
-		l.stand("good", func(r *target.Run) { r.Slots = 1 }, sealed)
+		l.startTarget("good", func(r *target.Run) { r.Slots = 1 }, serveOK)
 		for i := range 4 {
 			id := fmt.Sprint("q", i)
 			began := time.Now()
-			if g := l.call("/once/x", id, 3*time.Second); !g.proper(id) || time.Since(began) > 2*time.Second {
+			if g := l.request("/once/x", id, 3*time.Second); !g.proper(id) || time.Since(began) > 2*time.Second {
 				t.Errorf("got %+v after %v", g, time.Since(began))
 			}
 		}
@@ -411,20 +411,20 @@
 // though it has not done so yet.
 func TestCloseHonoured(t *testing.T) {
 	for _, field := range []string{"close", "Close", "x, close"} {
-		l := newLab(t, loopback{}, nil)
+		l := newHarness(t, loopback{}, nil)
 		l.routes(1)
-		l.stand("one", nil, func(l *lab, c net.Conn, s *seen) bool {
-			l.run(s)
-			return say(c, "200 OK", s.id, "X-Seal: s\r\nConnection: "+field+"\r\n", bodyOf(s.id))
+		l.startTarget("one", nil, func(l *harness, c net.Conn, s *receivedRequest) bool {
+			l.recordRun(s)
+			return writeAnswer(c, "200 OK", s.id, "X-Seal: s\r\nConnection: "+field+"\r\n", answerBody(s.id))
 		})
 		for i := range 3 {
 			id := fmt.Sprint("q", i)
-			if g := l.call("/idem/x", id, 5*time.Second); !g.proper(id) {
+			if g := l.request("/idem/x", id, 5*time.Second); !g.proper(id) {
 				t.Errorf("got %+v", g)
 			}
 		}
-		for _, s := range l.arrivals() {
-			if s.onConn != 1 {
+		for _, s := range l.requests() {
+			if s.connIndex != 1 {
 				t.Errorf("%s: %s came over a connection that closes", field, s.id)
 			}
 		}
@@ -436,15 +436,15 @@
 func TestDeadBeforeWrite(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		for _, kind := range []string{"once", "idem"} {
-			l := newLab(t, numbPipes{newPipes()}, func(s *Settings) { s.BudgetRatio = 0 })
+			l := newHarness(t, numbPipes{newPipes()}, func(s *Settings) { s.BudgetRatio = 0 })
 			l.routes(1)
-			s := l.stand("one", nil, sealed)
+			s := l.startTarget("one", nil, serveOK)
 			for i := range 5 {
 				id := fmt.Sprint("q", i)
-				if g := l.call("/"+kind+"/x", id, 5*time.Second); !g.proper(id) || l.runs(id) != 1 {
-					t.Errorf("%s got %+v, ran %d times", id, g, l.runs(id))
+				if g := l.request("/"+kind+"/x", id, 5*time.Second); !g.proper(id) || l.runCount(id) != 1 {
+					t.Errorf("%s got %+v, ran %d times", id, g, l.runCount(id))
 				}
-				s.cut()
+				s.closeConns()
 				synctest.Wait()
 			}
 			if n := l.node.Stats().Dials; n != 5 {
@@ -459,23 +459,23 @@
 func TestDrainsWhileConnecting(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := &telling{pipes: newPipes()}
-		l := newLab(t, p, nil)
+		l := newHarness(t, p, nil)
 		l.routes(1)
-		l.stand("one", nil, sealed)
-		l.stand("two", nil, sealed)
+		l.startTarget("one", nil, serveOK)
+		l.startTarget("two", nil, serveOK)
 		drained := ""
 		p.tell = func(addr string) {
-			for id, s := range l.stands {
+			for id, s := range l.targets {
 				if drained == "" && s.ln.Addr().String() == addr {
 					drained = id
-					l.node.TakeRuns([]target.Run{{ID: id, Service: "svc", State: target.Draining, Seq: 2}})
+					l.node.ApplyRuns([]target.Run{{ID: id, Service: "svc", State: target.Draining, Seq: 2}})
 				}
 			}
 		}
-		if g := l.call("/once/x", "q1", time.Second); !g.proper("q1") {
+		if g := l.request("/once/x", "q1", time.Second); !g.proper("q1") {
 			t.Errorf("got %+v", g)
 		}
-		if a := l.arrivals(); drained == "" || len(a) != 1 || a[0].run == drained {
+		if a := l.requests(); drained == "" || len(a) != 1 || a[0].targetID == drained {
 			t.Errorf("%q drained, %d arrived", drained, len(a))
 		}
 		l.close()
@@ -513,27 +513,27 @@
 // used again. On a connection's first request nothing earlier can be answered.
 func TestSurplusBefore(t *testing.T) {
 	for _, kind := range []string{"once", "idem"} {
-		l := newLab(t, loopback{}, nil)
+		l := newHarness(t, loopback{}, nil)
 		l.routes(1)
 		last := ""
-		l.stand("one", nil, func(l *lab, c net.Conn, s *seen) bool {
-			l.run(s)
-			if last != "" && s.onConn == 2 {
-				if !say(c, "200 OK", last, "X-Seal: s\r\n", bodyOf(last)) {
+		l.startTarget("one", nil, func(l *harness, c net.Conn, s *receivedRequest) bool {
+			l.recordRun(s)
+			if last != "" && s.connIndex == 2 {
+				if !writeAnswer(c, "200 OK", last, "X-Seal: s\r\n", answerBody(last)) {
 					return false
 				}
 			}
 			last = s.id
-			return say(c, "200 OK", s.id, "X-Seal: s\r\n", bodyOf(s.id))
+			return writeAnswer(c, "200 OK", s.id, "X-Seal: s\r\n", answerBody(s.id))
 		})
 		for i := range 6 {
 			id := fmt.Sprint("q", i)
-			if g := l.call("/"+kind+"/x", id, 5*time.Second); !g.proper(id) || l.runs(id) != 1 {
-				t.Errorf("%s got %+v, ran %d times", id, g, l.runs(id))
+			if g := l.request("/"+kind+"/x", id, 5*time.Second); !g.proper(id) || l.runCount(id) != 1 {
+				t.Errorf("%s got %+v, ran %d times", id, g, l.runCount(id))
 			}
 		}
-		for _, s := range l.arrivals() {
-			if s.onConn > 2 {
+		for _, s := range l.requests() {
+			if s.connIndex > 2 {
 				t.Errorf("%s came over a connection on which a surplus answer had come", s.id)
 			}
 		}
@@ -547,25 +547,25 @@
 // detector looks at what both touch.
 func TestNewsWhileConnecting(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := newLab(t, newPipes(), nil)
+		l := newHarness(t, newPipes(), nil)
 		l.routes(3)
 		run := target.Run{ID: "none", Service: "svc", Addr: "pipe99", Zone: "a", Slots: 4, State: target.Ready, Seq: 1}
-		l.node.call = func(context.Context, string) (net.Conn, error) {
+		l.node.dialContext = func(context.Context, string) (net.Conn, error) {
 			time.Sleep(2500 * time.Microsecond)
 			return nil, io.EOF
 		}
-		l.node.TakeRuns([]target.Run{run})
+		l.node.ApplyRuns([]target.Run{run})
 		done := make(chan bool)
 		go func() {
 			defer close(done)
 			for range 200 {
 				run.Seq++
-				l.node.TakeRuns([]target.Run{run})
+				l.node.ApplyRuns([]target.Run{run})
 				time.Sleep(time.Millisecond)
 			}
 		}()
 		for i := range 50 {
-			if g := l.call("/idem/x", fmt.Sprint("q", i), 100*time.Millisecond); g.status != 503 {
+			if g := l.request("/idem/x", fmt.Sprint("q", i), 100*time.Millisecond); g.status != 503 {
 				t.Errorf("%+v", g)
 			}
 			time.Sleep(3 * time.Millisecond)
--- a/internal/proxy/fates.go
+++ b/internal/proxy/fates.go
@@ -139,18 +139,18 @@
 	f, m := e.fates, &e.svc.norm
 	gap := 0.0
 	switch o {
-	case answered, cutShort:
+	case outcomeAnswered, outcomeCanceled:
 		gap = took.Seconds() / e.unit(now)
-	case erred, reset, spoilt, unreachable:
+	case outcomeServerError, outcomeReset, outcomeInvalid, outcomeUnreachable:
 		gap = m.absence()
-	case mute:
+	case outcomeSilent:
 		gap = took.Seconds()/e.unit(now) + m.absence()
-	case stale:
+	case outcomeStaleConn:
 		gap = forgot * m.absence()
 	default:
 		return
 	}
-	failed := o != answered && o != cutShort
+	failed := o != outcomeAnswered && o != outcomeCanceled
 	m.ended(failed)
 	if f == nil {
 		f = &fates{}
@@ -163,17 +163,17 @@
 	f.silence += gap
 	f.failed = f.failed || failed
 	gap = f.silence
-	if o == answered {
+	if o == outcomeAnswered {
 		f.arrive()
 		m.push(gap)
 	}
 	late := m.late > 0 && gap > m.late
 	switch {
 	case m.late == 0:
-	case f.ill && (late || failed && o != stale), !f.ill && o != answered && late, !f.ill && o == answered && f.fails(m.fit):
+	case f.ill && (late || failed && o != outcomeStaleConn), !f.ill && o != outcomeAnswered && late, !f.ill && o == outcomeAnswered && f.fails(m.fit):
 		f.fall(now)
 		e.svc.n.stats.passedOver.Add(1)
-	case f.ill && o == answered:
+	case f.ill && o == outcomeAnswered:
 		if f.good++; f.good >= wellAfter {
 			f.ill, f.since, f.n = false, now, 0
 		}
--- a/internal/proxy/fates_test.go
+++ b/internal/proxy/fates_test.go
@@ -23,7 +23,7 @@
 		for i := range runs {
 			s.took = 100 * time.Millisecond
 			now := n.clock.Now()
-			s.all[fmt.Sprint("r", i)].met(now, now, answered, time.Duration(70+(13*k+7*i)%60)*time.Millisecond)
+			s.all[fmt.Sprint("r", i)].met(now, now, outcomeAnswered, time.Duration(70+(13*k+7*i)%60)*time.Millisecond)
 		}
 	}
 	return n, s
@@ -32,7 +32,7 @@
 // fate lets one request to a run end.
 func fate(n *Node, s *service, id string, o outcome, d time.Duration) {
 	s.mu.Lock()
-	g := s.hold(s.all[id], n.clock.Now())
+	g := s.reserve(s.all[id], n.clock.Now())
 	s.mu.Unlock()
 	time.Sleep(d)
 	s.release(g, o, d, 0)
@@ -57,7 +57,7 @@
 // answers the others; it comes back by a trickle of repeatable requests, later with each
 // relapse.
 func TestFailingRun(t *testing.T) {
-	for _, o := range []outcome{reset, spoilt, erred, mute} {
+	for _, o := range []outcome{outcomeReset, outcomeInvalid, outcomeServerError, outcomeSilent} {
 		synctest.Test(t, func(t *testing.T) {
 			n, s := fated(6)
 			e := s.all["r0"]
@@ -86,11 +86,11 @@
 					if got := usable(n, s, route.Idempotent); got["r0"] != 1+k {
 						t.Errorf("outcome %d: %d on trial after %d answers", o, got["r0"], k)
 					}
-					fate(n, s, "r0", answered, 100*time.Millisecond)
+					fate(n, s, "r0", outcomeAnswered, 100*time.Millisecond)
 				}
 				hold = min(2*hold, mostHold)
 			}
-			fate(n, s, "r0", answered, 100*time.Millisecond)
+			fate(n, s, "r0", outcomeAnswered, 100*time.Millisecond)
 			if got := usable(n, s, route.Once); got["r0"] < 4 {
 				t.Errorf("outcome %d: %v once it is well", o, got)
 			}
@@ -107,7 +107,7 @@
 		e := s.all["r0"]
 		for k := range fateGaps {
 			s.norm.fail = 0.3
-			fate(n, s, "r0", reset, 10*time.Millisecond)
+			fate(n, s, "r0", outcomeReset, 10*time.Millisecond)
 			e.cleared()
 			if k == 0 && e.fates.ill {
 				t.Error("ill by one failure of many")
@@ -115,7 +115,7 @@
 			if e.fates.ill {
 				return
 			}
-			fate(n, s, "r0", answered, 100*time.Millisecond)
+			fate(n, s, "r0", outcomeAnswered, 100*time.Millisecond)
 			if e.fates.ill {
 				return
 			}
@@ -130,7 +130,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		n, s := fated(6)
 		s.mu.Lock()
-		g := s.hold(s.all["r0"], n.clock.Now())
+		g := s.reserve(s.all["r0"], n.clock.Now())
 		s.mu.Unlock()
 		time.Sleep(150 * time.Millisecond)
 		if s.all["r0"].illness(n.clock.Now()) >= suspectAt {
@@ -140,7 +140,7 @@
 		if s.all["r0"].illness(n.clock.Now()) < suspectAt {
 			t.Error("not suspected after 1.15 s; answers take 0.1 s")
 		}
-		s.release(g, answered, 1150*time.Millisecond, 0)
+		s.release(g, outcomeAnswered, 1150*time.Millisecond, 0)
 		if s.all["r0"].illness(n.clock.Now()) >= suspectAt {
 			t.Error("still suspected after its answer")
 		}
@@ -154,7 +154,7 @@
 		n, s := fated(6)
 		for i := range 6 {
 			s.norm.fail = 0
-			fate(n, s, fmt.Sprint("r", i), reset, time.Millisecond)
+			fate(n, s, fmt.Sprint("r", i), outcomeReset, time.Millisecond)
 			s.all[fmt.Sprint("r", i)].cleared()
 			want := 6 - i - 1
 			if i >= 3 {
@@ -183,8 +183,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		n, s := fated(6)
 		for range 50 {
-			fate(n, s, "r0", turnedAway, time.Millisecond)
-			fate(n, s, "r1", withheld, time.Millisecond)
+			fate(n, s, "r0", outcomeRejected, time.Millisecond)
+			fate(n, s, "r1", outcomeNotSent, time.Millisecond)
 		}
 		for _, id := range []string{"r0", "r1"} {
 			if s.all[id].fates.ill || s.all[id].illness(n.clock.Now()) >= suspectAt {
@@ -193,7 +193,7 @@
 		}
 		for k := range 30 {
 			for i := range 6 {
-				fate(n, s, fmt.Sprint("r", i), answered, time.Duration(170+(31*k+17*i)%120)*time.Millisecond)
+				fate(n, s, fmt.Sprint("r", i), outcomeAnswered, time.Duration(170+(31*k+17*i)%120)*time.Millisecond)
 			}
 		}
 		for id, e := range s.all {
@@ -216,13 +216,13 @@
 		e := s.all["r0"]
 		began := n.clock.Now()
 		time.Sleep(time.Millisecond)
-		e.met(n.clock.Now(), began, reset, 0)
+		e.met(n.clock.Now(), began, outcomeReset, 0)
 		was := *e.fates
 		if !was.ill {
 			t.Fatal("not ill after a reset")
 		}
-		e.met(n.clock.Now(), began, reset, 0)
-		e.met(n.clock.Now(), began, answered, 0)
+		e.met(n.clock.Now(), began, outcomeReset, 0)
+		e.met(n.clock.Now(), began, outcomeAnswered, 0)
 		if *e.fates != was {
 			t.Errorf("%+v, was %+v", *e.fates, was)
 		}
@@ -240,8 +240,8 @@
 	e := s.all["r0"]
 	if k := testing.AllocsPerRun(100, func() {
 		s.pick(now, x)
-		e.met(now, now, answered, 100*time.Millisecond)
-		e.met(now, now, reset, 100*time.Millisecond)
+		e.met(now, now, outcomeAnswered, 100*time.Millisecond)
+		e.met(now, now, outcomeReset, 100*time.Millisecond)
 	}); k != 0 {
 		t.Errorf("%v allocations a request", k)
 	}
@@ -278,6 +278,6 @@
 	k := 0
 	for b.Loop() {
 		k++
-		e.met(now, now, answered, time.Duration(70+k%60)*time.Millisecond)
+		e.met(now, now, outcomeAnswered, time.Duration(70+k%60)*time.Millisecond)
 	}
 }
--- a/internal/proxy/fates_world_test.go
+++ b/internal/proxy/fates_world_test.go
@@ -19,21 +19,21 @@
 type illTarget struct {
 	name        string
 	many        int // how many of the targets are ill; 0 is one in ten
-	do          act
-	health      act
+	do          handler
+	health      handler
 	downBetween time.Duration // ill and well by turns
 }
 
-func unwell(_ *lab, c net.Conn, _ *seen) bool {
+func unwell(_ *harness, c net.Conn, _ *receivedRequest) bool {
 	_, err := fmt.Fprint(c, "HTTP/1.1 503 Unwell\r\nContent-Length: 0\r\n\r\n")
 	return err == nil
 }
 
-func breakOff(*lab, net.Conn, *seen) bool { return false }
+func breakOff(*harness, net.Conn, *receivedRequest) bool { return false }
 
 // sometimes does bad in so many per cent.
-func sometimes(percent int, bad act) act {
-	return func(l *lab, c net.Conn, s *seen) bool {
+func sometimes(percent int, bad handler) handler {
+	return func(l *harness, c net.Conn, s *receivedRequest) bool {
 		if rand.IntN(100) < percent {
 			return bad(l, c, s)
 		}
@@ -42,35 +42,35 @@
 }
 
 // work answers after 120 ms in the median, times factor.
-func work(factor float64) act {
-	return func(l *lab, c net.Conn, s *seen) bool {
+func work(factor float64) handler {
+	return func(l *harness, c net.Conn, s *receivedRequest) bool {
 		d := 120 * math.Exp(0.3*rand.NormFloat64()) * factor
-		return after(time.Duration(d*float64(time.Millisecond)), sealed)(l, c, s)
+		return delayed(time.Duration(d*float64(time.Millisecond)), serveOK)(l, c, s)
 	}
 }
 
-func mutely(_ *lab, c net.Conn, _ *seen) bool {
+func mutely(_ *harness, c net.Conn, _ *receivedRequest) bool {
 	_, _ = io.Copy(io.Discard, c)
 	return false
 }
 
-func fails(l *lab, c net.Conn, s *seen) bool {
-	l.run(s)
-	return say(c, "500 Ill", s.id, "", "ill")
+func fails(l *harness, c net.Conn, s *receivedRequest) bool {
+	l.recordRun(s)
+	return writeAnswer(c, "500 Ill", s.id, "", "ill")
 }
 
 var illTargets = []illTarget{
 	{name: "none"},
-	{name: "reset 45 %", do: sometimes(45, after(60*time.Millisecond, breakOff))},
-	{name: "errors, health good", do: sometimes(45, after(60*time.Millisecond, fails))},
+	{name: "reset 45 %", do: sometimes(45, delayed(60*time.Millisecond, breakOff))},
+	{name: "errors, health good", do: sometimes(45, delayed(60*time.Millisecond, fails))},
 	{name: "well, health bad", do: work(1), health: unwell},
 	{name: "slow x5", do: work(5)},
 	{name: "down and up each 1.2 s", do: breakOff, health: breakOff, downBetween: 1200 * time.Millisecond},
 	{name: "mute", do: mutely, health: mutely},
 	{name: "mute, health good", do: mutely},
-	{name: "8 of 20 reset 45 %", many: 8, do: sometimes(45, after(60*time.Millisecond, breakOff))},
-	{name: "8 of 20 errors", many: 8, do: sometimes(45, after(60*time.Millisecond, fails))},
-	{name: "all reset 20 %", many: worldRuns, do: sometimes(20, after(60*time.Millisecond, breakOff))},
+	{name: "8 of 20 reset 45 %", many: 8, do: sometimes(45, delayed(60*time.Millisecond, breakOff))},
+	{name: "8 of 20 errors", many: 8, do: sometimes(45, delayed(60*time.Millisecond, fails))},
+	{name: "all reset 20 %", many: worldRuns, do: sometimes(20, delayed(60*time.Millisecond, breakOff))},
 	{name: "all slow x2", many: worldRuns, do: work(2)},
 }
 
@@ -94,8 +94,8 @@
 // so many requests a second, a quarter of which may run once.
 func world(t *testing.T, w illTarget, rate float64, noStandIn, noFates bool) (out tally) {
 	synctest.Test(t, func(t *testing.T) {
-		l := newLab(t, newPipes(), func(s *Settings) { s.BudgetRatio, s.BudgetSlack = 0.2, 20 })
-		l.node.noStandIn, l.node.noFates = noStandIn, noFates
+		l := newHarness(t, newPipes(), func(s *Settings) { s.BudgetRatio, s.BudgetSlack = 0.2, 20 })
+		l.node.noAnswerEvidence, l.node.noFates = noStandIn, noFates
 		l.routes(2)
 		began := time.Now()
 		for i, nth := range rand.Perm(worldRuns) {
@@ -107,12 +107,12 @@
 				return w.downBetween == 0 || d/w.downBetween%2 == 0
 			}
 			places := make(chan bool, worldSlots)
-			s := l.stand(fmt.Sprintf("r%02d", i), nil, func(l *lab, c net.Conn, s *seen) bool {
+			s := l.startTarget(fmt.Sprintf("r%02d", i), nil, func(l *harness, c net.Conn, s *receivedRequest) bool {
 				select {
 				case places <- true:
 					defer func() { <-places }()
 				case <-time.After(100 * time.Millisecond):
-					return say(c, "503 Full", s.id, dialect.NotRun+": 1\r\n", "")
+					return writeAnswer(c, "503 Full", s.id, dialect.NotRun+": 1\r\n", "")
 				}
 				if is() {
 					return w.do(l, c, s)
@@ -120,7 +120,7 @@
 				return work(1)(l, c, s)
 			})
 			s.mu.Lock()
-			s.health = func(l *lab, c net.Conn, s *seen) bool {
+			s.health = func(l *harness, c net.Conn, s *receivedRequest) bool {
 				if is() && w.health != nil {
 					return w.health(l, c, s)
 				}
@@ -170,7 +170,7 @@
 		st := l.node.Stats()
 		out.probes, out.saved = int(st.Probes-before.Probes), int(st.ProbesSaved-before.ProbesSaved)
 		out.passed, out.turned = int(st.PassedOver-before.PassedOver), int(st.TurnedAway-before.TurnedAway)
-		for id, n := range l.ran {
+		for id, n := range l.runCounts {
 			if n > 1 && id[:4] == "once" {
 				t.Errorf("%s ran %d times", id, n)
 			}
--- a/internal/proxy/field.go
+++ b/internal/proxy/field.go
@@ -5,8 +5,8 @@
 	"iter"
 )
 
-// same compares field names, which have no case.
-func same(b []byte, name string) bool {
+// equalFieldName compares field names, which are case-insensitive.
+func equalFieldName(b []byte, name string) bool {
 	if len(b) != len(name) {
 		return false
 	}
@@ -25,18 +25,18 @@
 	return c
 }
 
-// hop tells whether a field concerns one connection only.
-func hop(k []byte) bool {
+// isHopByHop reports whether a field applies to one connection only.
+func isHopByHop(k []byte) bool {
 	for _, n := range [...]string{"Connection", "Keep-Alive", "Proxy-Connection", "TE", "Trailer", "Transfer-Encoding", "Upgrade"} {
-		if same(k, n) {
+		if equalFieldName(k, n) {
 			return true
 		}
 	}
 	return false
 }
 
-// tokens are the parts of a list with commas.
-func tokens(v []byte) iter.Seq[[]byte] {
+// listTokens iterates over the elements of a comma-separated list.
+func listTokens(v []byte) iter.Seq[[]byte] {
 	return func(yield func([]byte) bool) {
 		for len(v) > 0 {
 			t, rest, _ := bytes.Cut(v, []byte{','})
@@ -48,18 +48,18 @@
 	}
 }
 
-// lists tells whether the list v holds name.
-func lists(v []byte, name string) bool {
-	for t := range tokens(v) {
-		if same(t, name) {
+// listContains reports whether the list v contains name.
+func listContains(v []byte, name string) bool {
+	for t := range listTokens(v) {
+		if equalFieldName(t, name) {
 			return true
 		}
 	}
 	return false
 }
 
-// number reads digits alone.
-func number(v []byte) (int, bool) {
+// parseDigits parses a number that consists of digits only.
+func parseDigits(v []byte) (int, bool) {
 	if len(v) == 0 || len(v) > 9 {
 		return 0, false
 	}
@@ -73,7 +73,7 @@
 	return n, true
 }
 
-// appendField adds one line.
+// appendField appends one field line.
 func appendField[T, U ~[]byte | ~string](b []byte, k T, v U) []byte {
 	b = append(b, k...)
 	b = append(b, ": "...)
--- a/internal/proxy/follow.go
+++ b/internal/proxy/follow.go
@@ -5,8 +5,8 @@
 // Follow has the node take what a subscriber hears.
 func (n *Node) Follow(sub *watch.Subscriber) {
 	sub.OnNews = func(t watch.WatchTold) {
-		n.TakeItems(t.Items)
-		n.TakeRuns(t.Runs)
+		n.ApplyItems(t.Items)
+		n.ApplyRuns(t.Runs)
 		n.SetGateways(t.Gateways, t.GatewaysNear)
 		if sub.Synced() {
 			n.SetSynced(true)
--- a/internal/proxy/gone.go
+++ b/internal/proxy/gone.go
@@ -7,49 +7,49 @@
 	"walkrudder/internal/peer"
 )
 
-// gonePeriod is how often the connections of callers whose requests are under way are looked at.
-// A look takes one system call a request, so what is answered sooner costs none or one.
-const gonePeriod = 200 * time.Millisecond
+// disconnectCheckInterval is how often the connections of callers with a request in flight are checked.
+// A check takes one system call per request, so requests answered sooner cost at most one.
+const disconnectCheckInterval = 200 * time.Millisecond
 
-// watchCallers ends the requests of callers that left, until ctx ends. A caller that closed its
-// connection reads no answer any more; a target need not work for it.
-func (n *Node) watchCallers(ctx context.Context) {
-	for n.clock.Sleep(ctx, gonePeriod) == nil {
+// watchDisconnects cancels the requests of disconnected callers until ctx ends. A caller that closed its
+// connection does not read the answer any more, so no target needs to work on it.
+func (n *Node) watchDisconnects(ctx context.Context) {
+	for n.clock.Sleep(ctx, disconnectCheckInterval) == nil {
 		if n.stats.inside.Load() > 0 {
-			n.endForGone()
+			n.cancelDisconnected()
 		}
 	}
 }
 
-// endForGone looks once at every caller that waits for an answer.
-func (n *Node) endForGone() {
-	n.cm.Lock()
-	var waiting []*caller
+// cancelDisconnected checks every caller that waits for an answer once.
+func (n *Node) cancelDisconnected() {
+	n.callersMu.Lock()
+	var waiting []*callerConn
 	for c := range n.callers {
-		if c.leads.Load() != nil {
+		if c.awaiting.Load() != nil {
 			waiting = append(waiting, c)
 		}
 	}
-	n.cm.Unlock()
+	n.callersMu.Unlock()
 	for _, c := range waiting {
-		// A connection that is closed has no later request.
-		if x := c.leads.Load(); x != nil && peer.Closed(c.nc) && x.callerLeft() {
+		// A closed connection has no later request, so x is the one that was abandoned.
+		if x := c.awaiting.Load(); x != nil && peer.Closed(c.nc) && x.callerDisconnected() {
 			n.stats.callersGone.Add(1)
 		}
 	}
 }
 
-// callerLeft ends the exchange, and gives up what is under way, unless the request may run once
-// and may have run: then its target works on, for nobody could tell what became of it. Nothing
-// more is sent in any case. It tells whether anything was ended.
-func (x *exchange) callerLeft() bool {
+// callerDisconnected finishes the exchange and aborts the sends in progress, unless the request is at-most-once
+// and may have run: then its target continues, because otherwise the outcome would be unknown. In either
+// case nothing more is sent. It reports whether a request was canceled.
+func (x *exchange) callerDisconnected() bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	first := !x.left
-	x.left = true
-	if x.won != nil || x.once && x.loose > 0 {
+	first := !x.callerGone
+	x.callerGone = true
+	if x.result != nil || x.atMostOnce && x.unresolved > 0 {
 		return false
 	}
-	x.conclude(x.n.own(x.id, 502, 0, "the caller left"))
+	x.setResult(x.n.localAnswer(x.id, 502, 0, "the caller left"))
 	return first
 }
--- a/internal/proxy/lead.go
+++ b/internal/proxy/lead.go
@@ -17,27 +17,27 @@
 // goroutine of the caller's connection; only an attempt besides has its own. On a narrow link a
 // download, and a request whose like had large answers of late, first waits for its start.
 func (n *Node) lead(x *exchange) *answer {
-	if n.downs == nil {
+	if n.downloads == nil {
 		return n.seek(x)
 	}
 	svc, kind := x.svc, x.kind
-	if kind != route.Download && !svc.large(kind) {
+	if kind != route.Download && !svc.hasLargeAnswers(kind) {
 		a := n.seek(x)
-		svc.noteSize(kind, a)
+		svc.recordSize(kind, a)
 		return a
 	}
-	x.progress.enter(queued)
-	if !n.downs.start(x.deadline.Sub(n.clock.Now())/4, 2*svc.usualWork()) {
-		return x.end(n.refusal(x, 3*minRetry, "too many downloads at once"))
+	x.progress.setStage(stageQueued)
+	if !n.downloads.acquire(x.deadline.Sub(n.clock.Now())/4, 2*svc.usualWork()) {
+		return x.finish(n.refusal(x, 3*minRetryAfter, "too many downloads at once"))
 	}
 	if kind == route.Download {
-		x.passed, x.shared = make(chan struct{}), true
+		x.streamStarted, x.buffersShared = make(chan struct{}), true
 	}
 	a := n.seekAfterWait(x)
-	svc.noteSize(kind, a)
-	n.downs.answered(a)
-	if a.passing == nil {
-		n.downs.end()
+	svc.recordSize(kind, a)
+	n.downloads.answerReceived(a)
+	if a.stream == nil {
+		n.downloads.release()
 	}
 	return a
 }
@@ -45,7 +45,7 @@
 // seekAfterWait goes by what the routes say after a wait, and finds the request its answer.
 func (n *Node) seekAfterWait(x *exchange) *answer {
 	if w := n.reroute(x); w != nil {
-		return x.end(n.own(x.id, w.status, w.retry, w.why))
+		return x.finish(n.localAnswer(x.id, w.status, w.retryAfter, w.reason))
 	}
 	return n.seek(x)
 }
@@ -61,46 +61,46 @@
 			if n.await(x) {
 				continue
 			}
-			return x.end(n.refusal(x, minRetry, "this node is stopping"))
+			return x.finish(n.refusal(x, minRetryAfter, "this node is stopping"))
 		}
 		if x.deadline.Sub(n.clock.Now()) < minLeft {
-			return x.end(n.late(x))
+			return x.finish(n.late(x))
 		}
 		if n.outdated() {
 			if n.await(x) {
 				continue
 			}
 			n.stats.behind.Add(1)
-			return x.end(n.refusal(x, minRetry, "this node's news is late"))
+			return x.finish(n.refusal(x, minRetryAfter, "this node's news is late"))
 		}
-		if !x.more() || dials >= maxDials {
+		if !x.canSend() || dials >= maxDials {
 			if n.await(x) {
 				continue
 			}
-			return x.end(n.refusal(x, minRetry, "no target took it"))
+			return x.finish(n.refusal(x, minRetryAfter, "no target took it"))
 		}
-		x.progress.enter(choosing)
+		x.progress.setStage(stageChoosing)
 		g, retry := x.svc.acquire(x)
 		if g.e == nil {
 			if n.await(x) {
 				continue
 			}
-			return x.end(n.refusal(x, retry, "no target has room"))
+			return x.finish(n.refusal(x, retry, "no target has room"))
 		}
 		if w := n.reroute(x); w != nil {
-			g.e.svc.release(g, withheld, 0, 0)
-			return x.end(n.own(x.id, w.status, w.retry, w.why))
+			g.e.svc.release(g, outcomeNotSent, 0, 0)
+			return x.finish(n.localAnswer(x.id, w.status, w.retryAfter, w.reason))
 		}
 		if g.e.svc != x.svc {
-			g.e.svc.release(g, withheld, 0, 0)
+			g.e.svc.release(g, outcomeNotSent, 0, 0)
 			continue
 		}
-		x.progress.enter(asking)
+		x.progress.setStage(stageAsking)
 		o := n.attemptPassing(x, g)
-		if o == unreachable {
+		if o == outcomeUnreachable {
 			dials++
 		}
-		if !o.whole() {
+		if !o.hasAnswer() {
 			// One that is under way may still answer.
 			n.await(x)
 		}
@@ -110,7 +110,7 @@
 // attemptPassing makes an attempt, and returns as soon as there is an answer to go on to
 // the caller, also one that has yet to come in whole.
 func (n *Node) attemptPassing(x *exchange, g grant) (o outcome) {
-	if x.passed == nil {
+	if x.streamStarted == nil {
 		return n.attempt(x, g)
 	}
 	done := make(chan outcome, 1)
@@ -122,28 +122,28 @@
 	select {
 	case o = <-done:
 		return o
-	case <-x.passed:
-		return answered
+	case <-x.streamStarted:
+		return outcomeAnswered
 	}
 }
 
 // passer lets the first proper answer over c that is large go on to the caller while it
 // comes; nil where none may.
 func (n *Node) passer(x *exchange, e *endpoint, c *conn) func(*answer) bool {
-	if x.passed == nil {
+	if x.streamStarted == nil {
 		return nil
 	}
 	return func(a *answer) bool {
-		c.slow = nil
-		x.leave(c, false, false)
-		if !x.win(a) {
+		c.onSoftDeadline = nil
+		x.endSend(c, false, false)
+		if !x.offerResult(a) {
 			return false
 		}
 		x.mu.Lock()
-		x.reader = e
+		x.streamSource = e
 		x.mu.Unlock()
 		n.stats.passed.Add(1)
-		close(x.passed)
+		close(x.streamStarted)
 		return true
 	}
 }
@@ -152,16 +152,16 @@
 // answer went on before that.
 func (n *Node) leavePassed(x *exchange, g grant) {
 	x.mu.Lock()
-	passed := x.reader == g.e
+	passed := x.streamSource == g.e
 	x.mu.Unlock()
 	if passed {
-		n.downs.end()
+		n.downloads.release()
 	}
 }
 
 // await waits for the attempt besides, and tells whether there was one.
 func (n *Node) await(x *exchange) bool {
-	c := x.besides()
+	c := x.hedgeInProgress()
 	if c == nil {
 		return false
 	}
@@ -172,7 +172,7 @@
 // lastCalled tells whether a planned stop is so near its end that nothing is sent any more.
 func (n *Node) lastCalled() bool {
 	select {
-	case <-n.lastCall:
+	case <-n.sendsClosed:
 		return true
 	default:
 		return false
@@ -184,17 +184,17 @@
 func (n *Node) refusal(x *exchange, retry time.Duration, why string) *answer {
 	if x.mayHaveRun() {
 		n.stats.unknown.Add(1)
-		return n.own(x.id, 502, 0, "the outcome is not known")
+		return n.localAnswer(x.id, 502, 0, "the outcome is not known")
 	}
 	n.stats.refused.Add(1)
-	return n.own(x.id, 503, n.spreadOut(retry), why)
+	return n.localAnswer(x.id, 503, n.jitter(retry), why)
 }
 
 // late is the final answer at the deadline.
 func (n *Node) late(x *exchange) *answer {
 	if x.mayHaveRun() {
 		n.stats.late.Add(1)
-		return n.own(x.id, 504, 0, "no answer in time")
+		return n.localAnswer(x.id, 504, 0, "no answer in time")
 	}
-	return n.refusal(x, minRetry, "it did not leave in time")
+	return n.refusal(x, minRetryAfter, "it did not leave in time")
 }
--- a/internal/proxy/mix_test.go
+++ b/internal/proxy/mix_test.go
@@ -15,21 +15,21 @@
 
 // mixed is a target that fails in a way drawn for each request; what it does before
 // drawing counts as run only where it ran.
-func mixed(mutes bool) act {
-	return func(l *lab, c net.Conn, s *seen) bool {
+func mixed(mutes bool) handler {
+	return func(l *harness, c net.Conn, s *receivedRequest) bool {
 		p := rand.IntN(100)
 		switch {
 		case p < 40:
-			return sealed(l, c, s)
+			return serveOK(l, c, s)
 		case p < 45 && mutes:
-			l.run(s)
+			l.recordRun(s)
 			_, _ = io.Copy(io.Discard, c)
 			return false
 		case p < 50 && mutes:
-			return after(time.Duration(rand.IntN(600))*time.Millisecond, sealed)(l, c, s)
+			return delayed(time.Duration(rand.IntN(600))*time.Millisecond, serveOK)(l, c, s)
 		case p < 55:
 			// A forgotten connection.
-			sealed(l, c, s)
+			serveOK(l, c, s)
 			return false
 		}
 		return ways[rand.IntN(len(ways))].do(l, c, s)
@@ -39,13 +39,13 @@
 // mix sends many requests of all kinds from some callers at once, while targets come,
 // go, and take over each other's addresses.
 func mix(t *testing.T, nw network, callers, each int, pause time.Duration, mutes bool) {
-	l := newLab(t, nw, func(s *Settings) { s.Linger = time.Millisecond })
+	l := newHarness(t, nw, func(s *Settings) { s.Linger = time.Millisecond })
 	l.routes(3)
 	var names []string
 	seq := uint64(1)
 	for i := range 5 {
 		names = append(names, fmt.Sprint("s", i))
-		l.stand(names[i], nil, mixed(mutes))
+		l.startTarget(names[i], nil, mixed(mutes))
 	}
 	type end struct {
 		kind, id string
@@ -78,14 +78,14 @@
 					// A run is replaced.
 					old := names[0]
 					names = append(names[1:], fmt.Sprint("n", i))
-					l.node.TakeRuns([]target.Run{{ID: old, Service: "svc", State: target.Draining, Seq: seq}})
-					l.stand(names[len(names)-1], nil, mixed(mutes))
+					l.node.ApplyRuns([]target.Run{{ID: old, Service: "svc", State: target.Draining, Seq: seq}})
+					l.startTarget(names[len(names)-1], nil, mixed(mutes))
 				}
 				if k == 0 && i%5 == 0 {
 					// Later beats bring back who was taken for gone.
 					seq++
 					for _, id := range names {
-						l.node.TakeRuns([]target.Run{{ID: id, Service: "svc", Addr: l.stands[id].ln.Addr().String(), Zone: "a", Slots: 4, State: target.Ready, Seq: seq}})
+						l.node.ApplyRuns([]target.Run{{ID: id, Service: "svc", Addr: l.targets[id].ln.Addr().String(), Zone: "a", Slots: 4, State: target.Ready, Seq: seq}})
 					}
 				}
 				if g.status == 503 {
@@ -103,11 +103,11 @@
 		if e.status == 503 {
 			refused++
 		}
-		n := l.runs(e.id)
+		n := l.runCount(e.id)
 		switch {
 		case e.kind == "once" && n > 1:
 			t.Errorf("%s ran %d times", e.id, n)
-		case promise(e.status) && n > 0:
+		case impliesNotRun(e.status) && n > 0:
 			t.Errorf("%s was answered %d and ran", e.id, e.status)
 		case e.status == 200 && !e.proper(e.id):
 			t.Errorf("%s got %+v", e.id, e.got)
@@ -116,16 +116,16 @@
 		case e.status != 500 && e.status != 502 && e.status != 503 && e.status != 504:
 			t.Errorf("%s got %+v", e.id, e.got)
 		}
-		if e.head.Get(dialect.RequestID) != e.id {
-			t.Errorf("%s got an answer that names %q", e.id, e.head.Get(dialect.RequestID))
+		if e.header.Get(dialect.RequestID) != e.id {
+			t.Errorf("%s got an answer that names %q", e.id, e.header.Get(dialect.RequestID))
 		}
 	}
 	asked := map[string]map[string]int{}
-	for _, s := range l.arrivals() {
+	for _, s := range l.requests() {
 		if asked[s.id] == nil {
 			asked[s.id] = map[string]int{}
 		}
-		asked[s.id][s.run]++
+		asked[s.id][s.targetID]++
 	}
 	for id, runs := range asked {
 		sum := 0
@@ -146,7 +146,7 @@
 	if s := l.node.Stats(); s.Inside != 0 || s.MemoryUsed != 0 || s.Callers != 0 {
 		t.Errorf("left over: %+v", s)
 	}
-	for _, s := range l.node.all() {
+	for _, s := range l.node.allServices() {
 		for _, e := range s.all {
 			if len(e.starts) != 0 || e.open != 0 {
 				t.Errorf("%s: %d under way, %d connections", e.run.ID, len(e.starts), e.open)
@@ -166,7 +166,7 @@
 func TestBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const ratio, window = 0.2, 10 * time.Second
-		l := newLab(t, newPipes(), func(s *Settings) { s.BudgetRatio, s.BudgetWindow, s.BudgetSlack = ratio, window, 0 })
+		l := newHarness(t, newPipes(), func(s *Settings) { s.BudgetRatio, s.BudgetWindow, s.BudgetSlack = ratio, window, 0 })
 		l.routes(3)
 		type arrival struct {
 			at time.Time
@@ -174,7 +174,7 @@
 		}
 		var mu sync.Mutex
 		var came []arrival
-		fail := func(l *lab, c net.Conn, s *seen) bool {
+		fail := func(l *harness, c net.Conn, s *receivedRequest) bool {
 			mu.Lock()
 			came = append(came, arrival{time.Now(), s.id})
 			mu.Unlock()
@@ -184,7 +184,7 @@
 			return false
 		}
 		for i := range 4 {
-			l.stand(fmt.Sprint("s", i), nil, fail)
+			l.startTarget(fmt.Sprint("s", i), nil, fail)
 		}
 		began := time.Now()
 		var sent []time.Time
@@ -195,7 +195,7 @@
 			}
 			time.Sleep(10 * time.Millisecond)
 			sent = append(sent, time.Now())
-			l.call([]string{"/once/x", "/idem/x", "/down/x"}[i%3], fmt.Sprint("q", i), time.Second)
+			l.request([]string{"/once/x", "/idem/x", "/down/x"}[i%3], fmt.Sprint("q", i), time.Second)
 		}
 		count := func(from, to time.Time) (n int) {
 			for _, s := range sent {
--- a/internal/proxy/news.go
+++ b/internal/proxy/news.go
@@ -55,17 +55,17 @@
 // crowded tells whether the node's own link held messages up of late: silence of the control plane says little then.
 func (n *Node) crowded(now time.Time) bool {
 	at := n.newsWatch.crowdedAt.Load()
-	return at > 0 && now.Sub(time.Unix(0, at)) < n.set.NewsLost
+	return at > 0 && now.Sub(time.Unix(0, at)) < n.settings.NewsLost
 }
 
 // news is what this node's knowledge is worth now, and how old it is.
 func (n *Node) news() (newsState, time.Duration) {
 	at := n.asOf.Load()
-	if at == nil || n.set.NewsWithin <= 0 {
+	if at == nil || n.settings.NewsWithin <= 0 {
 		return newsFresh, 0
 	}
 	now := n.clock.Now()
-	age, lost := now.Sub(*at), n.set.NewsLost
+	age, lost := now.Sub(*at), n.settings.NewsLost
 	if age >= lost && n.crowded(now) {
 		lost *= crowdedFactor
 	}
@@ -73,7 +73,7 @@
 	switch {
 	case age >= lost:
 		state = newsCutOff
-	case age > max(n.set.NewsWithin, leastNews):
+	case age > max(n.settings.NewsWithin, minNewsAgeLimit):
 		state = newsLate
 	}
 	n.noteNews(state, age)
@@ -104,12 +104,12 @@
 // outdated tells whether a request that leaves now might arrive when that is so.
 func (n *Node) outdated() bool {
 	state, age := n.news()
-	return state == newsLate || state == newsFresh && age > 0 && age+n.way() > max(n.set.NewsWithin, leastNews)
+	return state == newsLate || state == newsFresh && age > 0 && age+n.way() > max(n.settings.NewsWithin, minNewsAgeLimit)
 }
 
 // newsLost tells whether this node has heard nothing from the control plane for so long that it goes by no share of a new
 // version.
 func (n *Node) newsLost() bool {
 	at := n.asOf.Load()
-	return at == nil || n.set.NewsLost > 0 && n.clock.Now().Sub(*at) > n.set.NewsLost
+	return at == nil || n.settings.NewsLost > 0 && n.clock.Now().Sub(*at) > n.settings.NewsLost
 }
--- a/internal/proxy/news_test.go
+++ b/internal/proxy/news_test.go
@@ -35,16 +35,16 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				l := newLab(t, slowly{newPipes(), x.connect}, func(s *Settings) { s.NewsWithin, s.NewsLost = 2*time.Second, 3*time.Second })
+				l := newHarness(t, slowly{newPipes(), x.connect}, func(s *Settings) { s.NewsWithin, s.NewsLost = 2*time.Second, 3*time.Second })
 				l.routes(2)
-				l.stand("t1", nil, sealed)
+				l.startTarget("t1", nil, serveOK)
 				l.node.SetAsOf(time.Now())
-				if g := l.call("/idem/1", "q1", 2*time.Second); g.status != 200 {
+				if g := l.request("/idem/1", "q1", 2*time.Second); g.status != 200 {
 					t.Fatalf("with fresh news: %d", g.status)
 				}
 				l.node.SetAsOf(time.Now().Add(-x.age))
-				if g := l.call("/idem/2", "q2", 2*time.Second); g.status != x.status || g.status == 503 && (l.runs("q2") > 0 || g.head.Get(dialect.RetryAfter) == "") {
-					t.Errorf("%d, ran %d times, want %d", g.status, l.runs("q2"), x.status)
+				if g := l.request("/idem/2", "q2", 2*time.Second); g.status != x.status || g.status == 503 && (l.runCount("q2") > 0 || g.header.Get(dialect.RetryAfter) == "") {
+					t.Errorf("%d, ran %d times, want %d", g.status, l.runCount("q2"), x.status)
 				}
 			})
 		})
@@ -65,13 +65,13 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				l := newLab(t, newPipes(), func(s *Settings) { s.NewsWithin, s.NewsLost = 2*time.Second, 3*time.Second })
+				l := newHarness(t, newPipes(), func(s *Settings) { s.NewsWithin, s.NewsLost = 2*time.Second, 3*time.Second })
 				l.routes(2)
-				l.stand("t1", nil, sealed)
+				l.startTarget("t1", nil, serveOK)
 				l.node.SetAsOf(time.Now().Add(-x.age))
 				l.node.SetNewsWay(x.way)
-				if g := l.call("/once/1", "q1", 2*time.Second); g.status != x.status || g.status == 503 && (l.runs("q1") > 0 || g.head.Get(dialect.RetryAfter) == "") {
-					t.Errorf("%d, ran %d times, want %d", g.status, l.runs("q1"), x.status)
+				if g := l.request("/once/1", "q1", 2*time.Second); g.status != x.status || g.status == 503 && (l.runCount("q1") > 0 || g.header.Get(dialect.RetryAfter) == "") {
+					t.Errorf("%d, ran %d times, want %d", g.status, l.runCount("q1"), x.status)
 				}
 			})
 		})
@@ -81,12 +81,12 @@
 // A connection that takes until the news is too old carries nothing.
 func TestNewsThatGrowsOldDuringAConnect(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := newLab(t, slowly{newPipes(), 350 * time.Millisecond}, func(s *Settings) { s.NewsWithin, s.NewsLost = 2*time.Second, 3*time.Second })
+		l := newHarness(t, slowly{newPipes(), 350 * time.Millisecond}, func(s *Settings) { s.NewsWithin, s.NewsLost = 2*time.Second, 3*time.Second })
 		l.routes(2)
-		l.stand("t1", nil, sealed)
+		l.startTarget("t1", nil, serveOK)
 		l.node.SetAsOf(time.Now().Add(-1900 * time.Millisecond))
-		if g := l.call("/once/1", "q1", 2*time.Second); g.status != 503 || l.runs("q1") > 0 {
-			t.Errorf("%d, ran %d times", g.status, l.runs("q1"))
+		if g := l.request("/once/1", "q1", 2*time.Second); g.status != 503 || l.runCount("q1") > 0 {
+			t.Errorf("%d, ran %d times", g.status, l.runCount("q1"))
 		}
 	})
 }
--- a/internal/proxy/node.go
+++ b/internal/proxy/node.go
@@ -20,125 +20,125 @@
 )
 
 const (
-	// maxServices bounds the services known, and maxRuns the runs, ended ones among
-	// them, which are remembered for endedFor so that late news bring none back.
-	maxServices = 4096
-	maxRuns     = 16384
-	endedFor    = 5 * time.Minute
-	// farZone is the weight of the way to a zone of the own region, farRegion that to
-	// any other.
-	farZone   = 3
-	farRegion = 9
-	// unknownGateways is how many nodes share the targets until that is told.
-	unknownGateways = 16
-	// leastNews is an age that news may reach on a slow link without any trouble.
-	leastNews = time.Second
-	// pauseTick is how often the node looks whether it stood still itself.
-	pauseTick = 500 * time.Millisecond
+	// maxServices and maxRuns bound the known services and runs. Ended runs count too: they are
+	// remembered for endedRunRetention so that delayed updates do not bring them back.
+	maxServices       = 4096
+	maxRuns           = 16384
+	endedRunRetention = 5 * time.Minute
+	// sameRegionDistance is the routing weight of other zones in the same region,
+	// otherRegionDistance that of all other zones.
+	sameRegionDistance  = 3
+	otherRegionDistance = 9
+	// defaultGateways is the assumed number of nodes sharing the targets until it is known.
+	defaultGateways = 16
+	// minNewsAgeLimit is an age that updates may reach on a slow link without any fault.
+	minNewsAgeLimit = time.Second
+	// pauseCheckInterval is how often the node checks whether the process itself was paused.
+	pauseCheckInterval = 500 * time.Millisecond
 )
 
-// Parts are what a node is put together from.
-type Parts struct {
+// Options are the dependencies of a node.
+type Options struct {
 	Settings Settings
 	Clock    clock.Clock
 	Log      *log.Logger
-	// Dial makes connections to targets; nil is TCP.
+	// Dial opens connections to targets; nil means TCP.
 	Dial func(ctx context.Context, addr string) (net.Conn, error)
 }
 
-// Node is one proxy of the data plane.
+// Node is a proxy of the data plane.
 type Node struct {
-	set    Settings
-	clock  clock.Clock
-	log    *log.Logger
-	mem    memory
-	room   answerRoom
-	stats  stats
-	budget *budget.Budget
-	call   func(ctx context.Context, addr string) (net.Conn, error)
-	pauses *liveness.Pauses
-	rhythm rhythm
-	in     bulk       // large bodies from targets
-	out    bulk       // and to callers
-	downs  *downloads // nil on a wide link
+	settings     Settings
+	clock        clock.Clock
+	log          *log.Logger
+	memory       memoryBudget
+	largeAnswers largeAnswerMemory
+	stats        stats
+	budget       *budget.Budget
+	dialContext  func(ctx context.Context, addr string) (net.Conn, error)
+	pauses       *liveness.Pauses
+	rhythm       rhythm
+	inbound      bodyPacer        // large bodies from targets
+	outbound     bodyPacer        // large bodies to callers
+	downloads    *downloadLimiter // nil on a wide link
 
-	view         atomic.Pointer[view]
-	gateways     atomic.Int64
-	gatewaysNear atomic.Int64
-	synced       atomic.Bool
-	asOf         atomic.Pointer[time.Time] // until when all changes are known
-	newsWatch    newsWatch
-	stopping     atomic.Bool
-	leaving      atomic.Bool   // idle callers are closed
-	ended        atomic.Bool   // the listener is closed on purpose
-	lastCall     chan struct{} // closed near the end of a planned stop: nothing is sent any more
-	warned       atomic.Int64
-	maxCallers   int64
-	// noStandIn and noFates leave an extension of the detector out, for measurement.
-	noStandIn, noFates bool
+	view            atomic.Pointer[routingView]
+	gateways        atomic.Int64
+	gatewaysNear    atomic.Int64
+	synced          atomic.Bool
+	asOf            atomic.Pointer[time.Time] // time up to which all changes are known
+	newsWatch       newsWatch
+	stopping        atomic.Bool
+	closingIdle     atomic.Bool   // idle caller connections are being closed
+	listenersClosed atomic.Bool   // closed on purpose
+	sendsClosed     chan struct{} // closed near the end of a planned stop: nothing more is sent
+	lastWarning     atomic.Int64
+	maxCallers      int64
+	// noAnswerEvidence and noFates disable an extension of the failure detector, for measurements.
+	noAnswerEvidence, noFates bool
 
-	mu       sync.Mutex // news
+	mu       sync.Mutex // guards items, services, runs
 	items    *item.Set
 	services map[string]*service
-	runs     map[string]*known
+	runs     map[string]*runRecord
 
-	cm      sync.Mutex // callers
-	callers map[*caller]struct{}
-	lns     []net.Listener
-	wg      sync.WaitGroup
+	callersMu sync.Mutex // guards callers, listeners
+	callers   map[*callerConn]struct{}
+	listeners []net.Listener
+	callersWG sync.WaitGroup
 }
 
-// view is what the request path reads of routes and services; a change makes a new one.
-type view struct {
+// routingView is the immutable snapshot of routes and services that the request path reads.
+type routingView struct {
 	table    *route.Table
 	services []*service // by the table's index
 	limits   route.Limits
 }
 
-// known is a run as news told it.
-type known struct {
-	run   target.Run
-	svc   *service
-	ended time.Time
+// runRecord is the state of a run merged from updates.
+type runRecord struct {
+	run     target.Run
+	svc     *service
+	endedAt time.Time
 }
 
-// New makes a node; it is ready once it is synced and has routes.
-func New(p Parts) *Node {
-	s := p.Settings.filled()
+// New returns a node; it is ready once it is synced and has routes.
+func New(p Options) *Node {
+	s := p.Settings.withDefaults()
 	n := &Node{
-		set: s, clock: p.Clock, log: p.Log, call: p.Dial,
-		mem:        memory{most: int64(s.MemoryMB) << 20 / 5},
-		room:       newAnswerRoom(s.MemoryMB),
-		budget:     budget.New(s.BudgetRatio, s.BudgetWindow, s.BudgetSlack, p.Clock),
-		pauses:     liveness.NewPausesEvery(p.Clock, pauseTick),
-		maxCallers: int64(s.MaxFiles) * 5 / 8,
-		items:      item.NewSet(), services: map[string]*service{}, runs: map[string]*known{},
-		callers: map[*caller]struct{}{}, lastCall: make(chan struct{}),
+		settings: s, clock: p.Clock, log: p.Log, dialContext: p.Dial,
+		memory:       memoryBudget{limit: int64(s.MemoryMB) << 20 / 5},
+		largeAnswers: newLargeAnswerMemory(s.MemoryMB),
+		budget:       budget.New(s.BudgetRatio, s.BudgetWindow, s.BudgetSlack, p.Clock),
+		pauses:       liveness.NewPausesEvery(p.Clock, pauseCheckInterval),
+		maxCallers:   int64(s.MaxFiles) * 5 / 8,
+		items:        item.NewSet(), services: map[string]*service{}, runs: map[string]*runRecord{},
+		callers: map[*callerConn]struct{}{}, sendsClosed: make(chan struct{}),
 	}
 	if n.log == nil {
 		n.log = log.New(io.Discard)
 	}
-	n.in, n.out = newBulk(n, s.LinkMbps), newBulk(n, s.LinkMbps)
-	n.downs = newDownloads(n.clock, s.LinkMbps, s.stopTime())
-	n.rhythm.base, n.rhythm.free = s.ProbeEvery, s.FreeProbes
-	n.rhythm.every.Store(int64(s.ProbeEvery))
-	n.gateways.Store(unknownGateways)
-	n.view.Store(&view{})
+	n.inbound, n.outbound = newBodyPacer(n, s.LinkMbps), newBodyPacer(n, s.LinkMbps)
+	n.downloads = newDownloadLimiter(n.clock, s.LinkMbps, s.stopTimeout())
+	n.rhythm.base, n.rhythm.free = s.ProbeInterval, s.FreeProbes
+	n.rhythm.every.Store(int64(s.ProbeInterval))
+	n.gateways.Store(defaultGateways)
+	n.view.Store(&routingView{})
 	return n
 }
 
-// far weighs the way to a zone.
-func (n *Node) far(zone string) float64 {
-	switch own := n.set.Zones[n.set.Zone]; {
-	case zone == n.set.Zone:
+// distanceTo returns the routing weight of a zone.
+func (n *Node) distanceTo(zone string) float64 {
+	switch own := n.settings.Zones[n.settings.Zone]; {
+	case zone == n.settings.Zone:
 		return 1
-	case own != "" && n.set.Zones[zone] == own:
-		return farZone
+	case own != "" && n.settings.Zones[zone] == own:
+		return sameRegionDistance
 	}
-	return farRegion
+	return otherRegionDistance
 }
 
-// service finds or makes a service, under mu; nil is one too many.
+// service returns the service with the name and creates it if necessary; nil if there are too many. Under mu.
 func (n *Node) service(name string) *service {
 	s := n.services[name]
 	if s == nil && len(n.services) < maxServices {
@@ -148,25 +148,25 @@
 	return s
 }
 
-// TakeItems takes in news of routes, services and limits: of each item the highest
-// version stands, whatever the order in which they come.
-func (n *Node) TakeItems(items []item.Item) {
+// ApplyItems merges updates of routes, services and limits: the highest version of each item wins,
+// in whatever order they arrive.
+func (n *Node) ApplyItems(items []item.Item) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	var fresh []item.Item
+	var changed []item.Item
 	for _, i := range items {
 		if n.items.Merge(i) {
-			fresh = append(fresh, i)
+			changed = append(changed, i)
 		}
 	}
-	if len(fresh) == 0 {
+	if len(changed) == 0 {
 		return
 	}
-	n.takeUpgrades(fresh)
-	t := n.view.Load().table.With(fresh...)
-	known := t.Services()
-	v := &view{table: t, limits: t.Limits(), services: make([]*service, len(known))}
-	for i, k := range known {
+	n.takeUpgrades(changed)
+	t := n.view.Load().table.With(changed...)
+	services := t.Services()
+	v := &routingView{table: t, limits: t.Limits(), services: make([]*service, len(services))}
+	for i, k := range services {
 		if s := n.service(k.Name); s != nil {
 			s.define(k.Service)
 			v.services[i] = s
@@ -175,9 +175,9 @@
 	n.view.Store(v)
 }
 
-// TakeRuns takes in news of targets. A run's state, its beat and the beat after which
-// it was silent only rise; one that ended does not come back.
-func (n *Node) TakeRuns(runs []target.Run) {
+// ApplyRuns merges updates of targets. A run's state, its heartbeat number and the heartbeat after which
+// it was silent only increase; an ended run does not come back.
+func (n *Node) ApplyRuns(runs []target.Run) {
 	now := n.clock.Now()
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -186,20 +186,20 @@
 		k := n.runs[r.ID]
 		if k == nil {
 			if len(n.runs) >= maxRuns {
-				n.forget(now)
+				n.dropEndedRuns(now)
 			}
 			s := n.service(r.Service)
 			if s == nil || len(n.runs) >= maxRuns {
-				n.warn("a run is left out", "step", "news", "peer", r.ID, "runs", len(n.runs))
+				n.warnLimited("run ignored: too many services or runs", "step", "news", "peer", r.ID, "runs", len(n.runs))
 				continue
 			}
-			k = &known{run: r, svc: s}
+			k = &runRecord{run: r, svc: s}
 			n.runs[r.ID] = k
 		} else {
-			merge(&k.run, r)
+			mergeRun(&k.run, r)
 		}
-		if k.run.State == target.Ended && k.ended.IsZero() {
-			k.ended = now
+		if k.run.State == target.Ended && k.endedAt.IsZero() {
+			k.endedAt = now
 		}
 		changed[k.svc] = append(changed[k.svc], k.run)
 	}
@@ -208,7 +208,7 @@
 	}
 }
 
-func merge(k *target.Run, r target.Run) {
+func mergeRun(k *target.Run, r target.Run) {
 	if r.Seq >= k.Seq && r.State >= k.State {
 		k.Addr, k.Zone, k.Version, k.Slots, k.Cold = r.Addr, r.Zone, r.Version, r.Slots, r.Cold
 	}
@@ -217,57 +217,57 @@
 	k.Silent = max(k.Silent, r.Silent)
 }
 
-// forget drops runs that ended long ago, under mu.
-func (n *Node) forget(now time.Time) {
+// dropEndedRuns removes runs that ended long ago. Under mu.
+func (n *Node) dropEndedRuns(now time.Time) {
 	for id, k := range n.runs {
-		if !k.ended.IsZero() && now.Sub(k.ended) > endedFor {
+		if !k.endedAt.IsZero() && now.Sub(k.endedAt) > endedRunRetention {
 			delete(n.runs, id)
 		}
 	}
 }
 
-// SetGateways tells how many nodes such as this one there are, in all and in its zone. It
-// is to be told again now and then, for the budget trusts an old number no longer.
+// SetGateways sets how many nodes like this one there are, in total and in its zone. It must
+// be repeated now and then, because the budget stops trusting an old number.
 func (n *Node) SetGateways(all, near int) {
 	n.gateways.Store(int64(max(1, all)))
 	n.gatewaysNear.Store(int64(max(1, near)))
 	n.budget.SetNodes(all)
 }
 
-// SetSynced tells whether a fresh node of the control plane has told everything once.
+// SetSynced sets whether an up-to-date control plane node has sent the complete state once.
 func (n *Node) SetSynced(ok bool) { n.synced.Store(ok) }
 
-// SetAsOf tells until when the node knows all that came into force.
+// SetAsOf sets the time up to which the node knows every change that came into force.
 func (n *Node) SetAsOf(t time.Time) {
 	n.asOf.Store(&t)
 	n.proveVersions(t)
 }
 
-// Ready tells whether callers may be sent here.
+// Ready reports whether callers may be sent here.
 func (n *Node) Ready() bool {
 	return n.synced.Load() && !n.stopping.Load() && n.view.Load().table.Len() > 0
 }
 
-// Run probes targets, closes what lies idle and ends the requests of callers that left, until ctx
+// Run probes targets, closes expired idle connections and cancels requests of disconnected callers, until ctx
 // ends.
 func (n *Node) Run(ctx context.Context) {
 	var wg sync.WaitGroup
 	wg.Go(func() { n.pauses.Run(ctx) })
 	wg.Go(func() { n.probe(ctx) })
-	wg.Go(func() { n.watchCallers(ctx) })
+	wg.Go(func() { n.watchDisconnects(ctx) })
 	wg.Wait()
 }
 
-// warn logs at most once a second: many answers may be spoilt at once.
-func (n *Node) warn(what string, more ...any) {
+// warnLimited logs at most once a second, because many answers may be invalid at once.
+func (n *Node) warnLimited(msg string, keyvals ...any) {
 	now := n.clock.Now().UnixNano()
-	if last := n.warned.Load(); now-last >= int64(time.Second) && n.warned.CompareAndSwap(last, now) {
-		n.log.Warn(what, more...)
+	if last := n.lastWarning.Load(); now-last >= int64(time.Second) && n.lastWarning.CompareAndSwap(last, now) {
+		n.log.Warn(msg, keyvals...)
 	}
 }
 
-// all are the services known.
-func (n *Node) all() []*service {
+// allServices returns the known services.
+func (n *Node) allServices() []*service {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	out := make([]*service, 0, len(n.services))
@@ -277,7 +277,7 @@
 	return out
 }
 
-// spreadOut keeps callers that are refused together from coming back together.
-func (n *Node) spreadOut(d time.Duration) time.Duration {
-	return max(minRetry, time.Duration(float64(d)*(0.8+0.2*rand.Float64())))
+// jitter spreads retry delays so that callers refused together don't return together.
+func (n *Node) jitter(d time.Duration) time.Duration {
+	return max(minRetryAfter, time.Duration(float64(d)*(0.8+0.2*rand.Float64())))
 }
