--- a/internal/proxy/order_test.go
+++ b/internal/proxy/order_test.go
@@ -15,12 +15,12 @@
 	"walkrudder/internal/target"
 )
 
-// TestUnsynced: a node that may not have heard of a route never says that there is
-// none; one that has does.
+// TestUnsynced checks that a node that may not have received a route yet never answers 404,
+// and that a synced one does.
 func TestUnsynced(t *testing.T) {
-	l := newLab(t, loopback{}, nil)
-	l.stand("one", nil, sealed)
-	if g := l.call("/nowhere/x", "q1", time.Second); g.status != 503 || g.head.Get(dialect.RetryAfter) == "" || g.head.Get(dialect.RequestID) != "q1" {
+	l := newHarness(t, loopback{}, nil)
+	l.startTarget("one", nil, serveOK)
+	if g := l.request("/nowhere/x", "q1", time.Second); g.status != 503 || g.header.Get(dialect.RetryAfter) == "" || g.header.Get(dialect.RequestID) != "q1" {
 		t.Errorf("unsynced: %+v", g)
 	}
 	if l.node.Ready() {
@@ -31,28 +31,28 @@
 		t.Error("not ready with routes")
 	}
 	for _, p := range []string{"/nowhere/x", "/once", "/", "/Once/x"} {
-		if g := l.call(p, "q2", time.Second); g.status != 404 || g.close {
+		if g := l.request(p, "q2", time.Second); g.status != 404 || g.close {
 			t.Errorf("%s: %+v", p, g)
 		}
 	}
-	l.node.TakeItems([]item.Item{{Key: item.Key{Kind: item.Route, Name: "r/once/"}, Version: 2, Gone: true}})
-	if g := l.call("/once/x", "q3", time.Second); g.status != 404 {
+	l.node.ApplyItems([]item.Item{{Key: item.Key{Kind: item.Route, Name: "r/once/"}, Version: 2, Gone: true}})
+	if g := l.request("/once/x", "q3", time.Second); g.status != 404 {
 		t.Errorf("a dropped route: %+v", g)
 	}
-	// An older copy that comes late brings nothing back.
-	l.node.TakeItems([]item.Item{route.Route{Name: "r/once/", Version: 1, Host: "h", Prefix: "/once/", Repeat: route.Once, Shares: []route.Share{{Service: "svc", Weight: 1}}}.Item()})
-	if g := l.call("/once/x", "q4", time.Second); g.status != 404 {
+	// A delayed older version does not restore the route.
+	l.node.ApplyItems([]item.Item{route.Route{Name: "r/once/", Version: 1, Host: "h", Prefix: "/once/", Repeat: route.Once, Shares: []route.Share{{Service: "svc", Weight: 1}}}.Item()})
+	if g := l.request("/once/x", "q4", time.Second); g.status != 404 {
 		t.Errorf("a dropped route came back: %+v", g)
 	}
 }
 
-// TestLateNews: while what a node knows is so old that a change may be in force that it has
-// yet to hear of, it refuses, also what it has no route for; later it is cut off, and
-// serves with what it knows; news makes it serve at once.
+// TestLateNews checks that a node refuses requests, also those without a route, while its updates are
+// so old that a change may be in force that it has not received. Later it considers itself cut off and
+// serves with what it knows. New updates make it serve again at once.
 func TestLateNews(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := newLab(t, newPipes(), func(s *Settings) { s.NewsWithin, s.NewsLost = 2*time.Second, 3*time.Second })
-		l.stand("one", nil, sealed)
+		l := newHarness(t, newPipes(), func(s *Settings) { s.NewsWithin, s.NewsLost = 2*time.Second, 3*time.Second })
+		l.startTarget("one", nil, serveOK)
 		l.routes(1)
 		told := time.Now()
 		l.node.SetAsOf(told)
@@ -63,9 +63,9 @@
 			time.Sleep(c.at - time.Since(told))
 			for path, want := range map[string]int{"/once/x": c.served, "/nowhere/x": c.nowher} {
 				id := fmt.Sprint(path, i)
-				g := l.call(path, id, time.Second)
-				if g.status != want || (g.status == 503) != (g.head.Get(dialect.RetryAfter) != "") || (want == 200) != (l.runs(id) == 1) {
-					t.Errorf("%v old: %s: %+v, ran %d times", c.at, path, g, l.runs(id))
+				g := l.request(path, id, time.Second)
+				if g.status != want || (g.status == 503) != (g.header.Get(dialect.RetryAfter) != "") || (want == 200) != (l.runCount(id) == 1) {
+					t.Errorf("%v old: %s: %+v, ran %d times", c.at, path, g, l.runCount(id))
 				}
 			}
 		}
@@ -73,58 +73,58 @@
 			t.Errorf("%+v", st)
 		}
 		l.node.SetAsOf(time.Now().Add(-2500 * time.Millisecond))
-		if g := l.call("/once/x", "late", time.Second); g.status != 503 {
+		if g := l.request("/once/x", "late", time.Second); g.status != 503 {
 			t.Errorf("late again: %+v", g)
 		}
 		l.node.SetAsOf(time.Now())
-		if g := l.call("/once/x", "new", time.Second); g.status != 200 {
+		if g := l.request("/once/x", "new", time.Second); g.status != 200 {
 			t.Errorf("with news: %+v", g)
 		}
 		l.close()
 	})
 }
 
-// TestNoTarget: a service without a run is refused at once.
+// TestNoTarget checks that a service without a usable run is refused at once.
 func TestNoTarget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := newLab(t, newPipes(), nil)
+		l := newHarness(t, newPipes(), nil)
 		l.routes(1)
 		began := time.Now()
-		g := l.call("/once/x", "q1", 3*time.Second)
-		if g.status != 503 || g.head.Get(dialect.RetryAfter) == "" || time.Since(began) != 0 {
+		g := l.request("/once/x", "q1", 3*time.Second)
+		if g.status != 503 || g.header.Get(dialect.RetryAfter) == "" || time.Since(began) != 0 {
 			t.Errorf("%+v after %v", g, time.Since(began))
 		}
-		l.node.TakeRuns([]target.Run{{ID: "x", Service: "svc", Addr: "pipe9", Zone: "a", Slots: 1, State: target.Draining, Seq: 1}})
-		if g := l.call("/once/x", "q2", 3*time.Second); g.status != 503 {
+		l.node.ApplyRuns([]target.Run{{ID: "x", Service: "svc", Addr: "pipe9", Zone: "a", Slots: 1, State: target.Draining, Seq: 1}})
+		if g := l.request("/once/x", "q2", 3*time.Second); g.status != 503 {
 			t.Errorf("%+v", g)
 		}
 		l.close()
 	})
 }
 
-// TestPriority: where more come than targets can take, the first rank is served before
-// the others, nobody waits past a quarter of its aim, all are answered, and the last
-// rank gets its turn where there is room.
+// TestPriority checks that under overload the highest priority is served before
+// the others, nobody waits longer than a quarter of its latency target, every request is answered, and
+// the lowest priority is served now and then.
 func TestPriority(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := newLab(t, newPipes(), nil)
-		l.node.TakeItems([]item.Item{
+		l := newHarness(t, newPipes(), nil)
+		l.node.ApplyItems([]item.Item{
 			route.Service{Name: "svc", Version: 1, MaxConns: 100}.Item(),
 			route.Route{Name: "hi", Version: 1, Host: "h", Prefix: "/hi/", Repeat: route.Once, AimMS: 400, Priority: 0, Shares: []route.Share{{Service: "svc", Weight: 1}}}.Item(),
 			route.Route{Name: "lo", Version: 1, Host: "h", Prefix: "/lo/", Repeat: route.Once, AimMS: 400, Priority: 2, Shares: []route.Share{{Service: "svc", Weight: 1}}}.Item(),
 		})
 		l.node.SetSynced(true)
-		// One request at a time, though two may come: 50 a second, where 62 of each rank
-		// ask.
+		// The target accepts two requests but works on one at a time: 50 a second, while 62 of
+		// each priority arrive.
 		slot := make(chan struct{}, 1)
-		l.stand("one", func(r *target.Run) { r.Slots = 1 }, func(l *lab, c net.Conn, s *seen) bool {
+		l.startTarget("one", func(r *target.Run) { r.Slots = 1 }, func(l *harness, c net.Conn, s *receivedRequest) bool {
 			slot <- struct{}{}
 			time.Sleep(20 * time.Millisecond)
 			<-slot
-			return sealed(l, c, s)
+			return serveOK(l, c, s)
 		})
 		var mu sync.Mutex
-		served, asked := map[string]int{}, map[string]int{}
+		served, requested := map[string]int{}, map[string]int{}
 		refusedAfter := time.Duration(0)
 		var wg sync.WaitGroup
 		for i := range 400 {
@@ -135,14 +135,14 @@
 			wg.Go(func() {
 				id := fmt.Sprint(kind, i)
 				began := time.Now()
-				g := l.call("/"+kind+"/x", id, 2*time.Second)
+				g := l.request("/"+kind+"/x", id, 2*time.Second)
 				mu.Lock()
 				defer mu.Unlock()
-				asked[kind]++
+				requested[kind]++
 				switch {
 				case g.proper(id):
 					served[kind]++
-				case g.status == 503 && g.head.Get(dialect.RetryAfter) != "" && l.runs(id) == 0:
+				case g.status == 503 && g.header.Get(dialect.RetryAfter) != "" && l.runCount(id) == 0:
 					refusedAfter = max(refusedAfter, time.Since(began))
 				default:
 					t.Errorf("%s got %+v", id, g)
@@ -151,9 +151,9 @@
 			time.Sleep(8 * time.Millisecond)
 		}
 		wg.Wait()
-		t.Logf("served %v of %v, refused after %v at most", served, asked, refusedAfter)
+		t.Logf("served %v of %v, refused after %v at most", served, requested, refusedAfter)
 		if served["hi"] < 4*served["lo"] || served["lo"] < 10 || served["hi"]+served["lo"] < 150 {
-			t.Errorf("served %v of %v", served, asked)
+			t.Errorf("served %v of %v", served, requested)
 		}
 		if refusedAfter > 80*time.Millisecond {
 			t.Errorf("refused only after %v", refusedAfter)
@@ -162,21 +162,21 @@
 	})
 }
 
-// TestRetryGrows: under overload callers are told to come back later than in a calm.
+// TestRetryGrows checks that callers are told to come back later under overload than at low load.
 func TestRetryGrows(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := newLab(t, newPipes(), nil)
+		l := newHarness(t, newPipes(), nil)
 		l.routes(1)
-		l.stand("one", func(r *target.Run) { r.Slots = 1 }, after(200*time.Millisecond, sealed))
+		l.startTarget("one", func(r *target.Run) { r.Slots = 1 }, delayed(200*time.Millisecond, serveOK))
 		told := func(n int) (most time.Duration) {
 			var mu sync.Mutex
 			var wg sync.WaitGroup
 			for i := range n {
 				wg.Go(func() {
-					g := l.call("/once/x", fmt.Sprint("n", n, "-", i), 3*time.Second)
-					if v := g.head.Get(dialect.RetryAfter); v != "" {
+					g := l.request("/once/x", fmt.Sprint("n", n, "-", i), 3*time.Second)
+					if v := g.header.Get(dialect.RetryAfter); v != "" {
 						d, err := time.ParseDuration(v + "s")
-						if err != nil || g.status != 503 || d < minRetry || d > time.Second {
+						if err != nil || g.status != 503 || d < minRetryAfter || d > time.Second {
 							t.Errorf("told %q with %d", v, g.status)
 						}
 						mu.Lock()
@@ -197,13 +197,13 @@
 	})
 }
 
-// TestStop: a planned stop makes the node not ready at once, takes callers in for a
-// while, cuts nothing off, and ends when all is answered.
+// TestStop checks that a planned stop makes the node not ready at once, accepts callers for a
+// while, cuts nothing off, and ends when every request is answered.
 func TestStop(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := newLab(t, newPipes(), nil)
+		l := newHarness(t, newPipes(), nil)
 		l.routes(1)
-		l.stand("one", func(r *target.Run) { r.Slots = 50 }, after(4*time.Second, sealed))
+		l.startTarget("one", func(r *target.Run) { r.Slots = 50 }, delayed(4*time.Second, serveOK))
 		idle := l.client()
 		if g, err := idle.call("GET", "/none/", "warm", time.Second); err != nil || g.close {
 			t.Fatal(g, err)
@@ -212,7 +212,7 @@
 		for i := range 20 {
 			wg.Go(func() {
 				id := fmt.Sprint("q", i)
-				if g := l.call("/once/x", id, 10*time.Second); !g.proper(id) {
+				if g := l.request("/once/x", id, 10*time.Second); !g.proper(id) {
 					t.Errorf("%s got %+v", id, g)
 				}
 			})
@@ -231,7 +231,7 @@
 			t.Error("still ready")
 		}
 		time.Sleep(time.Second)
-		if g := l.call("/none/x", "late", time.Second); g.status != 404 || !g.close {
+		if g := l.request("/none/x", "late", time.Second); g.status != 404 || !g.close {
 			t.Errorf("while stopping: %+v", g)
 		}
 		closed := time.Duration(0)
@@ -246,20 +246,20 @@
 		if closed != 2500*time.Millisecond {
 			t.Errorf("an idle caller was closed after %v", closed)
 		}
-		// Those under way end after 3 s.
+		// The requests in flight end after 3 s.
 		if stopped != 3*time.Second {
 			t.Errorf("stopped after %v", stopped)
 		}
 	})
 }
 
-// TestStopKeepsToTheGrace: what a target is still at work on is not answered in its
-// place, and the node does not wait past its grace.
+// TestStopKeepsToTheGrace checks that a request that a target still works on is not answered in its
+// place, and that the node does not wait past its grace period.
 func TestStopKeepsToTheGrace(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := newLab(t, newPipes(), nil)
+		l := newHarness(t, newPipes(), nil)
 		l.routes(1)
-		l.stand("one", nil, after(30*time.Second, sealed))
+		l.startTarget("one", nil, delayed(30*time.Second, serveOK))
 		c := l.client()
 		if err := c.send("GET", "/once/x", "q1", 60*time.Second, "", ""); err != nil {
 			t.Fatal(err)
@@ -278,13 +278,13 @@
 	})
 }
 
-// TestStopMeetsRequest: a request that arrives at the very moment at which idle callers
-// are closed is served whole or not read.
+// TestStopMeetsRequest checks that a request that arrives just when idle connections are
+// closed is either served completely or not read.
 func TestStopMeetsRequest(t *testing.T) {
 	for i := range 50 {
-		l := newLab(t, loopback{}, func(s *Settings) { s.Linger = time.Nanosecond })
+		l := newHarness(t, loopback{}, func(s *Settings) { s.Linger = time.Nanosecond })
 		l.routes(1)
-		l.stand("one", nil, sealed)
+		l.startTarget("one", nil, serveOK)
 		c := l.client()
 		id := fmt.Sprint("q", i)
 		if g, err := c.call("GET", "/once/x", "warm", 5*time.Second); err != nil || !g.proper("warm") {
@@ -295,9 +295,9 @@
 		g, err := c.call("GET", "/once/x", id, 5*time.Second)
 		switch {
 		case err == nil && g.proper(id):
-		case err != nil && l.runs(id) == 0:
+		case err != nil && l.runCount(id) == 0:
 		default:
-			t.Errorf("got %+v, %v; ran %d times", g, err, l.runs(id))
+			t.Errorf("got %+v, %v; ran %d times", g, err, l.runCount(id))
 		}
 		if err := <-done; err != nil {
 			t.Error(err)
@@ -306,26 +306,26 @@
 	}
 }
 
-// TestDraining: a run that drains gets nothing from the moment at which the node knows.
+// TestDraining checks that a draining run gets no request from the moment the node knows.
 func TestDraining(t *testing.T) {
-	l := newLab(t, loopback{}, nil)
+	l := newHarness(t, loopback{}, nil)
 	l.routes(1)
-	l.stand("one", nil, sealed)
-	l.stand("two", nil, sealed)
+	l.startTarget("one", nil, serveOK)
+	l.startTarget("two", nil, serveOK)
 	for i := range 40 {
 		id := fmt.Sprint("q", i)
 		if i == 20 {
-			l.node.TakeRuns([]target.Run{{ID: "one", Service: "svc", State: target.Draining, Seq: 5}})
-			// News of an earlier beat that comes late.
-			l.node.TakeRuns([]target.Run{{ID: "one", Service: "svc", Addr: l.stands["one"].ln.Addr().String(), Zone: "a", Slots: 4, State: target.Ready, Seq: 3}})
+			l.node.ApplyRuns([]target.Run{{ID: "one", Service: "svc", State: target.Draining, Seq: 5}})
+			// A delayed update with an earlier heartbeat.
+			l.node.ApplyRuns([]target.Run{{ID: "one", Service: "svc", Addr: l.targets["one"].ln.Addr().String(), Zone: "a", Slots: 4, State: target.Ready, Seq: 3}})
 		}
-		if g := l.call("/once/x", id, 5*time.Second); !g.proper(id) {
+		if g := l.request("/once/x", id, 5*time.Second); !g.proper(id) {
 			t.Errorf("%+v", g)
 		}
 	}
-	for _, s := range l.arrivals()[20:] {
-		if s.run == "one" {
-			t.Errorf("%s went to a run that drains", s.id)
+	for _, s := range l.requests()[20:] {
+		if s.targetID == "one" {
+			t.Errorf("%s was sent to a draining run", s.id)
 		}
 	}
 }
--- a/internal/proxy/pace.go
+++ b/internal/proxy/pace.go
@@ -5,30 +5,30 @@
 	"time"
 )
 
-// pace counts with a half-life of one second: what came before counts less and less.
-type pace struct {
-	at          time.Time
-	asked, done float64
+// requestRates counts requests and completions with an exponential decay; the half-life is one second.
+type requestRates struct {
+	updatedAt            time.Time
+	requested, completed float64
 }
 
-func (p *pace) fade(now time.Time) {
-	if d := now.Sub(p.at); d > 0 {
-		if !p.at.IsZero() {
+func (p *requestRates) decay(now time.Time) {
+	if d := now.Sub(p.updatedAt); d > 0 {
+		if !p.updatedAt.IsZero() {
 			f := math.Exp2(-d.Seconds())
-			p.asked, p.done = p.asked*f, p.done*f
+			p.requested, p.completed = p.requested*f, p.completed*f
 		}
-		p.at = now
+		p.updatedAt = now
 	}
 }
 
-// rate is how many were done in a second.
-func (p *pace) rate(now time.Time) float64 {
-	p.fade(now)
-	return p.done * math.Ln2
+// completionRate is the number of completed requests per second.
+func (p *requestRates) completionRate(now time.Time) float64 {
+	p.decay(now)
+	return p.completed * math.Ln2
 }
 
-// crowd is how many ask for each that is done, at least 1.
-func (p *pace) crowd(now time.Time) float64 {
-	p.fade(now)
-	return math.Max(1, p.asked/math.Max(1, p.done))
+// overloadRatio is the number of requests per completed one, at least 1.
+func (p *requestRates) overloadRatio(now time.Time) float64 {
+	p.decay(now)
+	return math.Max(1, p.requested/math.Max(1, p.completed))
 }
--- a/internal/proxy/passing.go
+++ b/internal/proxy/passing.go
@@ -6,86 +6,86 @@
 	"sync"
 )
 
-// passing is the body of a large answer that goes to the caller while it still comes in
-// from the target (design 24.9). One goroutine reads it in at the target's pace, another
-// writes it out at the caller's: a caller that reads slowly holds memory here and no
-// target up. What breaks off on the way in breaks off on the way out, and so never looks
-// whole.
-type passing struct {
-	size int
-	more chan struct{} // something came, or the end
-	done chan struct{} // closed at the end
+// bodyStream is the body of a large answer that is forwarded to the caller while it is still
+// received from the target (design 24.9). One goroutine reads at the target's speed, another
+// writes at the caller's: a slow caller uses memory here and does not hold up the target. A body
+// that is cut off on the way in is also cut off on the way out, so it never looks
+// complete.
+type bodyStream struct {
+	size    int
+	changed chan struct{} // signals new bytes or the end
+	done    chan struct{} // closed at the end
 
-	mu   sync.Mutex
-	body []byte
-	err  error
-	over bool
-	c    *conn // it comes over; nil from the end on
+	mu     sync.Mutex
+	body   []byte
+	err    error
+	ended  bool
+	source *conn // connection being read; nil after the end
 }
 
-func newPassing(c *conn, size int) *passing {
-	return &passing{size: size, c: c, body: getBuffer(), more: make(chan struct{}, 1), done: make(chan struct{})}
+func newBodyStream(c *conn, size int) *bodyStream {
+	return &bodyStream{size: size, source: c, body: getBuffer(), changed: make(chan struct{}, 1), done: make(chan struct{})}
 }
 
-// read takes the body in; room is told of each growth, and pace of each piece before it is read.
-func (p *passing) read(r io.Reader, room, pace func(int)) error {
+// fill reads the body; reserve is called before each growth, and pace before each piece is read.
+func (p *bodyStream) fill(r io.Reader, reserve, waitTurn func(int)) error {
 	for at := 0; at < p.size; {
-		k := min(p.size-at, step)
-		room(k)
+		k := min(p.size-at, readStep)
+		reserve(k)
 		p.mu.Lock()
 		p.body = slices.Grow(p.body, k)
 		p.mu.Unlock()
 		for end := at + k; at < end; {
-			pace(min(bulkStep, end-at))
-			// Only this goroutine writes, and only behind what it told of.
-			m, err := io.ReadFull(r, p.body[at:min(at+bulkStep, end)])
+			waitTurn(min(largeBodyStep, end-at))
+			// Only this goroutine writes, and only beyond the published length.
+			m, err := io.ReadFull(r, p.body[at:min(at+largeBodyStep, end)])
 			at += m
 			p.mu.Lock()
 			p.body = p.body[:at]
 			p.mu.Unlock()
 			if err != nil {
-				return early(err)
+				return unexpectedEOF(err)
 			}
-			p.tell()
+			p.notify()
 		}
 	}
 	return nil
 }
 
-func (p *passing) tell() {
+func (p *bodyStream) notify() {
 	select {
-	case p.more <- struct{}{}:
+	case p.changed <- struct{}{}:
 	default:
 	}
 }
 
-// end tells that nothing more comes, for err where that is too early.
-func (p *passing) end(err error) {
+// finish marks the end of the body; err is set if it was cut off.
+func (p *bodyStream) finish(err error) {
 	p.mu.Lock()
-	p.err, p.over, p.c = err, true, nil
+	p.err, p.ended, p.source = err, true, nil
 	p.mu.Unlock()
-	p.tell()
+	p.notify()
 	close(p.done)
 }
 
-// from returns what is there from byte at on, and waits for more where there is nothing.
-func (p *passing) from(at int) ([]byte, error) {
+// readFrom returns the bytes from offset at, and waits if there are none yet.
+func (p *bodyStream) readFrom(at int) ([]byte, error) {
 	for {
 		p.mu.Lock()
-		b, err, over := p.body[at:], p.err, p.over
+		b, err, over := p.body[at:], p.err, p.ended
 		p.mu.Unlock()
 		if len(b) > 0 || over {
 			return b, err
 		}
-		<-p.more
+		<-p.changed
 	}
 }
 
-// stop ends the reading, if it goes on, and waits for its end.
-func (p *passing) stop() {
+// abort interrupts the reading if it is still going on, and waits for its end.
+func (p *bodyStream) abort() {
 	p.mu.Lock()
-	if p.c != nil {
-		p.c.giveUp()
+	if p.source != nil {
+		p.source.abort()
 	}
 	p.mu.Unlock()
 	<-p.done
--- a/internal/proxy/passing_test.go
+++ b/internal/proxy/passing_test.go
@@ -11,16 +11,16 @@
 	"time"
 )
 
-const bundle = 64 << 10
+const streamSize = 64 << 10
 
-// inParts answers in so many parts, each a while after the one before; it leaves out the
-// last where it breaks off. took is told how long the writing took.
-func inParts(parts int, each time.Duration, breaks bool, took func(time.Duration)) act {
-	return func(l *lab, c net.Conn, s *seen) bool {
-		l.run(s)
+// answerInParts answers in the given number of parts, each after a pause; with breaks it omits
+// the last part. took is called with the duration of the write.
+func answerInParts(parts int, each time.Duration, breaks bool, took func(time.Duration)) handler {
+	return func(l *harness, c net.Conn, s *receivedRequest) bool {
+		l.recordRun(s)
 		began := time.Now()
 		defer func() { took(time.Since(began)) }()
-		if _, err := fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nX-Id: %s\r\nX-Seal: s\r\nContent-Length: %d\r\n\r\n", s.id, bundle); err != nil {
+		if _, err := fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nX-Id: %s\r\nX-Seal: s\r\nContent-Length: %d\r\n\r\n", s.id, streamSize); err != nil {
 			return false
 		}
 		for i := range parts {
@@ -30,7 +30,7 @@
 			if breaks && i == parts-1 {
 				return false
 			}
-			if _, err := io.WriteString(c, strings.Repeat(string(rune('a'+i)), bundle/parts)); err != nil {
+			if _, err := io.WriteString(c, strings.Repeat(string(rune('a'+i)), streamSize/parts)); err != nil {
 				return false
 			}
 		}
@@ -38,15 +38,15 @@
 	}
 }
 
-// narrowLab has one node on a narrow link.
-func narrowLab(t *testing.T, mbps float64) *lab {
-	l := newLab(t, newPipes(), func(s *Settings) { s.LinkMbps, s.ProbeEvery = mbps, time.Hour })
+// newNarrowHarness returns a harness whose node is on a narrow link.
+func newNarrowHarness(t *testing.T, mbps float64) *harness {
+	l := newHarness(t, newPipes(), func(s *Settings) { s.LinkMbps, s.ProbeInterval = mbps, time.Hour })
 	l.routes(2)
 	return l
 }
 
-// arrivalOf reads an answer and tells after what time its first and its last byte came.
-func (c *client) arrivalOf(began time.Time) (first, last time.Duration, size int, err error) {
+// timeAnswer reads an answer and returns after what time its first and its last byte arrived.
+func (c *client) timeAnswer(began time.Time) (first, last time.Duration, size int, err error) {
 	p, err := http.ReadResponse(c.r, nil)
 	if err != nil {
 		return 0, 0, 0, err
@@ -60,13 +60,13 @@
 	return first, time.Since(began), 1 + len(rest), err
 }
 
-// TestPassing: on a narrow link a large answer goes on while it comes in; on a wide one it
-// is held whole, so that another target can be asked where it breaks off.
+// TestPassing checks that a large answer is streamed on a narrow link; on a wide link it is
+// buffered completely, so that another target can be asked if it is cut off.
 func TestPassing(t *testing.T) {
 	for mbps, passes := range map[float64]bool{16: true, 0: false} {
 		synctest.Test(t, func(t *testing.T) {
-			l := narrowLab(t, mbps)
-			l.stand("one", nil, inParts(4, time.Second, false, func(time.Duration) {}))
+			l := newNarrowHarness(t, mbps)
+			l.startTarget("one", nil, answerInParts(4, time.Second, false, func(time.Duration) {}))
 			c := l.client()
 			defer c.c.Close()
 			for i := range 2 {
@@ -74,13 +74,13 @@
 				if err := c.send("GET", "/down/x", fmt.Sprint("q", i), 10*time.Second, "", ""); err != nil {
 					t.Fatal(err)
 				}
-				first, last, size, err := c.arrivalOf(began)
-				if err != nil || size != bundle || last < 3*time.Second || last > 3200*time.Millisecond || passes != (first < 100*time.Millisecond) {
+				first, last, size, err := c.timeAnswer(began)
+				if err != nil || size != streamSize || last < 3*time.Second || last > 3200*time.Millisecond || passes != (first < 100*time.Millisecond) {
 					t.Errorf("%v Mbit/s: first after %v, last after %v, %d bytes, %v", mbps, first, last, size, err)
 				}
 			}
 			synctest.Wait()
-			if s := l.node.Stats(); s.MemoryUsed != 0 || s.Answered != 2 || (s.Passed == 2) != passes || s.Dials != 1 || l.node.downs.taken() != 0 {
+			if s := l.node.Stats(); s.MemoryUsed != 0 || s.Answered != 2 || (s.Passed == 2) != passes || s.Dials != 1 || l.node.downloads.activeCount() != 0 {
 				t.Errorf("%v Mbit/s: %+v", mbps, s)
 			}
 			l.close()
@@ -88,38 +88,38 @@
 	}
 }
 
-// TestPassingBreaksOff: what breaks off on the way in ends early on the way out, by its own
-// framing, and is held against the run; nobody else's answer is put behind it.
+// TestPassingBreaksOff checks that an answer that is cut off on the way in also ends early on the way out,
+// according to its framing, counts as a failure of the run, and is not followed by another answer.
 func TestPassingBreaksOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := narrowLab(t, 16)
-		l.stand("one", nil, inParts(4, 100*time.Millisecond, true, func(time.Duration) {}))
+		l := newNarrowHarness(t, 16)
+		l.startTarget("one", nil, answerInParts(4, 100*time.Millisecond, true, func(time.Duration) {}))
 		c := l.client()
 		began := time.Now()
 		if err := c.send("GET", "/down/x", "q", 10*time.Second, "", ""); err != nil {
 			t.Fatal(err)
 		}
-		_, last, size, err := c.arrivalOf(began)
-		if err == nil || size >= bundle || last > time.Second {
+		_, last, size, err := c.timeAnswer(began)
+		if err == nil || size >= streamSize || last > time.Second {
 			t.Errorf("%d bytes after %v, %v", size, last, err)
 		}
 		synctest.Wait()
-		if s := l.node.Stats(); s.MemoryUsed != 0 || s.Spoilt != 1 || s.Inside != 0 || s.Callers != 0 || len(l.arrivals()) != 1 || l.node.downs.taken() != 0 {
-			t.Errorf("%+v, %d arrivals", s, len(l.arrivals()))
+		if s := l.node.Stats(); s.MemoryUsed != 0 || s.Spoilt != 1 || s.Inside != 0 || s.Callers != 0 || len(l.requests()) != 1 || l.node.downloads.activeCount() != 0 {
+			t.Errorf("%+v, %d arrivals", s, len(l.requests()))
 		}
-		if e := l.node.all()[0].all["one"]; e.fails != 1 {
+		if e := l.node.allServices()[0].all["one"]; e.fails != 1 {
 			t.Errorf("%d failures noted", e.fails)
 		}
 		l.close()
 	})
 }
 
-// TestPassingCallerGone: a caller that goes away ends the reading, and nothing is held
-// against the run.
+// TestPassingCallerGone checks that a caller that disconnects ends the reading, and that this does not
+// count as a failure of the run.
 func TestPassingCallerGone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := narrowLab(t, 16)
-		l.stand("one", nil, inParts(64, 100*time.Millisecond, false, func(time.Duration) {}))
+		l := newNarrowHarness(t, 16)
+		l.startTarget("one", nil, answerInParts(64, 100*time.Millisecond, false, func(time.Duration) {}))
 		c := l.client()
 		if err := c.send("GET", "/down/x", "q", 10*time.Second, "", ""); err != nil {
 			t.Fatal(err)
@@ -131,23 +131,23 @@
 		time.Sleep(500 * time.Millisecond)
 		synctest.Wait()
 		s := l.node.Stats()
-		if s.MemoryUsed != 0 || s.Inside != 0 || s.Callers != 0 || s.Withheld != 1 || s.Spoilt+s.Mute+s.Reset+s.CutShort != 0 || l.node.downs.taken() != 0 {
+		if s.MemoryUsed != 0 || s.Inside != 0 || s.Callers != 0 || s.Withheld != 1 || s.Spoilt+s.Mute+s.Reset+s.CutShort != 0 || l.node.downloads.activeCount() != 0 {
 			t.Errorf("%+v", s)
 		}
-		if e := l.node.all()[0].all["one"]; e.fails != 0 || len(e.starts) != 0 || e.open != 0 {
+		if e := l.node.allServices()[0].all["one"]; e.fails != 0 || len(e.starts) != 0 || e.open != 0 {
 			t.Errorf("%d failures, %d under way, %d connections", e.fails, len(e.starts), e.open)
 		}
 		l.close()
 	})
 }
 
-// TestPassingSlowCaller: a caller that reads slowly holds no target up, and no place for
-// downloads.
+// TestPassingSlowCaller checks that a caller that reads slowly holds up neither the target nor a
+// download slot.
 func TestPassingSlowCaller(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := narrowLab(t, 16)
+		l := newNarrowHarness(t, 16)
 		var took time.Duration
-		l.stand("one", nil, inParts(16, 10*time.Millisecond, false, func(d time.Duration) { took = d }))
+		l.startTarget("one", nil, answerInParts(16, 10*time.Millisecond, false, func(d time.Duration) { took = d }))
 		c := l.client()
 		defer c.c.Close()
 		if err := c.send("GET", "/down/x", "q", 30*time.Second, "", ""); err != nil {
@@ -155,41 +155,41 @@
 		}
 		time.Sleep(3 * time.Second)
 		synctest.Wait()
-		if took == 0 || took > time.Second || l.node.downs.taken() != 0 || len(l.node.all()[0].all["one"].starts) != 0 {
-			t.Errorf("the target was held for %v, %d places taken", took, l.node.downs.taken())
+		if took == 0 || took > time.Second || l.node.downloads.activeCount() != 0 || len(l.node.allServices()[0].all["one"].starts) != 0 {
+			t.Errorf("the target was held for %v, %d places taken", took, l.node.downloads.activeCount())
 		}
-		if _, _, size, err := c.arrivalOf(time.Now()); err != nil || size != bundle {
+		if _, _, size, err := c.timeAnswer(time.Now()); err != nil || size != streamSize {
 			t.Errorf("%d bytes, %v", size, err)
 		}
 		l.close()
 	})
 }
 
-// TestPassingBesides: where the first run is silent, the one asked besides may pass its
-// answer on, and the first is given up.
+// TestPassingBesides checks that if the first run is silent, the hedged attempt may stream its
+// answer, and the first attempt is aborted.
 func TestPassingBesides(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := narrowLab(t, 16)
-		whole := inParts(4, 50*time.Millisecond, false, func(time.Duration) {})
-		do := func(l *lab, c net.Conn, s *seen) bool {
-			if s.nth == 1 {
+		l := newNarrowHarness(t, 16)
+		whole := answerInParts(4, 50*time.Millisecond, false, func(time.Duration) {})
+		do := func(l *harness, c net.Conn, s *receivedRequest) bool {
+			if s.index == 1 {
 				return mutely(l, c, s)
 			}
 			return whole(l, c, s)
 		}
-		l.stand("two", nil, do)
-		l.stand("three", nil, do)
+		l.startTarget("two", nil, do)
+		l.startTarget("three", nil, do)
 		c := l.client()
 		defer c.c.Close()
 		began := time.Now()
 		if err := c.send("GET", "/down/x", "q", 10*time.Second, "", ""); err != nil {
 			t.Fatal(err)
 		}
-		if _, last, size, err := c.arrivalOf(began); err != nil || size != bundle || last > 2*time.Second {
+		if _, last, size, err := c.timeAnswer(began); err != nil || size != streamSize || last > 2*time.Second {
 			t.Errorf("%d bytes after %v, %v", size, last, err)
 		}
 		synctest.Wait()
-		if s := l.node.Stats(); s.Hedges != 1 || s.Passed != 1 || s.MemoryUsed != 0 || l.node.downs.taken() != 0 {
+		if s := l.node.Stats(); s.Hedges != 1 || s.Passed != 1 || s.MemoryUsed != 0 || l.node.downloads.activeCount() != 0 {
 			t.Errorf("%+v", s)
 		}
 		l.close()
--- a/internal/proxy/place_test.go
+++ b/internal/proxy/place_test.go
@@ -11,8 +11,8 @@
 	"walkrudder/internal/target"
 )
 
-// TestChangeWhileWaiting: a request that waits for a place when a change comes into force
-// goes by the change: to the route's new service, or nowhere where the route is gone.
+// TestChangeWhileWaiting checks that a request that is queued when a change comes into force
+// follows the change: to the route's new service, or to a 404 if the route was deleted.
 func TestChangeWhileWaiting(t *testing.T) {
 	one := func(version uint64, service string) item.Item {
 		return route.Route{Name: "one", Version: version, Host: "h", Prefix: "/one/", Repeat: route.Once, AimMS: 2000, Priority: 1,
@@ -21,7 +21,7 @@
 	for name, c := range map[string]struct {
 		change item.Item
 		status int
-		runs   int // of the one that waits
+		runs   int // of the waiting request
 	}{
 		"moved":   {one(2, "svc2"), 200, 1},
 		"dropped": {item.Item{Key: item.Key{Kind: item.Route, Name: "one"}, Version: 2, Gone: true}, 404, 0},
@@ -30,24 +30,24 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				l := newLab(t, newPipes(), nil)
-				l.node.TakeItems([]item.Item{route.Service{Name: "svc", Version: 1, MaxConns: 1}.Item(), route.Service{Name: "svc2", Version: 1}.Item(), one(1, "svc")})
+				l := newHarness(t, newPipes(), nil)
+				l.node.ApplyItems([]item.Item{route.Service{Name: "svc", Version: 1, MaxConns: 1}.Item(), route.Service{Name: "svc2", Version: 1}.Item(), one(1, "svc")})
 				l.node.SetSynced(true)
-				slow := func(l *lab, c net.Conn, s *seen) bool {
+				slow := func(l *harness, c net.Conn, s *receivedRequest) bool {
 					time.Sleep(200 * time.Millisecond)
-					return sealed(l, c, s)
+					return serveOK(l, c, s)
 				}
-				l.stand("old", func(r *target.Run) { r.Slots = 1 }, slow)
-				l.stand("new", func(r *target.Run) { r.Service = "svc2" }, sealed)
+				l.startTarget("old", func(r *target.Run) { r.Slots = 1 }, slow)
+				l.startTarget("new", func(r *target.Run) { r.Service = "svc2" }, serveOK)
 				done := make(chan struct{})
 				go func() {
 					defer close(done)
-					// As many as there is room for.
+					// As many as there is capacity for.
 					var busy [2]chan struct{}
 					for i := range busy {
 						busy[i] = make(chan struct{})
 						go func() {
-							l.call("/one/x", "busy"+string(rune('0'+i)), 2*time.Second)
+							l.request("/one/x", "busy"+string(rune('0'+i)), 2*time.Second)
 							close(busy[i])
 						}()
 					}
@@ -58,15 +58,15 @@
 				time.Sleep(20 * time.Millisecond)
 				go func() {
 					time.Sleep(100 * time.Millisecond)
-					l.node.TakeItems([]item.Item{c.change})
+					l.node.ApplyItems([]item.Item{c.change})
 				}()
-				g := l.call("/one/x", "waits", 2*time.Second)
-				if g.status != c.status || l.runs("waits") != c.runs {
-					t.Errorf("%d, ran %d times", g.status, l.runs("waits"))
+				g := l.request("/one/x", "waits", 2*time.Second)
+				if g.status != c.status || l.runCount("waits") != c.runs {
+					t.Errorf("%d, ran %d times", g.status, l.runCount("waits"))
 				}
-				for _, s := range l.arrivals() {
-					if s.id == "waits" && (s.run == "new") != (name == "moved") {
-						t.Errorf("sent to %s", s.run)
+				for _, s := range l.requests() {
+					if s.id == "waits" && (s.targetID == "new") != (name == "moved") {
+						t.Errorf("sent to %s", s.targetID)
 					}
 				}
 				<-done
--- a/internal/proxy/pool.go
+++ b/internal/proxy/pool.go
@@ -9,19 +9,19 @@
 	"walkrudder/internal/target"
 )
 
-// onceIdle is how long a connection may have lain idle to carry a request that may run
-// once: if it dies under the request, nobody knows whether that ran.
-const onceIdle = 1500 * time.Millisecond
+// maxIdleAtMostOnce is how long a connection may have been idle to carry an at-most-once
+// request: if it fails during the request, nobody knows whether the request ran.
+const maxIdleAtMostOnce = 1500 * time.Millisecond
 
-// connect finds or makes a connection to the run for a use that ends by hard; reused
-// tells which. once asks for one that is surely alive, fresh for a new one.
-func (e *endpoint) connect(now, hard time.Time, once, fresh bool) (c *conn, reused bool, err error) {
+// getConn returns a reused or new connection to the run, for a use that ends by deadline; reused
+// tells which. atMostOnce requires a recently used connection, forceNew a new one.
+func (e *endpoint) getConn(now, deadline time.Time, atMostOnce, forceNew bool) (c *conn, reused bool, err error) {
 	s := e.svc
-	for !fresh {
-		if c = e.idleConn(now, once); c == nil {
+	for !forceNew {
+		if c = e.takeIdle(now, atMostOnce); c == nil {
 			break
 		}
-		if c.begin(hard) == nil && c.alive() {
+		if c.startUse(deadline) == nil && c.alive() {
 			return c, true, nil
 		}
 		e.discard(c, false)
@@ -31,9 +31,9 @@
 		e.closeOldest()
 	}
 	e.open++
-	run := e.run // news may change it meanwhile
+	run := e.run // an update may change it meanwhile
 	s.mu.Unlock()
-	c, err = s.n.dial(run, e.far, now, hard)
+	c, err = s.n.dial(run, e.far, now, deadline)
 	if err != nil {
 		s.mu.Lock()
 		e.open--
@@ -43,40 +43,40 @@
 	return c, false, nil
 }
 
-// forgets tells whether a kept connection of the service died under a request of late.
-func (s *service) forgets(now time.Time) bool {
+// recentlyStale reports whether a reused connection of the service recently failed during a request.
+func (s *service) recentlyStale(now time.Time) bool {
 	return !s.staleAt.IsZero() && now.Sub(s.staleAt) < freshFor
 }
 
-// warm tells whether there is an idle connection for such a use.
-func (e *endpoint) warm(now time.Time, once bool) bool {
-	if len(e.idle) == 0 || once && e.svc.forgets(now) {
+// hasIdleConn reports whether there is an idle connection for such a use.
+func (e *endpoint) hasIdleConn(now time.Time, atMostOnce bool) bool {
+	if len(e.idle) == 0 || atMostOnce && e.svc.recentlyStale(now) {
 		return false
 	}
 	c := e.idle[len(e.idle)-1]
-	idle := now.Sub(c.idleAt)
-	return idle < c.life && (!once || idle < onceIdle)
+	idle := now.Sub(c.idleSince)
+	return idle < c.idleTimeout && (!atMostOnce || idle < maxIdleAtMostOnce)
 }
 
-// idleConn takes an idle connection out, the last used first.
-func (e *endpoint) idleConn(now time.Time, once bool) *conn {
+// takeIdle removes and returns an idle connection, the most recently used first.
+func (e *endpoint) takeIdle(now time.Time, atMostOnce bool) *conn {
 	s := e.svc
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if once && s.forgets(now) {
+	if atMostOnce && s.recentlyStale(now) {
 		return nil
 	}
 	for len(e.idle) > 0 {
 		n := len(e.idle) - 1
 		c := e.idle[n]
-		idle := now.Sub(c.idleAt)
-		if once && idle >= min(onceIdle, c.life) {
-			// The others have lain idle for longer.
+		idle := now.Sub(c.idleSince)
+		if atMostOnce && idle >= min(maxIdleAtMostOnce, c.idleTimeout) {
+			// The others have been idle for longer.
 			return nil
 		}
 		e.idle[n] = nil
 		e.idle = e.idle[:n]
-		if idle < c.life {
+		if idle < c.idleTimeout {
 			return c
 		}
 		e.open--
@@ -85,19 +85,19 @@
 	return nil
 }
 
-// keep puts a connection back for d.
-func (e *endpoint) keep(c *conn, d time.Duration) { e.putBack(c, e.svc.n.clock.Now(), d) }
+// putIdle returns a connection to the pool for the duration d.
+func (e *endpoint) putIdle(c *conn, d time.Duration) { e.putConn(c, e.svc.n.clock.Now(), d) }
 
-// keepUnused puts a connection back over which nothing went.
-func (e *endpoint) keepUnused(c *conn, now time.Time) {
-	if c.idleAt.IsZero() {
-		e.putBack(c, now, idleTime)
+// putUnused returns a connection to the pool over which nothing was sent.
+func (e *endpoint) putUnused(c *conn, now time.Time) {
+	if c.idleSince.IsZero() {
+		e.putConn(c, now, defaultIdleTimeout)
 	} else {
-		e.putBack(c, c.idleAt, c.life)
+		e.putConn(c, c.idleSince, c.idleTimeout)
 	}
 }
 
-func (e *endpoint) putBack(c *conn, since time.Time, d time.Duration) {
+func (e *endpoint) putConn(c *conn, since time.Time, d time.Duration) {
 	s := e.svc
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -106,17 +106,17 @@
 		_ = c.nc.Close()
 		return
 	}
-	c.idleAt, c.life = since, d
+	c.idleSince, c.idleTimeout = since, d
 	e.idle = append(e.idle, c)
 }
 
-// discard ends a connection; cut throws away what has not left.
-func (e *endpoint) discard(c *conn, cut bool) {
+// discard closes a connection; withReset also discards unsent data.
+func (e *endpoint) discard(c *conn, withReset bool) {
 	e.svc.mu.Lock()
 	e.open--
 	e.svc.mu.Unlock()
-	if cut {
-		c.drop()
+	if withReset {
+		c.closeWithReset()
 	} else {
 		_ = c.nc.Close()
 	}
@@ -136,45 +136,45 @@
 	_ = c.nc.Close()
 }
 
-// sweep closes what has lain idle for too long.
-func (e *endpoint) sweep(now time.Time) {
-	for len(e.idle) > 0 && now.Sub(e.idle[0].idleAt) >= e.idle[0].life {
+// closeExpired closes connections that have been idle for too long.
+func (e *endpoint) closeExpired(now time.Time) {
+	for len(e.idle) > 0 && now.Sub(e.idle[0].idleSince) >= e.idle[0].idleTimeout {
 		e.closeOldest()
 	}
 }
 
-// dial connects within the time that a connect may take.
-func (n *Node) dial(run target.Run, far float64, now, hard time.Time) (*conn, error) {
-	limit := n.set.DialTime
-	if far > farZone {
+// dial connects to the run within the dial timeout.
+func (n *Node) dial(run target.Run, distance float64, now, deadline time.Time) (*conn, error) {
+	limit := n.settings.DialTimeout
+	if distance > sameRegionDistance {
 		limit *= 2
 	}
-	// A try elsewhere needs time, too.
-	limit = min(limit, max(50*time.Millisecond, hard.Sub(now)/4))
+	// An attempt at another run needs time, too.
+	limit = min(limit, max(50*time.Millisecond, deadline.Sub(now)/4))
 	n.stats.dials.Add(1)
 	begun := n.clock.Now()
-	nc, err := n.connectTo(run.Addr, limit)
+	nc, err := n.dialAddr(run.Addr, limit)
 	if err != nil {
 		n.stats.dialsFailed.Add(1)
 		return nil, steperr.At("connect", run.ID, err)
 	}
 	n.noteConnect(n.clock.Now().Sub(begun))
 	c := newConn(nc)
-	if err := c.begin(hard); err != nil {
-		c.drop()
+	if err := c.startUse(deadline); err != nil {
+		c.closeWithReset()
 		return nil, steperr.At("connect", run.ID, err)
 	}
 	return c, nil
 }
 
-func (n *Node) connectTo(addr string, limit time.Duration) (net.Conn, error) {
-	if n.call != nil {
-		cx, end := context.WithTimeout(context.Background(), limit)
-		defer end()
-		return n.call(cx, addr)
+func (n *Node) dialAddr(addr string, limit time.Duration) (net.Conn, error) {
+	if n.dialContext != nil {
+		ctx, cancel := context.WithTimeout(context.Background(), limit)
+		defer cancel()
+		return n.dialContext(ctx, addr)
 	}
 	d := net.Dialer{Timeout: limit, KeepAlive: -1}
-	if ip := net.ParseIP(n.set.Bind); ip != nil {
+	if ip := net.ParseIP(n.settings.Bind); ip != nil {
 		d.LocalAddr = &net.TCPAddr{IP: ip}
 	}
 	return d.Dial("tcp", addr)
--- a/internal/proxy/probe.go
+++ b/internal/proxy/probe.go
@@ -28,7 +28,7 @@
 	for wait := probeTick; n.clock.Sleep(ctx, wait) == nil; {
 		now := n.clock.Now()
 		next := now.Add(probeTick)
-		for _, s := range n.all() {
+		for _, s := range n.allServices() {
 			ps, at := s.due(now)
 			for _, p := range ps {
 				wg.Go(func() { n.ask(ctx, p) })
@@ -45,11 +45,11 @@
 			n.keepTime(now, now.Sub(swept))
 		}
 		swept = now
-		for _, s := range n.all() {
+		for _, s := range n.allServices() {
 			s.sweep(now)
 		}
 		n.mu.Lock()
-		n.forget(now)
+		n.dropEndedRuns(now)
 		n.mu.Unlock()
 	}
 }
@@ -59,7 +59,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, e := range s.all {
-		e.sweep(now)
+		e.closeExpired(now)
 	}
 	s.fit()
 	for _, e := range s.work {
@@ -123,7 +123,7 @@
 // prove notes a proper answer. It is taken in at once where the run is suspected, else
 // when a probe is due.
 func (e *endpoint) prove(now time.Time) {
-	if e.svc.n.noStandIn || !e.probed {
+	if e.svc.n.noAnswerEvidence || !e.probed {
 		return
 	}
 	e.proof = now
@@ -153,7 +153,7 @@
 	e, s := p.e, p.e.svc
 	n.stats.probes.Add(1)
 	now := n.clock.Now()
-	c, _, err := e.connect(now, now.Add(n.set.ProbeEvery), false, false)
+	c, _, err := e.getConn(now, now.Add(n.settings.ProbeInterval), false, false)
 	if err != nil {
 		s.mu.Lock()
 		e.probing = false
@@ -161,7 +161,7 @@
 		s.mu.Unlock()
 		return
 	}
-	stop := context.AfterFunc(ctx, c.giveUp)
+	stop := context.AfterFunc(ctx, c.abort)
 	well, other, keep := n.health(c, p)
 	if !stop() {
 		keep = 0
@@ -183,7 +183,7 @@
 		s.mu.Unlock()
 	}
 	if keep > 0 {
-		e.keep(c, keep)
+		e.putIdle(c, keep)
 	} else {
 		e.discard(c, true)
 	}
@@ -204,30 +204,30 @@
 	h.Reset()
 	h.DisableNormalizing()
 	h.SetNoDefaultContentType(true)
-	if oneLength(c.r) != nil || h.Read(c.r) != nil {
+	if checkAnswerHead(c.r) != nil || h.Read(c.r) != nil {
 		return false, false, 0
 	}
-	keep = idleTime
+	keep = defaultIdleTimeout
 	closes := h.ConnectionClose()
 	var name string
 	for k, v := range h.All() {
 		switch {
-		case same(k, n.set.Dialect.Instance):
+		case equalFieldName(k, n.settings.Headers.Instance):
 			name = string(v)
-		case same(k, n.set.Dialect.RequestID):
+		case equalFieldName(k, n.settings.Headers.RequestID):
 			// A surplus answer to some request.
 			return false, false, 0
-		case same(k, "Connection"):
-			closes = closes || lists(v, "close")
-		case same(k, "Keep-Alive"):
-			keep = keepAlive(v)
+		case equalFieldName(k, "Connection"):
+			closes = closes || listContains(v, "close")
+		case equalFieldName(k, "Keep-Alive"):
+			keep = keepAliveTimeout(v)
 		}
 	}
 	size := h.ContentLength()
-	if size < chunked || h.StatusCode() < 200 {
+	if size < chunkedLength || h.StatusCode() < 200 {
 		return false, false, 0
 	}
-	body, err := readBody(c.r, size, step, getBuffer(), func(int) bool { return true })
+	body, err := readBody(c.r, size, readStep, getBuffer(), func(int) bool { return true })
 	putBuffer(body)
 	if err != nil {
 		return false, false, 0
--- a/internal/proxy/probe_test.go
+++ b/internal/proxy/probe_test.go
@@ -17,10 +17,10 @@
 func TestProbes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPipes()
-		l := newLab(t, p, func(s *Settings) { s.ProbeEvery = 4 * time.Second })
+		l := newHarness(t, p, func(s *Settings) { s.ProbeInterval = 4 * time.Second })
 		l.routes(2)
 		for i := range 4 {
-			l.stand(fmt.Sprint("r", i), nil, sealed)
+			l.startTarget(fmt.Sprint("r", i), nil, serveOK)
 		}
 		// Reached, but silent: a pipe whose other end nobody answers.
 		quiet := p.listen()
@@ -44,11 +44,11 @@
 			}
 		})
 		defer quiet.Close()
-		if g := l.call("/idem/x", "q0", time.Second); !g.proper("q0") {
+		if g := l.request("/idem/x", "q0", time.Second); !g.proper("q0") {
 			t.Errorf("%+v", g)
 		}
-		l.node.TakeRuns([]target.Run{{ID: "quiet", Service: "svc", Addr: quiet.Addr().String(), Zone: "a", Slots: 4, State: target.Ready, Seq: 1}})
-		s := l.node.all()[0]
+		l.node.ApplyRuns([]target.Run{{ID: "quiet", Service: "svc", Addr: quiet.Addr().String(), Zone: "a", Slots: 4, State: target.Ready, Seq: 1}})
+		s := l.node.allServices()[0]
 		w := func(id string) float64 {
 			s.mu.Lock()
 			defer s.mu.Unlock()
@@ -72,7 +72,7 @@
 		}
 		for i := range 40 {
 			id := fmt.Sprint("q", i+1)
-			if g := l.call("/once/x", id, time.Second); !g.proper(id) {
+			if g := l.request("/once/x", id, time.Second); !g.proper(id) {
 				t.Errorf("%+v", g)
 			}
 		}
@@ -84,7 +84,7 @@
 			t.Errorf("%d probes of a service that nobody uses", now-was)
 		}
 		// What was not looked at is not suspected for it.
-		if g := l.call("/idem/x", "again", time.Second); !g.proper("again") {
+		if g := l.request("/idem/x", "again", time.Second); !g.proper("again") {
 			t.Errorf("%+v", g)
 		}
 		time.Sleep(time.Second)
@@ -102,14 +102,14 @@
 // gone from its address.
 func TestProbeFindsAnother(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := newLab(t, newPipes(), func(s *Settings) { s.ProbeEvery = time.Second })
+		l := newHarness(t, newPipes(), func(s *Settings) { s.ProbeInterval = time.Second })
 		l.routes(1)
-		other := l.stand("other", func(r *target.Run) { r.Service = "else" }, sealed)
-		l.stand("good", nil, sealed)
-		l.call("/idem/x", "q0", time.Second)
-		l.node.TakeRuns([]target.Run{{ID: "was", Service: "svc", Addr: other.ln.Addr().String(), Zone: "a", Slots: 4, State: target.Ready, Seq: 1}})
+		other := l.startTarget("other", func(r *target.Run) { r.Service = "else" }, serveOK)
+		l.startTarget("good", nil, serveOK)
+		l.request("/idem/x", "q0", time.Second)
+		l.node.ApplyRuns([]target.Run{{ID: "was", Service: "svc", Addr: other.ln.Addr().String(), Zone: "a", Slots: 4, State: target.Ready, Seq: 1}})
 		time.Sleep(5 * time.Second)
-		for _, s := range l.node.all() {
+		for _, s := range l.node.allServices() {
 			s.mu.Lock()
 			if e := s.all["was"]; e != nil && !e.gone {
 				t.Error("not known to be gone")
@@ -129,27 +129,27 @@
 func TestAnswersStandIn(t *testing.T) {
 	for _, without := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
-			l := newLab(t, newPipes(), func(s *Settings) { s.ProbeEvery = 4 * time.Second })
-			l.node.noStandIn = without
+			l := newHarness(t, newPipes(), func(s *Settings) { s.ProbeInterval = 4 * time.Second })
+			l.node.noAnswerEvidence = without
 			l.routes(2)
-			busy := l.stand("busy", nil, sealed)
-			idle := l.stand("idle", func(r *target.Run) { r.Zone = "a" }, sealed)
+			busy := l.startTarget("busy", nil, serveOK)
+			idle := l.startTarget("idle", func(r *target.Run) { r.Zone = "a" }, serveOK)
 			asked := map[string]int{}
-			for _, s := range []*stand{busy, idle} {
+			for _, s := range []*fakeTarget{busy, idle} {
 				s.mu.Lock()
-				s.health = func(l *lab, c net.Conn, q *seen) bool {
+				s.health = func(l *harness, c net.Conn, q *receivedRequest) bool {
 					l.mu.Lock()
-					asked[q.run]++
+					asked[q.targetID]++
 					l.mu.Unlock()
-					if q.run == "busy" {
+					if q.targetID == "busy" {
 						return unwell(l, c, q)
 					}
 					return healthy(l, c, q)
 				}
 				s.mu.Unlock()
 			}
-			l.call("/idem/x", "q", time.Second)
-			s := l.node.all()[0]
+			l.request("/idem/x", "q", time.Second)
+			s := l.node.allServices()[0]
 			s.mu.Lock()
 			e, other := s.all["busy"], s.all["idle"]
 			// The other is slower, so that whoever chooses takes the first.
@@ -158,7 +158,7 @@
 			worst := 0.0
 			for i := range 60 {
 				if i < 10 || !without {
-					l.call("/idem/x", fmt.Sprint("q", i), time.Second)
+					l.request("/idem/x", fmt.Sprint("q", i), time.Second)
 				}
 				time.Sleep(time.Second)
 				s.mu.Lock()
@@ -187,11 +187,11 @@
 // TestErrorsAreNoProof: an answer that tells of the run's own failure saves no probe.
 func TestErrorsAreNoProof(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := newLab(t, newPipes(), func(s *Settings) { s.ProbeEvery = 4 * time.Second })
+		l := newHarness(t, newPipes(), func(s *Settings) { s.ProbeInterval = 4 * time.Second })
 		l.routes(1)
-		l.stand("r", nil, fails)
+		l.startTarget("r", nil, fails)
 		for i := range 40 {
-			l.call("/idem/x", fmt.Sprint("q", i), time.Second)
+			l.request("/idem/x", fmt.Sprint("q", i), time.Second)
 			time.Sleep(time.Second)
 		}
 		if st := l.node.Stats(); st.ProbesSaved != 0 || st.Probes < 8 || st.Erred == 0 || st.Answered < st.Erred {
@@ -206,13 +206,13 @@
 func TestProbesAreSpread(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		// As many are free as there are at that interval: it is to stay.
-		l := newLab(t, newPipes(), func(s *Settings) { s.ProbeEvery, s.FreeProbes = 4*time.Second, mostRuns/4 })
+		l := newHarness(t, newPipes(), func(s *Settings) { s.ProbeInterval, s.FreeProbes = 4*time.Second, mostRuns/4 })
 		l.routes(1)
 		var at []time.Time
 		for i := range mostRuns {
-			s := l.stand(fmt.Sprint("r", i), nil, sealed)
+			s := l.startTarget(fmt.Sprint("r", i), nil, serveOK)
 			s.mu.Lock()
-			s.health = func(l *lab, c net.Conn, q *seen) bool {
+			s.health = func(l *harness, c net.Conn, q *receivedRequest) bool {
 				l.mu.Lock()
 				at = append(at, time.Now())
 				l.mu.Unlock()
@@ -236,11 +236,11 @@
 			return k
 		}
 		// It is to work with all of them all the while.
-		s := l.node.all()[0]
+		s := l.node.allServices()[0]
 		s.mu.Lock()
 		s.busy = 1000
 		s.mu.Unlock()
-		l.call("/idem/x", "q", time.Second)
+		l.request("/idem/x", "q", time.Second)
 		time.Sleep(20 * time.Second)
 		l.mu.Lock()
 		n := len(at)
@@ -280,7 +280,7 @@
 		if w := e.suspicion(n.clock.Now()); w < suspectAt {
 			t.Errorf("suspicion %v after a minute of silence", w)
 		}
-		s.release(s.hold(e, n.clock.Now()), answered, 100*time.Millisecond, 0)
+		s.release(s.reserve(e, n.clock.Now()), outcomeAnswered, 100*time.Millisecond, 0)
 		if w := e.suspicion(n.clock.Now()); w >= suspectAt {
 			t.Errorf("suspicion %v right after an answer", w)
 		}
--- a/internal/proxy/report.go
+++ b/internal/proxy/report.go
@@ -8,10 +8,10 @@
 	"walkrudder/internal/target"
 )
 
-// fewServices is how many services a report names.
-const fewServices = 5
+// maxReportedServices bounds the services listed in a report.
+const maxReportedServices = 5
 
-// Report is what a node tells people of itself in one log line.
+// Report is the status of a node in one log line.
 type Report struct {
 	Ready        bool  `json:"ready"`
 	Synced       bool  `json:"synced"`
@@ -20,26 +20,26 @@
 	Services     int   `json:"services"`
 	Gateways     int64 `json:"gateways"`
 	GatewaysNear int64 `json:"gateways_near"`
-	// ProbeMS is the interval at which a run that is well is probed now.
+	// ProbeMS is the current interval of probes to a healthy run.
 	ProbeMS int64 `json:"probe_ms"`
 	Runs    Runs  `json:"runs"`
-	// Budget is of the services that had a request lately, those with the least left
+	// Budget lists the services that had a request lately, those with the least budget left
 	// first.
-	Budget   []Left   `json:"budget"`
-	UnderWay UnderWay `json:"under_way"`
-	Counters Stats    `json:"counters"`
+	Budget   []BudgetLeft `json:"budget"`
+	UnderWay InFlight     `json:"under_way"`
+	Counters Stats        `json:"counters"`
 }
 
-// Runs counts the runs known.
+// Runs counts the known runs.
 type Runs struct {
 	Known    int `json:"known"`
 	Ready    int `json:"ready"`
 	Draining int `json:"draining"`
-	// Worked are those that this node works with.
+	// Worked are those in this node's working set.
 	Worked int `json:"worked_with"`
-	// Suspected are those that the control plane holds for silent, and Doubted those
-	// worked with that this node would pass over. PassedOver are passed over: never more
-	// than half of a service's.
+	// Suspected are those that the control plane considers silent, and Doubted those in the
+	// working set that this node would avoid. PassedOver are actually avoided: at most
+	// half of a service's runs.
 	Suspected  int `json:"suspected"`
 	Doubted    int `json:"doubted"`
 	PassedOver int `json:"passed_over"`
@@ -47,14 +47,14 @@
 	Misdirected int `json:"misdirected"`
 }
 
-// Left is what one service may still spend on further sends at this moment.
-type Left struct {
+// BudgetLeft is the number of additional sends that a service may make now.
+type BudgetLeft struct {
 	Service string `json:"service"`
 	Sends   int    `json:"sends_left"`
 }
 
-// count adds what a service knows. It changes nothing: unlike a choice, it pardons none.
-func (s *service) count(r *Runs, now time.Time) (used bool) {
+// countRuns adds the runs of a service. Unlike a selection, it pardons no run and changes no state.
+func (s *service) countRuns(r *Runs, now time.Time) (used bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	r.Known += len(s.all)
@@ -88,18 +88,20 @@
 	return !s.usedAt.IsZero() && now.Sub(s.usedAt) < usedFor
 }
 
-// Report tells how things are now.
+// Report returns the current status.
 func (n *Node) Report() Report {
 	now := n.clock.Now()
 	v := n.view.Load()
 	r := Report{Ready: n.Ready(), Synced: n.synced.Load(), Stopping: n.stopping.Load(), Routes: v.table.Len(), Services: len(v.services),
-		Gateways: n.gateways.Load(), GatewaysNear: n.gatewaysNear.Load(), ProbeMS: n.rhythm.interval().Milliseconds(), Budget: []Left{}, UnderWay: n.underWay(), Counters: n.Stats()}
-	for _, s := range n.all() {
-		if s.count(&r.Runs, now) {
-			r.Budget = append(r.Budget, Left{s.name, s.acct.Left()})
+		Gateways: n.gateways.Load(), GatewaysNear: n.gatewaysNear.Load(), ProbeMS: n.rhythm.interval().Milliseconds(), Budget: []BudgetLeft{}, UnderWay: n.inFlight(), Counters: n.Stats()}
+	for _, s := range n.allServices() {
+		if s.countRuns(&r.Runs, now) {
+			r.Budget = append(r.Budget, BudgetLeft{s.name, s.acct.Left()})
 		}
 	}
-	slices.SortFunc(r.Budget, func(a, b Left) int { return cmp.Or(cmp.Compare(a.Sends, b.Sends), cmp.Compare(a.Service, b.Service)) })
-	r.Budget = r.Budget[:min(len(r.Budget), fewServices)]
+	slices.SortFunc(r.Budget, func(a, b BudgetLeft) int {
+		return cmp.Or(cmp.Compare(a.Sends, b.Sends), cmp.Compare(a.Service, b.Service))
+	})
+	r.Budget = r.Budget[:min(len(r.Budget), maxReportedServices)]
 	return r
 }
--- a/internal/proxy/rhythm.go
+++ b/internal/proxy/rhythm.go
@@ -54,7 +54,7 @@
 // keepTime lets the interval of probes follow the requests.
 func (n *Node) keepTime(now time.Time, tick time.Duration) {
 	runs := 0
-	all := n.all()
+	all := n.allServices()
 	for _, s := range all {
 		runs += s.probed()
 	}
--- a/internal/proxy/rhythm_test.go
+++ b/internal/proxy/rhythm_test.go
@@ -66,14 +66,14 @@
 // that is passed over is probed as usual, and found well soon after it is.
 func TestSeldomProbed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := newLab(t, newPipes(), nil)
+		l := newHarness(t, newPipes(), nil)
 		l.routes(1)
 		probes, dead := 0, false
 		for i := range 24 {
 			id := fmt.Sprint("r", i)
-			s := l.stand(id, nil, sealed)
+			s := l.startTarget(id, nil, serveOK)
 			s.mu.Lock()
-			s.health = func(l *lab, c net.Conn, q *seen) bool {
+			s.health = func(l *harness, c net.Conn, q *receivedRequest) bool {
 				l.mu.Lock()
 				probes++
 				silent := dead && id == "r7"
@@ -85,7 +85,7 @@
 			}
 			s.mu.Unlock()
 		}
-		s := l.node.all()[0]
+		s := l.node.allServices()[0]
 		worst := 0.0
 		pass := func(d time.Duration) {
 			for range int(d / time.Second) {
@@ -101,7 +101,7 @@
 				time.Sleep(time.Second)
 			}
 		}
-		l.call("/idem/x", "q", time.Second)
+		l.request("/idem/x", "q", time.Second)
 		pass(60 * time.Second)
 		if e := l.node.rhythm.interval(); e != 16*time.Second {
 			t.Errorf("every %v", e)
@@ -120,9 +120,9 @@
 		if worst >= suspectAt {
 			t.Errorf("a run that is well has a suspicion of %v", worst)
 		}
-		for _, st := range l.stands {
+		for _, st := range l.targets {
 			if st.id == "r7" {
-				st.cut()
+				st.closeConns()
 			}
 		}
 		pass(80 * time.Second)
@@ -135,7 +135,7 @@
 		l.mu.Lock()
 		dead = false
 		l.mu.Unlock()
-		l.stands["r7"].cut()
+		l.targets["r7"].closeConns()
 		pass(15 * time.Second)
 		s.mu.Lock()
 		w = s.all["r7"].suspicion(time.Now())
--- a/internal/proxy/room.go
+++ b/internal/proxy/room.go
@@ -8,50 +8,50 @@
 )
 
 const (
-	// roomFrom is the size from which an answer waits for room before it is taken in.
-	roomFrom = 256 << 10
-	// roomPart is the part of a machine's memory that large answers may take.
-	roomPart = 0.4
+	// largeAnswerSize is the size from which an answer needs a reservation before it is read.
+	largeAnswerSize = 256 << 10
+	// largeAnswerShare is the part of the machine's memory that large answers may use.
+	largeAnswerShare = 0.4
 )
 
-// answerRoom bounds the bytes of large answers that are held whole, in the order in which they came. An answer that
-// waits stays at its target, which the connection's window holds up.
-type answerRoom struct {
-	most int64
-	free *semaphore.Weighted
+// largeAnswerMemory bounds the bytes of large answers that are buffered completely; waiters are served in order of arrival.
+// An answer that waits stays at its target, which is held back by TCP flow control.
+type largeAnswerMemory struct {
+	limit int64
+	sem   *semaphore.Weighted
 }
 
-func newAnswerRoom(megabytes int) answerRoom {
-	most := int64(roomPart * float64(int64(megabytes)<<20))
-	return answerRoom{most, semaphore.NewWeighted(most)}
+func newLargeAnswerMemory(megabytes int) largeAnswerMemory {
+	most := int64(largeAnswerShare * float64(int64(megabytes)<<20))
+	return largeAnswerMemory{most, semaphore.NewWeighted(most)}
 }
 
-// reserve waits for room for an answer of so many bytes until a moment, and tells how much is to be given back. All of it is
-// had at once: answers that each hold a part and wait for more would wait for each other.
-func (r answerRoom) reserve(size int, until time.Time, c clocked) (int64, error) {
-	if size < roomFrom {
+// reserve waits until the given time for memory for an answer, and returns how much must be released later. It reserves the
+// full size at once: answers that each hold a part and wait for more could deadlock.
+func (r largeAnswerMemory) reserve(size int, until time.Time, c timeSource) (int64, error) {
+	if size < largeAnswerSize {
 		return 0, nil
 	}
-	n := min(int64(size), r.most)
-	if r.free.TryAcquire(n) {
+	n := min(int64(size), r.limit)
+	if r.sem.TryAcquire(n) {
 		return n, nil
 	}
 	ctx, end := context.WithTimeout(context.Background(), until.Sub(c.Now()))
 	defer end()
-	if err := r.free.Acquire(ctx, n); err != nil {
+	if err := r.sem.Acquire(ctx, n); err != nil {
 		return 0, errMemory
 	}
 	return n, nil
 }
 
-// clocked tells the time.
-type clocked interface{ Now() time.Time }
+// timeSource returns the current time.
+type timeSource interface{ Now() time.Time }
 
-// release gives back what an answer held.
-func (n *Node) release(a *answer) {
-	n.mem.give(a.held)
-	if a.room > 0 {
-		n.room.free.Release(a.room)
-		a.room = 0
+// releaseAnswer releases the memory of an answer.
+func (n *Node) releaseAnswer(a *answer) {
+	n.memory.release(a.reservedBytes)
+	if a.largeReserved > 0 {
+		n.largeAnswers.sem.Release(a.largeReserved)
+		a.largeReserved = 0
 	}
 }
--- a/internal/proxy/room_test.go
+++ b/internal/proxy/room_test.go
@@ -8,15 +8,15 @@
 	"time"
 )
 
-// Guards against a burst of large answers taking a node over its memory: each was taken in whole, however many there were.
+// A burst of large answers must not exceed the node's memory. Without a limit each answer was buffered completely, however many there were.
 func TestABurstOfLargeAnswersStaysInItsRoom(t *testing.T) {
 	const size, burst, megabytes = 2 << 20, 24, 20
 	synctest.Test(t, func(t *testing.T) {
-		l := newLab(t, newPipes(), func(s *Settings) { s.MemoryMB = megabytes })
+		l := newHarness(t, newPipes(), func(s *Settings) { s.MemoryMB = megabytes })
 		defer l.close()
 		l.routes(2)
 		for i := range 8 {
-			l.stand(fmt.Sprint("t", i), nil, bundleOf(size, 50*time.Millisecond))
+			l.startTarget(fmt.Sprint("t", i), nil, answerWithSize(size, 50*time.Millisecond))
 		}
 		done := make(chan struct{})
 		peak := int64(0)
@@ -50,11 +50,11 @@
 		close(done)
 		watcher.Wait()
 		if most := int64(megabytes) << 20 * 3 / 5; peak > most {
-			t.Errorf("%d bytes held at once, want %d at most", peak, most)
+			t.Errorf("%d bytes held at once, want at most %d", peak, most)
 		}
 		if whole < burst/2 {
-			t.Errorf("%d of %d answers came whole", whole, burst)
+			t.Errorf("%d of %d answers complete", whole, burst)
 		}
-		t.Logf("%d of %d whole, %d bytes held at once", whole, burst, peak)
+		t.Logf("%d of %d complete, %d bytes held at once", whole, burst, peak)
 	})
 }
--- a/internal/proxy/serve.go
+++ b/internal/proxy/serve.go
@@ -10,23 +10,23 @@
 )
 
 const (
-	// stopMargin is kept free at the end of a planned stop.
+	// stopMargin is reserved at the end of a planned stop.
 	stopMargin = 300 * time.Millisecond
-	// lastCallTime is how long before the end of a planned stop the last request is sent to a target:
-	// who still waits for one then is told so while the answer can still leave.
-	lastCallTime = 500 * time.Millisecond
-	// acceptPause is waited where no connection can be taken in for want of files.
-	acceptPause = 20 * time.Millisecond
-	// mostNamed is how many requests a stop names that it could not finish.
-	mostNamed = 20
+	// finalSendMargin is how long before the end of a planned stop the last request is sent to a target:
+	// requests still waiting for a target are then refused while the refusal can still be delivered.
+	finalSendMargin = 500 * time.Millisecond
+	// acceptRetryDelay is the pause after an accept that failed, for instance for lack of file descriptors.
+	acceptRetryDelay = 20 * time.Millisecond
+	// maxLoggedRequests bounds the unfinished requests that a planned stop logs.
+	maxLoggedRequests = 20
 )
 
-// Serve takes callers in from ln until a planned stop closes it.
+// Serve accepts caller connections from ln until a planned stop closes it.
 func (n *Node) Serve(ln net.Listener) error {
-	n.cm.Lock()
-	n.lns = append(n.lns, ln)
-	n.cm.Unlock()
-	if n.ended.Load() {
+	n.callersMu.Lock()
+	n.listeners = append(n.listeners, ln)
+	n.callersMu.Unlock()
+	if n.listenersClosed.Load() {
 		_ = ln.Close()
 	}
 	for {
@@ -34,75 +34,76 @@
 		if err != nil {
 			var ne net.Error
 			switch {
-			case n.ended.Load():
+			case n.listenersClosed.Load():
 				return nil
 			case errors.Is(err, net.ErrClosed):
 				return steperr.At("accept", "", err)
 			case errors.As(err, &ne):
-				if err := n.clock.Sleep(context.Background(), acceptPause); err != nil {
+				if err := n.clock.Sleep(context.Background(), acceptRetryDelay); err != nil {
 					return steperr.At("accept", "", err)
 				}
 				continue
 			}
 			return steperr.At("accept", "", err)
 		}
-		n.admit(nc)
+		n.startCaller(nc)
 	}
 }
 
-// admit begins to serve a caller, unless there are too many.
-func (n *Node) admit(nc net.Conn) {
+// startCaller starts serving a connection, or closes it if there are too many.
+func (n *Node) startCaller(nc net.Conn) {
 	if n.stats.callers.Add(1) > n.maxCallers {
 		n.stats.callers.Add(-1)
 		n.stats.overfull.Add(1)
 		_ = nc.Close()
 		return
 	}
-	c := &caller{n: n, nc: nc}
-	n.cm.Lock()
+	c := &callerConn{n: n, nc: nc}
+	n.callersMu.Lock()
 	n.callers[c] = struct{}{}
-	n.wg.Add(1)
-	n.cm.Unlock()
+	n.callersWG.Add(1)
+	n.callersMu.Unlock()
 	go func() {
 		defer func() {
-			n.cm.Lock()
+			n.callersMu.Lock()
 			delete(n.callers, c)
-			n.cm.Unlock()
+			n.callersMu.Unlock()
 			n.stats.callers.Add(-1)
-			n.wg.Done()
+			n.callersWG.Done()
 		}()
 		c.serve()
 	}()
 }
 
-// Stop ends the node in order. At once it is not ready, tells callers to close, and starts no download
-// that it could not finish; for a while it takes in those who have yet to notice; then it closes the
-// listeners and the idle callers, gives large answers the whole link, and returns when all inside is
-// answered, or the grace is over. Nothing is answered in place of a target that is at work; what was
-// sent to none shortly before the end is refused.
+// Stop shuts the node down gracefully. It immediately reports not ready, tells callers to close their
+// connections and starts no download that it could not finish. For the linger time it still accepts
+// callers that have not noticed yet; then it closes the listeners and the idle connections, lets large
+// answers use the whole link, and returns when every request is answered or the grace period is over.
+// Requests at a target are never answered in its place; requests that were not yet sent to a target
+// shortly before the end are refused.
 func (n *Node) Stop(ctx context.Context) error {
 	if n.stopping.Swap(true) {
 		return nil
 	}
-	end := n.clock.Now().Add(n.set.stopTime())
-	n.log.Info("a planned stop begins", "step", "stop", "under_way", n.underWay())
-	n.downs.stop(end)
-	if err := n.clock.Sleep(ctx, min(n.set.Linger, n.set.Grace/2)); err != nil {
+	deadline := n.clock.Now().Add(n.settings.stopTimeout())
+	n.log.Info("a planned stop begins", "step", "stop", "under_way", n.inFlight())
+	n.downloads.setStopDeadline(deadline)
+	if err := n.clock.Sleep(ctx, min(n.settings.Linger, n.settings.Grace/2)); err != nil {
 		return steperr.At("stop", "", err)
 	}
-	n.closeDoors()
-	n.log.Info("no more callers are taken", "step", "stop", "under_way", n.underWay())
-	done := make(chan struct{})
+	n.closeListeners()
+	n.log.Info("no more callers are taken", "step", "stop", "under_way", n.inFlight())
+	finished := make(chan struct{})
 	go func() {
-		n.wg.Wait()
-		close(done)
+		n.callersWG.Wait()
+		close(finished)
 	}()
-	if n.ends(ctx, done, end.Add(-lastCallTime)) {
+	if n.waitDone(ctx, finished, deadline.Add(-finalSendMargin)) {
 		return nil
 	}
-	close(n.lastCall)
-	n.log.Info("the last call", "step", "stop", "under_way", n.underWay(), "requests", n.named())
-	if n.ends(ctx, done, end) {
+	close(n.sendsClosed)
+	n.log.Info("the last call", "step", "stop", "under_way", n.inFlight(), "requests", n.sampleUnfinished())
+	if n.waitDone(ctx, finished, deadline) {
 		return nil
 	}
 	if err := ctx.Err(); err != nil {
@@ -112,23 +113,23 @@
 	return steperr.New("stop", "", "%d requests were not answered in the grace", n.stats.inside.Load())
 }
 
-// closeDoors closes the listeners and the idle callers.
-func (n *Node) closeDoors() {
-	n.ended.Store(true)
-	n.leaving.Store(true)
-	n.cm.Lock()
-	defer n.cm.Unlock()
-	for _, ln := range n.lns {
+// closeListeners closes the listeners and the idle caller connections.
+func (n *Node) closeListeners() {
+	n.listenersClosed.Store(true)
+	n.closingIdle.Store(true)
+	n.callersMu.Lock()
+	defer n.callersMu.Unlock()
+	for _, ln := range n.listeners {
 		_ = ln.Close()
 	}
 	for c := range n.callers {
-		c.release()
+		c.interruptIdle()
 	}
-	n.out.widen(n.set.LinkMbps)
+	n.outbound.useWholeLink(n.settings.LinkMbps)
 }
 
-// ends waits until all inside is answered, and tells whether it was before at.
-func (n *Node) ends(ctx context.Context, done <-chan struct{}, at time.Time) bool {
+// waitDone waits until every request is answered, and reports whether that was before at.
+func (n *Node) waitDone(ctx context.Context, done <-chan struct{}, at time.Time) bool {
 	c, stop := n.clock.After(max(0, at.Sub(n.clock.Now())))
 	defer stop()
 	select {
@@ -140,15 +141,15 @@
 	return false
 }
 
-// named lists some of the requests under way.
-func (n *Node) named() []Unfinished {
-	list := n.unfinished()
-	return list[:min(len(list), mostNamed)]
+// sampleUnfinished returns up to maxLoggedRequests of the requests in flight.
+func (n *Node) sampleUnfinished() []Unfinished {
+	list := n.listUnfinished()
+	return list[:min(len(list), maxLoggedRequests)]
 }
 
-// logUnfinished names requests that a planned stop leaves without an answer.
+// logUnfinished logs requests that a planned stop leaves unanswered.
 func (n *Node) logUnfinished() {
-	for _, u := range n.named() {
+	for _, u := range n.sampleUnfinished() {
 		n.log.Warn("a request was not answered in the grace", "step", "stop", "request", u)
 	}
 }
--- a/internal/proxy/service.go
+++ b/internal/proxy/service.go
@@ -29,7 +29,7 @@
 	n    *Node
 	acct *budget.Account
 	// sizes are those of answers of late, by kind of request.
-	sizes sizes
+	sizes meanSizes
 
 	mu    sync.Mutex
 	def   route.Service
@@ -40,7 +40,7 @@
 	// trialOpen is for use again.
 	trialOpen []*endpoint
 	queue     waiting
-	pace      pace
+	pace      requestRates
 	limit     limit
 	norm      norm
 	runs      int     // how many this node works with, of its own zone and of others
@@ -58,7 +58,7 @@
 }
 
 func newService(n *Node, name string) *service {
-	return &service{name: name, n: n, acct: n.budget.Of(name), all: map[string]*endpoint{}, queue: waiting{most: queueMost}, sizes: newSizes(), runs: mostRuns, busy: mostRuns / runsEach}
+	return &service{name: name, n: n, acct: n.budget.Of(name), all: map[string]*endpoint{}, queue: waiting{most: queueMost}, sizes: newMeanSizes(), runs: mostRuns, busy: mostRuns / runsEach}
 }
 
 func (s *service) usual() time.Duration { return cmp.Or(s.took, unknownTime) }
@@ -95,7 +95,7 @@
 			if r.State == target.Ended {
 				continue
 			}
-			e = &endpoint{svc: s, near: r.Zone == s.n.set.Zone, far: s.n.far(r.Zone)}
+			e = &endpoint{svc: s, near: r.Zone == s.n.settings.Zone, far: s.n.distanceTo(r.Zone)}
 			s.all[r.ID] = e
 		}
 		if r.Cold > 0 && e.run.Cold != r.Cold {
--- a/internal/proxy/sizes.go
+++ b/internal/proxy/sizes.go
@@ -6,26 +6,26 @@
 	"walkrudder/internal/route"
 )
 
-// sizes are the mean lengths of answers' bodies, in bytes, by kind of request. Two answers at once
-// may count as one.
-type sizes map[route.Repeat]*atomic.Int64
+// meanSizes are moving averages of answer body sizes in bytes, by kind of request. Concurrent updates
+// may be counted as one.
+type meanSizes map[route.Repeat]*atomic.Int64
 
-func newSizes() sizes {
-	return sizes{route.Once: {}, route.Idempotent: {}, route.Download: {}}
+func newMeanSizes() meanSizes {
+	return meanSizes{route.Once: {}, route.Idempotent: {}, route.Download: {}}
 }
 
-// large tells whether answers to requests of a kind are paced on narrow links, by those of late.
-func (s *service) large(kind route.Repeat) bool {
+// hasLargeAnswers reports whether answers to requests of a kind are paced on narrow links, judging by recent ones.
+func (s *service) hasLargeAnswers(kind route.Repeat) bool {
 	mean := s.sizes[kind]
-	return mean != nil && mean.Load() >= bulkFrom
+	return mean != nil && mean.Load() >= largeBodySize
 }
 
-// noteSize notes the length of an answer, if it is a success.
-func (s *service) noteSize(kind route.Repeat, a *answer) {
+// recordSize adds the size of a successful answer to the average.
+func (s *service) recordSize(kind route.Repeat, a *answer) {
 	mean := s.sizes[kind]
 	if mean == nil || a.status >= 300 {
 		return
 	}
 	old := mean.Load()
-	mean.Store(old + (int64(a.bodySize())-old)/sizeOver)
+	mean.Store(old + (int64(a.bodySize())-old)/meanSizeWindow)
 }
--- a/internal/proxy/slow.go
+++ b/internal/proxy/slow.go
@@ -20,18 +20,18 @@
 // answerWriter writes one answer to a caller, who may read slowly: the time for writing begins anew as long as it takes
 // bytes at the least rate and its own deadline is not over.
 type answerWriter struct {
-	c     *caller
+	c     *callerConn
 	until time.Time // no stretch begins later
 	began time.Time // of the present stretch
 	taken int       // in it
 }
 
 // writerFor begins the writing of the answer to the request under way.
-func (c *caller) writerFor() *answerWriter {
+func (c *callerConn) writerFor() *answerWriter {
 	now := c.n.clock.Now()
 	w := &c.writer
 	*w = answerWriter{c: c, until: now.Add(writeTime), began: now}
-	if x := c.serves.Load(); x != nil && x.deadline.After(w.until) {
+	if x := c.current.Load(); x != nil && x.deadline.After(w.until) {
 		w.until = x.deadline
 	}
 	return w
@@ -93,9 +93,9 @@
 	switch {
 	case stretch < writeTime:
 		return nil
-	case float64(w.taken) < float64(w.c.n.set.LeastRate)*stretch.Seconds():
+	case float64(w.taken) < float64(w.c.n.settings.MinReadRate)*stretch.Seconds():
 		w.c.n.stats.tooSlow.Add(1)
-		w.c.n.warn("an answer was cut off: its caller took less than the least rate", "step", "answer", "peer", w.c.nc.RemoteAddr().String(), "bytes", w.taken, "in", stretch.String())
+		w.c.n.warnLimited("an answer was cut off: its caller took less than the least rate", "step", "answer", "peer", w.c.nc.RemoteAddr().String(), "bytes", w.taken, "in", stretch.String())
 		return errSlow
 	case !now.Before(w.until):
 		return err
--- a/internal/proxy/slow_test.go
+++ b/internal/proxy/slow_test.go
@@ -13,7 +13,7 @@
 )
 
 // slowly reads an answer's bytes, so many at a time, and tells how long that took and whether it was whole.
-func (l *lab) slowly(id string, wait time.Duration, step int, pause time.Duration) (got int, took time.Duration, err error) {
+func (l *harness) slowly(id string, wait time.Duration, step int, pause time.Duration) (got int, took time.Duration, err error) {
 	cx, end := context.WithTimeout(l.t.Context(), time.Second)
 	defer end()
 	nc, err := l.net.dial(cx, l.addr)
@@ -64,10 +64,10 @@
 		for _, mbps := range []float64{0, 20} {
 			t.Run(fmt.Sprintf("%s, %v Mbit/s", name, mbps), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
-					l := newLab(t, newPipes(), func(s *Settings) { s.LinkMbps = mbps })
+					l := newHarness(t, newPipes(), func(s *Settings) { s.LinkMbps = mbps })
 					defer l.close()
 					l.routes(2)
-					l.stand("t1", nil, bundleOf(size, 10*time.Millisecond))
+					l.startTarget("t1", nil, answerWithSize(size, 10*time.Millisecond))
 					got, took, err := l.slowly("id-1", x.wait, x.step, x.pause)
 					if whole := err == nil && got == size; whole != x.whole {
 						t.Errorf("%d of %d bytes after %v: %v", got, size, took, err)
@@ -88,10 +88,10 @@
 // longer it could not be written.
 func TestAWordToContinueAfterARest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := newLab(t, newPipes(), nil)
+		l := newHarness(t, newPipes(), nil)
 		defer l.close()
 		l.routes(2)
-		l.stand("t1", nil, bundleOf(10, 0))
+		l.startTarget("t1", nil, answerWithSize(10, 0))
 		cx, end := context.WithTimeout(t.Context(), time.Second)
 		defer end()
 		nc, err := l.net.dial(cx, l.addr)
--- a/internal/proxy/stand_test.go
+++ b/internal/proxy/stand_test.go
@@ -21,10 +21,10 @@
 	"walkrudder/internal/target"
 )
 
-var dialect = Dialect{RequestID: "X-Id", Remaining: "X-Left", Seal: "X-Seal", Expect: "X-Run",
+var dialect = HeaderNames{RequestID: "X-Id", RemainingTime: "X-Left", Seal: "X-Seal", ExpectedRun: "X-Run",
 	NotRun: "X-Not-Run", RetryAfter: "Retry-After", Instance: "X-Instance"}
 
-// network is what a test runs over: loopback, or pipes in a bubble with virtual time.
+// network is the transport of a test: loopback, or pipes in a synctest bubble with virtual time.
 type network interface {
 	listen() net.Listener
 	dial(ctx context.Context, addr string) (net.Conn, error)
@@ -49,7 +49,7 @@
 	lns map[string]*pipeListener
 }
 
-// pipeEnd is an end of a pipe that knows whether the other one is closed.
+// pipeEnd is one end of a pipe; it knows whether the other end is closed.
 type pipeEnd struct {
 	net.Conn
 	closed, peer *atomic.Bool
@@ -66,7 +66,7 @@
 	return p.Conn.Close()
 }
 
-// Gone tells whether the other end is closed.
+// Gone reports whether the other end is closed.
 func (p *pipeEnd) Gone() bool { return p.peer.Load() }
 
 func newPipes() *pipes { return &pipes{lns: map[string]*pipeListener{}} }
@@ -120,60 +120,60 @@
 	}
 }
 
-// seen is a request as a stand-in target read it, by another parser than the proxy's.
-type seen struct {
+// receivedRequest is a request as read by a fake target, with a parser other than the proxy's.
+type receivedRequest struct {
 	method, uri, host, id string
-	head                  http.Header
+	header                http.Header
 	body                  []byte
-	run                   string
-	nth                   int // at the whole lab, from 1
-	onConn                int // on its connection, from 1
-	conn                  int // of its target, from 1
+	targetID              string
+	index                 int // in the whole harness, from 1
+	connIndex             int // on its connection, from 1
+	connNumber            int // of the connection at its target, from 1
 }
 
-// lab has stand-in targets and one node.
-type lab struct {
+// harness runs fake targets and one node.
+type harness struct {
 	t    *testing.T
 	net  network
 	node *Node
 	addr string
 
-	mu       sync.Mutex
-	arrived  []*seen
-	ran      map[string]int
-	conns    map[string]int
-	stands   map[string]*stand
-	listener net.Listener
-	end      func()
-	wg       sync.WaitGroup
+	mu        sync.Mutex
+	received  []*receivedRequest
+	runCounts map[string]int
+	conns     map[string]int
+	targets   map[string]*fakeTarget
+	listener  net.Listener
+	cancel    func()
+	wg        sync.WaitGroup
 }
 
-// act is what a stand-in does with a request; it returns whether the connection stays.
-type act func(l *lab, c net.Conn, s *seen) bool
+// handler handles a request at a fake target; it returns whether the connection stays open.
+type handler func(l *harness, c net.Conn, s *receivedRequest) bool
 
-type stand struct {
+type fakeTarget struct {
 	id string
 	ln net.Listener
-	// health answers its probes; nil is healthy.
-	health act
-	// early may answer a request before its body is read; it tells whether it did, and whether
-	// the connection stays.
-	early func(l *lab, c net.Conn, s *seen) (answered, stays bool)
+	// health handles probes; nil means healthy.
+	health handler
+	// early may answer a request before its body is read; it returns whether it did, and whether
+	// the connection stays open.
+	early func(l *harness, c net.Conn, s *receivedRequest) (answered, stays bool)
 	mu    sync.Mutex
 	conns map[net.Conn]bool
 }
 
-func newLab(t *testing.T, nw network, tune func(*Settings)) *lab {
-	l := &lab{t: t, net: nw, ran: map[string]int{}, conns: map[string]int{}, stands: map[string]*stand{}}
-	s := Settings{ID: "gateway1", Zone: "a", Zones: map[string]string{"a": "r", "b": "r", "c": "far"}, Dialect: dialect,
+func newHarness(t *testing.T, nw network, configure func(*Settings)) *harness {
+	l := &harness{t: t, net: nw, runCounts: map[string]int{}, conns: map[string]int{}, targets: map[string]*fakeTarget{}}
+	s := Settings{ID: "gateway1", Zone: "a", Zones: map[string]string{"a": "r", "b": "r", "c": "far"}, Headers: dialect,
 		BudgetRatio: 10, BudgetWindow: 10 * time.Second, BudgetSlack: 100, Grace: 6 * time.Second}
-	if tune != nil {
-		tune(&s)
+	if configure != nil {
+		configure(&s)
 	}
 	if err := s.Check(); err != nil {
 		t.Fatal(err)
 	}
-	p := Parts{Settings: s, Clock: clock.Wall{}}
+	p := Options{Settings: s, Clock: clock.Wall{}}
 	if _, ok := nw.(loopback); !ok {
 		p.Dial = nw.dial
 	}
@@ -185,27 +185,27 @@
 			t.Error(err)
 		}
 	})
-	cx, end := context.WithCancel(context.Background())
-	l.end = end
-	l.wg.Go(func() { l.node.Run(cx) })
+	ctx, cancel := context.WithCancel(context.Background())
+	l.cancel = cancel
+	l.wg.Go(func() { l.node.Run(ctx) })
 	t.Cleanup(l.close)
 	l.node.SetGateways(1, 1)
 	return l
 }
 
-func (l *lab) close() {
-	l.end()
-	l.node.ended.Store(true)
+func (l *harness) close() {
+	l.cancel()
+	l.node.listenersClosed.Store(true)
 	_ = l.listener.Close()
-	l.node.cm.Lock()
+	l.node.callersMu.Lock()
 	for c := range l.node.callers {
 		_ = c.nc.Close()
 	}
-	l.node.cm.Unlock()
-	for _, s := range l.stands {
+	l.node.callersMu.Unlock()
+	for _, s := range l.targets {
 		s.stop()
 	}
-	for _, s := range l.node.all() {
+	for _, s := range l.node.allServices() {
 		s.mu.Lock()
 		for _, e := range s.all {
 			e.closeIdle()
@@ -213,27 +213,27 @@
 		s.mu.Unlock()
 	}
 	l.wg.Wait()
-	l.node.wg.Wait()
+	l.node.callersWG.Wait()
 }
 
-// routes declares the usual routes: host "h", each kind under its prefix.
-func (l *lab) routes(attempts int) {
+// routes declares the standard routes: host "h", one prefix per kind.
+func (l *harness) routes(attempts int) {
 	items := []item.Item{route.Service{Name: "svc", Version: 1, Health: "/health", MaxConns: 100}.Item()}
 	for p, k := range map[string]route.Repeat{"/once/": route.Once, "/idem/": route.Idempotent, "/down/": route.Download} {
 		items = append(items, route.Route{Name: "r" + p, Version: 1, Host: "h", Prefix: p, Repeat: k, AimMS: 400,
 			Attempts: attempts, Shares: []route.Share{{Service: "svc", Weight: 1}}}.Item())
 	}
-	l.node.TakeItems(items)
+	l.node.ApplyItems(items)
 	l.node.SetSynced(true)
 }
 
-// stand starts a stand-in target and tells the node of it.
-func (l *lab) stand(id string, tune func(*target.Run), do act) *stand {
-	s := &stand{id: id, ln: l.net.listen(), conns: map[net.Conn]bool{}}
-	l.stands[id] = s
+// startTarget starts a fake target and announces it to the node.
+func (l *harness) startTarget(id string, configure func(*target.Run), do handler) *fakeTarget {
+	s := &fakeTarget{id: id, ln: l.net.listen(), conns: map[net.Conn]bool{}}
+	l.targets[id] = s
 	r := target.Run{ID: id, Service: "svc", Addr: s.ln.Addr().String(), Zone: "a", Slots: 4, State: target.Ready, Seq: 1}
-	if tune != nil {
-		tune(&r)
+	if configure != nil {
+		configure(&r)
 	}
 	l.wg.Go(func() {
 		for {
@@ -246,10 +246,10 @@
 			s.mu.Unlock()
 			l.mu.Lock()
 			l.conns[id]++
-			no := l.conns[id]
+			number := l.conns[id]
 			l.mu.Unlock()
 			l.wg.Go(func() {
-				l.attend(s, c, no, do)
+				l.serveConn(s, c, number, do)
 				_ = c.Close()
 				s.mu.Lock()
 				delete(s.conns, c)
@@ -257,17 +257,17 @@
 			})
 		}
 	})
-	l.node.TakeRuns([]target.Run{r})
+	l.node.ApplyRuns([]target.Run{r})
 	return s
 }
 
-func (s *stand) stop() {
+func (s *fakeTarget) stop() {
 	_ = s.ln.Close()
-	s.cut()
+	s.closeConns()
 }
 
-// cut closes all connections.
-func (s *stand) cut() {
+// closeConns closes all connections.
+func (s *fakeTarget) closeConns() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.conns {
@@ -275,21 +275,21 @@
 	}
 }
 
-func (l *lab) attend(st *stand, c net.Conn, no int, do act) {
+func (l *harness) serveConn(target *fakeTarget, c net.Conn, number int, do handler) {
 	r := bufio.NewReader(c)
-	for on := 1; ; on++ {
+	for index := 1; ; index++ {
 		q, err := http.ReadRequest(r)
 		if err != nil {
 			return
 		}
-		s := &seen{method: q.Method, uri: q.RequestURI, host: q.Host, id: q.Header.Get(dialect.RequestID), head: q.Header,
-			run: st.id, onConn: on, conn: no}
+		s := &receivedRequest{method: q.Method, uri: q.RequestURI, host: q.Host, id: q.Header.Get(dialect.RequestID), header: q.Header,
+			targetID: target.id, connIndex: index, connNumber: number}
 		if q.RequestURI == "/health" {
 			s.id = ""
 		}
 		answered, stays := false, false
-		if st.early != nil && s.id != "" && q.Header.Get(dialect.Expect) == st.id && q.ContentLength != 0 {
-			answered, stays = st.early(l, c, s)
+		if target.early != nil && s.id != "" && q.Header.Get(dialect.ExpectedRun) == target.id && q.ContentLength != 0 {
+			answered, stays = target.early(l, c, s)
 		}
 		s.body, err = io.ReadAll(q.Body)
 		if err != nil {
@@ -297,14 +297,14 @@
 		}
 		l.mu.Lock()
 		if s.id != "" {
-			l.arrived = append(l.arrived, s)
-			s.nth = len(l.arrived)
+			l.received = append(l.received, s)
+			s.index = len(l.received)
 		}
 		l.mu.Unlock()
 		if s.id == "" {
 			h := healthy
-			if st.health != nil {
-				h = st.health
+			if target.health != nil {
+				h = target.health
 			}
 			if !h(l, c, s) {
 				return
@@ -317,8 +317,8 @@
 			}
 			continue
 		}
-		if got := q.Header.Get(dialect.Expect); got != st.id {
-			if !misdirect(l, c, s) {
+		if got := q.Header.Get(dialect.ExpectedRun); got != target.id {
+			if !answerMisdirected(l, c, s) {
 				return
 			}
 			continue
@@ -329,62 +329,62 @@
 	}
 }
 
-func healthy(_ *lab, c net.Conn, s *seen) bool {
-	_, err := fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%s: %s\r\nContent-Length: 0\r\n\r\n", dialect.Instance, s.run)
+func healthy(_ *harness, c net.Conn, s *receivedRequest) bool {
+	_, err := fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%s: %s\r\nContent-Length: 0\r\n\r\n", dialect.Instance, s.targetID)
 	return err == nil
 }
 
-func misdirect(_ *lab, c net.Conn, s *seen) bool {
+func answerMisdirected(_ *harness, c net.Conn, s *receivedRequest) bool {
 	_, err := fmt.Fprintf(c, "HTTP/1.1 421 Misdirected\r\nX-Id: %s\r\nContent-Length: 0\r\n\r\n", s.id)
 	return err == nil
 }
 
-// run counts that the request ran.
-func (l *lab) run(s *seen) {
+// recordRun counts that the request ran.
+func (l *harness) recordRun(s *receivedRequest) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.ran[s.id]++
+	l.runCounts[s.id]++
 }
 
-func (l *lab) runs(id string) int {
+func (l *harness) runCount(id string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.ran[id]
+	return l.runCounts[id]
 }
 
-func (l *lab) arrivals() []*seen {
+func (l *harness) requests() []*receivedRequest {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return append([]*seen(nil), l.arrived...)
+	return append([]*receivedRequest(nil), l.received...)
 }
 
-// bodyOf is the one body that an answer to a request has.
-func bodyOf(id string) string { return "body of " + id + " " + strings.Repeat("x", 100) }
+// answerBody is the unique body of the answer to a request.
+func answerBody(id string) string { return "body of " + id + " " + strings.Repeat("x", 100) }
 
-// sealed writes a proper answer.
-func sealed(l *lab, c net.Conn, s *seen) bool {
-	l.run(s)
-	return say(c, "200 OK", s.id, "X-Seal: s\r\n", bodyOf(s.id))
+// serveOK runs the request and writes a valid answer.
+func serveOK(l *harness, c net.Conn, s *receivedRequest) bool {
+	l.recordRun(s)
+	return writeAnswer(c, "200 OK", s.id, "X-Seal: s\r\n", answerBody(s.id))
 }
 
-func say(c net.Conn, status, id, more, body string) bool {
+func writeAnswer(c net.Conn, status, id, more, body string) bool {
 	_, err := fmt.Fprintf(c, "HTTP/1.1 %s\r\nX-Id: %s\r\n%sContent-Length: %d\r\n\r\n%s", status, id, more, len(body), body)
 	return err == nil
 }
 
-// first does once what bad does, and is proper else.
-func first(bad act) act {
-	return func(l *lab, c net.Conn, s *seen) bool {
-		if s.nth == 1 {
+// failFirst calls bad for the first request and answers the others properly.
+func failFirst(bad handler) handler {
+	return func(l *harness, c net.Conn, s *receivedRequest) bool {
+		if s.index == 1 {
 			return bad(l, c, s)
 		}
-		return sealed(l, c, s)
+		return serveOK(l, c, s)
 	}
 }
 
-// after waits before it goes on.
-func after(d time.Duration, do act) act {
-	return func(l *lab, c net.Conn, s *seen) bool {
+// delayed waits before it calls do.
+func delayed(d time.Duration, do handler) handler {
+	return func(l *harness, c net.Conn, s *receivedRequest) bool {
 		time.Sleep(d)
 		return do(l, c, s)
 	}
@@ -398,12 +398,12 @@
 
 type got struct {
 	status int
-	head   http.Header
+	header http.Header
 	body   string
 	close  bool
 }
 
-func (l *lab) client() *client {
+func (l *harness) client() *client {
 	c, err := l.net.dial(context.Background(), l.addr)
 	if err != nil {
 		l.t.Fatal(err)
@@ -415,7 +415,7 @@
 	return c.sendRaw(method, path, id, left, more, body, false)
 }
 
-// sendRaw sends a request; framed says that the body brings its own framing.
+// sendRaw sends a request; framed says that the body includes its framing.
 func (c *client) sendRaw(method, path, id string, left time.Duration, more, body string, framed bool) error {
 	b := fmt.Sprintf("%s %s HTTP/1.1\r\nHost: h\r\nX-Id: %s\r\nX-Left: %d\r\n%s", method, path, id, left.Milliseconds(), more)
 	if body != "" && !framed {
@@ -441,8 +441,8 @@
 	return c.read()
 }
 
-// call sends one request over a connection of its own.
-func (l *lab) call(path, id string, left time.Duration) got {
+// request sends one request over its own connection.
+func (l *harness) request(path, id string, left time.Duration) got {
 	l.t.Helper()
 	c := l.client()
 	defer c.c.Close()
@@ -453,12 +453,12 @@
 	return g
 }
 
-// proper tells whether a success is the whole answer to the request.
+// proper reports whether the response is the complete answer to the request.
 func (g got) proper(id string) bool {
-	return g.status == 200 && g.body == bodyOf(id) && g.head.Get(dialect.Seal) != "" && g.head.Get(dialect.RequestID) == id
+	return g.status == 200 && g.body == answerBody(id) && g.header.Get(dialect.Seal) != "" && g.header.Get(dialect.RequestID) == id
 }
 
-func raw(t *testing.T, l *lab, text string) (int, string) {
+func sendRawText(t *testing.T, l *harness, text string) (int, string) {
 	t.Helper()
 	c := l.client()
 	defer c.c.Close()
--- a/internal/proxy/stop_test.go
+++ b/internal/proxy/stop_test.go
@@ -13,70 +13,70 @@
 	"time"
 )
 
-// bundleOf is a stand-in's large answer of so many bytes.
-func bundleOf(size int, work time.Duration) act {
+// answerWithSize returns a handler that answers with a body of the given size after some work.
+func answerWithSize(size int, work time.Duration) handler {
 	body := strings.Repeat("b", size)
-	return after(work, func(l *lab, c net.Conn, s *seen) bool {
-		l.run(s)
-		return say(c, "200 OK", s.id, "X-Seal: s\r\n", body)
+	return delayed(work, func(l *harness, c net.Conn, s *receivedRequest) bool {
+		l.recordRun(s)
+		return writeAnswer(c, "200 OK", s.id, "X-Seal: s\r\n", body)
 	})
 }
 
-// ending is how a caller's download ended.
-type ending struct {
+// downloadResult is the result of a caller's download.
+type downloadResult struct {
 	id      string
 	sent    time.Duration // after the stop began; negative before it
-	turned  bool          // no connection was to be had, or the request was not read
+	notRead bool          // the connection failed, or the request was not read
 	got     got
 	err     error
-	refused bool // with the promise that it did not run, and when to come back
+	refused bool // with Retry-After, so the request did not run
 }
 
-func (e ending) proper(size int) bool {
-	return e.turned || e.refused || e.err == nil && e.got.status == http.StatusOK && len(e.got.body) == size
+func (e downloadResult) proper(size int) bool {
+	return e.notRead || e.refused || e.err == nil && e.got.status == http.StatusOK && len(e.got.body) == size
 }
 
-// download sends one download over a connection of its own and reads its answer whole.
-func (l *lab) download(path, id string, began time.Time, wait time.Duration) (e ending) {
+// download sends one download over its own connection and reads the complete answer.
+func (l *harness) download(path, id string, began time.Time, wait time.Duration) (e downloadResult) {
 	e.id, e.sent = id, time.Since(began)
-	cx, end := context.WithTimeout(l.t.Context(), time.Second)
-	defer end()
-	nc, err := l.net.dial(cx, l.addr)
+	ctx, cancel := context.WithTimeout(l.t.Context(), time.Second)
+	defer cancel()
+	nc, err := l.net.dial(ctx, l.addr)
 	if err != nil {
-		e.turned = true
+		e.notRead = true
 		return e
 	}
 	defer nc.Close()
 	c := &client{nc, bufio.NewReader(nc)}
 	if c.send("GET", path, id, wait, "", "") != nil {
-		e.turned = true // the node did not read it
+		e.notRead = true // the node did not read it
 		return e
 	}
 	e.got, e.err = c.read()
-	e.refused = e.err == nil && e.got.status == http.StatusServiceUnavailable && e.got.head.Get(dialect.RetryAfter) != ""
+	e.refused = e.err == nil && e.got.status == http.StatusServiceUnavailable && e.got.header.Get(dialect.RetryAfter) != ""
 	return e
 }
 
-// TestStopFinishesDownloads: on a narrow link to which more downloads come than it can carry, a
-// planned stop cuts none off, whenever it comes: each is answered whole, or refused with the word that
-// it did not run. So it is with large answers to requests of other kinds.
+// TestStopFinishesDownloads: on a narrow link with more downloads than it can carry, a planned stop
+// cuts none off, whenever it comes: each is answered completely or refused without having run.
+// The same holds for large answers to requests of other kinds.
 func TestStopFinishesDownloads(t *testing.T) {
 	const (
 		size  = 120_000
-		every = 250 * time.Millisecond // twice what the pace lets through
+		every = 250 * time.Millisecond // twice the paced rate
 		wait  = 10 * time.Second
 	)
 	for _, path := range []string{"/down/x", "/idem/x", "/once/x"} {
 		for _, before := range []time.Duration{time.Second, 4 * time.Second, 9 * time.Second} {
 			t.Run(fmt.Sprintf("%s after %v", path, before), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
-					l := newLab(t, newPipes(), func(s *Settings) { s.LinkMbps = 3.2 })
+					l := newHarness(t, newPipes(), func(s *Settings) { s.LinkMbps = 3.2 })
 					l.routes(1)
 					for _, id := range []string{"one", "two", "three"} {
-						l.stand(id, nil, bundleOf(size, 160*time.Millisecond))
+						l.startTarget(id, nil, answerWithSize(size, 160*time.Millisecond))
 					}
 					var mu sync.Mutex
-					var ends []ending
+					var ends []downloadResult
 					var wg sync.WaitGroup
 					stop := time.Now().Add(before)
 					for i := 0; time.Now().Before(stop.Add(3 * time.Second)); i++ {
@@ -91,7 +91,7 @@
 								if err := l.node.Stop(t.Context()); err != nil {
 									t.Error(err)
 								}
-								l.cutCallers()
+								l.closeCallers()
 							})
 						}
 						time.Sleep(every)
@@ -117,10 +117,10 @@
 	}
 }
 
-// cutCallers closes all callers' connections, as the end of the process does.
-func (l *lab) cutCallers() {
-	l.node.cm.Lock()
-	defer l.node.cm.Unlock()
+// closeCallers closes all caller connections, as the exit of the process does.
+func (l *harness) closeCallers() {
+	l.node.callersMu.Lock()
+	defer l.node.callersMu.Unlock()
 	for c := range l.node.callers {
 		_ = c.nc.Close()
 	}
--- a/internal/proxy/upgrade.go
+++ b/internal/proxy/upgrade.go
@@ -45,7 +45,7 @@
 		}
 		u, err := upgrade.FromItem(i)
 		if err != nil {
-			n.warn("an upgrade can't be read", "step", "news", "service", i.Name, "err", err)
+			n.warnLimited("an upgrade can't be read", "step", "news", "service", i.Name, "err", err)
 			continue
 		}
 		if s := n.service(i.Name); s != nil {
@@ -72,7 +72,7 @@
 
 // proveVersions takes in until when all that was acknowledged is known.
 func (n *Node) proveVersions(asOf time.Time) {
-	for _, s := range n.all() {
+	for _, s := range n.allServices() {
 		s.mu.Lock()
 		if s.moves.versions.Prove(asOf) {
 			s.arrange()
@@ -118,12 +118,12 @@
 // pickTrial chooses a target of a new version for a request that is among its share; nil is none. All gateways look at the
 // same few targets and know nothing of each other, so it chooses the better one of two that are drawn by lot.
 func (s *service) pickTrial(now time.Time, x *exchange) *endpoint {
-	if len(s.trial) == 0 || x.lot >= s.moves.versions.Share() || s.n.newsLost() || x.sent() {
+	if len(s.trial) == 0 || x.versionDraw >= s.moves.versions.Share() || s.n.newsLost() || x.anySent() {
 		return nil
 	}
 	open, bestTier := s.trialOpen[:0], 0
 	for _, e := range s.trial {
-		if !e.takes() || x.didTry(e) || x.once && e.onTrial() || e.suspicion(now) >= suspectAt {
+		if !e.takes() || x.hasTried(e) || x.atMostOnce && e.onTrial() || e.suspicion(now) >= suspectAt {
 			continue
 		}
 		tier := e.tier(now, x)
@@ -156,20 +156,20 @@
 	newer := u.Active() && e.run.Version == u.To
 	bound := m.times[route]
 	slow := took > max(bound.at, leastSlow)
-	if o == answered && !newer {
+	if o == outcomeAnswered && !newer {
 		m.noteTime(route, took)
 	}
 	cold := newer && s.n.clock.Now().Before(e.coldTill)
 	bad, counts := badAnswer(o, slow, cold)
 	// Where little is known of what is slow only a failure says something.
-	if !u.Active() || !counts || o != erred && bound.answers < boundAfter {
+	if !u.Active() || !counts || o != outcomeServerError && bound.answers < boundAfter {
 		return
 	}
 	t := upgrade.Tally{Answers: 1}
 	if bad {
 		t.Bad = 1
 	}
-	if o == erred {
+	if o == outcomeServerError {
 		t.Failed = 1
 	}
 	count := m.routes[route]
@@ -223,11 +223,11 @@
 // that can't be reached, resets or spoils an answer is a machine in trouble; one that has just started is slow for that.
 func badAnswer(o outcome, slow, cold bool) (bad, counts bool) {
 	switch o {
-	case erred:
+	case outcomeServerError:
 		return true, true
-	case answered:
+	case outcomeAnswered:
 		return slow && !cold, !cold || !slow
-	case mute, cutShort:
+	case outcomeSilent, outcomeCanceled:
 		return true, slow && !cold
 	}
 	return false, false
@@ -235,9 +235,9 @@
 
 // UpgradeReports are this node's reports of the upgrades under way.
 func (n *Node) UpgradeReports() (out []upgrade.Report) {
-	for _, s := range n.all() {
+	for _, s := range n.allServices() {
 		if r, ok := s.upgradeReport(); ok {
-			r.Gateway = n.set.ID
+			r.Gateway = n.settings.ID
 			out = append(out, r)
 		}
 	}
--- a/internal/proxy/upgrade_test.go
+++ b/internal/proxy/upgrade_test.go
@@ -29,7 +29,7 @@
 	if share != u.Share {
 		u = u.Step(share)
 	}
-	n.TakeItems([]item.Item{u.Item()})
+	n.ApplyItems([]item.Item{u.Item()})
 	n.SetAsOf(time.Now().Add(time.Millisecond))
 	return n, s
 }
@@ -39,7 +39,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		n, s := plan(versioned("a1", "v1"), versioned("a2", "v1"))
 		seen := time.Now()
-		n.TakeRuns([]target.Run{versioned("a3", "v2")})
+		n.ApplyRuns([]target.Run{versioned("a3", "v2")})
 		for _, id := range fill(n, s, route.Idempotent) {
 			if id == "a3" {
 				t.Fatal("it got a request")
@@ -61,12 +61,12 @@
 			const asked = 20000
 			for i := range asked {
 				x := ask(n, s, route.Idempotent)
-				x.lot = float64(i) / asked
-				g := s.take(x)
+				x.versionDraw = float64(i) / asked
+				g := s.tryAcquire(x)
 				if g.e.run.Version == "v2" {
 					got++
 				}
-				s.release(g, answered, time.Millisecond, 0)
+				s.release(g, outcomeAnswered, time.Millisecond, 0)
 			}
 			if got != asked*share/upgrade.Full {
 				t.Errorf("share %d: %d of %d", share, got, asked)
@@ -80,10 +80,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		n, s := inUpgrade(t, 200, versioned("a1", "v1"), versioned("b1", "v2"))
 		x := ask(n, s, route.Idempotent)
-		x.lot = 0.9
-		old := s.take(x)
+		x.versionDraw = 0.9
+		old := s.tryAcquire(x)
 		last := s.moves.versions.Upgrade().Step(upgrade.Full)
-		n.TakeItems([]item.Item{last.Item()})
+		n.ApplyItems([]item.Item{last.Item()})
 		if r := n.UpgradeReports(); len(r) != 1 || r[0].OldUnderWay != 1 || r[0].Number != last.Number {
 			t.Errorf("with a request under way: %+v", r)
 		}
@@ -92,7 +92,7 @@
 				t.Error("an old target got a request")
 			}
 		}
-		s.release(old, answered, time.Millisecond, 0)
+		s.release(old, outcomeAnswered, time.Millisecond, 0)
 		if r := n.UpgradeReports(); len(r) != 1 || r[0].OldUnderWay != 0 {
 			t.Errorf("with none: %+v", r)
 		}
@@ -104,21 +104,21 @@
 func TestAnswersCountOnlyWhereSlowIsKnown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n, s := inUpgrade(t, 200, versioned("a1", "v1"), versioned("b1", "v2"))
-		s.tally("rare", s.all["a1"], answered, 300*time.Millisecond)
-		s.tally("rare", s.all["b1"], answered, 900*time.Millisecond)
+		s.tally("rare", s.all["a1"], outcomeAnswered, 300*time.Millisecond)
+		s.tally("rare", s.all["b1"], outcomeAnswered, 900*time.Millisecond)
 		for _, r := range n.UpgradeReports()[0].Routes {
 			if r.Old.Answers > 0 || r.New.Answers > 0 {
 				t.Errorf("after one answer of each: %+v", r)
 			}
 		}
-		s.tally("rare", s.all["b1"], erred, time.Millisecond)
+		s.tally("rare", s.all["b1"], outcomeServerError, time.Millisecond)
 		if r := n.UpgradeReports()[0].Routes; len(r) != 1 || r[0].New.Failed != 1 {
 			t.Errorf("a failure counts always: %+v", r)
 		}
 		for range boundAfter {
-			s.tally("rare", s.all["a1"], answered, 300*time.Millisecond)
+			s.tally("rare", s.all["a1"], outcomeAnswered, 300*time.Millisecond)
 		}
-		s.tally("rare", s.all["b1"], answered, 900*time.Millisecond)
+		s.tally("rare", s.all["b1"], outcomeAnswered, 900*time.Millisecond)
 		if r := n.UpgradeReports()[0].Routes; len(r) != 1 || r[0].Old.Answers != 1 || r[0].New.Bad != 2 {
 			t.Errorf("once it is known: %+v", r)
 		}
--- a/internal/proxy/waiting_test.go
+++ b/internal/proxy/waiting_test.go
@@ -52,45 +52,45 @@
 }
 
 func TestPace(t *testing.T) {
-	var p pace
+	var p requestRates
 	now := time.Now()
 	for range 1000 {
 		now = now.Add(10 * time.Millisecond)
-		p.fade(now)
-		p.asked += 2
-		p.done++
+		p.decay(now)
+		p.requested += 2
+		p.completed++
 	}
-	if r := p.rate(now); r < 90 || r > 110 {
+	if r := p.completionRate(now); r < 90 || r > 110 {
 		t.Errorf("a rate of 100 is taken for %v", r)
 	}
-	if c := p.crowd(now); c < 1.9 || c > 2.1 {
+	if c := p.overloadRatio(now); c < 1.9 || c > 2.1 {
 		t.Errorf("two ask for each place, not %v", c)
 	}
-	if r := p.rate(now.Add(10 * time.Second)); r > 1 {
+	if r := p.completionRate(now.Add(10 * time.Second)); r > 1 {
 		t.Errorf("%v after a rest", r)
 	}
 }
 
 func TestMemory(t *testing.T) {
-	m := memory{most: 10}
-	if !m.take(10) || m.take(1) {
+	m := memoryBudget{limit: 10}
+	if !m.tryReserve(10) || m.tryReserve(1) {
 		t.Error("the bound does not hold")
 	}
-	m.force(5)
-	m.give(10)
-	if !m.take(5) || m.take(1) || m.used.Load() != 10 {
+	m.reserve(5)
+	m.release(10)
+	if !m.tryReserve(5) || m.tryReserve(1) || m.used.Load() != 10 {
 		t.Error("bytes were lost")
 	}
 }
 
 func TestSettings(t *testing.T) {
-	ok := Settings{ID: "x", Zone: "a", Dialect: dialect, BudgetWindow: time.Second, Grace: time.Second}
+	ok := Settings{ID: "x", Zone: "a", Headers: dialect, BudgetWindow: time.Second, Grace: time.Second}
 	if err := ok.Check(); err != nil {
 		t.Error(err)
 	}
 	for name, spoil := range map[string]func(*Settings){
 		"no id":    func(s *Settings) { s.ID = "" },
-		"no seal":  func(s *Settings) { s.Dialect.Seal = "" },
+		"no seal":  func(s *Settings) { s.Headers.Seal = "" },
 		"no grace": func(s *Settings) { s.Grace = 0 },
 		"ratio":    func(s *Settings) { s.BudgetRatio = -1 },
 	} {
--- a/internal/proxy/write.go
+++ b/internal/proxy/write.go
@@ -10,39 +10,39 @@
 )
 
 const (
-	// drainTime and drainMost bound the reading of what a refused caller still sends,
+	// drainTimeout and maxDrainBytes bound the reading of what a refused caller still sends,
 	// so that the answer is not lost with the connection.
-	drainTime = 500 * time.Millisecond
-	drainMost = 256 << 10
+	drainTimeout  = 500 * time.Millisecond
+	maxDrainBytes = 256 << 10
 )
 
-// refuse writes an answer of this node's own, and tells whether the connection stays.
-func (c *caller) refuse(w *refused) bool {
-	if w.status == 0 {
+// refuse writes an answer of the node itself and reports whether the connection stays open.
+func (c *callerConn) refuse(rejected *rejection) bool {
+	if rejected.status == 0 {
 		return false
 	}
-	a := c.n.own(w.id, w.status, w.retry, w.why)
+	a := c.n.localAnswer(rejected.requestID, rejected.status, rejected.retryAfter, rejected.reason)
 	defer a.free()
-	if c.write(a, c.h.IsHead(), w.keep && !c.h.ConnectionClose()) {
+	if c.write(a, c.h.IsHead(), rejected.keepOpen && !c.h.ConnectionClose()) {
 		return true
 	}
-	if !w.keep {
+	if !rejected.keepOpen {
 		c.drain()
 	}
 	return false
 }
 
-// drain takes in what is still on its way: closing with bytes unread would reset the
-// connection, and the answer with it.
-func (c *caller) drain() {
+// drain reads what is still in transit: closing with unread bytes would reset the
+// connection, and the caller could lose the answer.
+func (c *callerConn) drain() {
 	if t, ok := c.nc.(*net.TCPConn); ok && t.CloseWrite() == nil {
-		_ = c.nc.SetReadDeadline(c.n.clock.Now().Add(drainTime))
-		_, _ = io.CopyN(io.Discard, c.nc, drainMost)
+		_ = c.nc.SetReadDeadline(c.n.clock.Now().Add(drainTimeout))
+		_, _ = io.CopyN(io.Discard, c.nc, maxDrainBytes)
 	}
 }
 
-// write sends an answer whole, and tells whether the connection stays.
-func (c *caller) write(a *answer, noBody, keep bool) bool {
+// write sends a complete answer and reports whether the connection stays open.
+func (c *callerConn) write(a *answer, noBody, keep bool) bool {
 	keep = keep && !c.n.stopping.Load()
 	b := getBuffer()
 	b = append(b, "HTTP/1.1 "...)
@@ -51,16 +51,16 @@
 	b = append(b, fasthttp.StatusMessage(a.status)...)
 	b = append(b, "\r\n"...)
 	b = append(b, a.head...)
-	c.n.downs.deliver(a)
+	c.n.downloads.startDelivery(a)
 	length := len(a.body)
-	if x := c.serves.Load(); x != nil {
+	if x := c.current.Load(); x != nil {
 		x.progress.size.Store(int64(a.bodySize()))
 	}
 	switch {
-	case a.passing != nil:
-		length = a.passing.size
-	case a.bare:
-		length = a.length
+	case a.stream != nil:
+		length = a.stream.size
+	case a.noBodyOrLength:
+		length = a.contentLength
 	}
 	if length >= 0 {
 		b = append(b, "Content-Length: "...)
@@ -70,7 +70,7 @@
 	if !keep {
 		b = append(b, "Connection: close\r\n"...)
 	} else if s := c.n.limits().IdleMS/1000 - 1; s > 0 {
-		// Callers that heed it send nothing on a connection that is about to close.
+		// Callers that honor Keep-Alive do not send on a connection that is about to close.
 		b = append(b, "Keep-Alive: timeout="...)
 		b = strconv.AppendInt(b, int64(s), 10)
 		b = append(b, "\r\n"...)
@@ -79,70 +79,70 @@
 	w := c.writerFor()
 	var err error
 	switch {
-	case a.passing != nil:
-		err = w.passing(b, a)
-	case noBody || a.bare || len(a.body) == 0:
+	case a.stream != nil:
+		err = w.writeStream(b, a)
+	case noBody || a.noBodyOrLength || len(a.body) == 0:
 		_, err = w.write(b)
-	case len(a.body) <= together:
+	case len(a.body) <= maxJoinedBody:
 		b = append(b, a.body...)
 		_, err = w.write(b)
 	default:
-		err = w.large(b, a)
+		err = w.writeLarge(b, a)
 	}
 	putBuffer(b)
 	return err == nil && keep
 }
 
-// large writes a large body, on a narrow link piece by piece, so that others get their turn.
-func (w *answerWriter) large(head []byte, a *answer) error {
-	if a.owed == nil {
+// writeLarge writes a large body; on a narrow link in small steps, so that other answers are interleaved.
+func (w *answerWriter) writeLarge(head []byte, a *answer) error {
+	if a.pending == nil {
 		return w.writeBoth(head, a.body)
 	}
 	if _, err := w.write(head); err != nil {
 		return err
 	}
-	for rest := a.body; len(rest) > 0; {
-		k, err := w.step(rest, len(a.body), a.owed)
+	for remaining := a.body; len(remaining) > 0; {
+		k, err := w.writeStep(remaining, len(a.body), a.pending)
 		if err != nil {
 			return err
 		}
-		rest = rest[k:]
+		remaining = remaining[k:]
 	}
 	return nil
 }
 
-// step writes the next piece of a large body.
-func (w *answerWriter) step(rest []byte, size int, d *delivery) (int, error) {
+// writeStep writes the next part of a large body.
+func (w *answerWriter) writeStep(rest []byte, size int, d *delivery) (int, error) {
 	n := w.c.n
-	k := min(len(rest), bulkStep)
+	k := min(len(rest), largeBodyStep)
 	began := n.clock.Now()
-	n.out.wait(size, k, began.Add(writeTime))
+	n.outbound.wait(size, k, began.Add(writeTime))
 	now := n.clock.Now()
 	w.pause(now.Sub(began))
-	n.downs.write(d, now)
+	n.downloads.writeBegins(d, now)
 	k, err := w.write(rest[:k])
-	n.downs.wrote(d, k)
-	if x := w.c.serves.Load(); x != nil {
+	n.downloads.writeDone(d, k)
+	if x := w.c.current.Load(); x != nil {
 		x.progress.paced.Add(int64(now.Sub(began)))
 		x.progress.written.Add(int64(k))
 	}
 	return k, err
 }
 
-// passing writes a body while it comes in.
-func (w *answerWriter) passing(head []byte, a *answer) error {
-	p := a.passing
+// writeStream writes a body while it is being received.
+func (w *answerWriter) writeStream(head []byte, a *answer) error {
+	p := a.stream
 	if _, err := w.write(head); err != nil {
 		return err
 	}
 	for at := 0; at < p.size; {
-		waits := w.c.n.clock.Now()
-		b, err := p.from(at)
+		waitStart := w.c.n.clock.Now()
+		b, err := p.readFrom(at)
 		if len(b) == 0 {
 			return err
 		}
-		w.pause(w.c.n.clock.Now().Sub(waits))
-		k, err := w.step(b, p.size, a.owed)
+		w.pause(w.c.n.clock.Now().Sub(waitStart))
+		k, err := w.writeStep(b, p.size, a.pending)
 		if err != nil {
 			return err
 		}
--- a/internal/sim/day/machine.go
+++ b/internal/sim/day/machine.go
@@ -139,13 +139,13 @@
 	}
 	p := m.host.Start(w.ctx, gatewayPart)
 	s := w.Shape
-	set := proxy.Settings{ID: m.ID, Zone: m.Zone, Zones: w.zones, Dialect: dialect, BudgetRatio: s.Bounds.BudgetRatio, BudgetWindow: s.Bounds.BudgetWindow, BudgetSlack: s.Bounds.BudgetSlack,
+	set := proxy.Settings{ID: m.ID, Zone: m.Zone, Zones: w.zones, Headers: dialect, BudgetRatio: s.Bounds.BudgetRatio, BudgetWindow: s.Bounds.BudgetWindow, BudgetSlack: s.Bounds.BudgetSlack,
 		MemoryMB: 284, MaxFiles: 4100, LinkMbps: s.LinkMbps, Grace: s.Bounds.Grace, NewsWithin: s.Bounds.Apply, NewsLost: s.Bounds.Contact}
 	if err := set.Check(); err != nil {
 		w.t.Fatal(err)
 	}
-	n := proxy.New(proxy.Parts{Settings: set, Clock: simnet.Clock{P: p}, Log: quietLog(), Dial: p.Dial})
-	sub := &watch.Subscriber{Me: watch.Member{ID: m.ID, Kind: watch.Gateway, Zone: m.Zone, Inc: m.nextInc()}, Line: simnet.Line{P: p}, Clock: simnet.Clock{P: p}, Log: quietLog(), Within: s.Bounds.Apply, Narrow: set.Narrow()}
+	n := proxy.New(proxy.Options{Settings: set, Clock: simnet.Clock{P: p}, Log: quietLog(), Dial: p.Dial})
+	sub := &watch.Subscriber{Me: watch.Member{ID: m.ID, Kind: watch.Gateway, Zone: m.Zone, Inc: m.nextInc()}, Line: simnet.Line{P: p}, Clock: simnet.Clock{P: p}, Log: quietLog(), Within: s.Bounds.Apply, Narrow: set.NarrowLink()}
 	n.Follow(sub)
 	sub.Init(w.seedList())
 	l := &life{p: p, done: make(chan struct{})}
--- a/internal/sim/day/session.go
+++ b/internal/sim/day/session.go
@@ -59,7 +59,7 @@
 	if s.c.SetDeadline(patience) != nil {
 		return false
 	}
-	text := fmt.Sprintf("%s %s HTTP/1.1\r\nHost: %s\r\n%s: %s\r\n%s: %d\r\n", q.Method, q.Path, q.Host, dialect.RequestID, q.ID, dialect.Remaining, time.Until(deadline).Milliseconds())
+	text := fmt.Sprintf("%s %s HTTP/1.1\r\nHost: %s\r\n%s: %s\r\n%s: %d\r\n", q.Method, q.Path, q.Host, dialect.RequestID, q.ID, dialect.RemainingTime, time.Until(deadline).Milliseconds())
 	switch {
 	case q.Body == "":
 		text += "\r\n"
--- a/internal/sim/day/visit.go
+++ b/internal/sim/day/visit.go
@@ -39,7 +39,7 @@
 	id := x.q.Header.Get(dialect.RequestID)
 	x.a = &Arrival{ID: id, Method: x.q.Method, Path: x.q.RequestURI, Host: x.q.Host, Body: x.body, Run: t.ID, Service: t.Service, Version: t.Version, Machine: x.c.Peer().Host.ID, At: w.now()}
 	w.note(func(r *Record) { r.Arrivals = append(r.Arrivals, x.a) })
-	if got := x.q.Header.Get(dialect.Expect); got != "" && got != t.ID {
+	if got := x.q.Header.Get(dialect.ExpectedRun); got != "" && got != t.ID {
 		x.change(func(a *Arrival) { a.Misdirected = true })
 		return x.say(421, "", "another run")
 	}
@@ -53,7 +53,7 @@
 		x.c.Abort()
 		return false
 	}
-	left, _ := strconv.Atoi(x.q.Header.Get(dialect.Remaining))
+	left, _ := strconv.Atoi(x.q.Header.Get(dialect.RemainingTime))
 	until := time.Now().Add(time.Duration(left) * time.Millisecond)
 	switch err := t.enter(x.c, until, f.Full); {
 	case errors.Is(err, errFull), errors.Is(err, errLate):
--- a/internal/sim/day/world.go
+++ b/internal/sim/day/world.go
@@ -21,7 +21,7 @@
 )
 
 // dialect is what the callers and targets of simulated days agreed on.
-var dialect = proxy.Dialect{RequestID: "X-Id", Remaining: "X-Left", Seal: "X-Seal", Expect: "X-Run",
+var dialect = proxy.HeaderNames{RequestID: "X-Id", RemainingTime: "X-Left", Seal: "X-Seal", ExpectedRun: "X-Run",
 	NotRun: "X-Not-Run", RetryAfter: "Retry-After", Instance: "X-Instance"}
 
 const (
--- a/tools/hollow/load.go
+++ b/tools/hollow/load.go
@@ -338,7 +338,7 @@
 	if err := c.c.SetDeadline(time.Now().Add(callTime)); err != nil {
 		return err
 	}
-	if _, err := fmt.Fprintf(c.c, "GET %sx HTTP/1.1\r\nHost: %s\r\n%s: q%d\r\n%s: %d\r\n\r\n", prefix(route), host(route), dialect.RequestID, c.seq, dialect.Remaining, callTime.Milliseconds()); err != nil {
+	if _, err := fmt.Fprintf(c.c, "GET %sx HTTP/1.1\r\nHost: %s\r\n%s: q%d\r\n%s: %d\r\n\r\n", prefix(route), host(route), dialect.RequestID, c.seq, dialect.RemainingTime, callTime.Milliseconds()); err != nil {
 		return err
 	}
 	c.res.Reset()
--- a/tools/hollow/proxy.go
+++ b/tools/hollow/proxy.go
@@ -15,7 +15,7 @@
 )
 
 // dialect are the header fields of the tool's own callers and stand-ins.
-var dialect = proxy.Dialect{RequestID: "X-Id", Remaining: "X-Left", Seal: "X-Seal", Expect: "X-Run",
+var dialect = proxy.HeaderNames{RequestID: "X-Id", RemainingTime: "X-Left", Seal: "X-Seal", ExpectedRun: "X-Run",
 	NotRun: "X-Not-Run", RetryAfter: "Retry-After", Instance: "X-Instance"}
 
 // ProxyArgs describe one real proxy that holds a table of the given size.
@@ -32,12 +32,12 @@
 	for z := range zones {
 		places[zoneName(z)] = fmt.Sprintf("region%d", regionOf(z))
 	}
-	s := proxy.Settings{ID: "gateway0", Zone: zoneName(0), Zones: places, Dialect: dialect, BudgetRatio: 0.2, BudgetWindow: 10 * time.Second, BudgetSlack: 68,
-		MemoryMB: 284, MaxFiles: 4100, Grace: 6 * time.Second, ProbeEvery: a.Probe}
+	s := proxy.Settings{ID: "gateway0", Zone: zoneName(0), Zones: places, Headers: dialect, BudgetRatio: 0.2, BudgetWindow: 10 * time.Second, BudgetSlack: 68,
+		MemoryMB: 284, MaxFiles: 4100, Grace: 6 * time.Second, ProbeInterval: a.Probe}
 	if err := s.Check(); err != nil {
 		return nil, err
 	}
-	n := proxy.New(proxy.Parts{Settings: s, Clock: clock.Wall{}, Log: quiet()})
+	n := proxy.New(proxy.Options{Settings: s, Clock: clock.Wall{}, Log: quiet()})
 	begun := time.Now()
 	var items []item.Item
 	for _, x := range services(a.Services, 1) {
@@ -46,7 +46,7 @@
 	for _, x := range routes(0, a.Routes, a.Services, 1) {
 		items = append(items, x.Item())
 	}
-	n.TakeItems(items)
+	n.ApplyItems(items)
 	items = nil
 	compiled := time.Since(begun)
 	near := max(1, a.Gateways/zones)
@@ -71,7 +71,7 @@
 		case "mark":
 		case "runs":
 			begun := time.Now()
-			n.TakeRuns(runsAt(o.Ports, a.Services))
+			n.ApplyRuns(runsAt(o.Ports, a.Services))
 			t.Took["placed"] = []int64{int64(time.Since(begun))}
 		case "apply":
 			begun := time.Now()
@@ -79,7 +79,7 @@
 			for _, x := range routes(o.First, o.Count, a.Services, o.Version) {
 				is = append(is, x.Item())
 			}
-			n.TakeItems(is)
+			n.ApplyItems(is)
 			t.Took["change"] = []int64{int64(time.Since(begun))}
 		default:
 			t.Err = "no such order"
