--- a/internal/proxy/acquire.go
+++ b/internal/proxy/acquire.go
@@ -53,7 +53,7 @@
 		limit = min(limit, x.aim/waitPart-now.Sub(x.came))
 	}
 	s.mu.Lock()
-	s.usedAt = now
+	s.lastUsed = now
 	s.pace.fade(now)
 	s.pace.asked++
 	if len(s.queue.waiters) > 0 {
@@ -194,7 +194,7 @@
 		e.recordFailure(now, began, shortBackoff)
 		e.closeIdle()
 	case stale:
-		s.staleAt = now
+		s.lastStaleConn = now
 		e.closeIdle()
 	}
 	if len(s.queue.waiters) > 0 {
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -214,7 +214,7 @@
 	n.stats.hedges.Add(1)
 	go func() {
 		n.attempt(x, g)
-		n.endDownload(x, g)
+		n.endStreamedDownload(x, g)
 		x.mu.Lock()
 		x.hedge = nil
 		x.mu.Unlock()
--- a/internal/proxy/bench_test.go
+++ b/internal/proxy/bench_test.go
@@ -14,8 +14,8 @@
 	"walkrudder/internal/target"
 )
 
-// BenchmarkRequest is one request over loopback, kept connections on both sides. The
-// stand-in target and the caller are in the figures, too.
+// BenchmarkRequest measures one request over loopback with kept-alive connections on both sides.
+// The figures include the fake target and the caller.
 func BenchmarkRequest(b *testing.B) {
 	n := New(Parts{Settings: Settings{ID: "f", Zone: "a", Dialect: dialect}, Clock: clock.Wall{}})
 	n.TakeItems([]item.Item{
--- a/internal/proxy/choice.go
+++ b/internal/proxy/choice.go
@@ -89,16 +89,16 @@
 		}
 	}
 	s.limit.share = float64(slots) / float64(max(1, s.node.gateways.Load()))
-	want := min(maxSubset, max(minSubset, int(subsetPerRequest*s.recentPeak+1)))
-	if want > s.subsetSize || want <= s.subsetSize*3/4 || want == minSubset && want < s.subsetSize {
-		s.subsetSize = want
+	size := min(maxSubset, max(minSubset, int(subsetPerRequest*s.recentPeak+1)))
+	if size > s.subsetSize || size <= s.subsetSize*3/4 || size == minSubset && size < s.subsetSize {
+		s.subsetSize = size
 		s.rebuildSubsets()
 	}
 }
 
 // ejections returns the instances that must not be chosen now: at most half of all, because a
 // fault on this node is more likely when more fail at once; beyond that the least suspected stay
-// in use. If more than half would be ejected or are on trial, passive health is ignored: then
+// in use. If more than half would be ejected or are on probation, passive health is ignored: then
 // the whole service is in that state.
 func (s *service) ejections(now time.Time) []ejectionCandidate {
 	ejected := s.ejectionScratch[:0]
@@ -110,7 +110,7 @@
 		available++
 		e.overEjectionCap, e.ignorePassive = false, false
 		active := e.activeSuspicion(now)
-		if passive := e.passiveSuspicion(now); max(active, passive) >= suspicionThreshold || e.onTrial() {
+		if passive := e.passiveSuspicion(now); max(active, passive) >= suspicionThreshold || e.onProbation() {
 			ejected = append(ejected, ejectionCandidate{e, active, passive})
 		}
 	}
@@ -148,7 +148,7 @@
 	ejected := s.ejections(now)
 	bestTier, bestScore := 0, 0.0
 	for _, e := range s.subset {
-		if !e.available() || x.once && e.onTrial() || x.didTry(e) || slices.ContainsFunc(ejected, func(j ejectionCandidate) bool { return j.e == e }) {
+		if !e.available() || x.once && e.onProbation() || x.didTry(e) || slices.ContainsFunc(ejected, func(j ejectionCandidate) bool { return j.e == e }) {
 			continue
 		}
 		known = true
--- a/internal/proxy/choice_test.go
+++ b/internal/proxy/choice_test.go
@@ -13,7 +13,7 @@
 	"walkrudder/internal/target"
 )
 
-// testService is a node without network, for choices alone.
+// testService returns a node without a network and its one service, to test choices alone.
 func testService(runs ...target.Run) (*Node, *service) {
 	n := New(Parts{Settings: Settings{ID: "gateway1", Zone: "a", Zones: map[string]string{"a": "r", "b": "r", "c": "far"}, Dialect: dialect}, Clock: clock.Wall{}})
 	n.TakeItems([]item.Item{route.Service{Name: "svc", Version: 1, MaxConns: 100, Health: "/health"}.Item()})
@@ -31,7 +31,7 @@
 	return &exchange{n: n, svc: s, kind: k, once: !k.Repeatable(), attempts: 3, came: now, deadline: now.Add(2 * time.Second), aim: 400 * time.Millisecond}
 }
 
-// takeAll takes places until there are none, and tells at whom.
+// takeAll takes targets for requests until none has capacity, and returns their IDs in order.
 func takeAll(n *Node, s *service, k route.Repeat) (ids []string) {
 	for {
 		g := s.take(testExchange(n, s, k))
@@ -42,9 +42,9 @@
 	}
 }
 
-// TestTiers: own slots first, then those of other zones of the region, then one more
-// each, then other regions; repeatable requests may go on to twice the slots; downloads
-// fill the own zone up first.
+// TestTiers: slots of the own zone come first, then those of other zones of the region, then one
+// extra request at each, then other regions. Repeatable requests may use twice the slots, and
+// downloads fill the own zone first.
 func TestTiers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		for kind, want := range map[route.Repeat][]string{
@@ -60,20 +60,20 @@
 	})
 }
 
-// TestConnectionsBound: a node keeps to its part of a target's connections.
+// TestConnectionsBound: a node keeps within its share of a target's connections.
 func TestConnectionsBound(t *testing.T) {
 	n, s := testService(readyRun("a1", "a", 50))
 	for gateways, want := range map[int]int{2: 40, 10: 8, 100: 2} {
 		n.SetGateways(gateways, 1)
 		got := takeAll(n, s, route.Idempotent)
 		if len(got) != want {
-			t.Errorf("%d gateways: %d at once, want %d", gateways, len(got), want)
+			t.Errorf("%d gateways: %d requests at once, want %d", gateways, len(got), want)
 		}
 		s.endpoints["a1"].inFlight = nil
 	}
 }
 
-// TestFasterFirst: of two runs alike else the faster gets more.
+// TestFasterFirst: of two otherwise equal instances the faster one gets more requests.
 func TestFasterFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n, s := testService(readyRun("slow", "a", 20), readyRun("fast", "a", 20))
@@ -91,14 +91,15 @@
 	})
 }
 
-// TestColdLast: of two unknown runs the one that has just started is taken for slower.
+// TestColdLast: of two instances of unknown latency, the one that has just started is expected to
+// be slower.
 func TestColdLast(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cold := readyRun("cold", "a", 20)
 		cold.Cold = 5 * time.Second
 		n, s := testService(cold, readyRun("warm", "a", 20))
 		if g := s.take(testExchange(n, s, route.Once)); g.e.run.ID != "warm" {
-			t.Error("the cold one went first")
+			t.Error("the cold instance was chosen first")
 		}
 		time.Sleep(6 * time.Second)
 		if n.clock.Now().Before(s.endpoints["cold"].coldUntil) {
@@ -107,7 +108,7 @@
 	})
 }
 
-// TestNodesBeginApart: nodes that know nothing of each other begin with different runs.
+// TestNodesBeginApart: nodes that know nothing of each other start with different instances.
 func TestNodesBeginApart(t *testing.T) {
 	firsts := map[string]bool{}
 	for i := range 20 {
@@ -119,11 +120,11 @@
 		firsts[s.take(testExchange(n, s, route.Once)).e.run.ID] = true
 	}
 	if len(firsts) < 5 {
-		t.Errorf("20 nodes begin with %d of 9 runs", len(firsts))
+		t.Errorf("20 nodes start with %d of 9 instances", len(firsts))
 	}
 }
 
-// TestHalfPassedOver: bad runs are passed over, but never more than half of them.
+// TestHalfPassedOver: bad instances are ejected, but never more than half of all.
 func TestHalfPassedOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var runs []target.Run
@@ -131,7 +132,7 @@
 			runs = append(runs, readyRun(fmt.Sprint("r", i), "a", 2))
 		}
 		n, s := testService(runs...)
-		used := func() map[string]bool {
+		usedRuns := func() map[string]bool {
 			m := map[string]bool{}
 			for _, id := range takeAll(n, s, route.Once) {
 				m[id] = true
@@ -143,7 +144,7 @@
 		}
 		now := n.clock.Now()
 		for k := range 6 {
-			if got := used(); len(got) != max(3, 6-k) {
+			if got := usedRuns(); len(got) != max(3, 6-k) {
 				t.Errorf("%d bad: %v used", k, got)
 			}
 			switch k {
@@ -155,10 +156,10 @@
 				n.TakeRuns([]target.Run{r})
 			}
 		}
-		if got := used(); len(got) != 3 || got["r0"] || got["r1"] {
-			t.Errorf("all bad: %v used; those in penalty are the worst", got)
+		if got := usedRuns(); len(got) != 3 || got["r0"] || got["r1"] {
+			t.Errorf("all bad: %v used; those in backoff are the most suspected", got)
 		}
-		// A beat that the control plane heard after all.
+		// A heartbeat that the control plane received after all.
 		r := runs[5]
 		r.Seq = 20
 		n.TakeRuns([]target.Run{r})
@@ -168,7 +169,7 @@
 	})
 }
 
-// TestPenalty: it doubles, ends, tries one request at a time, and an answer clears it.
+// TestPenalty: a backoff doubles, expires, then allows one request at a time; an answer resets it.
 func TestPenalty(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n, s := testService(readyRun("r0", "a", 4), readyRun("r1", "a", 4))
@@ -178,27 +179,27 @@
 			time.Sleep(time.Millisecond)
 			now := n.clock.Now()
 			e.recordFailure(now, began, initialBackoff)
-			// What went out before says nothing new.
+			// A request that began earlier gives no new information.
 			e.recordFailure(now, began.Add(-time.Second), initialBackoff)
 			if got := e.backoffUntil.Sub(now); got != want {
 				t.Errorf("failure %d: %v, want %v", k, got, want)
 			}
 			time.Sleep(want + time.Millisecond)
 			if w := e.suspicion(n.clock.Now()); w >= suspicionThreshold {
-				t.Errorf("suspicion %v after the penalty", w)
+				t.Errorf("suspicion %v after the backoff", w)
 			}
 		}
 		if got := e.headroom(n.clock.Now(), 4); got != 1 {
-			t.Errorf("room for %d tries", got)
+			t.Errorf("headroom of %d after a backoff", got)
 		}
 		e.recordAnswer(n.clock.Now(), time.Millisecond)
 		if got := e.headroom(n.clock.Now(), 4); got != 4 {
-			t.Errorf("room for %d after an answer", got)
+			t.Errorf("headroom of %d after an answer", got)
 		}
 	})
 }
 
-// TestOwnZoneGone: with no run in the own zone that is well, others serve.
+// TestOwnZoneGone: without a healthy instance in the own zone, other zones serve.
 func TestOwnZoneGone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n, s := testService(readyRun("a1", "a", 2), readyRun("b1", "b", 2), readyRun("b2", "b", 2))
@@ -210,7 +211,7 @@
 	})
 }
 
-// TestNewsMerge: any order of news ends alike, and an ended run stays so.
+// TestNewsMerge: updates merge to the same state in any order, and an ended instance stays ended.
 func TestNewsMerge(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ready := readyRun("r0", "a", 2)
@@ -229,19 +230,19 @@
 			}
 			n.TakeRuns([]target.Run{later})
 			if s.endpoints["r0"] != nil {
-				t.Errorf("%v: an ended run came back", order)
+				t.Errorf("%v: an ended instance was added again", order)
 			}
 			time.Sleep(endedFor + time.Second)
 			n.forget(n.clock.Now())
 			if len(n.runs) != 0 {
-				t.Error("remembered for good")
+				t.Error("an ended instance was never forgotten")
 			}
 		}
 	})
 }
 
-// TestLastRankMayWait: where the queue is so long that to wait seems in vain, some of
-// each rank wait all the same, for their turn; others are refused at once.
+// TestLastRankMayWait: where the queue is so long that waiting seems pointless, a few requests of
+// each priority still wait, as the longest waiting gets a turn; others are refused at once.
 func TestLastRankMayWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n, s := testService(readyRun("a1", "a", 1))
@@ -263,24 +264,24 @@
 				waited <- time.Since(began)
 			}()
 		}
-		n0 := 0
+		refused := 0
 		for range 5 {
 			switch d := <-waited; d {
 			case 0:
-				n0++
+				refused++
 			case 400 * time.Millisecond / waitPart:
 			default:
 				t.Errorf("waited %v", d)
 			}
 		}
-		if n0 != 5-fewPeers {
-			t.Errorf("%d of 5 were refused at once", n0)
+		if refused != 5-fewPeers {
+			t.Errorf("%d of 5 were refused at once", refused)
 		}
 	})
 }
 
-// TestZoneWithFewRuns: where the own zone's runs are slow for being full, those of another
-// zone of the region that are not are used, too; downloads stay.
+// TestZoneWithFewRuns: where the instances of the own zone are slow because they are full, less
+// loaded ones of another zone in the region are used too, except for downloads.
 func TestZoneWithFewRuns(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		for kind, want := range map[route.Repeat]bool{route.Idempotent: true, route.Once: true, route.Download: false} {
@@ -301,9 +302,9 @@
 	})
 }
 
-// TestRunsFollowTheLoad: with little under way a node works with few runs of a service,
-// with more at once with more, and it lets go of them only slowly. A run that comes back
-// is not suspected for the time in which nobody asked it.
+// TestRunsFollowTheLoad: the subset is small under low load, grows at once with the load, and
+// shrinks slowly. An instance that returns to the subset is not suspected for the time in which
+// it was not probed.
 func TestRunsFollowTheLoad(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var runs []target.Run
@@ -311,47 +312,47 @@
 			runs = append(runs, readyRun(fmt.Sprintf("a%d", i), "a", 2))
 		}
 		n, s := testService(runs...)
-		s.usedAt = n.clock.Now()
-		look := func(times int) {
+		s.lastUsed = n.clock.Now()
+		sweep := func(times int) {
 			for range times {
 				time.Sleep(probeTick)
 				s.sweep(n.clock.Now())
 				s.dueProbes(n.clock.Now())
 			}
 		}
-		look(1)
+		sweep(1)
 		if len(s.subset) != maxSubset {
-			t.Errorf("works with %d at first, want %d", len(s.subset), maxSubset)
+			t.Errorf("subset of %d at first, want %d", len(s.subset), maxSubset)
 		}
-		look(60)
+		sweep(60)
 		if len(s.subset) != minSubset {
-			t.Errorf("works with %d when idle, want %d", len(s.subset), minSubset)
+			t.Errorf("subset of %d when idle, want %d", len(s.subset), minSubset)
 		}
-		var held []grant
+		var grants []grant
 		for range maxSubset {
-			held = append(held, s.take(testExchange(n, s, route.Idempotent)))
+			grants = append(grants, s.take(testExchange(n, s, route.Idempotent)))
 		}
-		look(1)
+		sweep(1)
 		if len(s.subset) != maxSubset {
-			t.Errorf("works with %d under load, want %d", len(s.subset), maxSubset)
+			t.Errorf("subset of %d under load, want %d", len(s.subset), maxSubset)
 		}
 		for _, e := range s.subset[minSubset:] {
 			if w := e.suspicion(n.clock.Now()); w > 0.5 {
-				t.Errorf("%s came back with a suspicion of %.2f", e.run.ID, w)
+				t.Errorf("%s returned to the subset with a suspicion of %.2f", e.run.ID, w)
 			}
 		}
-		for _, g := range held {
+		for _, g := range grants {
 			s.release(g, answered, 100*time.Millisecond, time.Second)
 		}
-		look(2)
+		sweep(2)
 		if len(s.subset) != maxSubset {
-			t.Errorf("works with %d a second after the load, want %d", len(s.subset), maxSubset)
+			t.Errorf("subset of %d a second after the load, want %d", len(s.subset), maxSubset)
 		}
 	})
 }
 
-// TestKeptConnectionsFirst: of runs alike else one with a connection at hand is asked, but
-// not for a request that may run once where that has lain idle for too long.
+// TestKeptConnectionsFirst: of otherwise equal instances, one with an idle connection is chosen,
+// but not for a request that must run at most once if the connection has been idle for too long.
 func TestKeptConnectionsFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n, s := testService(readyRun("a1", "a", 2), readyRun("a2", "a", 2), readyRun("a3", "a", 2))
@@ -360,16 +361,16 @@
 		for kind, want := range map[route.Repeat]bool{route.Idempotent: true, route.Once: true} {
 			g := s.take(testExchange(n, s, kind))
 			if got := g.e == last; got != want {
-				t.Errorf("%d: the kept connection is used: %v", kind, got)
+				t.Errorf("%d: the idle connection is used: %v", kind, got)
 			}
 			s.release(g, withheld, 0, time.Second)
 		}
 		time.Sleep(onceIdle)
 		if g := s.take(testExchange(n, s, route.Once)); g.e == last {
-			t.Error("asked for a kept connection that may be dead")
+			t.Error("chosen for an idle connection that may be dead")
 		}
 		if g := s.take(testExchange(n, s, route.Idempotent)); g.e != last {
-			t.Error("a kept connection was left aside")
+			t.Error("a usable idle connection was not preferred")
 		}
 	})
 }
--- a/internal/proxy/endpoint.go
+++ b/internal/proxy/endpoint.go
@@ -182,8 +182,8 @@
 	if e.singleRequest && !e.overEjectionCap {
 		limit = 1
 	}
-	if e.onTrial() {
-		limit = min(limit, 1+e.passive.trialAnswers)
+	if e.onProbation() {
+		limit = min(limit, 1+e.passive.probationAnswers)
 	}
 	return min(limit, e.svc.maxConns()) - len(e.inFlight)
 }
--- a/internal/proxy/failure_test.go
+++ b/internal/proxy/failure_test.go
@@ -29,9 +29,9 @@
 // failureMode is one way in which the first target that gets a request can fail.
 type failureMode struct {
 	name       string
-	do         act
-	once, idem int // the caller's status
-	// onceRuns is how often a request that may run once runs.
+	fault      act
+	once, idem int // the status that the caller gets
+	// onceRuns is how often a request that must run at most once is run.
 	onceRuns int
 }
 
@@ -92,9 +92,9 @@
 	}), 200, 200, 1},
 }
 
-// TestWaysToFail lets the first target that gets a request fail in each way, over
-// loopback: the caller gets a whole answer or an honest status, and what may run once
-// runs once.
+// TestWaysToFail lets the first target that gets a request fail in each mode, over loopback: the
+// caller gets a complete answer or a truthful status, and a request that must run at most once
+// does so.
 func TestWaysToFail(t *testing.T) {
 	for _, w := range failureModes {
 		for _, kind := range []string{"once", "idem", "down"} {
@@ -102,8 +102,8 @@
 				t.Parallel()
 				l := newLab(t, loopback{}, nil)
 				l.routes(2)
-				l.stand("one", nil, first(w.do))
-				l.stand("two", nil, first(w.do))
+				l.stand("one", nil, first(w.fault))
+				l.stand("two", nil, first(w.fault))
 				want := w.idem
 				if kind == "once" {
 					want = w.once
@@ -115,7 +115,7 @@
 				if kind == "once" && l.runs("q1") != w.onceRuns {
 					t.Errorf("ran %d times, want %d", l.runs("q1"), w.onceRuns)
 				}
-				// What it left behind harms no later request.
+				// The failure does not affect later requests.
 				for i := range 3 {
 					id := fmt.Sprint("later", i)
 					if g := l.call("/"+kind+"/x", id, 5*time.Second); !g.proper(id) {
@@ -127,8 +127,8 @@
 	}
 }
 
-// TestRefusedConnect: a target that can't be reached costs neither budget nor an
-// attempt, and is not asked by the next request.
+// TestRefusedConnect: an unreachable target costs neither retry budget nor an attempt, and is not
+// chosen for the next request.
 func TestRefusedConnect(t *testing.T) {
 	for _, kind := range []string{"once", "idem", "down"} {
 		l := newLab(t, loopback{}, func(s *Settings) { s.BudgetRatio = 0 })
@@ -145,16 +145,16 @@
 				t.Errorf("%s got %+v, ran %d times", id, g, l.runs(id))
 			}
 		}
-		// At most half of the three are passed over together, so one of the two that are
-		// gone may be asked again.
+		// At most half of the three are ejected together, so one of the two unreachable ones may
+		// be chosen again.
 		if n := l.node.Stats().DialsFailed; n > 5 {
 			t.Errorf("%d connects failed", n)
 		}
 	}
 }
 
-// TestResetBeforeReading: the target resets a connection without reading. Nobody knows
-// here whether it read: it runs at most once, and elsewhere only if no byte left.
+// TestResetBeforeReading: the target resets a connection without reading. The node cannot know
+// whether the request was read, so it runs at most once, and elsewhere only if no byte was sent.
 func TestResetBeforeReading(t *testing.T) {
 	for _, kind := range []string{"once", "idem"} {
 		l := newLab(t, loopback{}, nil)
@@ -188,7 +188,7 @@
 	}
 }
 
-// TestSurplus: bytes behind a whole answer belong to no request.
+// TestSurplus: bytes after a complete answer belong to no request.
 func TestSurplus(t *testing.T) {
 	for _, kind := range []string{"once", "idem"} {
 		l := newLab(t, loopback{}, nil)
@@ -206,14 +206,14 @@
 		}
 		for _, s := range l.arrivals() {
 			if s.onConn != 1 {
-				t.Errorf("%s came over a connection with surplus bytes", s.id)
+				t.Errorf("%s was sent on a connection with surplus bytes", s.id)
 			}
 		}
 	}
 }
 
-// TestForgottenIdle: a connection that its target closed while it lay idle is found
-// dead before a request is written to it.
+// TestForgottenIdle: a connection that its target closed while it was idle is found dead before a
+// request is written to it.
 func TestForgottenIdle(t *testing.T) {
 	for _, kind := range []string{"once", "idem"} {
 		l := newLab(t, loopback{}, nil)
@@ -228,12 +228,12 @@
 			waitFor(t, func() bool { return !idleAlive(l.node) })
 		}
 		if n := l.node.Stats().Stale; n != 0 {
-			t.Errorf("%d died under a request", n)
+			t.Errorf("%d connections died under a request", n)
 		}
 	}
 }
 
-// idleAlive tells whether any idle connection still looks alive.
+// idleAlive reports whether any idle connection still looks alive.
 func idleAlive(n *Node) bool {
 	for _, s := range n.all() {
 		s.mu.Lock()
@@ -250,7 +250,7 @@
 	return false
 }
 
-// waitFor looks until a change by the operating system has come through.
+// waitFor polls until the operating system has made a change visible.
 func waitFor(t *testing.T, ok func() bool) {
 	t.Helper()
 	for !ok() {
@@ -260,7 +260,7 @@
 	}
 }
 
-// TestReuse: calm requests share connections.
+// TestReuse: sequential requests share a connection.
 func TestReuse(t *testing.T) {
 	l := newLab(t, loopback{}, nil)
 	l.routes(1)
@@ -272,19 +272,19 @@
 		}
 	}
 	if n := l.node.Stats().Dials; n != 1 {
-		t.Errorf("%d connects for 10 requests one after the other", n)
+		t.Errorf("%d connects for 10 sequential requests", n)
 	}
 }
 
-// TestMisdirectedIsGone: a run at whose address another one answers is asked no more
-// until news of it come.
+// TestMisdirectedIsGone: an instance at whose address another one answers is not chosen again
+// until there is an update of it.
 func TestMisdirectedIsGone(t *testing.T) {
 	l := newLab(t, loopback{}, nil)
 	l.routes(3)
 	other := l.stand("other", func(r *target.Run) { r.Service = "else" }, sealed)
 	l.stand("good", nil, sealed)
-	was := target.Run{ID: "was", Service: "svc", Addr: other.ln.Addr().String(), Zone: "a", Slots: 4, State: target.Ready, Seq: 1}
-	l.node.TakeRuns([]target.Run{was})
+	old := target.Run{ID: "was", Service: "svc", Addr: other.ln.Addr().String(), Zone: "a", Slots: 4, State: target.Ready, Seq: 1}
+	l.node.TakeRuns([]target.Run{old})
 	asked := func() (n int) {
 		for _, s := range l.arrivals() {
 			if s.run == "other" {
@@ -300,7 +300,7 @@
 		}
 	}
 	if n := asked(); n > 1 {
-		t.Errorf("asked %d times", n)
+		t.Errorf("the replaced instance got %d requests", n)
 	}
 	s := l.node.all()
 	for _, v := range s {
@@ -310,19 +310,19 @@
 		}
 		v.mu.Unlock()
 	}
-	was.Seq = 2
-	l.node.TakeRuns([]target.Run{was})
+	old.Seq = 2
+	l.node.TakeRuns([]target.Run{old})
 	for _, v := range s {
 		v.mu.Lock()
 		if e := v.endpoints["was"]; e != nil && e.replaced {
-			t.Error("news of the run did not bring it back")
+			t.Error("an update of the instance did not restore it")
 		}
 		v.mu.Unlock()
 	}
 }
 
-// TestMute: over virtual time, a silent target holds a request that may run once until
-// its deadline; a repeatable one is asked of another run besides.
+// TestMute: in virtual time, a silent target holds a request that must run at most once until its
+// deadline; a repeatable one is hedged to another instance.
 func TestMute(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		mute := runThen(func(_ *lab, c net.Conn, _ *seen) bool {
@@ -355,8 +355,8 @@
 	})
 }
 
-// TestHedgeLoses: when the first target answers after all before the other, its answer
-// counts, and the other attempt is cut.
+// TestHedgeLoses: when the first target answers before the hedged attempt does, its answer is
+// used, and the other attempt is cancelled.
 func TestHedgeLoses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := newLab(t, newPipes(), nil)
@@ -379,13 +379,13 @@
 		}
 		time.Sleep(3 * time.Second)
 		if s := l.node.Stats(); s.Inside != 0 || s.MemoryUsed != 0 {
-			t.Errorf("left over: %+v", s)
+			t.Errorf("resources not released: %+v", s)
 		}
 		l.close()
 	})
 }
 
-// TestSilentConnect: a connect that gets no reply is given up in time for another run.
+// TestSilentConnect: a connect without a reply is given up in time to use another instance.
 func TestSilentConnect(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPipes()
@@ -407,8 +407,8 @@
 	})
 }
 
-// TestCloseHonoured: nothing goes over a connection whose target said that it closes,
-// though it has not done so yet.
+// TestCloseHonoured: no request is sent on a connection whose target announced that it will close
+// it, even if it has not done so yet.
 func TestCloseHonoured(t *testing.T) {
 	for _, field := range []string{"close", "Close", "x, close"} {
 		l := newLab(t, loopback{}, nil)
@@ -425,14 +425,14 @@
 		}
 		for _, s := range l.arrivals() {
 			if s.onConn != 1 {
-				t.Errorf("%s: %s came over a connection that closes", field, s.id)
+				t.Errorf("%s: %s was sent on a connection that is closing", field, s.id)
 			}
 		}
 	}
 }
 
-// TestDeadBeforeWrite: where the look at a kept connection showed nothing, but not one
-// byte could be written, the same run is asked over a new one.
+// TestDeadBeforeWrite: where an idle connection looked alive but not one byte could be written,
+// the same instance is used over a new connection.
 func TestDeadBeforeWrite(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		for _, kind := range []string{"once", "idem"} {
@@ -455,7 +455,7 @@
 	})
 }
 
-// TestDrainsWhileConnecting: news that come while a connection is made are heeded.
+// TestDrainsWhileConnecting: an update that arrives while a connection is opened is respected.
 func TestDrainsWhileConnecting(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := &dialHook{pipes: newPipes()}
@@ -482,7 +482,7 @@
 	})
 }
 
-// dialHook calls tell before each connect.
+// dialHook calls beforeDial before each connect.
 type dialHook struct {
 	*pipes
 	beforeDial func(addr string)
@@ -493,7 +493,7 @@
 	return p.pipes.dial(ctx, addr)
 }
 
-// lateErrorPipes make connections that show nothing of their end before a write.
+// lateErrorPipes makes connections whose end is noticed only by a write.
 type lateErrorPipes struct{ *pipes }
 
 type lateErrorConn struct{ net.Conn }
@@ -508,9 +508,9 @@
 	return lateErrorConn{c}, nil
 }
 
-// TestSurplusBefore: where a target answers an earlier request once more, in the place
-// where the next answer is due, the one behind it counts, and the connection is not
-// used again. On a connection's first request nothing earlier can be answered.
+// TestSurplusBefore: where a target answers an earlier request a second time, in the place of the
+// next answer, the answer after it is used and the connection is not reused. For the first request
+// of a connection there is no earlier one.
 func TestSurplusBefore(t *testing.T) {
 	for _, kind := range []string{"once", "idem"} {
 		l := newLab(t, loopback{}, nil)
@@ -534,17 +534,17 @@
 		}
 		for _, s := range l.arrivals() {
 			if s.onConn > 2 {
-				t.Errorf("%s came over a connection on which a surplus answer had come", s.id)
+				t.Errorf("%s was sent on a connection that had a surplus answer", s.id)
 			}
 		}
 		if n := l.node.Stats().Surplus; n != 3 {
-			t.Errorf("%d surplus answers passed over, want 3", n)
+			t.Errorf("%d surplus answers skipped, want 3", n)
 		}
 	}
 }
 
-// TestNewsWhileConnecting: news of a run may come while a connection to it fails; the race
-// detector looks at what both touch.
+// TestNewsWhileConnecting: an update of an instance may arrive while a connect to it fails; the
+// race detector checks the state that both access.
 func TestNewsWhileConnecting(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := newLab(t, newPipes(), nil)
--- a/internal/proxy/fates.go
+++ b/internal/proxy/fates.go
@@ -27,7 +27,7 @@
 	// minSilence is the shortest silence that is not attributed to chance, in expected latencies.
 	minSilence = 3.0
 	// initialEjection is how long an unhealthy instance is ejected; it doubles with each relapse
-	// within relapseWindow up to maxEjection. Then the instance is on trial until it has given
+	// within relapseWindow up to maxEjection. Then the instance is on probation until it has given
 	// recoverAfter valid answers.
 	initialEjection = 500 * time.Millisecond
 	maxEjection     = 4 * time.Second
@@ -46,11 +46,11 @@
 	silence      float64             // length of the current gap, without requests in flight
 	failureInGap bool                // whether the current gap contains a failure
 
-	unhealthy      bool      // ejected until ejectedUntil, then on trial
-	changedAt      time.Time // the last ejection or recovery
-	ejectedUntil   time.Time
-	ejectionsInRow int
-	trialAnswers   int // valid answers while on trial
+	unhealthy        bool      // ejected until ejectedUntil, then on probation
+	changedAt        time.Time // the last ejection or recovery
+	ejectedUntil     time.Time
+	ejectionsInRow   int
+	probationAnswers int // valid answers while on probation
 }
 
 // closeGap stores the gap that a valid answer ends in place of the oldest.
@@ -91,7 +91,7 @@
 	}
 	f.ejectedUntil = now.Add(min(initialEjection<<min(f.ejectionsInRow, 8), maxEjection))
 	f.ejectionsInRow++
-	f.unhealthy, f.changedAt, f.trialAnswers, f.silence, f.failureInGap, f.gapCount = true, now, 0, 0, false, 0
+	f.unhealthy, f.changedAt, f.probationAnswers, f.silence, f.failureInGap, f.gapCount = true, now, 0, 0, false, 0
 }
 
 // serviceBaseline describes what is normal for a service: the window of all its instances' gaps.
@@ -175,7 +175,7 @@
 		f.eject(now)
 		e.svc.node.stats.passedOver.Add(1)
 	case f.unhealthy && o == answered:
-		if f.trialAnswers++; f.trialAnswers >= recoverAfter {
+		if f.probationAnswers++; f.probationAnswers >= recoverAfter {
 			f.unhealthy, f.changedAt, f.gapCount = false, now, 0
 		}
 	}
@@ -201,7 +201,7 @@
 	return max(suspicionThreshold, m.fit.Suspicion(t))
 }
 
-// onTrial reports whether the instance gets only repeatable requests, at first one at a time.
-func (e *endpoint) onTrial() bool {
+// onProbation reports whether the instance gets only repeatable requests, at first one at a time.
+func (e *endpoint) onProbation() bool {
 	return e.passive != nil && e.passive.unhealthy && !e.overEjectionCap && !e.ignorePassive
 }
--- a/internal/proxy/fates_test.go
+++ b/internal/proxy/fates_test.go
@@ -11,8 +11,8 @@
 	"walkrudder/internal/target"
 )
 
-// warmService is a plan of runs r0, r1, … of which each has answered for a while, some faster,
-// some slower. It needs no time.
+// warmService returns a service with instances r0, r1, … that have each answered a number of
+// requests, at varying latencies. No time passes.
 func warmService(runs int) (*Node, *service) {
 	var rs []target.Run
 	for i := range runs {
@@ -29,7 +29,7 @@
 	return n, s
 }
 
-// finishRequest lets one request to a run end.
+// finishRequest sends one request to an instance and ends it with an outcome after d.
 func finishRequest(n *Node, s *service, id string, o outcome, d time.Duration) {
 	s.mu.Lock()
 	g := s.hold(s.endpoints[id], n.clock.Now())
@@ -38,7 +38,7 @@
 	s.release(g, o, d, 0)
 }
 
-// usableRuns are the runs that a request of a kind may be sent to, and with how many.
+// usableRuns returns the instances to which requests of a kind may be sent, and how many each.
 func usableRuns(n *Node, s *service, k route.Repeat) map[string]int {
 	m := map[string]int{}
 	for _, id := range takeAll(n, s, k) {
@@ -53,38 +53,37 @@
 	return m
 }
 
-// TestFailingRun: a run that fails a good part of its requests is passed over though it
-// answers the others; it comes back by a trickle of repeatable requests, later with each
-// relapse.
+// TestFailingRun: an instance that fails a good part of its requests is ejected although it answers
+// the others. It returns by a few repeatable requests at first, and later with each relapse.
 func TestFailingRun(t *testing.T) {
 	for _, o := range []outcome{reset, spoilt, erred, mute} {
 		synctest.Test(t, func(t *testing.T) {
 			n, s := warmService(6)
 			e := s.endpoints["r0"]
 			if got := usableRuns(n, s, route.Once); got["r0"] == 0 {
-				t.Fatalf("%v before any failure", got)
+				t.Fatalf("%v usable before any failure", got)
 			}
 			hold := initialEjection
 			s.baseline.failureRate = 0
 			for range 5 {
 				finishRequest(n, s, "r0", o, 50*time.Millisecond)
-				// An answer that was under way ends a penalty, and not this.
+				// An answer that was in flight ends a backoff, but not an ejection.
 				e.resetBackoff()
 				s.limit = concurrencyLimit{}
 				if got := usableRuns(n, s, route.Idempotent); got["r0"] != 0 {
-					t.Errorf("outcome %d: %v right after", o, got)
+					t.Errorf("outcome %d: %v usable right after", o, got)
 				}
 				time.Sleep(hold - 2*time.Millisecond)
 				if e.passiveSuspicion(n.clock.Now()) < suspicionThreshold {
-					t.Errorf("outcome %d: back after less than %v", o, hold)
+					t.Errorf("outcome %d: in use again after less than %v", o, hold)
 				}
 				time.Sleep(4 * time.Millisecond)
 				if got := usableRuns(n, s, route.Once); got["r0"] != 0 {
-					t.Errorf("outcome %d: on trial with requests that may run once: %v", o, got)
+					t.Errorf("outcome %d: on probation with requests that must run at most once: %v", o, got)
 				}
 				for k := range recoverAfter - 1 {
 					if got := usableRuns(n, s, route.Idempotent); got["r0"] != 1+k {
-						t.Errorf("outcome %d: %d on trial after %d answers", o, got["r0"], k)
+						t.Errorf("outcome %d: %d requests allowed on probation after %d answers", o, got["r0"], k)
 					}
 					finishRequest(n, s, "r0", answered, 100*time.Millisecond)
 				}
@@ -92,14 +91,14 @@
 			}
 			finishRequest(n, s, "r0", answered, 100*time.Millisecond)
 			if got := usableRuns(n, s, route.Once); got["r0"] < 4 {
-				t.Errorf("outcome %d: %v once it is well", o, got)
+				t.Errorf("outcome %d: %v usable after recovery", o, got)
 			}
 		})
 	}
 }
 
-// TestFateWindow: where failures are common in the service, one says little; a run whose
-// window has many more of them than its peers' is passed over.
+// TestFateWindow: where failures are common in the service, a single one is weak evidence; an
+// instance with many more of them in its window than its peers is ejected.
 func TestFateWindow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n, s := warmService(6)
@@ -110,7 +109,7 @@
 			finishRequest(n, s, "r0", reset, 10*time.Millisecond)
 			e.resetBackoff()
 			if k == 0 && e.passive.unhealthy {
-				t.Error("ill by one failure of many")
+				t.Error("ejected for one failure where failures are common")
 			}
 			if e.passive.unhealthy {
 				return
@@ -120,12 +119,12 @@
 				return
 			}
 		}
-		t.Error("half of its requests failed, and it is not passed over")
+		t.Error("half of its requests failed, and it was not ejected")
 	})
 }
 
-// TestSilentRun: a request that waits for longer than its peers' answers make likely has
-// the run passed over while it waits; the answer ends that.
+// TestSilentRun: a request that waits for longer than the peers' latencies make likely has the
+// instance suspected while it waits; its answer ends that.
 func TestSilentRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n, s := warmService(6)
@@ -134,7 +133,7 @@
 		s.mu.Unlock()
 		time.Sleep(150 * time.Millisecond)
 		if s.endpoints["r0"].passiveSuspicion(n.clock.Now()) >= suspicionThreshold {
-			t.Error("suspected after an answer's usual time")
+			t.Error("suspected within the usual latency")
 		}
 		time.Sleep(time.Second)
 		if s.endpoints["r0"].passiveSuspicion(n.clock.Now()) < suspicionThreshold {
@@ -147,8 +146,8 @@
 	})
 }
 
-// TestFatesOfAll: where more than half fail alike nothing is held against any of them;
-// up to half of them are passed over.
+// TestFatesOfAll: up to half of the instances are ejected; where more than half fail alike, passive
+// health is ignored for all.
 func TestFatesOfAll(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n, s := warmService(6)
@@ -161,10 +160,10 @@
 				want = 6
 			}
 			if got := usableRuns(n, s, route.Once); len(got) != want {
-				t.Errorf("%d ill: %v", i+1, got)
+				t.Errorf("%d unhealthy: %v usable", i+1, got)
 			}
 		}
-		// Neither are they where the others are silent.
+		// The same holds where the other instances are in backoff.
 		for i := 1; i < 6; i++ {
 			s.endpoints[fmt.Sprint("r", i)].passive = nil
 		}
@@ -173,12 +172,12 @@
 			s.endpoints[fmt.Sprint("r", i)].recordFailure(now, now, initialBackoff)
 		}
 		if got := usableRuns(n, s, route.Once); got["r0"] == 0 || len(got) != 3 {
-			t.Errorf("three under penalty, one ill: %v", got)
+			t.Errorf("three in backoff, one unhealthy: %v usable", got)
 		}
 	})
 }
 
-// TestNoFault: full targets, and slow ones where all are, are not ill.
+// TestNoFault: full targets, and slow ones where all are slow, are not considered unhealthy.
 func TestNoFault(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n, s := warmService(6)
@@ -188,7 +187,7 @@
 		}
 		for _, id := range []string{"r0", "r1"} {
 			if s.endpoints[id].passive.unhealthy || s.endpoints[id].passiveSuspicion(n.clock.Now()) >= suspicionThreshold {
-				t.Errorf("%s is held for ill, for being full", id)
+				t.Errorf("%s is considered unhealthy for being full", id)
 			}
 		}
 		for k := range 30 {
@@ -198,18 +197,18 @@
 		}
 		for id, e := range s.endpoints {
 			if e.passive != nil && e.passive.unhealthy || e.passiveSuspicion(n.clock.Now()) >= suspicionThreshold {
-				t.Errorf("%s is held for ill", id)
+				t.Errorf("%s is considered unhealthy", id)
 			}
 		}
-		// What full targets do to the limit is another matter.
+		// The effect of full targets on the concurrency limit is not tested here.
 		s.limit = concurrencyLimit{}
 		if got := usableRuns(n, s, route.Once); len(got) != 6 {
-			t.Errorf("%v", got)
+			t.Errorf("%v usable", got)
 		}
 	})
 }
 
-// TestOldFailure: what went out before a run was held for ill says nothing new.
+// TestOldFailure: a request sent before an instance was ejected gives no new information.
 func TestOldFailure(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n, s := warmService(6)
@@ -219,7 +218,7 @@
 		e.recordOutcome(n.clock.Now(), began, reset, 0)
 		was := *e.passive
 		if !was.unhealthy {
-			t.Fatal("not ill after a reset")
+			t.Fatal("not unhealthy after a reset")
 		}
 		e.recordOutcome(n.clock.Now(), began, reset, 0)
 		e.recordOutcome(n.clock.Now(), began, answered, 0)
@@ -229,7 +228,7 @@
 	})
 }
 
-// TestFatesAreSmall: a node may know thousands of runs, and serves from little processor time.
+// TestFatesAreSmall: a node may know thousands of instances and has little processor time.
 func TestFatesAreSmall(t *testing.T) {
 	if k := unsafe.Sizeof(passiveHealth{}); k > 160 {
 		t.Errorf("%d bytes a run", k)
@@ -247,7 +246,7 @@
 	}
 }
 
-// BenchmarkPick is one choice among 48 runs, with fates known and without.
+// BenchmarkPick measures one choice among 48 instances, with passive health and without.
 func BenchmarkPick(b *testing.B) {
 	for _, known := range []bool{true, false} {
 		b.Run(fmt.Sprint("fates=", known), func(b *testing.B) {
@@ -269,7 +268,7 @@
 	}
 }
 
-// BenchmarkMet is one answer taken into the windows.
+// BenchmarkMet measures recording one answer.
 func BenchmarkMet(b *testing.B) {
 	n, s := warmService(48)
 	now := n.clock.Now()
--- a/internal/proxy/fates_world_test.go
+++ b/internal/proxy/fates_world_test.go
@@ -13,15 +13,15 @@
 	"time"
 )
 
-var passiveSeeds = flag.Int("fates.seeds", 0, "how many times each world of ill targets is played for measurement")
+var passiveSeeds = flag.Int("fates.seeds", 0, "how many times each scenario with faulty targets is run for measurement")
 
-// faultScenario is a way to be ill: what a target does with requests and probes while it is.
+// faultScenario is what faulty targets do with requests and probes.
 type faultScenario struct {
 	name         string
-	faulty       int // how many of the targets are ill; 0 is one in ten
-	do           act
+	faulty       int // number of faulty targets; 0 means one in ten
+	fault        act
 	health       act
-	flapInterval time.Duration // ill and well by turns
+	flapInterval time.Duration // if set, targets alternate between faulty and healthy
 }
 
 func replyUnhealthy(_ *lab, c net.Conn, _ *seen) bool {
@@ -31,18 +31,18 @@
 
 func closeConn(*lab, net.Conn, *seen) bool { return false }
 
-// sometimes does bad in so many per cent.
+// sometimes runs bad for a percentage of the requests.
 func sometimes(percent int, bad act) act {
 	return func(l *lab, c net.Conn, s *seen) bool {
 		if rand.IntN(100) < percent {
 			return bad(l, c, s)
 		}
-		return answerWithin(1)(l, c, s)
+		return serveWithLatency(1)(l, c, s)
 	}
 }
 
-// answerWithin answers after 120 ms in the median, times factor.
-func answerWithin(factor float64) act {
+// serveWithLatency answers after a median of 120 ms times factor.
+func serveWithLatency(factor float64) act {
 	return func(l *lab, c net.Conn, s *seen) bool {
 		d := 120 * math.Exp(0.3*rand.NormFloat64()) * factor
 		return after(time.Duration(d*float64(time.Millisecond)), sealed)(l, c, s)
@@ -61,25 +61,25 @@
 
 var faultScenarios = []faultScenario{
 	{name: "none"},
-	{name: "reset 45 %", do: sometimes(45, after(60*time.Millisecond, closeConn))},
-	{name: "errors, health good", do: sometimes(45, after(60*time.Millisecond, replyError))},
-	{name: "well, health bad", do: answerWithin(1), health: replyUnhealthy},
-	{name: "slow x5", do: answerWithin(5)},
-	{name: "down and up each 1.2 s", do: closeConn, health: closeConn, flapInterval: 1200 * time.Millisecond},
-	{name: "mute", do: neverAnswer, health: neverAnswer},
-	{name: "mute, health good", do: neverAnswer},
-	{name: "8 of 20 reset 45 %", faulty: 8, do: sometimes(45, after(60*time.Millisecond, closeConn))},
-	{name: "8 of 20 errors", faulty: 8, do: sometimes(45, after(60*time.Millisecond, replyError))},
-	{name: "all reset 20 %", faulty: scenarioRuns, do: sometimes(20, after(60*time.Millisecond, closeConn))},
-	{name: "all slow x2", faulty: scenarioRuns, do: answerWithin(2)},
+	{name: "reset 45 %", fault: sometimes(45, after(60*time.Millisecond, closeConn))},
+	{name: "errors, health good", fault: sometimes(45, after(60*time.Millisecond, replyError))},
+	{name: "well, health bad", fault: serveWithLatency(1), health: replyUnhealthy},
+	{name: "slow x5", fault: serveWithLatency(5)},
+	{name: "down and up each 1.2 s", fault: closeConn, health: closeConn, flapInterval: 1200 * time.Millisecond},
+	{name: "mute", fault: neverAnswer, health: neverAnswer},
+	{name: "mute, health good", fault: neverAnswer},
+	{name: "8 of 20 reset 45 %", faulty: 8, fault: sometimes(45, after(60*time.Millisecond, closeConn))},
+	{name: "8 of 20 errors", faulty: 8, fault: sometimes(45, after(60*time.Millisecond, replyError))},
+	{name: "all reset 20 %", faulty: scenarioRuns, fault: sometimes(20, after(60*time.Millisecond, closeConn))},
+	{name: "all slow x2", faulty: scenarioRuns, fault: serveWithLatency(2)},
 }
 
-// scenarioResult is what became of requests that came while targets were ill, or just after.
-type scenarioResult struct{ sent, served, withinAim, once, lost, probes, saved, ejections, turned int }
+// scenarioResult counts the requests that came during the fault or just after it.
+type scenarioResult struct{ requests, served, withinAim, once, lost, probes, probesSaved, ejections, turnedAway int }
 
 func (t *scenarioResult) add(o scenarioResult) {
-	t.sent, t.served, t.withinAim, t.once, t.lost = t.sent+o.sent, t.served+o.served, t.withinAim+o.withinAim, t.once+o.once, t.lost+o.lost
-	t.probes, t.saved, t.ejections, t.turned = t.probes+o.probes, t.saved+o.saved, t.ejections+o.ejections, t.turned+o.turned
+	t.requests, t.served, t.withinAim, t.once, t.lost = t.requests+o.requests, t.served+o.served, t.withinAim+o.withinAim, t.once+o.once, t.lost+o.lost
+	t.probes, t.probesSaved, t.ejections, t.turnedAway = t.probes+o.probes, t.probesSaved+o.probesSaved, t.ejections+o.ejections, t.turnedAway+o.turnedAway
 }
 
 const (
@@ -90,39 +90,39 @@
 	scenarioEnd   = 32 * time.Second
 )
 
-// runScenario plays 20 targets of which a tenth are ill from second 20 to 26, under a load of
-// so many requests a second, a quarter of which may run once.
-func runScenario(t *testing.T, w faultScenario, rate float64, noStandIn, noFates bool) (out scenarioResult) {
+// runScenario simulates 20 targets, of which by default a tenth are faulty from second 20 to 26, at
+// a given rate of requests per second, a quarter of which must run at most once.
+func runScenario(t *testing.T, scenario faultScenario, rate float64, noStandIn, noFates bool) (result scenarioResult) {
 	synctest.Test(t, func(t *testing.T) {
 		l := newLab(t, newPipes(), func(s *Settings) { s.BudgetRatio, s.BudgetSlack = 0.2, 20 })
 		l.node.noStandIn, l.node.noFates = noStandIn, noFates
 		l.routes(2)
 		began := time.Now()
 		for i, nth := range rand.Perm(scenarioRuns) {
-			is := func() bool {
+			faultActive := func() bool {
 				d := time.Since(began) - faultStart
-				if d < 0 || d >= faultEnd-faultStart || w.do == nil || nth >= max(w.faulty, scenarioRuns/10) {
+				if d < 0 || d >= faultEnd-faultStart || scenario.fault == nil || nth >= max(scenario.faulty, scenarioRuns/10) {
 					return false
 				}
-				return w.flapInterval == 0 || d/w.flapInterval%2 == 0
+				return scenario.flapInterval == 0 || d/scenario.flapInterval%2 == 0
 			}
-			places := make(chan bool, scenarioSlots)
+			slots := make(chan bool, scenarioSlots)
 			s := l.stand(fmt.Sprintf("r%02d", i), nil, func(l *lab, c net.Conn, s *seen) bool {
 				select {
-				case places <- true:
-					defer func() { <-places }()
+				case slots <- true:
+					defer func() { <-slots }()
 				case <-time.After(100 * time.Millisecond):
 					return say(c, "503 Full", s.id, dialect.NotRun+": 1\r\n", "")
 				}
-				if is() {
-					return w.do(l, c, s)
+				if faultActive() {
+					return scenario.fault(l, c, s)
 				}
-				return answerWithin(1)(l, c, s)
+				return serveWithLatency(1)(l, c, s)
 			})
 			s.mu.Lock()
 			s.health = func(l *lab, c net.Conn, s *seen) bool {
-				if is() && w.health != nil {
-					return w.health(l, c, s)
+				if faultActive() && scenario.health != nil {
+					return scenario.health(l, c, s)
 				}
 				return healthy(l, c, s)
 			}
@@ -130,14 +130,14 @@
 		}
 		var mu sync.Mutex
 		var wg sync.WaitGroup
-		var before Stats
+		var baseline Stats
 		counting := false
-		for no := 0; time.Since(began) < scenarioEnd; no++ {
+		for seq := 0; time.Since(began) < scenarioEnd; seq++ {
 			if !counting && time.Since(began) >= faultStart {
-				before, counting = l.node.Stats(), true
+				baseline, counting = l.node.Stats(), true
 			}
 			kind := []string{"idem", "idem", "down", "once"}[rand.IntN(4)]
-			id := fmt.Sprint(kind, no)
+			id := fmt.Sprint(kind, seq)
 			wg.Go(func() {
 				c := l.client()
 				defer c.c.Close()
@@ -148,28 +148,28 @@
 				}
 				mu.Lock()
 				defer mu.Unlock()
-				out.sent++
+				result.requests++
 				ok := err == nil && g.proper(id)
 				if ok {
-					out.served++
+					result.served++
 					if time.Since(at) <= 400*time.Millisecond {
-						out.withinAim++
+						result.withinAim++
 					}
 				}
 				if kind == "once" {
-					out.once++
-					// A refusal is no loss: the caller comes again.
+					result.once++
+					// A refusal is no loss: the caller retries.
 					if !ok && g.status != 503 {
-						out.lost++
+						result.lost++
 					}
 				}
 			})
 			time.Sleep(time.Duration(rand.ExpFloat64() / rate * float64(time.Second)))
 		}
 		wg.Wait()
-		st := l.node.Stats()
-		out.probes, out.saved = int(st.Probes-before.Probes), int(st.ProbesSaved-before.ProbesSaved)
-		out.ejections, out.turned = int(st.PassedOver-before.PassedOver), int(st.TurnedAway-before.TurnedAway)
+		stats := l.node.Stats()
+		result.probes, result.probesSaved = int(stats.Probes-baseline.Probes), int(stats.ProbesSaved-baseline.ProbesSaved)
+		result.ejections, result.turnedAway = int(stats.PassedOver-baseline.PassedOver), int(stats.TurnedAway-baseline.TurnedAway)
 		for id, n := range l.ran {
 			if n > 1 && id[:4] == "once" {
 				t.Errorf("%s ran %d times", id, n)
@@ -177,35 +177,35 @@
 		}
 		l.close()
 	})
-	return out
+	return result
 }
 
-// TestFatesWorlds measures each extension, with it and without: go test ./internal/proxy
-// -run TestFatesWorlds -v -fates.seeds 10. Without the flag it looks at one world alone.
+// TestFatesWorlds measures both mechanisms, each with and without: go test ./internal/proxy
+// -run TestFatesWorlds -v -fates.seeds 10. Without the flag it checks one scenario only.
 func TestFatesWorlds(t *testing.T) {
 	if *passiveSeeds == 0 {
-		w := faultScenarios[2]
-		with, without := runScenario(t, w, 160, false, false), runScenario(t, w, 160, true, true)
+		scenario := faultScenarios[2]
+		with, without := runScenario(t, scenario, 160, false, false), runScenario(t, scenario, 160, true, true)
 		if 2*with.lost >= without.lost {
-			t.Errorf("of requests that may run once %d were lost, without fates %d", with.lost, without.lost)
+			t.Errorf("%d requests that must run at most once were lost, without passive health %d", with.lost, without.lost)
 		}
 		if 4*with.probes >= without.probes {
-			t.Errorf("%d probes; %d where answers don't stand in", with.probes, without.probes)
+			t.Errorf("%d probes; %d where answers do not substitute for probes", with.probes, without.probes)
 		}
 		return
 	}
 	for _, rate := range []float64{12, 160, 240} {
-		for _, w := range faultScenarios {
-			t.Run(fmt.Sprint(w.name, " at ", rate), func(t *testing.T) {
+		for _, scenario := range faultScenarios {
+			t.Run(fmt.Sprint(scenario.name, " at ", rate), func(t *testing.T) {
 				t.Parallel()
 				for k, what := range []string{"neither", "answers as probes", "fates", "both"} {
 					var sum scenarioResult
 					for range *passiveSeeds {
-						sum.add(runScenario(t, w, rate, k&1 == 0, k&2 == 0))
+						sum.add(runScenario(t, scenario, rate, k&1 == 0, k&2 == 0))
 					}
 					part := func(a, b int) float64 { return 100 * float64(a) / float64(max(1, b)) }
-					t.Logf("| %s | %g | %s | %.2f | %.2f | %.2f | %d | %d", w.name, rate, what, part(sum.served, sum.sent),
-						part(sum.withinAim, sum.sent), part(sum.lost, sum.once), sum.probes / *passiveSeeds, sum.ejections / *passiveSeeds)
+					t.Logf("| %s | %g | %s | %.2f | %.2f | %.2f | %d | %d", scenario.name, rate, what, part(sum.served, sum.requests),
+						part(sum.withinAim, sum.requests), part(sum.lost, sum.once), sum.probes / *passiveSeeds, sum.ejections / *passiveSeeds)
 				}
 			})
 		}
--- a/internal/proxy/lead.go
+++ b/internal/proxy/lead.go
@@ -52,7 +52,7 @@
 
 // tryTargets tries one target after the other until there is a final answer.
 func (n *Node) tryTargets(x *exchange) *answer {
-	dials := 0
+	failedDials := 0
 	for {
 		if a := x.answer(); a != nil {
 			return a
@@ -73,7 +73,7 @@
 			n.stats.behind.Add(1)
 			return x.end(n.refusal(x, minRetry, "this node's news is late"))
 		}
-		if !x.more() || dials >= maxFailedDials {
+		if !x.more() || failedDials >= maxFailedDials {
 			if n.awaitHedge(x) {
 				continue
 			}
@@ -98,7 +98,7 @@
 		x.progress.enter(asking)
 		o := n.attemptStreaming(x, g)
 		if o == unreachable {
-			dials++
+			failedDials++
 		}
 		if !o.whole() {
 			// An attempt in flight may still answer.
@@ -116,7 +116,7 @@
 	done := make(chan outcome, 1)
 	go func() {
 		o := n.attempt(x, g)
-		n.endDownload(x, g)
+		n.endStreamedDownload(x, g)
 		done <- o
 	}()
 	select {
@@ -148,9 +148,9 @@
 	}
 }
 
-// endDownload frees the download slot once the body has arrived, if the answer was forwarded
+// endStreamedDownload frees the download slot once the body has arrived, if the answer was forwarded
 // before that.
-func (n *Node) endDownload(x *exchange, g grant) {
+func (n *Node) endStreamedDownload(x *exchange, g grant) {
 	x.mu.Lock()
 	streamed := x.reader == g.e
 	x.mu.Unlock()
@@ -161,11 +161,11 @@
 
 // awaitHedge waits for the hedged attempt, and reports whether there was one.
 func (n *Node) awaitHedge(x *exchange) bool {
-	c := x.besides()
-	if c == nil {
+	done := x.besides()
+	if done == nil {
 		return false
 	}
-	<-c
+	<-done
 	return true
 }
 
--- a/internal/proxy/limit_test.go
+++ b/internal/proxy/limit_test.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// simulateLimit plays a service with room for so many requests of this node at once, which ask as
-// often as the limit lets them, and tells the limit's mean over the last half, and the
-// part of requests that met full targets then.
+// simulateLimit simulates a service that has room for a given number of this node's requests at
+// once, with as many requests as the limit allows. It returns the mean limit and the fraction of
+// requests that met full targets, both over the second half of the steps.
 func simulateLimit(l *concurrencyLimit, now time.Time, room int, steps int) (mean, full float64) {
-	n, fulls, ends := 0, 0, 0
+	limitSamples, rejections, completed := 0, 0, 0
 	sum := 0.0
 	for i := range steps {
 		now = now.Add(20 * time.Millisecond)
@@ -17,25 +17,25 @@
 			l.begin()
 		}
 		for k := l.inFlight; k > 0; k-- {
-			o := k > room
-			l.end(now, o, false)
+			rejected := k > room
+			l.end(now, rejected, false)
 			if i > steps/2 {
-				ends++
-				if o {
-					fulls++
+				completed++
+				if rejected {
+					rejections++
 				}
 			}
 		}
 		if i > steps/2 {
-			n++
+			limitSamples++
 			sum += l.max
 		}
 	}
-	return sum / float64(n), float64(fulls) / float64(ends)
+	return sum / float64(limitSamples), float64(rejections) / float64(completed)
 }
 
-// TestLimit: where targets are full the limit comes down to their room, and goes up again
-// with it; where none is there is no limit.
+// TestLimit: where targets are full, the limit converges to their capacity and follows it up
+// again; while no target is full there is no limit.
 func TestLimit(t *testing.T) {
 	l := &concurrencyLimit{}
 	for i, room := range []int{20, 60, 10} {
@@ -43,38 +43,38 @@
 			t.Errorf("room for %d: limit %.1f, %.2f met full targets", room, mean, full)
 		}
 	}
-	free := &concurrencyLimit{}
+	unlimited := &concurrencyLimit{}
 	now := time.Unix(1, 0)
 	for range 1000 {
 		now = now.Add(10 * time.Millisecond)
 		for range 30 {
-			if !free.allows() {
+			if !unlimited.allows() {
 				t.Fatal("limited without a full target")
 			}
-			free.begin()
+			unlimited.begin()
 		}
 		for range 30 {
-			free.end(now, false, false)
+			unlimited.end(now, false, false)
 		}
 	}
-	// It never shuts a node out, however full all are.
+	// The limit never blocks a node completely, however full all targets are.
 	for range 1000 {
 		now = now.Add(limitInterval)
 		for range minLimitSamples {
-			free.begin()
-			free.end(now, true, false)
+			unlimited.begin()
+			unlimited.end(now, true, false)
 		}
 	}
-	if !free.allows() || free.max < minLimit {
-		t.Errorf("shut out: %+v", free)
+	if !unlimited.allows() || unlimited.max < minLimit {
+		t.Errorf("no request allowed: %+v", unlimited)
 	}
 }
 
-// TestLimitOfSlowness: where what is under way makes each answer slower than its aim, the
-// limit comes down to what is done in time; a few slow answers among many do nothing.
+// TestLimitOfSlowness: where the requests in flight make every answer slower than its latency aim,
+// the limit converges to what is answered in time; a few slow answers among many have no effect.
 func TestLimitOfSlowness(t *testing.T) {
 	const room = 10
-	l, now, slows, ends := &concurrencyLimit{}, time.Unix(1, 0), 0, 0
+	l, now, slowCount, completed := &concurrencyLimit{}, time.Unix(1, 0), 0, 0
 	for i := range 3000 {
 		now = now.Add(20 * time.Millisecond)
 		for l.allows() && l.inFlight < 4*room {
@@ -84,32 +84,32 @@
 			slow := l.inFlight > room+k%3
 			l.end(now, false, slow)
 			if i > 1500 {
-				ends++
+				completed++
 				if slow {
-					slows++
+					slowCount++
 				}
 			}
 		}
 	}
 	if l.max > 1.6*room || l.max < 0.6*room {
-		t.Errorf("limit %.1f where %d are done in time", l.max, room)
+		t.Errorf("limit %.1f where %d are answered in time", l.max, room)
 	}
-	if part := float64(slows) / float64(ends); part > 0.5 {
-		t.Errorf("%.2f of all are slow", part)
+	if part := float64(slowCount) / float64(completed); part > 0.5 {
+		t.Errorf("%.2f of all requests are slow", part)
 	}
-	some := &concurrencyLimit{}
+	lightlySlow := &concurrencyLimit{}
 	for i := range 3000 {
 		now = now.Add(20 * time.Millisecond)
-		some.begin()
-		some.end(now, false, i%8 == 0)
+		lightlySlow.begin()
+		lightlySlow.end(now, false, i%8 == 0)
 	}
-	if !some.allows() || some.max != 0 {
-		t.Errorf("limited to %.1f by one slow answer in eight", some.max)
+	if !lightlySlow.allows() || lightlySlow.max != 0 {
+		t.Errorf("limited to %.1f by one slow answer in eight", lightlySlow.max)
 	}
 }
 
-// TestLimitKeepsItsShare: where answers are lost though this node has no more under way
-// than its part of the slots, that is not for want of room, and the limit stays there.
+// TestLimitKeepsItsShare: where answers are lost although this node has no more in flight than
+// its share of the slots, capacity is not the cause, and the limit stays at the share.
 func TestLimitKeepsItsShare(t *testing.T) {
 	l, now := &concurrencyLimit{share: 12}, time.Unix(1, 0)
 	for i := range 3000 {
@@ -120,9 +120,9 @@
 		l.end(now, i%5 == 0, false)
 	}
 	if l.max < 12 || l.max > 13 {
-		t.Errorf("limit %.1f with a share of 12 where a fifth of all is reset", l.max)
+		t.Errorf("limit %.1f with a share of 12 where a fifth of all requests is rejected", l.max)
 	}
-	// One that is lower already stays, and slowness alone is no reason to go lower either.
+	// A limit below the share stays, and slowness alone does not lower it either.
 	for _, c := range []struct {
 		full, slow bool
 		from       float64
--- a/internal/proxy/mix_test.go
+++ b/internal/proxy/mix_test.go
@@ -13,51 +13,51 @@
 	"walkrudder/internal/target"
 )
 
-// randomFailures is a target that fails in a way drawn for each request; what it does before
-// drawing counts as run only where it ran.
-func randomFailures(mutes bool) act {
+// randomFailures is a target that fails in a mode drawn for each request. A request counts as run
+// only if the mode runs it.
+func randomFailures(silent bool) act {
 	return func(l *lab, c net.Conn, s *seen) bool {
 		p := rand.IntN(100)
 		switch {
 		case p < 40:
 			return sealed(l, c, s)
-		case p < 45 && mutes:
+		case p < 45 && silent:
 			l.run(s)
 			_, _ = io.Copy(io.Discard, c)
 			return false
-		case p < 50 && mutes:
+		case p < 50 && silent:
 			return after(time.Duration(rand.IntN(600))*time.Millisecond, sealed)(l, c, s)
 		case p < 55:
-			// A forgotten connection.
+			// A connection that the target closes without notice.
 			sealed(l, c, s)
 			return false
 		}
-		return failureModes[rand.IntN(len(failureModes))].do(l, c, s)
+		return failureModes[rand.IntN(len(failureModes))].fault(l, c, s)
 	}
 }
 
-// runMix sends many requests of all kinds from some callers at once, while targets come,
-// go, and take over each other's addresses.
-func runMix(t *testing.T, nw network, callers, each int, pause time.Duration, mutes bool) {
+// runMix sends many requests of all kinds from concurrent callers, while targets start, drain and
+// take over each other's addresses.
+func runMix(t *testing.T, nw network, callers, requests int, pause time.Duration, silent bool) {
 	l := newLab(t, nw, func(s *Settings) { s.Linger = time.Millisecond })
 	l.routes(3)
 	var names []string
 	seq := uint64(1)
 	for i := range 5 {
 		names = append(names, fmt.Sprint("s", i))
-		l.stand(names[i], nil, randomFailures(mutes))
+		l.stand(names[i], nil, randomFailures(silent))
 	}
-	type end struct {
+	type result struct {
 		kind, id string
 		got
 	}
 	var mu sync.Mutex
-	var ends []end
+	var results []result
 	var wg sync.WaitGroup
 	for k := range callers {
 		wg.Go(func() {
 			var c *client
-			for i := range each {
+			for i := range requests {
 				if c == nil {
 					c = l.client()
 				}
@@ -68,21 +68,21 @@
 					t.Errorf("%s: %v", id, err)
 				}
 				mu.Lock()
-				ends = append(ends, end{kind, id, g})
+				results = append(results, result{kind, id, g})
 				mu.Unlock()
 				if g.close || err != nil || rand.IntN(10) == 0 {
 					_ = c.c.Close()
 					c = nil
 				}
 				if k == 0 && i%97 == 50 {
-					// A run is replaced.
+					// One instance replaces another.
 					old := names[0]
 					names = append(names[1:], fmt.Sprint("n", i))
 					l.node.TakeRuns([]target.Run{{ID: old, Service: "svc", State: target.Draining, Seq: seq}})
-					l.stand(names[len(names)-1], nil, randomFailures(mutes))
+					l.stand(names[len(names)-1], nil, randomFailures(silent))
 				}
 				if k == 0 && i%5 == 0 {
-					// Later beats bring back who was taken for gone.
+					// Later heartbeats restore instances that were marked as replaced.
 					seq++
 					for _, id := range names {
 						l.node.TakeRuns([]target.Run{{ID: id, Service: "svc", Addr: l.stands[id].ln.Addr().String(), Zone: "a", Slots: 4, State: target.Ready, Seq: seq}})
@@ -99,7 +99,7 @@
 	}
 	wg.Wait()
 	served, refused := 0, 0
-	for _, e := range ends {
+	for _, e := range results {
 		if e.status == 503 {
 			refused++
 		}
@@ -131,25 +131,25 @@
 		sum := 0
 		for run, n := range runs {
 			if sum += n; n > 1 {
-				t.Errorf("%s came to %s %d times", id, run, n)
+				t.Errorf("%s was sent to %s %d times", id, run, n)
 			}
 		}
 		if sum > 3 {
-			t.Errorf("%s came to %d targets", id, sum)
+			t.Errorf("%s was sent %d times", id, sum)
 		}
 	}
-	if served < (len(ends)-refused)/2 || served < 500 {
-		t.Errorf("%d of %d were served, %d refused", served, len(ends), refused)
+	if served < (len(results)-refused)/2 || served < 500 {
+		t.Errorf("%d of %d were served, %d refused", served, len(results), refused)
 	}
-	t.Logf("%d of %d served; %+v", served, len(ends), l.node.Stats())
+	t.Logf("%d of %d served; %+v", served, len(results), l.node.Stats())
 	l.close()
 	if s := l.node.Stats(); s.Inside != 0 || s.MemoryUsed != 0 || s.Callers != 0 {
-		t.Errorf("left over: %+v", s)
+		t.Errorf("resources not released: %+v", s)
 	}
 	for _, s := range l.node.all() {
 		for _, e := range s.endpoints {
 			if len(e.inFlight) != 0 || e.conns != 0 {
-				t.Errorf("%s: %d under way, %d connections", e.run.ID, len(e.inFlight), e.conns)
+				t.Errorf("%s: %d requests in flight, %d connections", e.run.ID, len(e.inFlight), e.conns)
 			}
 		}
 	}
@@ -161,8 +161,8 @@
 	synctest.Test(t, func(t *testing.T) { runMix(t, newPipes(), 16, 400, 100*time.Millisecond, true) })
 }
 
-// TestBudget: with all targets failing, arrivals beyond the first of each request stay
-// within the budget in every window, and some are made.
+// TestBudget: with all targets failing, retries stay within the budget in every window, and some
+// are made.
 func TestBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const ratio, window = 0.2, 10 * time.Second
@@ -173,10 +173,10 @@
 			id string
 		}
 		var mu sync.Mutex
-		var came []arrival
+		var arrivals []arrival
 		fail := func(l *lab, c net.Conn, s *seen) bool {
 			mu.Lock()
-			came = append(came, arrival{time.Now(), s.id})
+			arrivals = append(arrivals, arrival{time.Now(), s.id})
 			mu.Unlock()
 			if rand.IntN(2) == 0 {
 				return sendRaw("HTTP/1.1 503 Full\nX-Id: ID\nX-Not-Run: 1\nContent-Length: 0\n\n")(l, c, s)
@@ -189,7 +189,7 @@
 		began := time.Now()
 		var sent []time.Time
 		for i := range 3000 {
-			// Requests ebb and gateway.
+			// The load pauses now and then.
 			if i%500 == 499 {
 				time.Sleep(4 * time.Second)
 			}
@@ -205,13 +205,13 @@
 			}
 			return n
 		}
-		all := 0
+		total := 0
 		known := map[string]bool{}
 		var extra []time.Time
-		for _, a := range came {
+		for _, a := range arrivals {
 			if known[a.id] {
 				extra = append(extra, a.at)
-				all++
+				total++
 			}
 			known[a.id] = true
 		}
@@ -222,13 +222,13 @@
 					n++
 				}
 			}
-			most := max(count(end.Add(-window), end), count(end.Add(-2*window), end.Add(-window)))
-			if float64(n) > ratio*float64(most) {
-				t.Fatalf("%d further arrivals in the window that ends after %v, with %d requests", n, end.Sub(began), most)
+			requests := max(count(end.Add(-window), end), count(end.Add(-2*window), end.Add(-window)))
+			if float64(n) > ratio*float64(requests) {
+				t.Fatalf("%d retries in the window that ends after %v, with %d requests", n, end.Sub(began), requests)
 			}
 		}
-		if all < 100 {
-			t.Errorf("%d further arrivals in all", all)
+		if total < 100 {
+			t.Errorf("%d retries in total", total)
 		}
 		l.close()
 	})
--- a/internal/proxy/news_test.go
+++ b/internal/proxy/news_test.go
@@ -8,19 +8,19 @@
 	"time"
 )
 
-// slowDialer is a network whose connects take a while.
-type slowDialer struct {
+// slowDialer is a network on which connecting takes a while.
+type dialDelay struct {
 	*pipes
 	delay time.Duration
 }
 
-func (s slowDialer) dial(ctx context.Context, addr string) (net.Conn, error) {
+func (s dialDelay) dial(ctx context.Context, addr string) (net.Conn, error) {
 	time.Sleep(s.delay)
 	return s.pipes.dial(ctx, addr)
 }
 
-// Guards against incident 40: a gateway whose own link held all messages up took itself for cut off after 3 s without
-// news, and served by a configuration that had been changed long before.
+// Guards against incident 40: a gateway whose own congested link delayed all messages considered itself cut off after 3 s
+// without updates, and kept serving by a configuration that had long been replaced.
 func TestNewsThatIsLateOnACrowdedLinkIsNotACut(t *testing.T) {
 	for name, x := range map[string]struct {
 		connect time.Duration
@@ -35,7 +35,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				l := newLab(t, slowDialer{newPipes(), x.connect}, func(s *Settings) { s.NewsWithin, s.NewsLost = 2*time.Second, 3*time.Second })
+				l := newLab(t, dialDelay{newPipes(), x.connect}, func(s *Settings) { s.NewsWithin, s.NewsLost = 2*time.Second, 3*time.Second })
 				l.routes(2)
 				l.stand("t1", nil, sealed)
 				l.node.SetAsOf(time.Now())
@@ -51,8 +51,8 @@
 	}
 }
 
-// Guards against incident 40: a request left by news that was young enough, and arrived when it was not: a target had
-// said that it leaves meanwhile.
+// Guards against incident 40: a request was sent by a configuration that was fresh then, but arrived when it was stale: the
+// target had announced meanwhile that it was leaving.
 func TestNoRequestLeavesThatWouldArriveByOutdatedNews(t *testing.T) {
 	for name, x := range map[string]struct {
 		way, age time.Duration
@@ -78,10 +78,10 @@
 	}
 }
 
-// A connection that takes until the news is too old carries nothing.
+// No request is sent on a connection that took so long to open that the configuration has become stale.
 func TestNewsThatGrowsOldDuringAConnect(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := newLab(t, slowDialer{newPipes(), 350 * time.Millisecond}, func(s *Settings) { s.NewsWithin, s.NewsLost = 2*time.Second, 3*time.Second })
+		l := newLab(t, dialDelay{newPipes(), 350 * time.Millisecond}, func(s *Settings) { s.NewsWithin, s.NewsLost = 2*time.Second, 3*time.Second })
 		l.routes(2)
 		l.stand("t1", nil, sealed)
 		l.node.SetAsOf(time.Now().Add(-1900 * time.Millisecond))
--- a/internal/proxy/pool.go
+++ b/internal/proxy/pool.go
@@ -45,7 +45,7 @@
 
 // forgets tells whether a kept connection of the service died under a request of late.
 func (s *service) forgets(now time.Time) bool {
-	return !s.staleAt.IsZero() && now.Sub(s.staleAt) < distrustIdleFor
+	return !s.lastStaleConn.IsZero() && now.Sub(s.lastStaleConn) < distrustIdleFor
 }
 
 // warm tells whether there is an idle connection for such a use.
--- a/internal/proxy/probe.go
+++ b/internal/proxy/probe.go
@@ -30,8 +30,8 @@
 		now := n.clock.Now()
 		next := now.Add(probeTick)
 		for _, s := range n.all() {
-			ps, at := s.dueProbes(now)
-			for _, p := range ps {
+			due, at := s.dueProbes(now)
+			for _, p := range due {
 				wg.Go(func() { n.sendProbe(ctx, p) })
 			}
 			if at.Before(next) {
@@ -78,7 +78,7 @@
 		local = local || e.sameZone && e.available()
 	}
 	every := float64(s.node.rhythm.interval())
-	inUse := s.config.Health != "" && !s.usedAt.IsZero() && now.Sub(s.usedAt) < probeAfterUse
+	inUse := s.config.Health != "" && !s.lastUsed.IsZero() && now.Sub(s.lastUsed) < probeAfterUse
 	for _, e := range s.subset {
 		want := inUse && e.available() && (e.sameZone || !local)
 		if want != e.probed {
--- a/internal/proxy/probe_test.go
+++ b/internal/proxy/probe_test.go
@@ -11,9 +11,9 @@
 	"walkrudder/internal/target"
 )
 
-// TestProbes: runs in use are probed about as often as set; one that falls silent is
-// suspected by the detector and passed over though no request failed there; it comes
-// back with its replies.
+// TestProbes: instances in use are probed about as often as configured. One that becomes silent is
+// suspected by the failure detector and ejected although no request failed there; probes stop when
+// the service is not used.
 func TestProbes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPipes()
@@ -22,7 +22,7 @@
 		for i := range 4 {
 			l.stand(fmt.Sprint("r", i), nil, sealed)
 		}
-		// Reached, but silent: a pipe whose other end nobody answers.
+		// Reachable but silent: connections are accepted and never answered.
 		quiet := p.listen()
 		open := make(chan bool, 100)
 		l.wg.Go(func() {
@@ -49,18 +49,18 @@
 		}
 		l.node.TakeRuns([]target.Run{{ID: "quiet", Service: "svc", Addr: quiet.Addr().String(), Zone: "a", Slots: 4, State: target.Ready, Seq: 1}})
 		s := l.node.all()[0]
-		w := func(id string) float64 {
+		suspicion := func(id string) float64 {
 			s.mu.Lock()
 			defer s.mu.Unlock()
 			return s.endpoints[id].suspicion(time.Now())
 		}
 		time.Sleep(20 * time.Second)
-		if got := w("quiet"); got < suspicionThreshold {
-			t.Errorf("suspicion of a silent run is %v after 20 s", got)
+		if got := suspicion("quiet"); got < suspicionThreshold {
+			t.Errorf("suspicion of a silent instance is %v after 20 s", got)
 		}
 		for i := range 4 {
-			if got := w(fmt.Sprint("r", i)); got >= suspicionThreshold {
-				t.Errorf("suspicion of a run that replies is %v", got)
+			if got := suspicion(fmt.Sprint("r", i)); got >= suspicionThreshold {
+				t.Errorf("suspicion of an instance that replies is %v", got)
 			}
 		}
 		st := l.node.Stats()
@@ -76,21 +76,21 @@
 				t.Errorf("%+v", g)
 			}
 		}
-		// Nobody uses the service any more: its probes end.
+		// The service is not used any more, so its probes stop.
 		time.Sleep(probeAfterUse + 5*time.Second)
-		was := l.node.Stats().Probes
+		before := l.node.Stats().Probes
 		time.Sleep(time.Minute)
-		if now := l.node.Stats().Probes; now != was {
-			t.Errorf("%d probes of a service that nobody uses", now-was)
+		if now := l.node.Stats().Probes; now != before {
+			t.Errorf("%d probes of an unused service", now-before)
 		}
-		// What was not looked at is not suspected for it.
+		// An instance is not suspected for time in which it was not probed.
 		if g := l.call("/idem/x", "again", time.Second); !g.proper("again") {
 			t.Errorf("%+v", g)
 		}
 		time.Sleep(time.Second)
 		for i := range 4 {
-			if got := w(fmt.Sprint("r", i)); got >= suspicionThreshold {
-				t.Errorf("suspicion after a rest is %v", got)
+			if got := suspicion(fmt.Sprint("r", i)); got >= suspicionThreshold {
+				t.Errorf("suspicion after idle time is %v", got)
 			}
 		}
 		quiet.Close()
@@ -98,8 +98,8 @@
 	})
 }
 
-// TestProbeFindsAnother: a health answer that names another run tells that the run is
-// gone from its address.
+// TestProbeFindsAnother: a health reply that names another instance shows that the expected one
+// has been replaced at its address.
 func TestProbeFindsAnother(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := newLab(t, newPipes(), func(s *Settings) { s.ProbeEvery = time.Second })
@@ -112,10 +112,10 @@
 		for _, s := range l.node.all() {
 			s.mu.Lock()
 			if e := s.endpoints["was"]; e != nil && !e.replaced {
-				t.Error("not known to be gone")
+				t.Error("not marked as replaced")
 			}
 			if e := s.endpoints["good"]; e != nil && e.replaced {
-				t.Error("the good one is taken for gone")
+				t.Error("the good instance is marked as replaced")
 			}
 			s.mu.Unlock()
 		}
@@ -123,14 +123,14 @@
 	})
 }
 
-// TestAnswersStandIn: proper answers stand in for the replies to probes: a run that
-// answers requests is not probed and not suspected, though its health says unwell; one
-// that answers none is probed as before.
+// TestAnswersStandIn: valid answers substitute for the replies to probes: an instance that answers
+// requests is not probed and not suspected, even if its health check fails; one without requests
+// is probed as usual.
 func TestAnswersStandIn(t *testing.T) {
-	for _, without := range []bool{false, true} {
+	for _, disabled := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			l := newLab(t, newPipes(), func(s *Settings) { s.ProbeEvery = 4 * time.Second })
-			l.node.noStandIn = without
+			l.node.noStandIn = disabled
 			l.routes(2)
 			busy := l.stand("busy", nil, sealed)
 			idle := l.stand("idle", func(r *target.Run) { r.Zone = "a" }, sealed)
@@ -151,40 +151,40 @@
 			l.call("/idem/x", "q", time.Second)
 			s := l.node.all()[0]
 			s.mu.Lock()
-			e, other := s.endpoints["busy"], s.endpoints["idle"]
-			// The other is slower, so that whoever chooses takes the first.
-			other.latency = 10 * time.Second
+			busyEndpoint, idleEndpoint := s.endpoints["busy"], s.endpoints["idle"]
+			// The other one is slower, so that the first one is chosen.
+			idleEndpoint.latency = 10 * time.Second
 			s.mu.Unlock()
-			worst := 0.0
+			maxSuspicion := 0.0
 			for i := range 60 {
-				if i < 10 || !without {
+				if i < 10 || !disabled {
 					l.call("/idem/x", fmt.Sprint("q", i), time.Second)
 				}
 				time.Sleep(time.Second)
 				s.mu.Lock()
-				s.usedAt = time.Now()
-				worst = max(worst, e.suspicion(time.Now()))
+				s.lastUsed = time.Now()
+				maxSuspicion = max(maxSuspicion, busyEndpoint.suspicion(time.Now()))
 				s.mu.Unlock()
 			}
 			l.mu.Lock()
-			probes, others := asked["busy"], asked["idle"]
+			probes, idleProbes := asked["busy"], asked["idle"]
 			l.mu.Unlock()
-			if others < 10 {
-				t.Errorf("%d probes of a run without requests", others)
+			if idleProbes < 10 {
+				t.Errorf("%d probes of an instance without requests", idleProbes)
 			}
-			if without {
-				if probes < 10 || worst < suspicionThreshold {
-					t.Errorf("without: %d probes, suspicion %v", probes, worst)
+			if disabled {
+				if probes < 10 || maxSuspicion < suspicionThreshold {
+					t.Errorf("without substitution: %d probes, suspicion %v", probes, maxSuspicion)
 				}
-			} else if probes > 2 || worst >= suspicionThreshold || e.detector.Seq() < 10 {
-				t.Errorf("%d probes, suspicion %v, %d arrivals", probes, worst, e.detector.Seq())
+			} else if probes > 2 || maxSuspicion >= suspicionThreshold || busyEndpoint.detector.Seq() < 10 {
+				t.Errorf("%d probes, suspicion %v, %d arrivals", probes, maxSuspicion, busyEndpoint.detector.Seq())
 			}
 			l.close()
 		})
 	}
 }
 
-// TestErrorsAreNoProof: an answer that tells of the run's own failure saves no probe.
+// TestErrorsAreNoProof: an answer that reports the instance's own failure saves no probe.
 func TestErrorsAreNoProof(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := newLab(t, newPipes(), func(s *Settings) { s.ProbeEvery = 4 * time.Second })
@@ -201,41 +201,41 @@
 	})
 }
 
-// TestProbesAreSpread: probes go out at their own times and not at those of a tick, also
-// in the first seconds and after this node stood still.
+// TestProbesAreSpread: probes are spread over time and not bunched at ticks, also in the first
+// seconds and after this node was paused.
 func TestProbesAreSpread(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		// As many are free as there are at that interval: it is to stay.
+		// freeRate equals the rate at this interval, so that the interval stays.
 		l := newLab(t, newPipes(), func(s *Settings) { s.ProbeEvery, s.FreeProbes = 4*time.Second, maxSubset/4 })
 		l.routes(1)
-		var at []time.Time
+		var probedAt []time.Time
 		for i := range maxSubset {
 			s := l.stand(fmt.Sprint("r", i), nil, sealed)
 			s.mu.Lock()
 			s.health = func(l *lab, c net.Conn, q *seen) bool {
 				l.mu.Lock()
-				at = append(at, time.Now())
+				probedAt = append(probedAt, time.Now())
 				l.mu.Unlock()
 				return healthy(l, c, q)
 			}
 			s.mu.Unlock()
 		}
-		most := func() (k int) {
+		maxBurst := func() (k int) {
 			l.mu.Lock()
 			defer l.mu.Unlock()
-			for i := range at {
+			for i := range probedAt {
 				n := 0
-				for _, u := range at[i:] {
-					if u.Sub(at[i]) < 100*time.Millisecond {
+				for _, u := range probedAt[i:] {
+					if u.Sub(probedAt[i]) < 100*time.Millisecond {
 						n++
 					}
 				}
 				k = max(k, n)
 			}
-			at = nil
+			probedAt = nil
 			return k
 		}
-		// It is to work with all of them all the while.
+		// Keep all instances in the subset.
 		s := l.node.all()[0]
 		s.mu.Lock()
 		s.recentPeak = 1000
@@ -243,30 +243,30 @@
 		l.call("/idem/x", "q", time.Second)
 		time.Sleep(20 * time.Second)
 		l.mu.Lock()
-		n := len(at)
+		n := len(probedAt)
 		l.mu.Unlock()
 		if n < 4*maxSubset {
 			t.Errorf("%d probes in 20 s", n)
 		}
-		if k := most(); k > maxSubset/3 {
+		if k := maxBurst(); k > maxSubset/3 {
 			t.Errorf("%d probes in 100 ms", k)
 		}
-		// All fell due long ago.
+		// All probes are long overdue.
 		s.mu.Lock()
 		for _, e := range s.subset {
 			e.nextProbe = time.Now().Add(-5 * time.Second)
 		}
 		s.mu.Unlock()
 		time.Sleep(5 * time.Second)
-		if k := most(); k > maxSubset/2 {
-			t.Errorf("%d probes in 100 ms after standing still", k)
+		if k := maxBurst(); k > maxSubset/2 {
+			t.Errorf("%d probes in 100 ms after a pause", k)
 		}
 		l.close()
 	})
 }
 
-// TestAnswerEndsSuspicion: a run that is suspected is so no longer once it answers a
-// request, with no wait for the next probe.
+// TestAnswerEndsSuspicion: a valid answer ends the suspicion of an instance at once, without
+// waiting for the next probe.
 func TestAnswerEndsSuspicion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n, s := testService(readyRun("r0", "a", 4), readyRun("r1", "a", 4))
@@ -274,7 +274,7 @@
 		defer end()
 		go n.pauses.Run(ctx)
 		e := s.endpoints["r0"]
-		s.usedAt = n.clock.Now()
+		s.lastUsed = n.clock.Now()
 		s.dueProbes(n.clock.Now())
 		time.Sleep(time.Minute)
 		if w := e.suspicion(n.clock.Now()); w < suspicionThreshold {
--- a/internal/proxy/report.go
+++ b/internal/proxy/report.go
@@ -85,7 +85,7 @@
 	r.Worked += len(s.subset)
 	r.Doubted += doubted
 	r.PassedOver += min(doubted, takes/2)
-	return !s.usedAt.IsZero() && now.Sub(s.usedAt) < probeAfterUse
+	return !s.lastUsed.IsZero() && now.Sub(s.lastUsed) < probeAfterUse
 }
 
 // Report tells how things are now.
--- a/internal/proxy/service.go
+++ b/internal/proxy/service.go
@@ -46,8 +46,8 @@
 	subsetSize      int     // most instances in use, counted separately for the own and all other zones
 	recentPeak      float64 // decaying maximum of the requests in flight
 	latency         time.Duration
-	staleAt         time.Time
-	usedAt          time.Time
+	lastStaleConn   time.Time
+	lastUsed        time.Time
 	ejectionScratch []ejectionCandidate // buffer for ejections
 }
 
--- a/internal/proxy/slow_test.go
+++ b/internal/proxy/slow_test.go
@@ -12,11 +12,11 @@
 	"time"
 )
 
-// readSlowly reads an answer's bytes, so many at a time, and tells how long that took and whether it was whole.
+// readSlowly reads an answer in pieces with pauses between, and returns the bytes read and the time taken.
 func (l *lab) readSlowly(id string, wait time.Duration, step int, pause time.Duration) (got int, took time.Duration, err error) {
-	cx, end := context.WithTimeout(l.t.Context(), time.Second)
-	defer end()
-	nc, err := l.net.dial(cx, l.addr)
+	ctx, cancel := context.WithTimeout(l.t.Context(), time.Second)
+	defer cancel()
+	nc, err := l.net.dial(ctx, l.addr)
 	if err != nil {
 		return 0, 0, err
 	}
@@ -42,8 +42,8 @@
 	}
 }
 
-// Guards against callers that read slowly and steadily losing their answer: on a wide link the whole answer had one bound of
-// 10 s. Those that take next to nothing, or go on past their own deadline, are cut off, and counted.
+// Guards against cutting off callers that read slowly but steadily: on a wide link the whole answer had one timeout of 10 s.
+// Callers below the least rate are cut off and counted, and those still reading past their own deadline are cut off.
 func TestSlowReadersGetTheirAnswers(t *testing.T) {
 	const size = 300_000
 	for name, x := range map[string]struct {
@@ -84,17 +84,17 @@
 	}
 }
 
-// Guards against `100 Continue` that comes under the bound of the answer before: on a connection that had rested for
-// longer it could not be written.
+// Guards against writing `100 Continue` under the write deadline of the previous answer: on a connection that had been idle
+// for longer it could not be written.
 func TestAWordToContinueAfterARest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := newLab(t, newPipes(), nil)
 		defer l.close()
 		l.routes(2)
 		l.stand("t1", nil, bundleOf(10, 0))
-		cx, end := context.WithTimeout(t.Context(), time.Second)
-		defer end()
-		nc, err := l.net.dial(cx, l.addr)
+		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
+		defer cancel()
+		nc, err := l.net.dial(ctx, l.addr)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/proxy/upgrade.go
+++ b/internal/proxy/upgrade.go
@@ -121,30 +121,30 @@
 	if len(s.canaries) == 0 || x.lot >= s.upgrade.versions.Share() || s.node.controlLost() || x.sent() {
 		return nil
 	}
-	open, bestTier := s.canaryScratch[:0], 0
+	candidates, bestTier := s.canaryScratch[:0], 0
 	for _, e := range s.canaries {
-		if !e.available() || x.didTry(e) || x.once && e.onTrial() || e.suspicion(now) >= suspicionThreshold {
+		if !e.available() || x.didTry(e) || x.once && e.onProbation() || e.suspicion(now) >= suspicionThreshold {
 			continue
 		}
 		tier := e.tier(now, x)
-		if tier < 0 || len(open) > 0 && tier > bestTier {
+		if tier < 0 || len(candidates) > 0 && tier > bestTier {
 			continue
 		}
 		if tier < bestTier {
-			open = open[:0]
+			candidates = candidates[:0]
 		}
-		open, bestTier = append(open, e), tier
+		candidates, bestTier = append(candidates, e), tier
 	}
-	s.canaryScratch = open
-	if len(open) == 0 {
+	s.canaryScratch = candidates
+	if len(candidates) == 0 {
 		return nil
 	}
-	one, other := open[rand.IntN(len(open))], open[rand.IntN(len(open))]
+	first, second := candidates[rand.IntN(len(candidates))], candidates[rand.IntN(len(candidates))]
 	score := func(e *endpoint) float64 { return float64(1+len(e.inFlight)) * float64(e.expectedLatency(now)) }
-	if score(other) < score(one) {
-		return other
+	if score(second) < score(first) {
+		return second
 	}
-	return one
+	return first
 }
 
 // recordForUpgrade counts the outcome of a request on a route at a target.
@@ -153,13 +153,13 @@
 	defer s.mu.Unlock()
 	m := &s.upgrade
 	u := m.versions.Upgrade()
-	newer := u.Active() && e.run.Version == u.To
+	isNew := u.Active() && e.run.Version == u.To
 	bound := m.slowBounds[route]
 	slow := took > max(bound.at, minSlowBound)
-	if o == answered && !newer {
+	if o == answered && !isNew {
 		m.updateSlowBound(route, took)
 	}
-	cold := newer && s.node.clock.Now().Before(e.coldUntil)
+	cold := isNew && s.node.clock.Now().Before(e.coldUntil)
 	bad, counts := badAnswer(o, slow, cold)
 	// While the bound for slow answers is unknown, only failures count.
 	if !u.Active() || !counts || o != erred && bound.answers < minBoundAnswers {
@@ -177,7 +177,7 @@
 		count = &upgrade.RouteCount{Route: route}
 		m.routes[route] = count
 	}
-	if !newer {
+	if !isNew {
 		count.Old = count.Old.Add(t)
 		m.judge.Old(route, t)
 		return
@@ -187,7 +187,7 @@
 	m.changedTargets[e.run.ID] = true
 	m.judge.Target(e.run.ID, t)
 	m.judge.New(route, t)
-	if worst, ill := m.judge.Bad(); ill && m.versions.Trip() {
+	if worst, isBad := m.judge.Bad(); isBad && m.versions.Trip() {
 		s.node.log.Warn("gateway stopped sending requests to a bad new version", "step", "upgrade", "service", s.name, "version", u.To, "route", worst)
 		s.rebuildSubsets()
 	}
--- a/internal/proxy/upgrade_test.go
+++ b/internal/proxy/upgrade_test.go
@@ -11,14 +11,13 @@
 	"walkrudder/internal/upgrade"
 )
 
-// versionedRun is a run of a version.
 func versionedRun(id, version string) target.Run {
 	r := readyRun(id, "a", 2)
 	r.Version = version
 	return r
 }
 
-// serviceInUpgrade has a node know an upgrade of its service from v1 to v2, with a share of the requests in thousandths.
+// serviceInUpgrade returns a node whose service is being upgraded from v1 to v2, with a share of the requests in thousandths.
 func serviceInUpgrade(t *testing.T, share int, runs ...target.Run) (*Node, *service) {
 	t.Helper()
 	n, s := testService(runs...)
@@ -34,7 +33,7 @@
 	return n, s
 }
 
-// A target of another version gets nothing before the node's news is newer than its first sight of that version.
+// A target of another version gets no requests until the node's state is newer than its first sight of that version.
 func TestAnUnknownVersionGetsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n, s := testService(versionedRun("a1", "v1"), versionedRun("a2", "v1"))
@@ -42,17 +41,17 @@
 		n.TakeRuns([]target.Run{versionedRun("a3", "v2")})
 		for _, id := range takeAll(n, s, route.Idempotent) {
 			if id == "a3" {
-				t.Fatal("it got a request")
+				t.Fatal("a target of an unknown version got a request")
 			}
 		}
 		n.SetAsOf(seen.Add(time.Millisecond))
 		if s.endpoints["a3"].lane != upgrade.Stable {
-			t.Error("it gets nothing though no upgrade to it was acknowledged")
+			t.Error("it is not in use although no upgrade to it was acknowledged")
 		}
 	})
 }
 
-// A gateway's part for the new version follows the share, whatever its requests.
+// The fraction of requests that a gateway sends to the new version equals the share.
 func TestTheShareIsDrawnByLot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		for _, share := range []int{50, 200, 400} {
@@ -69,23 +68,23 @@
 				s.release(g, answered, time.Millisecond, 0)
 			}
 			if got != asked*share/upgrade.Full {
-				t.Errorf("share %d: %d of %d", share, got, asked)
+				t.Errorf("share %d: %d of %d requests", share, got, asked)
 			}
 		}
 	})
 }
 
-// With all requests at the new version the old targets get none, and what is under way there is told.
+// Once all requests go to the new version, old targets get none, and their requests in flight are reported.
 func TestOldTargetsAreLeft(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n, s := serviceInUpgrade(t, 200, versionedRun("a1", "v1"), versionedRun("b1", "v2"))
 		x := testExchange(n, s, route.Idempotent)
 		x.lot = 0.9
 		old := s.take(x)
-		last := s.upgrade.versions.Upgrade().Step(upgrade.Full)
-		n.TakeItems([]item.Item{last.Item()})
-		if r := n.UpgradeReports(); len(r) != 1 || r[0].OldUnderWay != 1 || r[0].Number != last.Number {
-			t.Errorf("with a request under way: %+v", r)
+		final := s.upgrade.versions.Upgrade().Step(upgrade.Full)
+		n.TakeItems([]item.Item{final.Item()})
+		if r := n.UpgradeReports(); len(r) != 1 || r[0].OldUnderWay != 1 || r[0].Number != final.Number {
+			t.Errorf("with a request in flight: %+v", r)
 		}
 		for _, id := range takeAll(n, s, route.Idempotent) {
 			if id == "a1" {
@@ -99,8 +98,8 @@
 	})
 }
 
-// Guards against a good version that was reverted: on a route with few requests each gateway's first answer of the old
-// version counted as not slow, though nothing was known there of what is slow.
+// Guards against reverting a good version: on a route with few requests, each gateway's first answer of the old version
+// counted as not slow, although the bound for slow answers was not known there yet.
 func TestAnswersCountOnlyWhereSlowIsKnown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n, s := serviceInUpgrade(t, 200, versionedRun("a1", "v1"), versionedRun("b1", "v2"))
@@ -113,14 +112,14 @@
 		}
 		s.recordForUpgrade("rare", s.endpoints["b1"], erred, time.Millisecond)
 		if r := n.UpgradeReports()[0].Routes; len(r) != 1 || r[0].New.Failed != 1 {
-			t.Errorf("a failure counts always: %+v", r)
+			t.Errorf("a failure must always count: %+v", r)
 		}
 		for range minBoundAnswers {
 			s.recordForUpgrade("rare", s.endpoints["a1"], answered, 300*time.Millisecond)
 		}
 		s.recordForUpgrade("rare", s.endpoints["b1"], answered, 900*time.Millisecond)
 		if r := n.UpgradeReports()[0].Routes; len(r) != 1 || r[0].Old.Answers != 1 || r[0].New.Bad != 2 {
-			t.Errorf("once it is known: %+v", r)
+			t.Errorf("once the bound is known: %+v", r)
 		}
 	})
 }
--- a/internal/proxy/waiting_test.go
+++ b/internal/proxy/waiting_test.go
@@ -14,13 +14,13 @@
 	for i := range 50 {
 		w := &waiter{priority: rand.IntN(4), arrived: began.Add(time.Duration(i)), index: -1}
 		if out := q.push(w); out != nil {
-			t.Fatal("pushed out though there was room")
+			t.Fatal("evicted although the queue was not full")
 		}
 		all = append(all, w)
 	}
-	// The queue is full: the last one goes, or who comes if that is the last.
+	// The queue is full: the last in order is evicted, or the new request if that is the last.
 	if w := (&waiter{priority: 9, arrived: began, index: -1}); q.push(w) != w {
-		t.Error("the last rank found room in a full queue")
+		t.Error("the lowest priority was queued in a full queue")
 	}
 	order := func(a, b *waiter) int {
 		if a.before(b) {
@@ -31,7 +31,7 @@
 	slices.SortFunc(all, order)
 	first := &waiter{priority: 0, arrived: began.Add(time.Hour), index: -1}
 	if out := q.push(first); out != all[49] || out.index >= 0 {
-		t.Error("not the last one had to go")
+		t.Error("another than the last waiter was evicted")
 	}
 	all = append(all[:49], first)
 	for n := 1; len(all) > 0; n++ {
@@ -41,10 +41,10 @@
 			want = slices.MinFunc(all, func(a, b *waiter) int { return a.arrived.Compare(b.arrived) })
 		}
 		if got := q.next(); got != want {
-			t.Fatalf("place %d goes to rank %d of %v", n, got.priority, got.arrived.Sub(began))
+			t.Fatalf("grant %d goes to priority %d of %v", n, got.priority, got.arrived.Sub(began))
 		}
 		if !q.remove(want) || q.remove(want) {
-			t.Fatal("not removed once")
+			t.Fatal("not removed exactly once")
 		}
 		q.grants++
 		all = slices.DeleteFunc(all, func(w *waiter) bool { return w == want })
@@ -61,43 +61,43 @@
 		p.done++
 	}
 	if r := p.rate(now); r < 90 || r > 110 {
-		t.Errorf("a rate of 100 is taken for %v", r)
+		t.Errorf("a rate of 100 is estimated as %v", r)
 	}
 	if c := p.crowd(now); c < 1.9 || c > 2.1 {
-		t.Errorf("two ask for each place, not %v", c)
+		t.Errorf("demand per place is estimated as %v, want 2", c)
 	}
 	if r := p.rate(now.Add(10 * time.Second)); r > 1 {
-		t.Errorf("%v after a rest", r)
+		t.Errorf("a rate of %v after idle time", r)
 	}
 }
 
 func TestMemory(t *testing.T) {
 	m := memory{most: 10}
 	if !m.take(10) || m.take(1) {
-		t.Error("the bound does not hold")
+		t.Error("the limit is not enforced")
 	}
 	m.force(5)
 	m.give(10)
 	if !m.take(5) || m.take(1) || m.used.Load() != 10 {
-		t.Error("bytes were lost")
+		t.Error("the bytes in use are miscounted")
 	}
 }
 
 func TestSettings(t *testing.T) {
-	ok := Settings{ID: "x", Zone: "a", Dialect: dialect, BudgetWindow: time.Second, Grace: time.Second}
-	if err := ok.Check(); err != nil {
+	valid := Settings{ID: "x", Zone: "a", Dialect: dialect, BudgetWindow: time.Second, Grace: time.Second}
+	if err := valid.Check(); err != nil {
 		t.Error(err)
 	}
-	for name, spoil := range map[string]func(*Settings){
+	for name, invalidate := range map[string]func(*Settings){
 		"no id":    func(s *Settings) { s.ID = "" },
 		"no seal":  func(s *Settings) { s.Dialect.Seal = "" },
 		"no grace": func(s *Settings) { s.Grace = 0 },
 		"ratio":    func(s *Settings) { s.BudgetRatio = -1 },
 	} {
-		s := ok
-		spoil(&s)
+		s := valid
+		invalidate(&s)
 		if s.Check() == nil {
-			t.Errorf("%s is let through", name)
+			t.Errorf("%s is accepted", name)
 		}
 	}
 }
