--- a/internal/proxy/acquire.go
+++ b/internal/proxy/acquire.go
@@ -23,17 +23,17 @@
 
 // reserve counts a request at a run.
 func (s *service) reserve(e *endpoint, now time.Time) grant {
-	e.starts = append(e.starts, now)
+	e.inFlight = append(e.inFlight, now)
 	s.limit.begin()
 	return grant{e, now}
 }
 
 // tryAcquire selects a run without waiting; the grant is empty if there is none.
 func (s *service) tryAcquire(x *exchange) grant {
-	now := s.n.clock.Now()
+	now := s.node.clock.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.queue.list) > 0 {
+	if len(s.queue.waiters) > 0 {
 		// Queued requests go first.
 		return grant{}
 	}
@@ -47,17 +47,17 @@
 // target for a refusal to be useful, and at most a quarter of the remaining time. If there is
 // no grant, retry is when capacity is likely.
 func (s *service) acquire(x *exchange) (g grant, retry time.Duration) {
-	now := s.n.clock.Now()
+	now := s.node.clock.Now()
 	left := x.deadline.Sub(now)
 	limit := left / 4
 	if x.latencyTarget > 0 {
 		limit = min(limit, x.latencyTarget/maxWaitDivisor-now.Sub(x.receivedAt))
 	}
 	s.mu.Lock()
-	s.usedAt = now
+	s.lastUsed = now
 	s.pace.decay(now)
 	s.pace.requested++
-	if len(s.queue.list) > 0 {
+	if len(s.queue.waiters) > 0 {
 		s.dispatch(now)
 	}
 	e, known := s.pick(now, x)
@@ -66,8 +66,8 @@
 		s.mu.Unlock()
 		return g, 0
 	}
-	w := &waiter{x: x, rank: x.priority, came: now, got: make(chan grant, 1), index: -1}
-	before, peers := s.queue.ahead(w)
+	w := &waiter{x: x, priority: x.priority, arrived: now, granted: make(chan grant, 1), index: -1}
+	before, peers := s.queue.position(w)
 	// Requests that would wait in vain are refused at once, except a few of each rank: these
 	// may get the turn that goes to the request that has waited longest.
 	displaced := w
@@ -80,27 +80,27 @@
 		return g, retry
 	}
 	if displaced != nil {
-		displaced.got <- grant{}
+		displaced.granted <- grant{}
 	}
 	s.mu.Unlock()
-	s.n.stats.waited.Add(1)
-	c, stop := s.n.clock.After(limit)
+	s.node.stats.waited.Add(1)
+	c, stop := s.node.clock.After(limit)
 	select {
-	case g = <-w.got:
+	case g = <-w.granted:
 		stop()
 	case <-c:
-	case <-s.n.sendsClosed:
+	case <-s.node.sendsClosed:
 		stop()
 	}
 	if g.e != nil {
 		return g, 0
 	}
-	now = s.n.clock.Now()
+	now = s.node.clock.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.queue.remove(w) {
 		select {
-		case g = <-w.got:
+		case g = <-w.granted:
 			if g.e != nil {
 				return g, 0
 			}
@@ -114,12 +114,12 @@
 // second or, if that is higher, the rate this node should get from the runs in its zone.
 func (s *service) expectedWait(now time.Time, before int) time.Duration {
 	slots := 0.0
-	for _, e := range s.work {
-		if e.near && e.takes() && e.suspicion(now) < suspectAt {
+	for _, e := range s.subset {
+		if e.sameZone && e.available() && e.suspicion(now) < suspicionThreshold {
 			slots += float64(e.slots())
 		}
 	}
-	expectedRate := slots / s.usual().Seconds() / float64(max(1, s.n.gatewaysNear.Load()))
+	expectedRate := slots / s.typicalLatencyLocked().Seconds() / float64(max(1, s.node.gatewaysNear.Load()))
 	rate := max(s.pace.completionRate(now), expectedRate, 1)
 	return time.Duration(float64(before+1) / rate * float64(time.Second))
 }
@@ -127,7 +127,7 @@
 // retryAfter is the delay told to a refused caller: when capacity is likely, longer the more requests
 // arrive per completed one, and short enough for a retry that can still succeed.
 func (s *service) retryAfter(now time.Time, left time.Duration) time.Duration {
-	eta := s.expectedWait(now, len(s.queue.list))
+	eta := s.expectedWait(now, len(s.queue.waiters))
 	d := time.Duration(float64(max(eta, minRetryAfter)) * s.pace.overloadRatio(now))
 	return min(d, max(minRetryAfter, left/3))
 }
@@ -135,7 +135,7 @@
 // dispatch assigns free capacity to queued requests, in order.
 func (s *service) dispatch(now time.Time) {
 	var kept []*waiter
-	for len(s.queue.list) > 0 && len(kept) < 4 {
+	for len(s.queue.waiters) > 0 && len(kept) < 4 {
 		w := s.queue.next()
 		s.queue.remove(w)
 		e, _ := s.pick(now, w.x)
@@ -143,8 +143,8 @@
 			kept = append(kept, w)
 			continue
 		}
-		s.queue.given++
-		w.got <- s.reserve(e, now)
+		s.queue.grants++
+		w.granted <- s.reserve(e, now)
 	}
 	for _, w := range kept {
 		s.queue.push(w)
@@ -155,50 +155,50 @@
 // capacity.
 func (s *service) release(g grant, o outcome, took, aim time.Duration) {
 	e, began := g.e, g.startedAt
-	now := s.n.clock.Now()
+	now := s.node.clock.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if i := slices.IndexFunc(e.starts, began.Equal); i >= 0 {
-		e.starts = slices.Delete(e.starts, i, i+1)
+	if i := slices.IndexFunc(e.inFlight, began.Equal); i >= 0 {
+		e.inFlight = slices.Delete(e.inFlight, i, i+1)
 	}
 	s.limit.end(now, o == outcomeRejected || o == outcomeReset || o == outcomeStaleConn, aim > 0 && took > aim)
-	if !s.n.noFates {
-		e.met(now, began, o, took)
+	if !s.node.noFates {
+		e.recordOutcome(now, began, o, took)
 	} else if o == outcomeServerError {
 		o = outcomeAnswered
 	}
 	switch o {
 	case outcomeServerError:
-		e.cleared()
+		e.resetBackoff()
 		s.pace.decay(now)
 		s.pace.completed++
 	case outcomeAnswered:
-		e.answered(now, took)
-		e.prove(now)
-		w := slower / 4
-		if s.took == 0 {
+		e.recordAnswer(now, took)
+		e.recordValidAnswer(now)
+		w := riseWeight / 4
+		if s.latency == 0 {
 			w = 1
 		}
-		s.took += time.Duration(w * float64(took-s.took))
+		s.latency += time.Duration(w * float64(took-s.latency))
 		s.pace.decay(now)
 		s.pace.completed++
 	case outcomeRejected:
-		e.cleared()
-		e.fullTill = now.Add(max(20*time.Millisecond, s.usual()/2))
+		e.resetBackoff()
+		e.fullUntil = now.Add(max(20*time.Millisecond, s.typicalLatencyLocked()/2))
 	case outcomeMisdirected:
-		e.gone, e.goneSeq = true, e.run.Seq
+		e.replaced, e.replacedSeq = true, e.run.Seq
 		e.closeIdle()
 	case outcomeUnreachable, outcomeSilent:
-		e.failed(now, began, firstPenalty)
+		e.recordFailure(now, began, initialBackoff)
 		e.closeIdle()
 	case outcomeInvalid, outcomeReset:
-		e.failed(now, began, shortPenalty)
+		e.recordFailure(now, began, shortBackoff)
 		e.closeIdle()
 	case outcomeStaleConn:
-		s.staleAt = now
+		s.lastStaleConn = now
 		e.closeIdle()
 	}
-	if len(s.queue.list) > 0 {
+	if len(s.queue.waiters) > 0 {
 		s.dispatch(now)
 	}
 }
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -41,13 +41,13 @@
 	took := max(0, now.Sub(began)-pausedFor)
 	if o == outcomeCanceled && pausedFor == 0 {
 		g.e.svc.mu.Lock()
-		if took >= g.e.plausible(x.latencyTarget, x.deadline.Sub(began)) {
+		if took >= g.e.silenceLimit(x.latencyTarget, x.deadline.Sub(began)) {
 			o = outcomeSilent
 		}
 		g.e.svc.mu.Unlock()
 	}
 	g.e.svc.release(g, o, took, x.latencyTarget)
-	g.e.svc.tally(x.entry.Name, g.e, o, took)
+	g.e.svc.recordForUpgrade(x.entry.Name, g.e, o, took)
 	n.stats.record(o)
 	return o
 }
@@ -72,11 +72,11 @@
 	now := n.clock.Now()
 	left := x.deadline.Sub(now)
 	e.svc.mu.Lock()
-	ok, run := e.takes(), e.run.ID
-	after := e.plausible(x.latencyTarget, left)
+	ok, run := e.available(), e.run.ID
+	after := e.silenceLimit(x.latencyTarget, left)
 	e.svc.mu.Unlock()
 	// The state may have changed, or become outdated, while the connection was made.
-	if !ok || left < minLeft || n.outdated() || !x.beginSend(c) {
+	if !ok || left < minSendTime || n.configStaleOnArrival() || !x.beginSend(c) {
 		e.putUnused(c, now)
 		return outcomeNotSent, false
 	}
@@ -106,7 +106,7 @@
 		}
 		var a *answer
 		var p answerControl
-		if a, p, err = n.readAnswer(c, x.id, x.noBody, n.passer(x, e, c)); err == nil {
+		if a, p, err = n.readAnswer(c, x.id, x.noBody, n.streamAnswer(x, e, c)); err == nil {
 			return n.acceptAnswer(x, e, c, a, p), false
 		}
 		if a != nil && c.aborted.Load() {
@@ -214,7 +214,7 @@
 	n.stats.hedges.Add(1)
 	go func() {
 		n.attempt(x, g)
-		n.leavePassed(x, g)
+		n.endStreamedDownload(x, g)
 		x.mu.Lock()
 		x.hedgeDone = nil
 		x.mu.Unlock()
--- a/internal/proxy/caller.go
+++ b/internal/proxy/caller.go
@@ -140,7 +140,7 @@
 	c.current.Store(x)
 	defer c.current.Store(nil)
 	c.awaiting.Store(x)
-	a := n.lead(x)
+	a := n.forward(x)
 	c.awaiting.Store(nil)
 	x.progress.setStage(stageAnswering)
 	keep := c.write(a, x.noBody, !c.h.ConnectionClose())
@@ -298,7 +298,7 @@
 		return nil
 	}
 	if c.expectContinue {
-		if _, err := c.writerFor().write([]byte("HTTP/1.1 100 Continue\r\n\r\n")); err != nil {
+		if _, err := c.startAnswer().write([]byte("HTTP/1.1 100 Continue\r\n\r\n")); err != nil {
 			return &rejection{}
 		}
 	}
--- a/internal/proxy/exchange.go
+++ b/internal/proxy/exchange.go
@@ -64,7 +64,7 @@
 func (x *exchange) beginSend(c *conn) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if x.result != nil || x.callerGone || x.n.lastCalled() || x.sends >= x.maxAttempts || x.atMostOnce && x.unresolved > 0 || !x.payBudget() {
+	if x.result != nil || x.callerGone || x.n.sendingStopped() || x.sends >= x.maxAttempts || x.atMostOnce && x.unresolved > 0 || !x.payBudget() {
 		return false
 	}
 	x.budgetPaid = false
@@ -77,7 +77,7 @@
 // payBudget makes sure that one more send is charged to the retry budget.
 func (x *exchange) payBudget() bool {
 	if x.sends > 0 && !x.budgetPaid {
-		if x.budgetPaid = x.svc.acct.Extra(); !x.budgetPaid {
+		if x.budgetPaid = x.svc.budget.Extra(); !x.budgetPaid {
 			x.n.stats.overBudget.Add(1)
 		}
 	}
--- a/internal/proxy/failure_test.go
+++ b/internal/proxy/failure_test.go
@@ -13,7 +13,7 @@
 	"walkrudder/internal/target"
 )
 
-func cutOff(c net.Conn) bool {
+func resetConn(c net.Conn) bool {
 	if t, ok := c.(*net.TCPConn); ok {
 		_ = t.SetLinger(0)
 	}
@@ -26,84 +26,84 @@
 	return err == nil
 }
 
-// way is one way in which the first target that gets a request can fail.
-type way struct {
+// failureMode is one way in which the first target that gets a request can fail.
+type failureMode struct {
 	name       string
-	do         handler
-	once, idem int // the caller's status
-	// onceRuns is how often a request that may run once runs.
+	fault      handler
+	once, idem int // the status that the caller gets
+	// onceRuns is how often a request that must run at most once is run.
 	onceRuns int
 }
 
-func ranThen(do handler) handler {
+func runThen(do handler) handler {
 	return func(l *harness, c net.Conn, s *receivedRequest) bool {
 		l.recordRun(s)
 		return do(l, c, s)
 	}
 }
 
-func text(f string) handler {
+func sendRaw(f string) handler {
 	return func(_ *harness, c net.Conn, s *receivedRequest) bool {
 		return write(c, strings.ReplaceAll(strings.ReplaceAll(f, "\n", "\r\n"), "ID", s.id))
 	}
 }
 
-func textThenClose(f string) handler {
-	return func(l *harness, c net.Conn, s *receivedRequest) bool { text(f)(l, c, s); return false }
+func sendRawThenClose(f string) handler {
+	return func(l *harness, c net.Conn, s *receivedRequest) bool { sendRaw(f)(l, c, s); return false }
 }
 
-var ways = []way{
-	{"reset after reading", ranThen(func(_ *harness, c net.Conn, _ *receivedRequest) bool { return cutOff(c) }), 502, 200, 1},
-	{"closed after reading", ranThen(func(*harness, net.Conn, *receivedRequest) bool { return false }), 502, 200, 1},
-	{"half a body", ranThen(textThenClose("HTTP/1.1 200 OK\nX-Id: ID\nX-Seal: s\nContent-Length: 10\n\nhalf")), 502, 200, 1},
-	{"half a head", ranThen(textThenClose("HTTP/1.1 200 OK\nX-Id: ID\nX-Se")), 502, 200, 1},
-	{"no last chunk", ranThen(textThenClose("HTTP/1.1 200 OK\nX-Id: ID\nX-Seal: s\nTransfer-Encoding: chunked\n\n4\nhalf\n")), 502, 200, 1},
-	{"last chunk cut", ranThen(textThenClose("HTTP/1.1 200 OK\nX-Id: ID\nX-Seal: s\nTransfer-Encoding: chunked\n\n4\nhalf\n0\n")), 502, 200, 1},
-	{"broken chunk", ranThen(textThenClose("HTTP/1.1 200 OK\nX-Id: ID\nX-Seal: s\nTransfer-Encoding: chunked\n\n2\nhalf\n0\n\n")), 502, 200, 1},
-	{"another request's answer", ranThen(text("HTTP/1.1 200 OK\nX-Id: other\nX-Seal: s\nContent-Length: 1\n\nx")), 502, 200, 1},
-	{"another request's word that it did not run", ranThen(text("HTTP/1.1 503 Full\nX-Id: other\nX-Not-Run: 1\nContent-Length: 0\n\n")), 502, 200, 1},
-	{"two ids", ranThen(text("HTTP/1.1 200 OK\nX-Id: ID\nX-Id: other\nX-Seal: s\nContent-Length: 1\n\nx")), 502, 200, 1},
-	{"no id", ranThen(text("HTTP/1.1 200 OK\nX-Seal: s\nContent-Length: 1\n\nx")), 502, 200, 1},
-	{"no seal", ranThen(text("HTTP/1.1 200 OK\nX-Id: ID\nContent-Length: 1\n\nx")), 502, 200, 1},
-	{"empty seal", ranThen(text("HTTP/1.1 200 OK\nX-Id: ID\nX-Seal:\nContent-Length: 1\n\nx")), 502, 200, 1},
-	{"an encoding", ranThen(text("HTTP/1.1 200 OK\nX-Id: ID\nX-Seal: s\nContent-Encoding: gzip\nContent-Length: 1\n\nx")), 502, 200, 1},
-	{"two lengths", ranThen(text("HTTP/1.1 200 OK\nX-Id: ID\nX-Seal: s\nContent-Length: 4\nContent-Length: 1\n\nx123")), 502, 200, 1},
-	{"no end", ranThen(textThenClose("HTTP/1.1 200 OK\nX-Id: ID\nX-Seal: s\n\nall of it?")), 502, 200, 1},
-	{"no end, but as chunks", ranThen(textThenClose("HTTP/1.1 200 OK\nX-Id: ID\nX-Seal: s\n\n4\nbody\n0\n\n")), 502, 200, 1},
-	{"a success that says it did not run", ranThen(func(_ *harness, c net.Conn, s *receivedRequest) bool {
+var failureModes = []failureMode{
+	{"reset after reading", runThen(func(_ *harness, c net.Conn, _ *receivedRequest) bool { return resetConn(c) }), 502, 200, 1},
+	{"closed after reading", runThen(func(*harness, net.Conn, *receivedRequest) bool { return false }), 502, 200, 1},
+	{"half a body", runThen(sendRawThenClose("HTTP/1.1 200 OK\nX-Id: ID\nX-Seal: s\nContent-Length: 10\n\nhalf")), 502, 200, 1},
+	{"half a head", runThen(sendRawThenClose("HTTP/1.1 200 OK\nX-Id: ID\nX-Se")), 502, 200, 1},
+	{"no last chunk", runThen(sendRawThenClose("HTTP/1.1 200 OK\nX-Id: ID\nX-Seal: s\nTransfer-Encoding: chunked\n\n4\nhalf\n")), 502, 200, 1},
+	{"last chunk cut", runThen(sendRawThenClose("HTTP/1.1 200 OK\nX-Id: ID\nX-Seal: s\nTransfer-Encoding: chunked\n\n4\nhalf\n0\n")), 502, 200, 1},
+	{"broken chunk", runThen(sendRawThenClose("HTTP/1.1 200 OK\nX-Id: ID\nX-Seal: s\nTransfer-Encoding: chunked\n\n2\nhalf\n0\n\n")), 502, 200, 1},
+	{"another request's answer", runThen(sendRaw("HTTP/1.1 200 OK\nX-Id: other\nX-Seal: s\nContent-Length: 1\n\nx")), 502, 200, 1},
+	{"another request's word that it did not run", runThen(sendRaw("HTTP/1.1 503 Full\nX-Id: other\nX-Not-Run: 1\nContent-Length: 0\n\n")), 502, 200, 1},
+	{"two ids", runThen(sendRaw("HTTP/1.1 200 OK\nX-Id: ID\nX-Id: other\nX-Seal: s\nContent-Length: 1\n\nx")), 502, 200, 1},
+	{"no id", runThen(sendRaw("HTTP/1.1 200 OK\nX-Seal: s\nContent-Length: 1\n\nx")), 502, 200, 1},
+	{"no seal", runThen(sendRaw("HTTP/1.1 200 OK\nX-Id: ID\nContent-Length: 1\n\nx")), 502, 200, 1},
+	{"empty seal", runThen(sendRaw("HTTP/1.1 200 OK\nX-Id: ID\nX-Seal:\nContent-Length: 1\n\nx")), 502, 200, 1},
+	{"an encoding", runThen(sendRaw("HTTP/1.1 200 OK\nX-Id: ID\nX-Seal: s\nContent-Encoding: gzip\nContent-Length: 1\n\nx")), 502, 200, 1},
+	{"two lengths", runThen(sendRaw("HTTP/1.1 200 OK\nX-Id: ID\nX-Seal: s\nContent-Length: 4\nContent-Length: 1\n\nx123")), 502, 200, 1},
+	{"no end", runThen(sendRawThenClose("HTTP/1.1 200 OK\nX-Id: ID\nX-Seal: s\n\nall of it?")), 502, 200, 1},
+	{"no end, but as chunks", runThen(sendRawThenClose("HTTP/1.1 200 OK\nX-Id: ID\nX-Seal: s\n\n4\nbody\n0\n\n")), 502, 200, 1},
+	{"a success that says it did not run", runThen(func(_ *harness, c net.Conn, s *receivedRequest) bool {
 		return writeAnswer(c, "200 OK", s.id, "X-Seal: s\r\nX-Not-Run: 1\r\n", answerBody(s.id))
 	}), 200, 200, 1},
-	{"no HTTP", ranThen(textThenClose("garble garble\n\n")), 502, 200, 1},
-	{"switching protocols", ranThen(text("HTTP/1.1 101 Switching\nX-Id: ID\nX-Seal: s\n\n")), 502, 200, 1},
-	{"not run, full", text("HTTP/1.1 503 Full\nX-Id: ID\nX-Not-Run: 1\nContent-Length: 0\n\n"), 200, 200, 1},
-	{"not run, 429", text("HTTP/1.1 429 Full\nX-Id: ID\nX-Not-Run: 1\nContent-Length: 0\n\n"), 200, 200, 1},
+	{"no HTTP", runThen(sendRawThenClose("garble garble\n\n")), 502, 200, 1},
+	{"switching protocols", runThen(sendRaw("HTTP/1.1 101 Switching\nX-Id: ID\nX-Seal: s\n\n")), 502, 200, 1},
+	{"not run, full", sendRaw("HTTP/1.1 503 Full\nX-Id: ID\nX-Not-Run: 1\nContent-Length: 0\n\n"), 200, 200, 1},
+	{"not run, 429", sendRaw("HTTP/1.1 429 Full\nX-Id: ID\nX-Not-Run: 1\nContent-Length: 0\n\n"), 200, 200, 1},
 	{"misdirected", answerMisdirected, 200, 200, 1},
-	{"503 without a word", ranThen(text("HTTP/1.1 503 Bad\nX-Id: ID\nContent-Length: 0\n\n")), 502, 200, 1},
-	{"429 without a word", ranThen(text("HTTP/1.1 429 Bad\nX-Id: ID\nContent-Length: 0\n\n")), 502, 200, 1},
-	{"its own 500", ranThen(text("HTTP/1.1 500 Bad\nX-Id: ID\nContent-Length: 3\n\nbad")), 500, 500, 1},
-	{"its own 504", ranThen(text("HTTP/1.1 504 Late\nX-Id: ID\nContent-Length: 0\n\n")), 504, 504, 1},
-	{"interim answers", ranThen(func(l *harness, c net.Conn, s *receivedRequest) bool {
-		return text("HTTP/1.1 100 Continue\n\nHTTP/1.1 103 Hints\nX-Id: other\n\n")(l, c, s) &&
+	{"503 without a word", runThen(sendRaw("HTTP/1.1 503 Bad\nX-Id: ID\nContent-Length: 0\n\n")), 502, 200, 1},
+	{"429 without a word", runThen(sendRaw("HTTP/1.1 429 Bad\nX-Id: ID\nContent-Length: 0\n\n")), 502, 200, 1},
+	{"its own 500", runThen(sendRaw("HTTP/1.1 500 Bad\nX-Id: ID\nContent-Length: 3\n\nbad")), 500, 500, 1},
+	{"its own 504", runThen(sendRaw("HTTP/1.1 504 Late\nX-Id: ID\nContent-Length: 0\n\n")), 504, 504, 1},
+	{"interim answers", runThen(func(l *harness, c net.Conn, s *receivedRequest) bool {
+		return sendRaw("HTTP/1.1 100 Continue\n\nHTTP/1.1 103 Hints\nX-Id: other\n\n")(l, c, s) &&
 			writeAnswer(c, "200 OK", s.id, "X-Seal: s\r\n", answerBody(s.id))
 	}), 200, 200, 1},
-	{"closing", ranThen(func(_ *harness, c net.Conn, s *receivedRequest) bool {
+	{"closing", runThen(func(_ *harness, c net.Conn, s *receivedRequest) bool {
 		writeAnswer(c, "200 OK", s.id, "X-Seal: s\r\nConnection: Close\r\n", answerBody(s.id))
 		return false
 	}), 200, 200, 1},
 }
 
-// TestWaysToFail lets the first target that gets a request fail in each way, over
-// loopback: the caller gets a whole answer or an honest status, and what may run once
-// runs once.
+// TestWaysToFail lets the first target that gets a request fail in each mode, over loopback: the
+// caller gets a complete answer or a truthful status, and a request that must run at most once
+// does so.
 func TestWaysToFail(t *testing.T) {
-	for _, w := range ways {
+	for _, w := range failureModes {
 		for _, kind := range []string{"once", "idem", "down"} {
 			t.Run(w.name+"/"+kind, func(t *testing.T) {
 				t.Parallel()
 				l := newHarness(t, loopback{}, nil)
 				l.routes(2)
-				l.startTarget("one", nil, failFirst(w.do))
-				l.startTarget("two", nil, failFirst(w.do))
+				l.startTarget("one", nil, failFirst(w.fault))
+				l.startTarget("two", nil, failFirst(w.fault))
 				want := w.idem
 				if kind == "once" {
 					want = w.once
@@ -115,7 +115,7 @@
 				if kind == "once" && l.runCount("q1") != w.onceRuns {
 					t.Errorf("ran %d times, want %d", l.runCount("q1"), w.onceRuns)
 				}
-				// What it left behind harms no later request.
+				// The failure does not affect later requests.
 				for i := range 3 {
 					id := fmt.Sprint("later", i)
 					if g := l.request("/"+kind+"/x", id, 5*time.Second); !g.proper(id) {
@@ -127,8 +127,8 @@
 	}
 }
 
-// TestRefusedConnect: a target that can't be reached costs neither budget nor an
-// attempt, and is not asked by the next request.
+// TestRefusedConnect: an unreachable target costs neither retry budget nor an attempt, and is not
+// chosen for the next request.
 func TestRefusedConnect(t *testing.T) {
 	for _, kind := range []string{"once", "idem", "down"} {
 		l := newHarness(t, loopback{}, func(s *Settings) { s.BudgetRatio = 0 })
@@ -145,16 +145,16 @@
 				t.Errorf("%s got %+v, ran %d times", id, g, l.runCount(id))
 			}
 		}
-		// At most half of the three are passed over together, so one of the two that are
-		// gone may be asked again.
+		// At most half of the three are ejected together, so one of the two unreachable ones may
+		// be chosen again.
 		if n := l.node.Stats().DialsFailed; n > 5 {
 			t.Errorf("%d connects failed", n)
 		}
 	}
 }
 
-// TestResetBeforeReading: the target resets a connection without reading. Nobody knows
-// here whether it read: it runs at most once, and elsewhere only if no byte left.
+// TestResetBeforeReading: the target resets a connection without reading. The node cannot know
+// whether the request was read, so it runs at most once, and elsewhere only if no byte was sent.
 func TestResetBeforeReading(t *testing.T) {
 	for _, kind := range []string{"once", "idem"} {
 		l := newHarness(t, loopback{}, nil)
@@ -171,7 +171,7 @@
 				if err != nil {
 					return
 				}
-				cutOff(c)
+				resetConn(c)
 			}
 		}()
 		l.node.ApplyRuns([]target.Run{{ID: "full", Service: "svc", Addr: ln.Addr().String(), Zone: "a", Slots: 40, State: target.Ready, Seq: 1}})
@@ -188,7 +188,7 @@
 	}
 }
 
-// TestSurplus: bytes behind a whole answer belong to no request.
+// TestSurplus: bytes after a complete answer belong to no request.
 func TestSurplus(t *testing.T) {
 	for _, kind := range []string{"once", "idem"} {
 		l := newHarness(t, loopback{}, nil)
@@ -206,14 +206,14 @@
 		}
 		for _, s := range l.requests() {
 			if s.connIndex != 1 {
-				t.Errorf("%s came over a connection with surplus bytes", s.id)
+				t.Errorf("%s was sent on a connection with surplus bytes", s.id)
 			}
 		}
 	}
 }
 
-// TestForgottenIdle: a connection that its target closed while it lay idle is found
-// dead before a request is written to it.
+// TestForgottenIdle: a connection that its target closed while it was idle is found dead before a
+// request is written to it.
 func TestForgottenIdle(t *testing.T) {
 	for _, kind := range []string{"once", "idem"} {
 		l := newHarness(t, loopback{}, nil)
@@ -228,17 +228,17 @@
 			waitFor(t, func() bool { return !idleAlive(l.node) })
 		}
 		if n := l.node.Stats().Stale; n != 0 {
-			t.Errorf("%d died under a request", n)
+			t.Errorf("%d connections died under a request", n)
 		}
 	}
 }
 
-// idleAlive tells whether any idle connection still looks alive.
+// idleAlive reports whether any idle connection still looks alive.
 func idleAlive(n *Node) bool {
 	for _, s := range n.allServices() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		for _, e := range s.all {
+		for _, e := range s.endpoints {
 			for _, c := range e.idle {
 				_ = c.nc.SetDeadline(time.Time{})
 				if c.alive() {
@@ -250,7 +250,7 @@
 	return false
 }
 
-// waitFor looks until a change by the operating system has come through.
+// waitFor polls until the operating system has made a change visible.
 func waitFor(t *testing.T, ok func() bool) {
 	t.Helper()
 	for !ok() {
@@ -260,7 +260,7 @@
 	}
 }
 
-// TestReuse: calm requests share connections.
+// TestReuse: sequential requests share a connection.
 func TestReuse(t *testing.T) {
 	l := newHarness(t, loopback{}, nil)
 	l.routes(1)
@@ -272,19 +272,19 @@
 		}
 	}
 	if n := l.node.Stats().Dials; n != 1 {
-		t.Errorf("%d connects for 10 requests one after the other", n)
+		t.Errorf("%d connects for 10 sequential requests", n)
 	}
 }
 
-// TestMisdirectedIsGone: a run at whose address another one answers is asked no more
-// until news of it come.
+// TestMisdirectedIsGone: an instance at whose address another one answers is not chosen again
+// until there is an update of it.
 func TestMisdirectedIsGone(t *testing.T) {
 	l := newHarness(t, loopback{}, nil)
 	l.routes(3)
 	other := l.startTarget("other", func(r *target.Run) { r.Service = "else" }, serveOK)
 	l.startTarget("good", nil, serveOK)
-	was := target.Run{ID: "was", Service: "svc", Addr: other.ln.Addr().String(), Zone: "a", Slots: 4, State: target.Ready, Seq: 1}
-	l.node.ApplyRuns([]target.Run{was})
+	old := target.Run{ID: "was", Service: "svc", Addr: other.ln.Addr().String(), Zone: "a", Slots: 4, State: target.Ready, Seq: 1}
+	l.node.ApplyRuns([]target.Run{old})
 	asked := func() (n int) {
 		for _, s := range l.requests() {
 			if s.targetID == "other" {
@@ -300,32 +300,32 @@
 		}
 	}
 	if n := asked(); n > 1 {
-		t.Errorf("asked %d times", n)
+		t.Errorf("the replaced instance got %d requests", n)
 	}
 	s := l.node.allServices()
 	for _, v := range s {
 		v.mu.Lock()
-		if e := v.all["was"]; e != nil {
-			e.gone, e.goneSeq = true, 1
+		if e := v.endpoints["was"]; e != nil {
+			e.replaced, e.replacedSeq = true, 1
 		}
 		v.mu.Unlock()
 	}
-	was.Seq = 2
-	l.node.ApplyRuns([]target.Run{was})
+	old.Seq = 2
+	l.node.ApplyRuns([]target.Run{old})
 	for _, v := range s {
 		v.mu.Lock()
-		if e := v.all["was"]; e != nil && e.gone {
-			t.Error("news of the run did not bring it back")
+		if e := v.endpoints["was"]; e != nil && e.replaced {
+			t.Error("an update of the instance did not restore it")
 		}
 		v.mu.Unlock()
 	}
 }
 
-// TestMute: over virtual time, a silent target holds a request that may run once until
-// its deadline; a repeatable one is asked of another run besides.
+// TestMute: in virtual time, a silent target holds a request that must run at most once until its
+// deadline; a repeatable one is hedged to another instance.
 func TestMute(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		mute := ranThen(func(_ *harness, c net.Conn, _ *receivedRequest) bool {
+		mute := runThen(func(_ *harness, c net.Conn, _ *receivedRequest) bool {
 			_, _ = io.Copy(io.Discard, c)
 			return false
 		})
@@ -355,8 +355,8 @@
 	})
 }
 
-// TestHedgeLoses: when the first target answers after all before the other, its answer
-// counts, and the other attempt is cut.
+// TestHedgeLoses: when the first target answers before the hedged attempt does, its answer is
+// used, and the other attempt is cancelled.
 func TestHedgeLoses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := newHarness(t, newPipes(), nil)
@@ -379,13 +379,13 @@
 		}
 		time.Sleep(3 * time.Second)
 		if s := l.node.Stats(); s.Inside != 0 || s.MemoryUsed != 0 {
-			t.Errorf("left over: %+v", s)
+			t.Errorf("resources not released: %+v", s)
 		}
 		l.close()
 	})
 }
 
-// TestSilentConnect: a connect that gets no reply is given up in time for another run.
+// TestSilentConnect: a connect without a reply is given up in time to use another instance.
 func TestSilentConnect(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPipes()
@@ -407,8 +407,8 @@
 	})
 }
 
-// TestCloseHonoured: nothing goes over a connection whose target said that it closes,
-// though it has not done so yet.
+// TestCloseHonoured: no request is sent on a connection whose target announced that it will close
+// it, even if it has not done so yet.
 func TestCloseHonoured(t *testing.T) {
 	for _, field := range []string{"close", "Close", "x, close"} {
 		l := newHarness(t, loopback{}, nil)
@@ -425,18 +425,18 @@
 		}
 		for _, s := range l.requests() {
 			if s.connIndex != 1 {
-				t.Errorf("%s: %s came over a connection that closes", field, s.id)
+				t.Errorf("%s: %s was sent on a connection that is closing", field, s.id)
 			}
 		}
 	}
 }
 
-// TestDeadBeforeWrite: where the look at a kept connection showed nothing, but not one
-// byte could be written, the same run is asked over a new one.
+// TestDeadBeforeWrite: where an idle connection looked alive but not one byte could be written,
+// the same instance is used over a new connection.
 func TestDeadBeforeWrite(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		for _, kind := range []string{"once", "idem"} {
-			l := newHarness(t, numbPipes{newPipes()}, func(s *Settings) { s.BudgetRatio = 0 })
+			l := newHarness(t, lateErrorPipes{newPipes()}, func(s *Settings) { s.BudgetRatio = 0 })
 			l.routes(1)
 			s := l.startTarget("one", nil, serveOK)
 			for i := range 5 {
@@ -455,16 +455,16 @@
 	})
 }
 
-// TestDrainsWhileConnecting: news that come while a connection is made are heeded.
+// TestDrainsWhileConnecting: an update that arrives while a connection is opened is respected.
 func TestDrainsWhileConnecting(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := &telling{pipes: newPipes()}
+		p := &dialHook{pipes: newPipes()}
 		l := newHarness(t, p, nil)
 		l.routes(1)
 		l.startTarget("one", nil, serveOK)
 		l.startTarget("two", nil, serveOK)
 		drained := ""
-		p.tell = func(addr string) {
+		p.beforeDial = func(addr string) {
 			for id, s := range l.targets {
 				if drained == "" && s.ln.Addr().String() == addr {
 					drained = id
@@ -482,35 +482,35 @@
 	})
 }
 
-// telling calls tell before each connect.
-type telling struct {
+// dialHook calls beforeDial before each connect.
+type dialHook struct {
 	*pipes
-	tell func(addr string)
+	beforeDial func(addr string)
 }
 
-func (p *telling) dial(ctx context.Context, addr string) (net.Conn, error) {
-	p.tell(addr)
+func (p *dialHook) dial(ctx context.Context, addr string) (net.Conn, error) {
+	p.beforeDial(addr)
 	return p.pipes.dial(ctx, addr)
 }
 
-// numbPipes make connections that show nothing of their end before a write.
-type numbPipes struct{ *pipes }
+// lateErrorPipes makes connections whose end is noticed only by a write.
+type lateErrorPipes struct{ *pipes }
 
-type numb struct{ net.Conn }
+type lateErrorConn struct{ net.Conn }
 
-func (n numb) SetDeadline(d time.Time) error { _ = n.Conn.SetDeadline(d); return nil }
+func (n lateErrorConn) SetDeadline(d time.Time) error { _ = n.Conn.SetDeadline(d); return nil }
 
-func (p numbPipes) dial(ctx context.Context, addr string) (net.Conn, error) {
+func (p lateErrorPipes) dial(ctx context.Context, addr string) (net.Conn, error) {
 	c, err := p.pipes.dial(ctx, addr)
 	if err != nil {
 		return nil, err
 	}
-	return numb{c}, nil
+	return lateErrorConn{c}, nil
 }
 
-// TestSurplusBefore: where a target answers an earlier request once more, in the place
-// where the next answer is due, the one behind it counts, and the connection is not
-// used again. On a connection's first request nothing earlier can be answered.
+// TestSurplusBefore: where a target answers an earlier request a second time, in the place of the
+// next answer, the answer after it is used and the connection is not reused. For the first request
+// of a connection there is no earlier one.
 func TestSurplusBefore(t *testing.T) {
 	for _, kind := range []string{"once", "idem"} {
 		l := newHarness(t, loopback{}, nil)
@@ -534,17 +534,17 @@
 		}
 		for _, s := range l.requests() {
 			if s.connIndex > 2 {
-				t.Errorf("%s came over a connection on which a surplus answer had come", s.id)
+				t.Errorf("%s was sent on a connection that had a surplus answer", s.id)
 			}
 		}
 		if n := l.node.Stats().Surplus; n != 3 {
-			t.Errorf("%d surplus answers passed over, want 3", n)
+			t.Errorf("%d surplus answers skipped, want 3", n)
 		}
 	}
 }
 
-// TestNewsWhileConnecting: news of a run may come while a connection to it fails; the race
-// detector looks at what both touch.
+// TestNewsWhileConnecting: an update of an instance may arrive while a connect to it fails; the
+// race detector checks the state that both access.
 func TestNewsWhileConnecting(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := newHarness(t, newPipes(), nil)
--- a/internal/proxy/mix_test.go
+++ b/internal/proxy/mix_test.go
@@ -13,51 +13,51 @@
 	"walkrudder/internal/target"
 )
 
-// mixed is a target that fails in a way drawn for each request; what it does before
-// drawing counts as run only where it ran.
-func mixed(mutes bool) handler {
+// randomFailures is a target that fails in a mode drawn for each request. A request counts as run
+// only if the mode runs it.
+func randomFailures(silent bool) handler {
 	return func(l *harness, c net.Conn, s *receivedRequest) bool {
 		p := rand.IntN(100)
 		switch {
 		case p < 40:
 			return serveOK(l, c, s)
-		case p < 45 && mutes:
+		case p < 45 && silent:
 			l.recordRun(s)
 			_, _ = io.Copy(io.Discard, c)
 			return false
-		case p < 50 && mutes:
+		case p < 50 && silent:
 			return delayed(time.Duration(rand.IntN(600))*time.Millisecond, serveOK)(l, c, s)
 		case p < 55:
-			// A forgotten connection.
+			// A connection that the target closes without notice.
 			serveOK(l, c, s)
 			return false
 		}
-		return ways[rand.IntN(len(ways))].do(l, c, s)
+		return failureModes[rand.IntN(len(failureModes))].fault(l, c, s)
 	}
 }
 
-// mix sends many requests of all kinds from some callers at once, while targets come,
-// go, and take over each other's addresses.
-func mix(t *testing.T, nw network, callers, each int, pause time.Duration, mutes bool) {
+// runMix sends many requests of all kinds from concurrent callers, while targets start, drain and
+// take over each other's addresses.
+func runMix(t *testing.T, nw network, callers, requests int, pause time.Duration, silent bool) {
 	l := newHarness(t, nw, func(s *Settings) { s.Linger = time.Millisecond })
 	l.routes(3)
 	var names []string
 	seq := uint64(1)
 	for i := range 5 {
 		names = append(names, fmt.Sprint("s", i))
-		l.startTarget(names[i], nil, mixed(mutes))
+		l.startTarget(names[i], nil, randomFailures(silent))
 	}
-	type end struct {
+	type result struct {
 		kind, id string
 		got
 	}
 	var mu sync.Mutex
-	var ends []end
+	var results []result
 	var wg sync.WaitGroup
 	for k := range callers {
 		wg.Go(func() {
 			var c *client
-			for i := range each {
+			for i := range requests {
 				if c == nil {
 					c = l.client()
 				}
@@ -68,21 +68,21 @@
 					t.Errorf("%s: %v", id, err)
 				}
 				mu.Lock()
-				ends = append(ends, end{kind, id, g})
+				results = append(results, result{kind, id, g})
 				mu.Unlock()
 				if g.close || err != nil || rand.IntN(10) == 0 {
 					_ = c.c.Close()
 					c = nil
 				}
 				if k == 0 && i%97 == 50 {
-					// A run is replaced.
+					// One instance replaces another.
 					old := names[0]
 					names = append(names[1:], fmt.Sprint("n", i))
 					l.node.ApplyRuns([]target.Run{{ID: old, Service: "svc", State: target.Draining, Seq: seq}})
-					l.startTarget(names[len(names)-1], nil, mixed(mutes))
+					l.startTarget(names[len(names)-1], nil, randomFailures(silent))
 				}
 				if k == 0 && i%5 == 0 {
-					// Later beats bring back who was taken for gone.
+					// Later heartbeats restore instances that were marked as replaced.
 					seq++
 					for _, id := range names {
 						l.node.ApplyRuns([]target.Run{{ID: id, Service: "svc", Addr: l.targets[id].ln.Addr().String(), Zone: "a", Slots: 4, State: target.Ready, Seq: seq}})
@@ -99,7 +99,7 @@
 	}
 	wg.Wait()
 	served, refused := 0, 0
-	for _, e := range ends {
+	for _, e := range results {
 		if e.status == 503 {
 			refused++
 		}
@@ -131,38 +131,38 @@
 		sum := 0
 		for run, n := range runs {
 			if sum += n; n > 1 {
-				t.Errorf("%s came to %s %d times", id, run, n)
+				t.Errorf("%s was sent to %s %d times", id, run, n)
 			}
 		}
 		if sum > 3 {
-			t.Errorf("%s came to %d targets", id, sum)
+			t.Errorf("%s was sent %d times", id, sum)
 		}
 	}
-	if served < (len(ends)-refused)/2 || served < 500 {
-		t.Errorf("%d of %d were served, %d refused", served, len(ends), refused)
+	if served < (len(results)-refused)/2 || served < 500 {
+		t.Errorf("%d of %d were served, %d refused", served, len(results), refused)
 	}
-	t.Logf("%d of %d served; %+v", served, len(ends), l.node.Stats())
+	t.Logf("%d of %d served; %+v", served, len(results), l.node.Stats())
 	l.close()
 	if s := l.node.Stats(); s.Inside != 0 || s.MemoryUsed != 0 || s.Callers != 0 {
-		t.Errorf("left over: %+v", s)
+		t.Errorf("resources not released: %+v", s)
 	}
 	for _, s := range l.node.allServices() {
-		for _, e := range s.all {
-			if len(e.starts) != 0 || e.open != 0 {
-				t.Errorf("%s: %d under way, %d connections", e.run.ID, len(e.starts), e.open)
+		for _, e := range s.endpoints {
+			if len(e.inFlight) != 0 || e.conns != 0 {
+				t.Errorf("%s: %d requests in flight, %d connections", e.run.ID, len(e.inFlight), e.conns)
 			}
 		}
 	}
 }
 
-func TestMixOverLoopback(t *testing.T) { mix(t, loopback{}, 8, 400, 0, false) }
+func TestMixOverLoopback(t *testing.T) { runMix(t, loopback{}, 8, 400, 0, false) }
 
 func TestMixOverVirtualTime(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) { mix(t, newPipes(), 16, 400, 100*time.Millisecond, true) })
+	synctest.Test(t, func(t *testing.T) { runMix(t, newPipes(), 16, 400, 100*time.Millisecond, true) })
 }
 
-// TestBudget: with all targets failing, arrivals beyond the first of each request stay
-// within the budget in every window, and some are made.
+// TestBudget: with all targets failing, retries stay within the budget in every window, and some
+// are made.
 func TestBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const ratio, window = 0.2, 10 * time.Second
@@ -173,13 +173,13 @@
 			id string
 		}
 		var mu sync.Mutex
-		var came []arrival
+		var arrivals []arrival
 		fail := func(l *harness, c net.Conn, s *receivedRequest) bool {
 			mu.Lock()
-			came = append(came, arrival{time.Now(), s.id})
+			arrivals = append(arrivals, arrival{time.Now(), s.id})
 			mu.Unlock()
 			if rand.IntN(2) == 0 {
-				return text("HTTP/1.1 503 Full\nX-Id: ID\nX-Not-Run: 1\nContent-Length: 0\n\n")(l, c, s)
+				return sendRaw("HTTP/1.1 503 Full\nX-Id: ID\nX-Not-Run: 1\nContent-Length: 0\n\n")(l, c, s)
 			}
 			return false
 		}
@@ -189,7 +189,7 @@
 		began := time.Now()
 		var sent []time.Time
 		for i := range 3000 {
-			// Requests ebb and gateway.
+			// The load pauses now and then.
 			if i%500 == 499 {
 				time.Sleep(4 * time.Second)
 			}
@@ -205,13 +205,13 @@
 			}
 			return n
 		}
-		all := 0
+		total := 0
 		known := map[string]bool{}
 		var extra []time.Time
-		for _, a := range came {
+		for _, a := range arrivals {
 			if known[a.id] {
 				extra = append(extra, a.at)
-				all++
+				total++
 			}
 			known[a.id] = true
 		}
@@ -222,13 +222,13 @@
 					n++
 				}
 			}
-			most := max(count(end.Add(-window), end), count(end.Add(-2*window), end.Add(-window)))
-			if float64(n) > ratio*float64(most) {
-				t.Fatalf("%d further arrivals in the window that ends after %v, with %d requests", n, end.Sub(began), most)
+			requests := max(count(end.Add(-window), end), count(end.Add(-2*window), end.Add(-window)))
+			if float64(n) > ratio*float64(requests) {
+				t.Fatalf("%d retries in the window that ends after %v, with %d requests", n, end.Sub(began), requests)
 			}
 		}
-		if all < 100 {
-			t.Errorf("%d further arrivals in all", all)
+		if total < 100 {
+			t.Errorf("%d retries in total", total)
 		}
 		l.close()
 	})
--- a/internal/proxy/node.go
+++ b/internal/proxy/node.go
@@ -57,7 +57,7 @@
 	budget       *budget.Budget
 	dialContext  func(ctx context.Context, addr string) (net.Conn, error)
 	pauses       *liveness.Pauses
-	rhythm       rhythm
+	rhythm       probePacer
 	inbound      bodyPacer        // large bodies from targets
 	outbound     bodyPacer        // large bodies to callers
 	downloads    *downloadLimiter // nil on a wide link
@@ -67,7 +67,7 @@
 	gatewaysNear    atomic.Int64
 	synced          atomic.Bool
 	asOf            atomic.Pointer[time.Time] // time up to which all changes are known
-	newsWatch       newsWatch
+	newsWatch       configAgeMonitor
 	stopping        atomic.Bool
 	closingIdle     atomic.Bool   // idle caller connections are being closed
 	listenersClosed atomic.Bool   // closed on purpose
@@ -120,8 +120,8 @@
 	}
 	n.inbound, n.outbound = newBodyPacer(n, s.LinkMbps), newBodyPacer(n, s.LinkMbps)
 	n.downloads = newDownloadLimiter(n.clock, s.LinkMbps, s.stopTimeout())
-	n.rhythm.base, n.rhythm.free = s.ProbeInterval, s.FreeProbes
-	n.rhythm.every.Store(int64(s.ProbeInterval))
+	n.rhythm.base, n.rhythm.freeRate = s.ProbeInterval, s.FreeProbes
+	n.rhythm.current.Store(int64(s.ProbeInterval))
 	n.gateways.Store(defaultGateways)
 	n.view.Store(&routingView{})
 	return n
@@ -168,7 +168,7 @@
 	v := &routingView{table: t, limits: t.Limits(), services: make([]*service, len(services))}
 	for i, k := range services {
 		if s := n.service(k.Name); s != nil {
-			s.define(k.Service)
+			s.setConfig(k.Service)
 			v.services[i] = s
 		}
 	}
@@ -204,7 +204,7 @@
 		changed[k.svc] = append(changed[k.svc], k.run)
 	}
 	for s, rs := range changed {
-		s.set(rs, now)
+		s.update(rs, now)
 	}
 }
 
@@ -240,7 +240,7 @@
 // SetAsOf sets the time up to which the node knows every change that came into force.
 func (n *Node) SetAsOf(t time.Time) {
 	n.asOf.Store(&t)
-	n.proveVersions(t)
+	n.confirmVersions(t)
 }
 
 // Ready reports whether callers may be sent here.
@@ -253,7 +253,7 @@
 func (n *Node) Run(ctx context.Context) {
 	var wg sync.WaitGroup
 	wg.Go(func() { n.pauses.Run(ctx) })
-	wg.Go(func() { n.probe(ctx) })
+	wg.Go(func() { n.runProbes(ctx) })
 	wg.Go(func() { n.watchDisconnects(ctx) })
 	wg.Wait()
 }
--- a/internal/proxy/place.go
+++ b/internal/proxy/place.go
@@ -7,7 +7,7 @@
 
 // matchRoute selects the route and the service of a request.
 func (n *Node) matchRoute(x *exchange) *rejection {
-	if n.behind() {
+	if n.configStale() {
 		n.stats.refused.Add(1)
 		n.stats.behind.Add(1)
 		return &rejection{status: 503, reason: "this node's news is late", retryAfter: n.jitter(minRetryAfter), requestID: x.id, keepOpen: true}
@@ -15,7 +15,7 @@
 	if w := n.applyRoute(x); w != nil {
 		return w
 	}
-	x.svc.acct.First()
+	x.svc.budget.First()
 	return nil
 }
 
--- a/internal/proxy/pool.go
+++ b/internal/proxy/pool.go
@@ -27,16 +27,16 @@
 		e.discard(c, false)
 	}
 	s.mu.Lock()
-	for e.open >= s.maxOpen() && len(e.idle) > 0 {
+	for e.conns >= s.maxConns() && len(e.idle) > 0 {
 		e.closeOldest()
 	}
-	e.open++
+	e.conns++
 	run := e.run // an update may change it meanwhile
 	s.mu.Unlock()
-	c, err = s.n.dial(run, e.far, now, deadline)
+	c, err = s.node.dial(run, e.zoneFactor, now, deadline)
 	if err != nil {
 		s.mu.Lock()
-		e.open--
+		e.conns--
 		s.mu.Unlock()
 		return nil, false, err
 	}
@@ -45,7 +45,7 @@
 
 // recentlyStale reports whether a reused connection of the service recently failed during a request.
 func (s *service) recentlyStale(now time.Time) bool {
-	return !s.staleAt.IsZero() && now.Sub(s.staleAt) < freshFor
+	return !s.lastStaleConn.IsZero() && now.Sub(s.lastStaleConn) < distrustIdleFor
 }
 
 // hasIdleConn reports whether there is an idle connection for such a use.
@@ -79,14 +79,14 @@
 		if idle < c.idleTimeout {
 			return c
 		}
-		e.open--
+		e.conns--
 		_ = c.nc.Close()
 	}
 	return nil
 }
 
 // putIdle returns a connection to the pool for the duration d.
-func (e *endpoint) putIdle(c *conn, d time.Duration) { e.putConn(c, e.svc.n.clock.Now(), d) }
+func (e *endpoint) putIdle(c *conn, d time.Duration) { e.putConn(c, e.svc.node.clock.Now(), d) }
 
 // putUnused returns a connection to the pool over which nothing was sent.
 func (e *endpoint) putUnused(c *conn, now time.Time) {
@@ -101,8 +101,8 @@
 	s := e.svc
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if d <= 0 || !e.takes() || e.open > s.maxOpen() {
-		e.open--
+	if d <= 0 || !e.available() || e.conns > s.maxConns() {
+		e.conns--
 		_ = c.nc.Close()
 		return
 	}
@@ -113,7 +113,7 @@
 // discard closes a connection; withReset also discards unsent data.
 func (e *endpoint) discard(c *conn, withReset bool) {
 	e.svc.mu.Lock()
-	e.open--
+	e.conns--
 	e.svc.mu.Unlock()
 	if withReset {
 		c.closeWithReset()
@@ -132,7 +132,7 @@
 func (e *endpoint) closeOldest() {
 	c := e.idle[0]
 	e.idle = append(e.idle[:0], e.idle[1:]...)
-	e.open--
+	e.conns--
 	_ = c.nc.Close()
 }
 
@@ -158,7 +158,7 @@
 		n.stats.dialsFailed.Add(1)
 		return nil, steperr.At("connect", run.ID, err)
 	}
-	n.noteConnect(n.clock.Now().Sub(begun))
+	n.recordRoundTrip(n.clock.Now().Sub(begun))
 	c := newConn(nc)
 	if err := c.startUse(deadline); err != nil {
 		c.closeWithReset()
--- a/internal/proxy/upgrade_test.go
+++ b/internal/proxy/upgrade_test.go
@@ -11,17 +11,16 @@
 	"walkrudder/internal/upgrade"
 )
 
-// versioned is a run of a version.
-func versioned(id, version string) target.Run {
-	r := at(id, "a", 2)
+func versionedRun(id, version string) target.Run {
+	r := readyRun(id, "a", 2)
 	r.Version = version
 	return r
 }
 
-// inUpgrade has a node know an upgrade of its service from v1 to v2, with a share of the requests in thousandths.
-func inUpgrade(t *testing.T, share int, runs ...target.Run) (*Node, *service) {
+// serviceInUpgrade returns a node whose service is being upgraded from v1 to v2, with a share of the requests in thousandths.
+func serviceInUpgrade(t *testing.T, share int, runs ...target.Run) (*Node, *service) {
 	t.Helper()
-	n, s := plan(runs...)
+	n, s := testService(runs...)
 	u, verdict := upgrade.Order{Service: "svc", To: "v2", Term: time.Minute}.Take(upgrade.Upgrade{}, "v1", time.Now())
 	if verdict != upgrade.Begun {
 		t.Fatal(verdict)
@@ -34,33 +33,33 @@
 	return n, s
 }
 
-// A target of another version gets nothing before the node's news is newer than its first sight of that version.
+// A target of another version gets no requests until the node's state is newer than its first sight of that version.
 func TestAnUnknownVersionGetsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		n, s := plan(versioned("a1", "v1"), versioned("a2", "v1"))
+		n, s := testService(versionedRun("a1", "v1"), versionedRun("a2", "v1"))
 		seen := time.Now()
-		n.ApplyRuns([]target.Run{versioned("a3", "v2")})
-		for _, id := range fill(n, s, route.Idempotent) {
+		n.ApplyRuns([]target.Run{versionedRun("a3", "v2")})
+		for _, id := range takeAll(n, s, route.Idempotent) {
 			if id == "a3" {
-				t.Fatal("it got a request")
+				t.Fatal("a target of an unknown version got a request")
 			}
 		}
 		n.SetAsOf(seen.Add(time.Millisecond))
-		if s.all["a3"].lane != upgrade.Stable {
-			t.Error("it gets nothing though no upgrade to it was acknowledged")
+		if s.endpoints["a3"].lane != upgrade.Stable {
+			t.Error("it is not in use although no upgrade to it was acknowledged")
 		}
 	})
 }
 
-// A gateway's part for the new version follows the share, whatever its requests.
+// The fraction of requests that a gateway sends to the new version equals the share.
 func TestTheShareIsDrawnByLot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		for _, share := range []int{50, 200, 400} {
-			n, s := inUpgrade(t, share, versioned("a1", "v1"), versioned("a2", "v1"), versioned("b1", "v2"), versioned("b2", "v2"), versioned("b3", "v2"))
+			n, s := serviceInUpgrade(t, share, versionedRun("a1", "v1"), versionedRun("a2", "v1"), versionedRun("b1", "v2"), versionedRun("b2", "v2"), versionedRun("b3", "v2"))
 			got := 0
 			const asked = 20000
 			for i := range asked {
-				x := ask(n, s, route.Idempotent)
+				x := testExchange(n, s, route.Idempotent)
 				x.versionDraw = float64(i) / asked
 				g := s.tryAcquire(x)
 				if g.e.run.Version == "v2" {
@@ -69,25 +68,25 @@
 				s.release(g, outcomeAnswered, time.Millisecond, 0)
 			}
 			if got != asked*share/upgrade.Full {
-				t.Errorf("share %d: %d of %d", share, got, asked)
+				t.Errorf("share %d: %d of %d requests", share, got, asked)
 			}
 		}
 	})
 }
 
-// With all requests at the new version the old targets get none, and what is under way there is told.
+// Once all requests go to the new version, old targets get none, and their requests in flight are reported.
 func TestOldTargetsAreLeft(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		n, s := inUpgrade(t, 200, versioned("a1", "v1"), versioned("b1", "v2"))
-		x := ask(n, s, route.Idempotent)
+		n, s := serviceInUpgrade(t, 200, versionedRun("a1", "v1"), versionedRun("b1", "v2"))
+		x := testExchange(n, s, route.Idempotent)
 		x.versionDraw = 0.9
 		old := s.tryAcquire(x)
-		last := s.moves.versions.Upgrade().Step(upgrade.Full)
-		n.ApplyItems([]item.Item{last.Item()})
-		if r := n.UpgradeReports(); len(r) != 1 || r[0].OldUnderWay != 1 || r[0].Number != last.Number {
-			t.Errorf("with a request under way: %+v", r)
+		final := s.upgrade.versions.Upgrade().Step(upgrade.Full)
+		n.ApplyItems([]item.Item{final.Item()})
+		if r := n.UpgradeReports(); len(r) != 1 || r[0].OldUnderWay != 1 || r[0].Number != final.Number {
+			t.Errorf("with a request in flight: %+v", r)
 		}
-		for _, id := range fill(n, s, route.Idempotent) {
+		for _, id := range takeAll(n, s, route.Idempotent) {
 			if id == "a1" {
 				t.Error("an old target got a request")
 			}
@@ -99,28 +98,28 @@
 	})
 }
 
-// Guards against a good version that was reverted: on a route with few requests each gateway's first answer of the old
-// version counted as not slow, though nothing was known there of what is slow.
+// Guards against reverting a good version: on a route with few requests, each gateway's first answer of the old version
+// counted as not slow, although the bound for slow answers was not known there yet.
 func TestAnswersCountOnlyWhereSlowIsKnown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		n, s := inUpgrade(t, 200, versioned("a1", "v1"), versioned("b1", "v2"))
-		s.tally("rare", s.all["a1"], outcomeAnswered, 300*time.Millisecond)
-		s.tally("rare", s.all["b1"], outcomeAnswered, 900*time.Millisecond)
+		n, s := serviceInUpgrade(t, 200, versionedRun("a1", "v1"), versionedRun("b1", "v2"))
+		s.recordForUpgrade("rare", s.endpoints["a1"], outcomeAnswered, 300*time.Millisecond)
+		s.recordForUpgrade("rare", s.endpoints["b1"], outcomeAnswered, 900*time.Millisecond)
 		for _, r := range n.UpgradeReports()[0].Routes {
 			if r.Old.Answers > 0 || r.New.Answers > 0 {
 				t.Errorf("after one answer of each: %+v", r)
 			}
 		}
-		s.tally("rare", s.all["b1"], outcomeServerError, time.Millisecond)
+		s.recordForUpgrade("rare", s.endpoints["b1"], outcomeServerError, time.Millisecond)
 		if r := n.UpgradeReports()[0].Routes; len(r) != 1 || r[0].New.Failed != 1 {
-			t.Errorf("a failure counts always: %+v", r)
+			t.Errorf("a failure must always count: %+v", r)
 		}
-		for range boundAfter {
-			s.tally("rare", s.all["a1"], outcomeAnswered, 300*time.Millisecond)
+		for range minBoundAnswers {
+			s.recordForUpgrade("rare", s.endpoints["a1"], outcomeAnswered, 300*time.Millisecond)
 		}
-		s.tally("rare", s.all["b1"], outcomeAnswered, 900*time.Millisecond)
+		s.recordForUpgrade("rare", s.endpoints["b1"], outcomeAnswered, 900*time.Millisecond)
 		if r := n.UpgradeReports()[0].Routes; len(r) != 1 || r[0].Old.Answers != 1 || r[0].New.Bad != 2 {
-			t.Errorf("once it is known: %+v", r)
+			t.Errorf("once the bound is known: %+v", r)
 		}
 	})
 }
--- a/internal/proxy/write.go
+++ b/internal/proxy/write.go
@@ -76,7 +76,7 @@
 		b = append(b, "\r\n"...)
 	}
 	b = append(b, "\r\n"...)
-	w := c.writerFor()
+	w := c.startAnswer()
 	var err error
 	switch {
 	case a.stream != nil:
@@ -116,9 +116,9 @@
 	n := w.c.n
 	k := min(len(rest), largeBodyStep)
 	began := n.clock.Now()
-	n.outbound.wait(size, k, began.Add(writeTime))
+	n.outbound.wait(size, k, began.Add(rateWindow))
 	now := n.clock.Now()
-	w.pause(now.Sub(began))
+	w.excludePause(now.Sub(began))
 	n.downloads.writeBegins(d, now)
 	k, err := w.write(rest[:k])
 	n.downloads.writeDone(d, k)
@@ -141,7 +141,7 @@
 		if len(b) == 0 {
 			return err
 		}
-		w.pause(w.c.n.clock.Now().Sub(waitStart))
+		w.excludePause(w.c.n.clock.Now().Sub(waitStart))
 		k, err := w.writeStep(b, p.size, a.pending)
 		if err != nil {
 			return err
