--- a/internal/control/beat.go
+++ b/internal/control/beat.go
@@ -13,95 +13,96 @@
 	"walkrudder/internal/watch"
 )
 
-// errFull says that the table of runs has no room.
-var errFull = errors.New("too many targets")
+// errTableFull reports that the table of runs has no room for another run.
+var errTableFull = errors.New("too many targets")
 
-// Beat takes in what a target says of itself. One that is ready is taken note of, and
-// that is all. That it drains is acknowledged only once a majority of synced disks holds it.
+// Beat records a heartbeat of a target. A heartbeat of a ready target is only entered in the
+// local table. A heartbeat that announces draining is acknowledged only once a majority of
+// synced disks holds it.
 func (n *Node) Beat(ctx context.Context, b target.Beat) (err error) {
 	if err := b.Check(); err != nil {
-		n.counts.beats.note(true, nil)
+		n.calls.beats.record(true, nil)
 		return err
 	}
-	defer func() { n.counts.beats.note(false, err) }()
+	defer func() { n.calls.beats.record(false, err) }()
 	var r target.Run
 	known := false
 	n.Board.Table(func(t *target.Table, now time.Time) (news bool) {
 		var moved bool
-		if r, news, moved = t.Hear(b, n.quiet(), now); moved || news {
+		if r, news, moved = t.Hear(b, n.addressReuseSilence(), now); moved || news {
 			_, known = t.Get(b.ID, now)
 		} else {
 			known = true
 		}
-		n.watch.Heard(b.ID, b.Seq, moved, now)
+		n.runWatch.Heard(b.ID, b.Seq, moved, now)
 		return news
 	})
 	if !known {
-		return steperr.At("beat", b.ID, errFull)
+		return steperr.At("beat", b.ID, errTableFull)
 	}
 	if !b.Draining {
 		return nil
 	}
-	return n.hold(ctx, r)
+	return n.persistDeparture(ctx, r)
 }
 
-// Leave takes in that a run has ended, also one that is not known here.
+// Leave records that a run has ended, also when the run is not known here.
 func (n *Node) Leave(ctx context.Context, id string) (err error) {
 	if err := (target.Beat{ID: id, Service: "-", Addr: "-"}).Check(); err != nil {
-		n.counts.leaves.note(true, nil)
+		n.calls.departures.record(true, nil)
 		return err
 	}
-	defer func() { n.counts.leaves.note(false, err) }()
+	defer func() { n.calls.departures.record(false, err) }()
 	var r target.Run
 	n.Board.Table(func(t *target.Table, now time.Time) (news bool) {
 		r, news = t.Leave(id, now)
 		return news
 	})
-	return n.hold(ctx, r)
+	return n.persistDeparture(ctx, r)
 }
 
-// nearFor is how long the list of the controllers that may be given work is used for beats: there
-// are hundreds of them a second, and who is near is only known to a second or so.
-const nearFor = 100 * time.Millisecond
+// nearbyCacheTTL is how long the list of eligible controllers is reused for heartbeats:
+// hundreds of them arrive per second, and the list itself is only accurate to about a second.
+const nearbyCacheTTL = 100 * time.Millisecond
 
-// nearby is that list, as it stood at a time.
-type nearby struct {
+// nearbyCache is the list of eligible controllers and the time at which it was read.
+type nearbyCache struct {
 	at          time.Time
 	controllers []watch.Member
 }
 
-// near are the controllers that may be given work, as they stood just now.
-func (n *Node) near() []watch.Member {
+// nearbyControllers returns the controllers that may be given work, at most nearbyCacheTTL old.
+func (n *Node) nearbyControllers() []watch.Member {
 	now := n.Clock.Now()
-	if l := n.nearby.Load(); l != nil && now.Sub(l.at) < nearFor {
-		return l.controllers
+	if cached := n.nearbyCache.Load(); cached != nil && now.Sub(cached.at) < nearbyCacheTTL {
+		return cached.controllers
 	}
-	l := &nearby{now, n.Mesh.Near()}
-	n.nearby.Store(l)
-	return l.controllers
+	cached := &nearbyCache{now, n.Mesh.Near()}
+	n.nearbyCache.Store(cached)
+	return cached.controllers
 }
 
-// HomeMember is the controller to which later beats of a service's targets in a zone should
-// go: one of their own zone where there is one, by rendezvous, so that every node says
-// the same and few move when controllers come and go.
+// HomeMember returns the controller to which later heartbeats of a service's targets in a zone
+// should go. It prefers controllers of the same zone and chooses among them by rendezvous
+// hashing, so that all nodes agree and few targets move when controllers come and go.
 func (n *Node) HomeMember(service, zone string) (best watch.Member, ok bool) {
-	ms := n.near()
-	going := n.stop.Load() && len(ms) > 1
-	var most uint64
-	for _, m := range ms {
-		if going && m.ID == n.ID {
+	controllers := n.nearbyControllers()
+	stopping := n.stopping.Load() && len(controllers) > 1
+	var bestScore uint64
+	for _, m := range controllers {
+		if stopping && m.ID == n.ID {
 			continue
 		}
-		s := score(service, zone, m.ID)
-		own, better := m.Zone == zone, cmp.Or(cmp.Compare(s, most), cmp.Compare(m.ID, best.ID)) > 0
-		if had := ok && best.Zone == zone; !ok || own && !had || own == had && better {
-			best, most, ok = m, s, true
+		candidateScore := score(service, zone, m.ID)
+		sameZone, better := m.Zone == zone, cmp.Or(cmp.Compare(candidateScore, bestScore), cmp.Compare(m.ID, best.ID)) > 0
+		if bestSameZone := ok && best.Zone == zone; !ok || sameZone && !bestSameZone || sameZone == bestSameZone && better {
+			best, bestScore, ok = m, candidateScore, true
 		}
 	}
 	return best, ok
 }
 
-// score ranks a controller among those for a service's targets in a zone.
+// score is the rendezvous hash of a controller for a service's targets in a zone.
 func score(service, zone, id string) uint64 {
 	var d xxhash.Digest
 	d.Reset()
@@ -111,7 +112,7 @@
 	return d.Sum64()
 }
 
-// Home is the inner address of HomeMember, "" when there is none.
+// Home returns the inner address of HomeMember, or "" when there is none.
 func (n *Node) Home(service, zone string) string {
 	m, _ := n.HomeMember(service, zone)
 	return m.Inner
--- a/internal/control/beat_test.go
+++ b/internal/control/beat_test.go
@@ -12,20 +12,20 @@
 	"walkrudder/internal/target"
 )
 
-// beats has a target run beat at the controller that is its home, as targets do; it goes to
+// startHeartbeats has a target run beat at the controller that is its home, as targets do; it goes to
 // the next when that one fails. The returned function ends it.
-func (w *world) beats(id, service, zone, addr string) (stop func()) {
-	ctx, end := context.WithCancel(w.ctx)
-	w.wg.Go(func() {
+func (cl *cluster) startHeartbeats(id, service, zone, addr string) (stop func()) {
+	ctx, end := context.WithCancel(cl.ctx)
+	cl.wg.Go(func() {
 		to := ""
 		for seq := uint64(1); ctx.Err() == nil; seq++ {
 			b := target.Beat{ID: id, Service: service, Addr: addr, Zone: zone, Slots: 2, Seq: seq}
 			for range 4 {
-				m, ok := lo.Find(w.controllers, func(m *controllerHost) bool { return m.addr == to })
+				m, ok := lo.Find(cl.controllers, func(m *controllerHost) bool { return m.addr == to })
 				if !ok {
-					m = pick(w, w.controllers)
+					m = pick(cl, cl.controllers)
 				}
-				if err := w.beat(m, b); err == nil {
+				if err := cl.sendHeartbeat(m, b); err == nil {
 					to = m.control().Home(service, zone)
 					break
 				}
@@ -39,19 +39,19 @@
 	return end
 }
 
-// beat sends one beat over the network, as it were.
-func (w *world) beat(m *controllerHost, b target.Beat) error {
-	run := m.up()
+// sendHeartbeat sends one beat over the network, as it were.
+func (cl *cluster) sendHeartbeat(m *controllerHost, b target.Beat) error {
+	run := m.processContext()
 	if run == nil {
 		return errRefused
 	}
-	cx, end := context.WithTimeout(w.ctx, time.Second)
+	cx, end := context.WithTimeout(cl.ctx, time.Second)
 	defer end()
 	ch := make(chan error, 1)
 	go func() {
-		m.awake()
+		m.waitWhileFrozen()
 		err := m.control().Beat(cx, b)
-		m.awake()
+		m.waitWhileFrozen()
 		if run.Err() == nil {
 			ch <- err
 		}
@@ -65,38 +65,38 @@
 }
 
 func TestDrainsReachEveryGatewayThoughTheirControllerFails(t *testing.T) {
-	each(t, func(w *world) {
-		w.order(base(3), w.controllers)
+	eachSeed(t, func(cl *cluster) {
+		cl.mustApply(baseChange(3), cl.controllers)
 		for i := range 6 {
 			id := fmt.Sprintf("i-%d", i)
 			b := target.Beat{ID: id, Service: "a", Addr: fmt.Sprintf("10.0.0.%d:80", i), Zone: "z0", Slots: 2, Seq: 1}
-			if err := pick(w, w.controllers).control().Beat(w.ctx, b); err != nil {
+			if err := pick(cl, cl.controllers).control().Beat(cl.ctx, b); err != nil {
 				t.Fatal(err)
 			}
 		}
-		time.Sleep(bound)
-		for _, x := range w.gateways {
+		time.Sleep(propagationLimit)
+		for _, x := range cl.gateways {
 			if r := x.run("i-0"); r.State != target.Ready {
 				t.Fatalf("%s does not know a run: %+v", x.id, r)
 			}
 		}
 		for i := range 6 {
 			id := fmt.Sprintf("i-%d", i)
-			m := pick(w, w.controllers)
+			m := pick(cl, cl.controllers)
 			b := target.Beat{ID: id, Service: "a", Addr: fmt.Sprintf("10.0.0.%d:80", i), Zone: "z0", Slots: 2, Seq: 2, Draining: true}
 			state := target.Draining
 			var err error
 			if i%3 == 2 {
 				state = target.Ended
-				err = m.control().Leave(w.ctx, id)
+				err = m.control().Leave(cl.ctx, id)
 			} else {
-				err = m.control().Beat(w.ctx, b)
+				err = m.control().Beat(cl.ctx, b)
 			}
 			if err != nil {
 				t.Fatal(err)
 			}
 			heal := func() {}
-			switch w.chance(4) {
+			switch cl.randN(4) {
 			case 0:
 				m.kill()
 				heal = m.boot
@@ -104,25 +104,25 @@
 				m.freeze()
 				heal = m.thaw
 			case 2:
-				for _, o := range w.controllers {
-					w.net.cut(m.addr, o.addr, true)
+				for _, o := range cl.controllers {
+					cl.net.cut(m.addr, o.addr, true)
 				}
-				for _, x := range w.gateways {
-					w.net.cut(m.addr, x.addr, true)
+				for _, x := range cl.gateways {
+					cl.net.cut(m.addr, x.addr, true)
 				}
-				heal = w.net.mend
+				heal = cl.net.healAll
 			}
-			w.drained(id, state, w.gateways)
-			time.Sleep(bound + time.Second)
+			cl.expectState(id, state, cl.gateways)
+			time.Sleep(propagationLimit + time.Second)
 			heal()
 			time.Sleep(3500 * time.Millisecond)
 			// A late beat does not bring it back.
 			b.Draining = false
-			if err := pick(w, w.controllers).control().Beat(w.ctx, b); err != nil {
+			if err := pick(cl, cl.controllers).control().Beat(cl.ctx, b); err != nil {
 				t.Fatal(err)
 			}
 			time.Sleep(100 * time.Millisecond)
-			for _, x := range w.gateways {
+			for _, x := range cl.gateways {
 				if r := x.run(id); r.State != state {
 					t.Errorf("%s: a late beat changed %+v", x.id, r)
 				}
@@ -132,31 +132,31 @@
 }
 
 func TestUnknownRunsThatLeaveAreHeld(t *testing.T) {
-	play(t, 4, small, func(w *world) {
-		if err := w.controllers[5].control().Leave(w.ctx, "i-never"); err != nil {
+	runCluster(t, 4, smallCluster, func(cl *cluster) {
+		if err := cl.controllers[5].control().Leave(cl.ctx, "i-never"); err != nil {
 			t.Fatal(err)
 		}
-		w.drained("i-never", target.Ended, w.gateways)
+		cl.expectState("i-never", target.Ended, cl.gateways)
 		// What is known to be held is acknowledged though nobody is there any more.
-		for _, o := range w.controllers[:5] {
-			w.net.cut(w.controllers[5].addr, o.addr, true)
+		for _, o := range cl.controllers[:5] {
+			cl.net.cut(cl.controllers[5].addr, o.addr, true)
 		}
-		if err := w.controllers[5].control().Leave(w.ctx, "i-never"); err != nil {
+		if err := cl.controllers[5].control().Leave(cl.ctx, "i-never"); err != nil {
 			t.Errorf("a leaving already held: %v", err)
 		}
 	})
 }
 
 func TestSilentRunsAreSuspectedAndClearedForAll(t *testing.T) {
-	each(t, func(w *world) {
-		w.order(base(1), w.controllers)
+	eachSeed(t, func(cl *cluster) {
+		cl.mustApply(baseChange(1), cl.controllers)
 		stops := map[string]func(){}
 		for i := range 8 {
 			id := fmt.Sprintf("i-%d", i)
-			stops[id] = w.beats(id, "a", "z0", fmt.Sprintf("10.0.0.%d:80", i))
+			stops[id] = cl.startHeartbeats(id, "a", "z0", fmt.Sprintf("10.0.0.%d:80", i))
 		}
 		time.Sleep(20 * time.Second)
-		for _, x := range w.gateways {
+		for _, x := range cl.gateways {
 			for id := range stops {
 				if r := x.run(id); r.State != target.Ready || r.Suspected() {
 					t.Fatalf("%s: a run that beats is %+v", x.id, r)
@@ -165,7 +165,7 @@
 		}
 		stops["i-3"]()
 		time.Sleep(8 * time.Second)
-		for _, x := range w.gateways {
+		for _, x := range cl.gateways {
 			for id := range stops {
 				if r := x.run(id); r.Suspected() != (id == "i-3") {
 					t.Errorf("%s: %+v", x.id, r)
@@ -173,11 +173,11 @@
 			}
 		}
 		// One newer beat, at whatever node, clears it.
-		if err := pick(w, w.controllers).control().Beat(w.ctx, target.Beat{ID: "i-3", Service: "a", Addr: "10.0.0.3:80", Zone: "z0", Slots: 2, Seq: 1000}); err != nil {
+		if err := pick(cl, cl.controllers).control().Beat(cl.ctx, target.Beat{ID: "i-3", Service: "a", Addr: "10.0.0.3:80", Zone: "z0", Slots: 2, Seq: 1000}); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(300 * time.Millisecond)
-		for _, x := range w.gateways {
+		for _, x := range cl.gateways {
 			if r := x.run("i-3"); r.Suspected() {
 				t.Errorf("%s: still suspected: %+v", x.id, r)
 			}
@@ -187,7 +187,7 @@
 			stop()
 		}
 		time.Sleep(20 * time.Second)
-		for _, x := range w.gateways {
+		for _, x := range cl.gateways {
 			if n := lo.CountBy(lo.Keys(stops), func(id string) bool { return x.run(id).Suspected() }); n == 0 || n > 4 {
 				t.Errorf("%s holds %d of 8 runs for silent", x.id, n)
 			}
@@ -197,21 +197,21 @@
 
 // A controller that stood still must not take the silence for the targets'.
 func TestOwnPausesMakeNoSuspicion(t *testing.T) {
-	each(t, func(w *world) {
-		w.order(base(1), w.controllers)
+	eachSeed(t, func(cl *cluster) {
+		cl.mustApply(baseChange(1), cl.controllers)
 		var stops []func()
 		for i := range 8 {
-			stops = append(stops, w.beats(fmt.Sprintf("i-%d", i), "a", fmt.Sprintf("z%d", i%3), fmt.Sprintf("10.0.0.%d:80", i)))
+			stops = append(stops, cl.startHeartbeats(fmt.Sprintf("i-%d", i), "a", fmt.Sprintf("z%d", i%3), fmt.Sprintf("10.0.0.%d:80", i)))
 		}
 		time.Sleep(15 * time.Second)
 		for range 3 {
-			m := pick(w, w.controllers)
+			m := pick(cl, cl.controllers)
 			m.freeze()
-			time.Sleep(time.Duration(1000+w.chance(4000)) * time.Millisecond)
+			time.Sleep(time.Duration(1000+cl.randN(4000)) * time.Millisecond)
 			m.thaw()
 			time.Sleep(700 * time.Millisecond)
 			for i := range 8 {
-				if r := w.gateways[0].run(fmt.Sprintf("i-%d", i)); r.Suspected() {
+				if r := cl.gateways[0].run(fmt.Sprintf("i-%d", i)); r.Suspected() {
 					t.Errorf("%s was frozen, and %+v is suspected", m.id, r)
 				}
 			}
@@ -224,14 +224,14 @@
 }
 
 func TestANewRunTakesAnAddressOver(t *testing.T) {
-	play(t, 5, small, func(w *world) {
-		stop := w.beats("i-old", "a", "z0", "10.0.0.1:80")
+	runCluster(t, 5, smallCluster, func(cl *cluster) {
+		stop := cl.startHeartbeats("i-old", "a", "z0", "10.0.0.1:80")
 		time.Sleep(10 * time.Second)
 		stop()
 		time.Sleep(1100 * time.Millisecond)
-		again := w.beats("i-new", "b", "z0", "10.0.0.1:80")
+		again := cl.startHeartbeats("i-new", "b", "z0", "10.0.0.1:80")
 		time.Sleep(5 * time.Second)
-		for _, x := range w.gateways {
+		for _, x := range cl.gateways {
 			if o, n := x.run("i-old"), x.run("i-new"); o.State != target.Ended || n.State != target.Ready || n.Suspected() {
 				t.Errorf("%s: %+v and %+v", x.id, o, n)
 			}
--- a/internal/control/change.go
+++ b/internal/control/change.go
@@ -17,14 +17,14 @@
 	"walkrudder/internal/steperr"
 )
 
-// Drop takes one item away from Version on.
+// Drop deletes one item as of Version.
 type Drop struct {
 	Kind    item.Kind
 	Name    string
 	Version uint64
 }
 
-// Change is what an operator wants: whole items to be set, and some to be dropped.
+// Change is a set of edits by an operator: whole items to set, and items to delete.
 type Change struct {
 	Routes   []route.Route
 	Services []route.Service
@@ -32,218 +32,217 @@
 	Drops    []Drop
 }
 
-// State is what stands.
-type State struct {
+// Configuration is the configuration in force.
+type Configuration struct {
 	Routes   []route.Route
 	Services []route.Service
 	Limits   *route.Limits
 }
 
-// ledger knows of which items a majority of synced disks holds a copy at least as new.
-type ledger struct {
-	mu   sync.Mutex
-	sure map[item.Key]uint64 // version
+// durableVersions records the item versions known to be held by a majority of synced disks.
+type durableVersions struct {
+	mu       sync.Mutex
+	versions map[item.Key]uint64 // version
 }
 
-func (l *ledger) has(i item.Item) bool {
+func (l *durableVersions) has(i item.Item) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	v, ok := l.sure[i.Key]
+	v, ok := l.versions[i.Key]
 	return ok && v >= i.Version
 }
 
-func (l *ledger) note(is []item.Item) {
+func (l *durableVersions) record(is []item.Item) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.sure == nil {
-		l.sure = map[item.Key]uint64{}
+	if l.versions == nil {
+		l.versions = map[item.Key]uint64{}
 	}
 	for _, i := range is {
-		l.sure[i.Key] = max(l.sure[i.Key], i.Version)
+		l.versions[i.Key] = max(l.versions[i.Key], i.Version)
 	}
 }
 
-// items turns the change into items, and tells what is wrong with any by itself.
-func (c Change) items() (out []item.Item, ps []route.Problem) {
+// items converts the change to items, and returns the problems of each item on its own.
+func (c Change) items() (out []item.Item, problems []route.Problem) {
 	for _, s := range c.Services {
-		ps = append(ps, s.Check()...)
+		problems = append(problems, s.Check()...)
 		out = append(out, s.Item())
 	}
 	for _, r := range c.Routes {
-		ps = append(ps, r.Check()...)
+		problems = append(problems, r.Check()...)
 		out = append(out, r.Item())
 	}
 	if c.Limits != nil {
-		ps = append(ps, c.Limits.Check()...)
+		problems = append(problems, c.Limits.Check()...)
 		out = append(out, c.Limits.Item())
 	}
 	for i, d := range c.Drops {
 		if d.Name == "" || d.Kind != item.Route && d.Kind != item.Service {
-			ps = append(ps, route.Problem{Path: fmt.Sprintf("drops/%d", i), Why: "names no route or service"})
+			problems = append(problems, route.Problem{Path: fmt.Sprintf("drops/%d", i), Why: "names no route or service"})
 		}
 		out = append(out, item.Item{Key: item.Key{Kind: d.Kind, Name: d.Name}, Version: d.Version, Gone: true})
 	}
-	return out, ps
+	return out, problems
 }
 
-// Apply checks a change as a whole, has one content settled for each of its versions, and
-// has the items held by a majority of synced disks; only then is it acknowledged, by no
-// problem and no error. After problems, and after a conflict (IsConflict), nothing of it was
-// or will be in force; after another error it may take effect yet.
+// Apply validates a change as a whole, has one content decided for each of its versions, and
+// has the items stored by a majority of synced disks. Only then is the change acknowledged: no
+// problems and no error are returned. If problems or a conflict (IsConflict) are returned,
+// nothing of the change is or will be in force. After any other error it may still take effect.
 //
-// All voters are asked for news first, always: the check needs everything acknowledged
-// before the call, so that a valid change is not refused for an old view and an invalid
-// one does not slip through, and as many voters as that takes are needed for the change
-// anyway.
-func (n *Node) Apply(ctx context.Context, c Change) (ps []route.Problem, err error) {
+// Apply always fetches news from all voters first: validation needs everything that was
+// acknowledged before the call, so that a valid change is not refused, and an invalid one not
+// accepted, because of an outdated view. The change needs as many voters anyway.
+func (n *Node) Apply(ctx context.Context, c Change) (problems []route.Problem, err error) {
 	return n.ApplyFor(ctx, nil, c)
 }
 
-// Caller is whoever waits for the outcome of a change.
+// Caller is the party that waits for the outcome of a change.
 type Caller interface {
-	// Left tells whether it does so no more.
+	// Left reports whether the caller no longer waits.
 	Left() bool
 }
 
-// ErrStale says that a change was not carried out since its caller may have given it up and sent it elsewhere.
+// ErrStale reports that a change was not carried out because its caller may have given it up and sent it to another node.
 var ErrStale = errors.New("the caller may have sent this elsewhere: not carried out here")
 
-// ApplyFor applies a change for a caller that may leave; nil is one that never does.
-func (n *Node) ApplyFor(ctx context.Context, caller Caller, c Change) (ps []route.Problem, err error) {
-	defer func() { n.counts.changes.note(len(ps) > 0 || IsConflict(err), err) }()
-	all, ps := c.items()
-	if len(ps) > 0 || len(all) == 0 {
-		return ps, nil
+// ApplyFor is Apply for a caller that may disconnect. A nil caller never does.
+func (n *Node) ApplyFor(ctx context.Context, caller Caller, c Change) (problems []route.Problem, err error) {
+	defer func() { n.calls.changes.record(len(problems) > 0 || IsConflict(err), err) }()
+	all, problems := c.items()
+	if len(problems) > 0 || len(all) == 0 {
+		return problems, nil
 	}
 	if n.stale(caller) {
 		return nil, steperr.At("apply", "", ErrStale)
 	}
-	// One after the other, so that two changes taken here can't be valid each by
-	// itself only.
+	// Changes are serialized: two concurrent changes could each be valid alone but not
+	// together.
 	select {
-	case n.busy <- struct{}{}:
-		defer func() { <-n.busy }()
+	case n.changeSlot <- struct{}{}:
+		defer func() { <-n.changeSlot }()
 	case <-ctx.Done():
 		return nil, steperr.At("apply", "", ctx.Err())
 	}
 	if err := n.Mesh.Sync(ctx); err != nil {
 		return nil, err
 	}
-	w := n.weigh(all)
+	check := n.checkChange(all)
 	switch {
-	case len(w.problems) > 0:
-		return n.refuse(ctx, all, w.problems)
-	case w.stands:
+	case len(check.problems) > 0:
+		return n.refuse(ctx, all, check.problems)
+	case check.inForce:
 		return nil, nil
 	case n.stale(caller):
 		return nil, steperr.At("apply", "", ErrStale)
 	}
-	decided, err := n.Prop.Decide(ctx, all)
+	decided, err := n.Proposer.Decide(ctx, all)
 	if err != nil {
 		return nil, err
 	}
-	return nil, n.secure(ctx, append(decided, w.support...))
+	return nil, n.ensureDurable(ctx, append(decided, check.dependencies...))
 }
 
-// wakeTime is for how long after a long pause of this process changes are not carried out: they may have lain in
-// its sockets meanwhile.
-const wakeTime = time.Second
+// staleAfterPause is how long changes are refused after a long pause of this process, because they may
+// have waited in its sockets meanwhile.
+const staleAfterPause = time.Second
 
-// stale tells whether a change may be a copy that its caller has given up: it was refused elsewhere by
-// now, perhaps, and its cause mended.
+// stale reports whether a change may be a copy that its caller has given up: another node may have refused
+// it meanwhile, and the cause of the refusal may have been fixed.
 func (n *Node) stale(caller Caller) bool {
-	return n.pause.WokeWithin(wakeTime) || caller != nil && caller.Left()
+	return n.pauses.WokeWithin(staleAfterPause) || caller != nil && caller.Left()
 }
 
-// IsConflict tells whether a change was refused because another content of the version of
-// one of its items is settled.
+// IsConflict reports whether a change was refused because different content was already decided
+// for the version of one of its items.
 func IsConflict(err error) bool {
 	var conflict quorum.ConflictError
 	return errors.As(err, &conflict)
 }
 
-// refuse refuses a change for its problems, unless an earlier try of it may have got through:
-// then it may be in force, and there is no clear answer.
-func (n *Node) refuse(ctx context.Context, all []item.Item, ps []route.Problem) ([]route.Problem, error) {
-	found, err := n.Prop.Trace(ctx, all)
+// refuse refuses a change for its problems, unless an earlier attempt may have succeeded: the
+// change may then be in force, and the outcome is reported as unknown.
+func (n *Node) refuse(ctx context.Context, all []item.Item, problems []route.Problem) ([]route.Problem, error) {
+	found, err := n.Proposer.Trace(ctx, all)
 	switch {
 	case err != nil:
 		return nil, err
 	case found:
 		return nil, steperr.At("apply", "", quorum.ErrPartly)
 	}
-	return ps, nil
+	return problems, nil
 }
 
-// secure has a majority of synced disks hold settled items, and shows them.
-func (n *Node) secure(ctx context.Context, items []item.Item) error {
-	need := lo.Filter(items, func(i item.Item, _ int) bool { return !n.ledger.has(i) })
-	if len(need) == 0 {
+// ensureDurable has decided items stored by a majority of synced disks, and publishes them.
+func (n *Node) ensureDurable(ctx context.Context, items []item.Item) error {
+	missing := lo.Filter(items, func(i item.Item, _ int) bool { return !n.durable.has(i) })
+	if len(missing) == 0 {
 		return nil
 	}
-	if err := n.Prop.Merge(ctx, need); err != nil {
+	if err := n.Proposer.Merge(ctx, missing); err != nil {
 		return err
 	}
-	n.ledger.note(need)
-	n.Board.MergeItems(need)
+	n.durable.record(missing)
+	n.Board.MergeItems(missing)
 	return nil
 }
 
-// weighed is what a check of a change against what stands has shown.
-type weighed struct {
+// changeCheck is the result of checking a change against the configuration in force.
+type changeCheck struct {
 	problems []route.Problem
-	// stands says that all of it is in force and held by a majority.
-	stands bool
-	// support are the services that its routes rely on.
-	support []item.Item
+	// inForce reports that the whole change is in force and held by a majority.
+	inForce bool
+	// dependencies are the services that the routes of the change refer to.
+	dependencies []item.Item
 }
 
-// weigh checks a change against what stands.
-func (n *Node) weigh(all []item.Item) (w weighed) {
+// checkChange checks a change against the configuration in force.
+func (n *Node) checkChange(all []item.Item) (result changeCheck) {
 	n.Board.Items(func(s *item.Set) {
-		var put []item.Item
-		w.stands = true
+		var newer []item.Item
+		result.inForce = true
 		for _, i := range all {
 			old, ok := s.Get(i.Key)
-			w.stands = w.stands && ok && old.Same(i) && n.ledger.has(i)
-			// A version not above what stands changes nothing, whatever it holds.
+			result.inForce = result.inForce && ok && old.Same(i) && n.durable.has(i)
+			// A version not above the one in force changes nothing, whatever its content.
 			if !ok || i.Version > old.Version {
-				put = append(put, i)
+				newer = append(newer, i)
 			}
 		}
-		if w.problems = n.book.Problems(put); len(w.problems) > 0 {
+		if result.problems = n.book.Problems(newer); len(result.problems) > 0 {
 			return
 		}
-		given := lo.SliceToMap(put, func(i item.Item) (item.Key, bool) { return i.Key, true })
-		for _, i := range put {
+		included := lo.SliceToMap(newer, func(i item.Item) (item.Key, bool) { return i.Key, true })
+		for _, i := range newer {
 			r, err := route.FromItem(i)
 			if i.Kind != item.Route || i.Gone || err != nil {
 				continue
 			}
 			for _, x := range r.Shares {
 				k := item.Key{Kind: item.Service, Name: x.Service}
-				if service, ok := s.Get(k); ok && !given[k] {
-					given[k] = true
-					w.support = append(w.support, service)
+				if service, ok := s.Get(k); ok && !included[k] {
+					included[k] = true
+					result.dependencies = append(result.dependencies, service)
 				}
 			}
 		}
 	})
-	return w
+	return result
 }
 
-// Current is what stands, with everything that was acknowledged or shown to a reader before
-// the call.
-func (n *Node) Current(ctx context.Context) (st State, err error) {
-	defer func() { n.counts.reads.note(false, err) }()
+// Current returns the configuration in force, including everything that was acknowledged or shown
+// to a reader before the call.
+func (n *Node) Current(ctx context.Context) (config Configuration, err error) {
+	defer func() { n.calls.reads.record(false, err) }()
 	if err := n.Mesh.Sync(ctx); err != nil {
-		return st, err
+		return config, err
 	}
 	var all []item.Item
 	n.Board.Items(func(s *item.Set) { all = slices.Collect(s.All()) })
-	// What this answer shows must be shown by every later one: a majority is to hold it.
-	if err := n.secure(ctx, all); err != nil {
-		return st, err
+	// Every later read must show what this one shows, so a majority must hold it first.
+	if err := n.ensureDurable(ctx, all); err != nil {
+		return config, err
 	}
 	for _, i := range all {
 		if i.Gone || err != nil {
@@ -253,21 +252,21 @@
 		case item.Route:
 			var r route.Route
 			r, err = route.FromItem(i)
-			st.Routes = append(st.Routes, r)
+			config.Routes = append(config.Routes, r)
 		case item.Service:
 			var x route.Service
 			x, err = route.ServiceFromItem(i)
-			st.Services = append(st.Services, x)
+			config.Services = append(config.Services, x)
 		case item.Limits:
 			var l route.Limits
 			l, err = route.LimitsFromItem(i)
-			st.Limits = &l
+			config.Limits = &l
 		}
 	}
 	if err != nil {
-		return State{}, steperr.At("current", "", err)
+		return Configuration{}, steperr.At("current", "", err)
 	}
-	slices.SortFunc(st.Routes, func(a, b route.Route) int { return cmp.Compare(a.Name, b.Name) })
-	slices.SortFunc(st.Services, func(a, b route.Service) int { return cmp.Compare(a.Name, b.Name) })
-	return st, nil
+	slices.SortFunc(config.Routes, func(a, b route.Route) int { return cmp.Compare(a.Name, b.Name) })
+	slices.SortFunc(config.Services, func(a, b route.Service) int { return cmp.Compare(a.Name, b.Name) })
+	return config, nil
 }
--- a/internal/control/core.go
+++ b/internal/control/core.go
@@ -10,69 +10,69 @@
 )
 
 const (
-	// watchCoreEvery is how often the core is looked at for what operators are to be told.
-	watchCoreEvery = time.Second
-	// seatQuiet is the silence from which a seat is told as silent.
-	seatQuiet = 3 * time.Second
+	// coreCheckInterval is how often the core is checked for changes to report to operators.
+	coreCheckInterval = time.Second
+	// seatSilentAfter is the time without news from a seat after which it is reported as silent.
+	seatSilentAfter = 3 * time.Second
 )
 
-// coreState is what operators are told of the core when it changes.
-type coreState struct {
+// coreStatus is the state of the core whose changes are logged for operators.
+type coreStatus struct {
 	epoch    uint64
 	exposure quorum.Exposure
-	quorum   bool // a majority of its seats was heard lately
+	quorum   bool // a majority of the seats was heard within seatSilentAfter
 }
 
-// coreSeats are the seats of the newest core known here, where their machines stand now.
+// coreSeats returns the newest core known here and its seats, with the current locations of their machines.
 func (n *Node) coreSeats() (quorum.Core, []quorum.Seat) {
 	core := n.core()
 	return core, quorum.Located(core.Seats, n.Mesh.Heard())
 }
 
-// watchCore logs the core whenever it, or what it bears, changes.
+// watchCore logs the core whenever its membership, or the set of losses it tolerates, changes.
 func (n *Node) watchCore(ctx context.Context) {
-	told := coreState{quorum: true}
-	clock.Every(ctx, n.Clock, watchCoreEvery, func() {
+	previous := coreStatus{quorum: true}
+	clock.Every(ctx, n.Clock, coreCheckInterval, func() {
 		core, seats := n.coreSeats()
 		if core.Epoch == 0 {
 			return
 		}
 		silent := silentSeats(seats, n.Mesh.Heard())
-		now := coreState{core.Epoch, n.Tolerance.Expose(seats), len(seats)-len(silent) >= core.Quorum()}
-		n.tellCore(told, now, seats, silent)
-		told = now
+		current := coreStatus{core.Epoch, n.Tolerance.Expose(seats), len(seats)-len(silent) >= core.Quorum()}
+		n.logCoreChange(previous, current, seats, silent)
+		previous = current
 	})
 }
 
-// tellCore logs what is new.
-func (n *Node) tellCore(told, now coreState, seats []quorum.Seat, silent []string) {
-	if now.epoch != told.epoch || now.exposure != told.exposure {
-		about := []any{"step", "core", "epoch", now.epoch, "seats", seatNames(seats), "tolerance", n.Tolerance, "exposed", now.exposure}
-		if now.exposure.Total() > 0 {
-			n.Log.Warn("the core does not bear every loss that it is to tolerate", about...)
+// logCoreChange logs what differs between two states of the core.
+func (n *Node) logCoreChange(previous, current coreStatus, seats []quorum.Seat, silent []string) {
+	if current.epoch != previous.epoch || current.exposure != previous.exposure {
+		attrs := []any{"step", "core", "epoch", current.epoch, "seats", seatNames(seats), "tolerance", n.Tolerance, "exposed", current.exposure}
+		if current.exposure.Total() > 0 {
+			n.Log.Warn("the core does not bear every loss that it is to tolerate", attrs...)
 		} else {
-			n.Log.Info("the core", about...)
+			n.Log.Info("the core", attrs...)
 		}
 	}
 	switch {
-	case told.quorum && !now.quorum:
-		n.Log.Warn("no majority of the core is heard: nothing can be acknowledged", "step", "core", "epoch", now.epoch, "silent", silent)
-	case !told.quorum && now.quorum:
-		n.Log.Info("a majority of the core is heard again", "step", "core", "epoch", now.epoch)
+	case previous.quorum && !current.quorum:
+		n.Log.Warn("no majority of the core is heard: nothing can be acknowledged", "step", "core", "epoch", current.epoch, "silent", silent)
+	case !previous.quorum && current.quorum:
+		n.Log.Info("a majority of the core is heard again", "step", "core", "epoch", current.epoch)
 	}
 }
 
-// silentSeats are the nodes of the seats whose disk was not heard lately.
+// silentSeats returns the IDs of nodes whose seat's disk was not heard within seatSilentAfter.
 func silentSeats(seats []quorum.Seat, heard []quorum.Heard) (silent []string) {
 	for _, s := range seats {
-		if !slices.ContainsFunc(heard, func(h quorum.Heard) bool { return h.Seat.Disk == s.Disk && h.Ago < seatQuiet }) {
+		if !slices.ContainsFunc(heard, func(h quorum.Heard) bool { return h.Seat.Disk == s.Disk && h.Ago < seatSilentAfter }) {
 			silent = append(silent, s.ID)
 		}
 	}
 	return silent
 }
 
-// seatNames names seats with their failure domains, the widest one first.
+// seatNames returns region/zone/node names of seats.
 func seatNames(seats []quorum.Seat) (names []string) {
 	for _, s := range seats {
 		names = append(names, s.Region+"/"+s.Zone+"/"+s.ID)
@@ -80,33 +80,33 @@
 	return names
 }
 
-// CoreAsk asks for the seats of the core.
+// CoreAsk queries the seats of the core.
 type CoreAsk struct{ Page }
 
-// SeatRow is one seat of the newest core that the asked node knows.
+// SeatRow is one seat of the newest core known to the queried node.
 type SeatRow struct {
 	ID     string `json:"id"`
 	Region string `json:"region"`
 	Zone   string `json:"zone"`
 	Inner  string `json:"inner"`
 	Epoch  uint64 `json:"epoch"`
-	// HeardMS is how long ago the disk of the seat was heard.
+	// HeardMS is the time since the disk of the seat was last heard.
 	HeardMS Maybe `json:"heard_ago_ms"`
-	// RegionSeats and ZoneSeats are how many seats the loss of its region, or its zone, takes.
+	// RegionSeats and ZoneSeats are the number of seats in the region and zone of this seat: those lost along with it.
 	RegionSeats int `json:"region_seats"`
 	ZoneSeats   int `json:"zone_seats"`
 }
 
-// coreRows lists the seats.
-func (n *Node) coreRows(_ context.Context, a CoreAsk) (Answer[SeatRow], error) {
+// listSeats answers a CoreAsk.
+func (n *Node) listSeats(_ context.Context, a CoreAsk) (Answer[SeatRow], error) {
 	core, seats := n.coreSeats()
 	heard := n.Mesh.Heard()
-	p := newPage[SeatRow](a.Page)
+	p := newPageCollector[SeatRow](a.Page)
 	for _, s := range seats {
 		row := SeatRow{ID: s.ID, Region: s.Region, Zone: s.Zone, Inner: s.Addr, Epoch: core.Epoch}
 		for _, h := range heard {
 			if h.Seat.Disk == s.Disk {
-				row.HeardMS = some(float64(h.Ago.Milliseconds()))
+				row.HeardMS = knownValue(float64(h.Ago.Milliseconds()))
 			}
 		}
 		for _, o := range seats {
@@ -119,7 +119,7 @@
 		}
 		p.add(s.ID, row)
 	}
-	return pageOf(n.about(), p, func(_ string, r SeatRow) (SeatRow, int) {
+	return buildAnswer(n.about(), p, func(_ string, r SeatRow) (SeatRow, int) {
 		return r, len(r.ID) + len(r.Region) + len(r.Zone) + len(r.Inner)
 	}), nil
 }
--- a/internal/control/core_test.go
+++ b/internal/control/core_test.go
@@ -15,11 +15,11 @@
 func TestTheCoreTellsWhereItsSeatsStand(t *testing.T) {
 	s := domainShapes["three regions of two zones"]
 	s.disks, s.layout = 3, s.layout[:3] // two disks in the north and one in the south bear no loss of a region
-	play(t, 34, s, func(w *world) {
-		w.order(base(2), w.controllers)
-		time.Sleep(catchUp)
-		l, m := w.operator(), w.controllers[0]
-		a := look[SeatRow](w, l, m, CoreAsk{})
+	runCluster(t, 34, s, func(cl *cluster) {
+		cl.mustApply(baseChange(2), cl.controllers)
+		time.Sleep(recoveryTime)
+		l, m := cl.operatorLine(), cl.controllers[0]
+		a := mustAsk[SeatRow](cl, l, m, CoreAsk{})
 		if len(a.Rows) != 3 {
 			t.Fatalf("%+v", a.Rows)
 		}
@@ -35,7 +35,7 @@
 			}
 		}
 		for name, want := range map[string]uint64{"core_epoch": 1, "core_seats": 3, "core_exposed_regions": 1, "core_exposed_zones": 0, "core_exposed_machines": 0} {
-			if got := counter(w, l, m, name); got != want {
+			if got := counter(cl, l, m, name); got != want {
 				t.Errorf("%s is %d, want %d", name, got, want)
 			}
 		}
@@ -47,15 +47,15 @@
 	var out bytes.Buffer
 	n := &Node{Parts: Parts{Settings: Settings{Tolerance: quorum.Tolerance{Regions: 1}}, Log: log.NewWithOptions(&out, log.Options{Formatter: log.JSONFormatter})}}
 	seats := []quorum.Seat{{ID: "a", Zone: "n1", Region: "north", Disk: "1"}, {ID: "b", Zone: "n2", Region: "north", Disk: "2"}, {ID: "c", Zone: "s1", Region: "south", Disk: "3"}}
-	exposed := coreState{epoch: 1, exposure: n.Tolerance.Expose(seats), quorum: true}
-	n.tellCore(coreState{quorum: true}, exposed, seats, nil)
-	n.tellCore(exposed, exposed, seats, nil)
+	exposed := coreStatus{epoch: 1, exposure: n.Tolerance.Expose(seats), quorum: true}
+	n.logCoreChange(coreStatus{quorum: true}, exposed, seats, nil)
+	n.logCoreChange(exposed, exposed, seats, nil)
 	silent := silentSeats(seats, []quorum.Heard{{Seat: seats[2]}, {Seat: seats[0], Ago: time.Minute}})
 	lost := exposed
 	lost.quorum = false
-	n.tellCore(exposed, lost, seats, silent)
-	n.tellCore(lost, lost, seats, silent)
-	n.tellCore(lost, exposed, seats, nil)
+	n.logCoreChange(exposed, lost, seats, silent)
+	n.logCoreChange(lost, lost, seats, silent)
+	n.logCoreChange(lost, exposed, seats, nil)
 	lines := strings.Split(strings.TrimSpace(out.String()), "\n")
 	for i, want := range []string{`does not bear every loss`, `"silent":["a","b"]`, `heard again`} {
 		if i >= len(lines) || !strings.Contains(lines[i], want) {
--- a/internal/control/count.go
+++ b/internal/control/count.go
@@ -2,12 +2,12 @@
 
 import "sync/atomic"
 
-// count counts calls of one kind, those among them that were refused for what they held,
-// and those that failed.
-type count struct{ all, refused, failed atomic.Uint64 }
+// callCounter counts the calls of one kind, how many of them were refused for their content, and
+// how many failed.
+type callCounter struct{ total, refused, failed atomic.Uint64 }
 
-func (c *count) note(refused bool, err error) {
-	c.all.Add(1)
+func (c *callCounter) record(refused bool, err error) {
+	c.total.Add(1)
 	switch {
 	case refused:
 		c.refused.Add(1)
@@ -16,14 +16,14 @@
 	}
 }
 
-// counts are a node's, since its start.
-type counts struct {
-	beats, leaves, changes, reads, queries count
-	// orders are those of upgrades.
-	orders count
-	// unknown are calls that the interface outside does not have.
-	unknown count
+// callCounters are the counters of a node since its start.
+type callCounters struct {
+	beats, departures, changes, reads, queries callCounter
+	// orders counts upgrade orders.
+	orders callCounter
+	// unknown counts calls of the external interface that do not exist.
+	unknown callCounter
 }
 
-// CountUnknownCall counts a call that the interface outside does not have.
-func (n *Node) CountUnknownCall() { n.counts.unknown.note(true, nil) }
+// CountUnknownCall counts a call that does not exist in the external interface.
+func (n *Node) CountUnknownCall() { n.calls.unknown.record(true, nil) }
--- a/internal/control/departure.go
+++ b/internal/control/departure.go
@@ -10,61 +10,61 @@
 	"walkrudder/internal/target"
 )
 
-// A leaving is acknowledged to a target only once a majority of synced disks holds it
-// (design 22.5). It travels and lasts as an item of its own kind: its version is the run's
-// state, which only rises, so copies merge as those of other items do, and no agreement is
-// needed on it.
+// A departure records that a run drains or has ended. It is acknowledged to a target only once a
+// majority of synced disks holds it (design 22.5). It is replicated and stored as an item of its
+// own kind whose version is the state of the run. States only rise, so copies merge like those of
+// other items, and departures need no agreement protocol.
 const (
-	// departTime bounds the wait for a majority to hold a leaving: a target waits one
-	// second for the answer to its beat.
-	departTime = 800 * time.Millisecond
-	// departureKept is how long a leaving stays on disk. A target that said so has ended
-	// long before, and no request is for its run.
-	departureKept = 15 * time.Minute
-	// departuresEvery is how often old leavings are taken off the disk.
-	departuresEvery = time.Minute
+	// departureTimeout bounds the wait for a majority to hold a departure. A target waits one
+	// second for the answer to its heartbeat.
+	departureTimeout = 800 * time.Millisecond
+	// departureRetention is how long a departure stays on disk. By then the target has long
+	// ended, and no request names its run.
+	departureRetention = 15 * time.Minute
+	// departureExpiryInterval is how often old departures are deleted from disk.
+	departureExpiryInterval = time.Minute
 )
 
-// departures are the leavings that this node knows: since when, and which of them a
+// departureTracker records the departures known to this node: since when, and which of them a
 // majority is known to hold.
-type departures struct {
+type departureTracker struct {
 	mu    sync.Mutex
 	known map[item.Key]departure
 }
 
 type departure struct {
-	since time.Time
-	held  target.State
+	knownSince time.Time
+	heldState  target.State
 }
 
-// departureOf is a run's leaving as an item.
-func departureOf(r target.Run) item.Item {
+// departureItem encodes the departure of a run as an item.
+func departureItem(r target.Run) item.Item {
 	return item.Item{Key: item.Key{Kind: item.Departure, Name: r.ID}, Version: uint64(r.State), Body: r.Record()}
 }
 
-// departed reads the run of a leaving.
-func departed(i item.Item) (target.Run, error) {
+// parseDeparture decodes the run from a departure item.
+func parseDeparture(i item.Item) (target.Run, error) {
 	r, err := target.ReadRecord(i.Body)
 	if err != nil {
 		return r, err
 	}
 	if r.ID != i.Name || r.State < target.Draining {
-		return r, steperr.New("read departure", i.Name, "not the leaving of this run")
+		return r, steperr.New("read departure", i.Name, "item does not record the departure of this run")
 	}
-	// An end is true whoever remembers it.
+	// Recalled marks an unconfirmed run from a journal; a departure needs no confirmation.
 	r.Recalled = false
 	return r, nil
 }
 
-// held tells whether a majority is known to hold a run's leaving.
-func (d *departures) held(r target.Run) bool {
+// isHeld reports whether a majority is known to hold the departure of a run.
+func (d *departureTracker) isHeld(r target.Run) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.known[departureOf(r).Key].held >= r.State
+	return d.known[departureItem(r).Key].heldState >= r.State
 }
 
-// note keeps in mind that leavings are known here; held says that a majority has them.
-func (d *departures) note(runs []target.Run, held bool, now time.Time) {
+// record notes that departures are known here. held reports that a majority holds them.
+func (d *departureTracker) record(runs []target.Run, held bool, now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.known == nil {
@@ -74,21 +74,21 @@
 		k := item.Key{Kind: item.Departure, Name: r.ID}
 		x, ok := d.known[k]
 		if !ok {
-			x.since = now
+			x.knownSince = now
 		}
 		if held {
-			x.held = max(x.held, r.State)
+			x.heldState = max(x.heldState, r.State)
 		}
 		d.known[k] = x
 	}
 }
 
-// expire forgets the leavings that are known for long, and names them.
-func (d *departures) expire(now time.Time) (old []item.Key) {
+// expire removes and returns the departures known for longer than departureRetention.
+func (d *departureTracker) expire(now time.Time) (old []item.Key) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for k, x := range d.known {
-		if now.Sub(x.since) > departureKept {
+		if now.Sub(x.knownSince) > departureRetention {
 			old = append(old, k)
 			delete(d.known, k)
 		}
@@ -96,51 +96,51 @@
 	return old
 }
 
-// hold has a run's leaving held by a majority of synced disks.
-func (n *Node) hold(ctx context.Context, r target.Run) error {
-	if n.departures.held(r) {
+// persistDeparture has the departure of a run stored by a majority of synced disks.
+func (n *Node) persistDeparture(ctx context.Context, r target.Run) error {
+	if n.departures.isHeld(r) {
 		return nil
 	}
-	ctx, end := context.WithTimeout(ctx, departTime)
-	defer end()
-	if err := n.Prop.Merge(ctx, []item.Item{departureOf(r)}); err != nil {
+	ctx, cancel := context.WithTimeout(ctx, departureTimeout)
+	defer cancel()
+	if err := n.Proposer.Merge(ctx, []item.Item{departureItem(r)}); err != nil {
 		return steperr.At("hold", r.ID, err)
 	}
-	n.departures.note([]target.Run{r}, true, n.Clock.Now())
+	n.departures.record([]target.Run{r}, true, n.Clock.Now())
 	return nil
 }
 
-// takeMerged shows what came onto the own disk: items to all who follow this node, and
-// leavings in the table of runs.
-func (n *Node) takeMerged(items []item.Item) {
+// applyMerged publishes what was merged into the local disk: configuration items to all
+// followers of this node, and departures in the table of runs.
+func (n *Node) applyMerged(items []item.Item) {
 	var configuration []item.Item
-	var left []target.Run
+	var departedRuns []target.Run
 	for _, i := range items {
 		if i.Kind != item.Departure {
 			configuration = append(configuration, i)
 			continue
 		}
-		r, err := departed(i)
+		r, err := parseDeparture(i)
 		if err != nil {
-			n.Log.Error("leaving that can't be read", "step", "take", "run", i.Name, "err", err)
+			n.Log.Error("cannot decode departure", "step", "take", "run", i.Name, "err", err)
 			continue
 		}
-		left = append(left, r)
+		departedRuns = append(departedRuns, r)
 	}
-	n.departures.note(left, false, n.Clock.Now())
+	n.departures.record(departedRuns, false, n.Clock.Now())
 	n.Board.MergeItems(configuration)
-	n.Board.MergeRuns(left)
+	n.Board.MergeRuns(departedRuns)
 }
 
-// forgetDepartures takes old leavings off the own disk until ctx ends.
-func (n *Node) forgetDepartures(ctx context.Context) {
-	for n.Clock.Sleep(ctx, departuresEvery) == nil {
+// expireDepartures deletes old departures from the local disk until ctx ends.
+func (n *Node) expireDepartures(ctx context.Context) {
+	for n.Clock.Sleep(ctx, departureExpiryInterval) == nil {
 		old := n.departures.expire(n.Clock.Now())
 		if len(old) == 0 || n.Voter == nil {
 			continue
 		}
 		if err := n.Voter.Forget(ctx, old); err != nil && ctx.Err() == nil {
-			n.Log.Warn("old leavings not forgotten", "step", "forget", "count", len(old), "err", err)
+			n.Log.Warn("cannot delete old departures", "step", "forget", "count", len(old), "err", err)
 		}
 	}
 }
--- a/internal/control/direct.go
+++ b/internal/control/direct.go
@@ -18,181 +18,181 @@
 )
 
 const (
-	// directEvery is how often upgrades under way are looked at.
-	directEvery = 100 * time.Millisecond
-	// standInAfter is for how long a step must be due for the next controller in rank to take it.
-	standInAfter = 600 * time.Millisecond
-	// stepTime bounds the deciding of one step.
-	stepTime = 2 * time.Second
-	// reportGone is how long after its last report a gateway's no longer counts.
-	reportGone = 3 * time.Second
+	// upgradePollInterval is how often upgrades under way are checked.
+	upgradePollInterval = 100 * time.Millisecond
+	// takeoverDelay is how long a step must be due, for each rank below the first, before a standby controller takes it.
+	takeoverDelay = 600 * time.Millisecond
+	// stepTimeout bounds the decision of one step.
+	stepTimeout = 2 * time.Second
+	// reportExpiry is the age from which the last report of a gateway no longer counts.
+	reportExpiry = 3 * time.Second
 )
 
-// upgrades are those that this node knows, by service.
-type upgrades struct {
-	mu sync.Mutex
-	by map[string]*direction
+// upgradeTracker holds the upgrades known to this node, by service.
+type upgradeTracker struct {
+	mu        sync.Mutex
+	byService map[string]*upgradeState
 }
 
-// direction is what a controller knows of one service's upgrade. All controllers that get reports keep it, so that
-// another one goes on where the one that decides is lost.
-type direction struct {
-	now      upgrade.Upgrade
-	known    time.Time // since when this step is known here
-	firstNew time.Time // when the first answer of the new version was reported
-	dueAt    time.Time // since when the next step is due; zero is not yet
-	judge    *upgrade.Judge
-	reports  map[string]*heardReport // by gateway
+// upgradeState is what a controller knows of the upgrade of one service. Every controller that receives reports
+// maintains it, so that another one can continue when the deciding controller is lost.
+type upgradeState struct {
+	current        upgrade.Upgrade
+	currentSince   time.Time // when the current step became known here
+	firstNewAnswer time.Time // when the first answer of the new version was reported
+	dueSince       time.Time // when the next step became due; zero if it is not due
+	judge          *upgrade.Judge
+	reports        map[string]*gatewayReport // by gateway
 }
 
-// heardReport is a gateway's newest report, with the counts that were judged.
-type heardReport struct {
+// gatewayReport is the newest report of a gateway, with the counts that were already judged.
+type gatewayReport struct {
 	upgrade.Report
-	at       time.Time
-	old, new map[string]upgrade.Tally // by route
-	targets  map[string]upgrade.Tally
+	receivedAt             time.Time
+	oldTallies, newTallies map[string]upgrade.Tally // by route
+	targetTallies          map[string]upgrade.Tally
 }
 
-// noteUpgrade takes a step in. It runs under the board's lock.
-func (n *Node) noteUpgrade(i item.Item) {
+// recordUpgrade records a step of an upgrade. It runs under the lock of the board.
+func (n *Node) recordUpgrade(i item.Item) {
 	if i.Kind != item.Upgrade || i.Gone {
 		return
 	}
 	u, err := upgrade.FromItem(i)
 	if err != nil {
-		n.Log.Error("upgrade that can't be read", "step", "apply", "service", i.Name, "err", err)
+		n.Log.Error("cannot decode upgrade", "step", "apply", "service", i.Name, "err", err)
 		return
 	}
 	n.upgrades.mu.Lock()
 	defer n.upgrades.mu.Unlock()
-	if n.upgrades.by == nil {
-		n.upgrades.by = map[string]*direction{}
+	if n.upgrades.byService == nil {
+		n.upgrades.byService = map[string]*upgradeState{}
 	}
-	d := n.upgrades.by[u.Service]
-	if d == nil || d.now.Order != u.Order {
-		d = &direction{judge: upgrade.NewJudge(), reports: map[string]*heardReport{}}
-		n.upgrades.by[u.Service] = d
+	d := n.upgrades.byService[u.Service]
+	if d == nil || d.current.Order != u.Order {
+		d = &upgradeState{judge: upgrade.NewJudge(), reports: map[string]*gatewayReport{}}
+		n.upgrades.byService[u.Service] = d
 	}
-	d.now, d.known, d.dueAt = u, n.Clock.Now(), time.Time{}
+	d.current, d.currentSince, d.dueSince = u, n.Clock.Now(), time.Time{}
 	if !u.Active() {
-		d.reports = map[string]*heardReport{}
+		d.reports = map[string]*gatewayReport{}
 	}
 	n.Log.Info("upgrade", "step", "upgrade", "service", u.Service, "version", u.To, "phase", u.Phase.String(), "share", u.Share, "reason", u.Reason, "answers", d.judge.Answers(), "routes", d.judge.Routes())
 }
 
-// serveReports teaches the desk to take gateways' reports.
-func (n *Node) serveReports() {
+// registerReportHandler registers the handler of reports from gateways.
+func (n *Node) registerReportHandler() {
 	link.On(n.Desk, func(_ context.Context, _ link.Who, a upgrade.ReportAsk) (upgrade.ReportTold, error) {
 		now := n.Clock.Now()
 		n.upgrades.mu.Lock()
 		defer n.upgrades.mu.Unlock()
 		for _, r := range a.Reports {
-			if d := n.upgrades.by[r.Service]; d != nil && d.now.Active() && d.now.Order == r.Order {
-				d.take(r, now)
+			if d := n.upgrades.byService[r.Service]; d != nil && d.current.Active() && d.current.Order == r.Order {
+				d.addReport(r, now)
 			}
 		}
 		return upgrade.ReportTold{}, nil
 	})
 }
 
-// take takes a gateway's report in.
-func (d *direction) take(r upgrade.Report, now time.Time) {
+// addReport judges the counts of a gateway's report that were not judged before.
+func (d *upgradeState) addReport(r upgrade.Report, now time.Time) {
 	h := d.reports[r.Gateway]
 	if h == nil || h.Inc != r.Inc {
-		h = &heardReport{old: map[string]upgrade.Tally{}, new: map[string]upgrade.Tally{}, targets: map[string]upgrade.Tally{}}
+		h = &gatewayReport{oldTallies: map[string]upgrade.Tally{}, newTallies: map[string]upgrade.Tally{}, targetTallies: map[string]upgrade.Tally{}}
 		d.reports[r.Gateway] = h
 	}
 	if r.Seq < h.Seq {
 		return
 	}
-	h.Report, h.at = r, now
-	// The old version's answers first: the new one's are judged against them.
+	h.Report, h.receivedAt = r, now
+	// The old version's answers come first, because those of the new version are judged against them.
 	for _, c := range r.Routes {
-		d.judge.Old(c.Route, fresh(h.old, c.Route, c.Old))
+		d.judge.Old(c.Route, unjudged(h.oldTallies, c.Route, c.Old))
 	}
 	for _, c := range r.Targets {
-		d.judge.Target(c.Target, fresh(h.targets, c.Target, c.Tally))
+		d.judge.Target(c.Target, unjudged(h.targetTallies, c.Target, c.Tally))
 	}
 	for _, c := range r.Routes {
-		since := fresh(h.new, c.Route, c.New)
-		if since.Answers > 0 && d.firstNew.IsZero() {
-			d.firstNew = now
+		since := unjudged(h.newTallies, c.Route, c.New)
+		if since.Answers > 0 && d.firstNewAnswer.IsZero() {
+			d.firstNewAnswer = now
 		}
 		d.judge.New(c.Route, since)
 	}
 }
 
-// fresh is what of a count was not judged yet, and notes that it is now.
-func fresh(judged map[string]upgrade.Tally, name string, count upgrade.Tally) upgrade.Tally {
+// unjudged returns the part of a count that was not judged yet, and marks the whole count as judged.
+func unjudged(judged map[string]upgrade.Tally, name string, count upgrade.Tally) upgrade.Tally {
 	since := count.Since(judged[name])
 	judged[name] = count
 	return since
 }
 
-// away tells whether a gateway goes by a step, and has nothing under way at old targets.
-func (d *direction) away(gateway string, step uint64, now time.Time) bool {
+// hasSwitched reports whether a gateway applies a step and has no requests under way at old targets.
+func (d *upgradeState) hasSwitched(gateway string, step uint64, now time.Time) bool {
 	h := d.reports[gateway]
-	return h != nil && now.Sub(h.at) < reportGone && h.Number == step && h.OldUnderWay == 0
+	return h != nil && now.Sub(h.receivedAt) < reportExpiry && h.Number == step && h.OldUnderWay == 0
 }
 
-// directUpgrades takes the next steps of the upgrades that this node decides, until ctx ends.
-func (n *Node) directUpgrades(ctx context.Context) {
-	clock.Every(ctx, n.Clock, directEvery, func() {
+// runUpgrades advances the upgrades for which this node is responsible, until ctx ends.
+func (n *Node) runUpgrades(ctx context.Context) {
+	clock.Every(ctx, n.Clock, upgradePollInterval, func() {
 		for _, u := range n.Upgrades() {
-			if rank, ok := n.rank(u.Service); ok && u.Active() {
-				n.direct(ctx, u, time.Duration(rank)*standInAfter)
+			if rank, ok := n.upgradeRank(u.Service); ok && u.Active() {
+				n.advanceUpgrade(ctx, u, time.Duration(rank)*takeoverDelay)
 			}
 		}
 	})
 }
 
-// rank is this node's place among the controllers that look after a service's upgrade, as far as it knows: the first
-// decides, the others stand in.
-func (n *Node) rank(service string) (rank int, ok bool) {
+// upgradeRank is the rank of this node among the controllers responsible for the upgrade of a service, as far as it
+// knows: rank 0 decides, the others are standbys.
+func (n *Node) upgradeRank(service string) (rank int, ok bool) {
 	if _, fresh := n.fresh(); !fresh {
 		return 0, false
 	}
-	ids := lo.Map(n.near(), func(m watch.Member, _ int) string { return m.ID })
+	ids := lo.Map(n.nearbyControllers(), func(m watch.Member, _ int) string { return m.ID })
 	rank = slices.Index(upgrade.Rank(service, ids), n.ID)
 	return rank, rank >= 0 && rank < upgrade.Directors
 }
 
-// direct takes the next step of an upgrade, if it has been time for one for a while.
-func (n *Node) direct(ctx context.Context, u upgrade.Upgrade, wait time.Duration) {
-	next, due := u.Plan(n.evidence(u))
-	if !n.dueFor(u, due, wait) {
+// advanceUpgrade decides the next step of an upgrade, if the step has been due for the given time.
+func (n *Node) advanceUpgrade(ctx context.Context, u upgrade.Upgrade, wait time.Duration) {
+	next, due := u.Plan(n.upgradeEvidence(u))
+	if !n.stepDueFor(u, due, wait) {
 		return
 	}
-	cx, end := context.WithTimeout(ctx, stepTime)
-	defer end()
-	if err := n.decideUpgrade(cx, next); err != nil && !errors.Is(err, errOvertaken) && ctx.Err() == nil {
-		n.Log.Warn("a step of an upgrade was not decided", "step", "upgrade", "service", u.Service, "phase", next.Phase.String(), "share", next.Share, "err", err)
+	stepCtx, cancel := context.WithTimeout(ctx, stepTimeout)
+	defer cancel()
+	if err := n.decideUpgrade(stepCtx, next); err != nil && !errors.Is(err, errSuperseded) && ctx.Err() == nil {
+		n.Log.Warn("cannot decide the next step of an upgrade", "step", "upgrade", "service", u.Service, "phase", next.Phase.String(), "share", next.Share, "err", err)
 	}
 }
 
-// dueFor notes whether a step is due, and tells whether it has been for so long.
-func (n *Node) dueFor(u upgrade.Upgrade, due bool, wait time.Duration) bool {
+// stepDueFor records whether a step is due, and reports whether it has been due for the given time.
+func (n *Node) stepDueFor(u upgrade.Upgrade, due bool, wait time.Duration) bool {
 	now := n.Clock.Now()
 	n.upgrades.mu.Lock()
 	defer n.upgrades.mu.Unlock()
-	d := n.upgrades.by[u.Service]
-	if d == nil || d.now.Number != u.Number || !due {
+	d := n.upgrades.byService[u.Service]
+	if d == nil || d.current.Number != u.Number || !due {
 		if d != nil {
-			d.dueAt = time.Time{}
+			d.dueSince = time.Time{}
 		}
 		return false
 	}
-	if d.dueAt.IsZero() {
-		d.dueAt = now
+	if d.dueSince.IsZero() {
+		d.dueSince = now
 	}
-	return now.Sub(d.dueAt) >= wait
+	return now.Sub(d.dueSince) >= wait
 }
 
-// evidence is what is known of an upgrade under way.
-func (n *Node) evidence(u upgrade.Upgrade) upgrade.Evidence {
+// upgradeEvidence collects what is known of an upgrade under way.
+func (n *Node) upgradeEvidence(u upgrade.Upgrade) upgrade.Evidence {
 	now := n.Clock.Now()
 	e := upgrade.Evidence{Elapsed: time.Since(u.Ordered)}
-	n.readyRuns(u.Service, func(r target.Run) {
+	n.forEachReadyRun(u.Service, func(r target.Run) {
 		if r.Version == u.To {
 			e.NewSlots += r.Slots
 			return
@@ -209,22 +209,22 @@
 	attached := n.teller.Attached()
 	n.upgrades.mu.Lock()
 	defer n.upgrades.mu.Unlock()
-	d := n.upgrades.by[u.Service]
-	if d == nil || d.now.Number != u.Number {
+	d := n.upgrades.byService[u.Service]
+	if d == nil || d.current.Number != u.Number {
 		return e
 	}
-	e.Standing = now.Sub(d.known)
-	if !d.firstNew.IsZero() {
-		e.Tried = now.Sub(d.firstNew)
+	e.Standing = now.Sub(d.currentSince)
+	if !d.firstNewAnswer.IsZero() {
+		e.Tried = now.Sub(d.firstNewAnswer)
 	}
 	e.Enough = d.judge.Enough()
 	e.BadRoute, e.Bad = d.judge.Bad()
 	e.Away = len(attached) > 0
 	for id := range attached {
-		e.Away = e.Away && d.away(id, u.Number, now)
+		e.Away = e.Away && d.hasSwitched(id, u.Number, now)
 	}
 	for _, h := range d.reports {
-		if now.Sub(h.at) < reportGone {
+		if now.Sub(h.receivedAt) < reportExpiry {
 			e.Gateways++
 			e.Stopped += lo.Ternary(h.Stopped, 1, 0)
 		}
--- a/internal/control/direct_test.go
+++ b/internal/control/direct_test.go
@@ -10,7 +10,7 @@
 // Reports hold sums since the order: one that comes late, or twice, counts nothing again, and what a lost one held is in the
 // next.
 func TestReportsCountOnce(t *testing.T) {
-	d := &direction{judge: upgrade.NewJudge(), reports: map[string]*heardReport{}}
+	d := &upgradeState{judge: upgrade.NewJudge(), reports: map[string]*gatewayReport{}}
 	report := func(inc, seq uint64, answers int) upgrade.Report {
 		count := upgrade.Tally{Answers: answers, Bad: answers / 2, Failed: answers / 4}
 		return upgrade.Report{Gateway: "g", Inc: inc, Seq: seq, Routes: []upgrade.RouteCount{{Route: "r", Old: count, New: count}}, Targets: []upgrade.TargetCount{{Target: "t", Tally: count}}}
@@ -20,7 +20,7 @@
 		answers  int
 		want     int // in all
 	}{{1, 1, 4, 4}, {1, 3, 12, 12}, {1, 2, 8, 12}, {1, 3, 12, 12}, {1, 5, 20, 20}, {2, 1, 4, 24}} {
-		d.take(report(x.inc, x.seq, x.answers), time.Now())
+		d.addReport(report(x.inc, x.seq, x.answers), time.Now())
 		if got := d.judge.Routes()[0]; got.New.Answers != x.want || got.Old.Answers != x.want {
 			t.Errorf("after report %d of life %d: %+v, want %d answers", x.seq, x.inc, got, x.want)
 		}
--- a/internal/control/domain_test.go
+++ b/internal/control/domain_test.go
@@ -13,16 +13,16 @@
 )
 
 const (
-	// catchUp is how long a machine that is back still counts as lost, and downTime for how long a
+	// recoveryTime is how long a machine that is back still counts as lost, and downTime for how long a
 	// domain is down.
-	catchUp  = 4 * time.Second
-	downTime = 2 * time.Second
+	recoveryTime = 4 * time.Second
+	downTime     = 2 * time.Second
 	// lossPairs is how many pairs of losses a test draws for each seed.
 	lossPairs = 3
 )
 
 // Deployments that are to bear the loss of a whole failure domain. The first three machines are the seeds.
-var domainShapes = map[string]shape{
+var domainShapes = map[string]clusterShape{
 	"three regions of two zones": {zones: 6, disks: 6, gateways: 3, tolerance: quorum.Tolerance{Regions: 1},
 		layout:  []string{"north-a", "north-b", "south-a", "south-b", "west-a", "west-b"},
 		regions: map[string]string{"north-a": "north", "north-b": "north", "south-a": "south", "south-b": "south", "west-a": "west", "west-b": "west"}},
@@ -38,32 +38,32 @@
 }
 
 // eachDomainShape plays f in worlds of each shape.
-func eachDomainShape(t *testing.T, f func(w *world)) {
+func eachDomainShape(t *testing.T, f func(cl *cluster)) {
 	for name, s := range domainShapes {
 		for seed := range (*seeds + len(domainShapes) - 1) / len(domainShapes) {
-			t.Run(fmt.Sprintf("%s/seed=%d", name, seed), func(t *testing.T) { play(t, uint64(seed), s, f) })
+			t.Run(fmt.Sprintf("%s/seed=%d", name, seed), func(t *testing.T) { runCluster(t, uint64(seed), s, f) })
 		}
 	}
 }
 
-// losable are the sets of machines that the tolerance allows to be lost at once, those of whole domains.
-func (w *world) losable() (sets [][]*controllerHost) {
+// toleratedLosses are the sets of machines that the tolerance allows to be lost at once, those of whole domains.
+func (cl *cluster) toleratedLosses() (sets [][]*controllerHost) {
 	domain := func(label func(*controllerHost) string, most int) {
-		names := lo.Uniq(lo.Map(w.controllers, func(m *controllerHost, _ int) string { return label(m) }))
+		names := lo.Uniq(lo.Map(cl.controllers, func(m *controllerHost, _ int) string { return label(m) }))
 		for i := range names {
 			lost := names[i:min(i+most, len(names))]
 			if most > 0 {
-				sets = append(sets, lo.Filter(w.controllers, func(m *controllerHost, _ int) bool { return slices.Contains(lost, label(m)) }))
+				sets = append(sets, lo.Filter(cl.controllers, func(m *controllerHost, _ int) bool { return slices.Contains(lost, label(m)) }))
 			}
 		}
 	}
-	domain(func(m *controllerHost) string { return m.zone }, w.tolerance.Zones)
-	domain(func(m *controllerHost) string { return w.regions[m.zone] }, w.tolerance.Regions)
+	domain(func(m *controllerHost) string { return m.zone }, cl.tolerance.Zones)
+	domain(func(m *controllerHost) string { return cl.regions[m.zone] }, cl.tolerance.Regions)
 	return sets
 }
 
-// down ends machines at one moment, with their disks where that is said, and tells how they come back.
-func (w *world) down(lost []*controllerHost, disks bool) (back func()) {
+// takeDown ends machines at one moment, with their disks where that is said, and tells how they come back.
+func (cl *cluster) takeDown(lost []*controllerHost, disks bool) (back func()) {
 	for _, m := range lost {
 		m.kill()
 		if disks && m.disk != nil {
@@ -77,51 +77,51 @@
 	}
 }
 
-// changed is a change of one route.
-func changed(v uint64) Change {
+// routeChange is a change of one route.
+func routeChange(v uint64) Change {
 	return Change{Routes: []route.Route{routeTo("r0", v, lo.Ternary(v%2 == 0, "a", "b"))}}
 }
 
 // Guards against the loss of one failure domain taking the configuration with it: with one region to be lost at once
 // two of three voters stood in one region, and no node read anything back after its loss.
 func TestTheConfigurationOutlivesEachDomain(t *testing.T) {
-	eachDomainShape(t, func(w *world) {
-		w.order(base(5), w.controllers)
-		time.Sleep(catchUp)
-		for i, lost := range w.losable() {
-			w.order(changed(uint64(2*i+2)), mixed(w, w.controllers))
-			back := w.down(lost, true)
+	eachDomainShape(t, func(cl *cluster) {
+		cl.mustApply(baseChange(5), cl.controllers)
+		time.Sleep(recoveryTime)
+		for i, lost := range cl.toleratedLosses() {
+			cl.mustApply(routeChange(uint64(2*i+2)), shuffled(cl, cl.controllers))
+			back := cl.takeDown(lost, true)
 			time.Sleep(downTime)
-			w.order(changed(uint64(2*i+3)), mixed(w, w.alive()))
+			cl.mustApply(routeChange(uint64(2*i+3)), shuffled(cl, cl.alive()))
 			back()
-			time.Sleep(catchUp)
-			w.readBack(w.controllers)
+			time.Sleep(recoveryTime)
+			cl.expectAcknowledged(cl.controllers)
 		}
-		time.Sleep(bound)
-		w.known(lo.Values(w.acked), w.gateways)
+		time.Sleep(propagationLimit)
+		cl.expectItems(lo.Values(cl.acknowledged), cl.gateways)
 	})
 }
 
 // Guards against a seat that was lent while its own domain was down standing where the next loss takes it: the seat
 // of a zone that was down for some seconds went to another zone and never came back.
 func TestADomainIsLostAfterAnotherWasDown(t *testing.T) {
-	eachDomainShape(t, func(w *world) {
-		w.order(base(5), w.controllers)
-		time.Sleep(catchUp)
+	eachDomainShape(t, func(cl *cluster) {
+		cl.mustApply(baseChange(5), cl.controllers)
+		time.Sleep(recoveryTime)
 		version := uint64(1)
 		for range lossPairs {
-			first, second := pick(w, w.losable()), pick(w, w.losable())
-			back := w.down(first, false)
+			first, second := pick(cl, cl.toleratedLosses()), pick(cl, cl.toleratedLosses())
+			back := cl.takeDown(first, false)
 			time.Sleep(5 * time.Second)
 			version++
-			w.order(changed(version), mixed(w, w.alive()))
+			cl.mustApply(routeChange(version), shuffled(cl, cl.alive()))
 			back()
-			time.Sleep(catchUp)
-			back = w.down(second, true)
+			time.Sleep(recoveryTime)
+			back = cl.takeDown(second, true)
 			time.Sleep(downTime)
 			back()
-			time.Sleep(catchUp)
-			w.readBack(w.controllers)
+			time.Sleep(recoveryTime)
+			cl.expectAcknowledged(cl.controllers)
 		}
 	})
 }
@@ -129,22 +129,22 @@
 // Losses overlap beyond the tolerance, and no more disks are lost than it allows: service may rest, and nothing
 // acknowledged is gone when all are back.
 func TestDisksOfADomainAreLostWhileAnotherIsDown(t *testing.T) {
-	eachDomainShape(t, func(w *world) {
-		w.order(base(5), w.controllers)
-		time.Sleep(catchUp)
+	eachDomainShape(t, func(cl *cluster) {
+		cl.mustApply(baseChange(5), cl.controllers)
+		time.Sleep(recoveryTime)
 		version := uint64(1)
 		for range lossPairs {
-			first, second := pick(w, w.losable()), pick(w, w.losable())
-			back := w.down(first, false)
+			first, second := pick(cl, cl.toleratedLosses()), pick(cl, cl.toleratedLosses())
+			back := cl.takeDown(first, false)
 			time.Sleep(5 * time.Second)
 			version++
-			w.order(changed(version), mixed(w, w.alive()))
-			alsoBack := w.down(lo.Without(second, first...), true)
+			cl.mustApply(routeChange(version), shuffled(cl, cl.alive()))
+			alsoBack := cl.takeDown(lo.Without(second, first...), true)
 			time.Sleep(downTime)
 			back()
 			alsoBack()
-			time.Sleep(2 * catchUp)
-			w.readBack(w.controllers)
+			time.Sleep(2 * recoveryTime)
+			cl.expectAcknowledged(cl.controllers)
 		}
 	})
 }
--- a/internal/control/home_test.go
+++ b/internal/control/home_test.go
@@ -16,33 +16,33 @@
 func TestMovesToTheHomeMakeNoSuspicion(t *testing.T) {
 	for _, gap := range []time.Duration{time.Second, 1500 * time.Millisecond, 1900 * time.Millisecond} {
 		t.Run(gap.String(), func(t *testing.T) {
-			play(t, 8, shape{zones: 3, disks: 3, gateways: 2, tolerance: quorum.Tolerance{Machines: 1}}, func(w *world) {
-				w.order(base(1), w.controllers)
+			runCluster(t, 8, clusterShape{zones: 3, disks: 3, gateways: 2, tolerance: quorum.Tolerance{Machines: 1}}, func(cl *cluster) {
+				cl.mustApply(baseChange(1), cl.controllers)
 				stop, over := map[int]bool{}, false
 				for i := range 100 {
-					w.wg.Go(func() {
-						time.Sleep(time.Duration(w.chance(int(gap))))
-						m := pick(w, w.controllers)
+					cl.wg.Go(func() {
+						time.Sleep(time.Duration(cl.randN(int(gap))))
+						m := pick(cl, cl.controllers)
 						for seq := uint64(1); ; seq++ {
-							w.mu.Lock()
+							cl.mu.Lock()
 							end := over || stop[i]
-							w.mu.Unlock()
+							cl.mu.Unlock()
 							if end {
 								return
 							}
 							zone := fmt.Sprintf("z%d", i%3)
-							if err := w.beat(m, target.Beat{ID: fmt.Sprintf("i-%d", i), Service: "a", Addr: fmt.Sprintf("10.0.0.%d:80", i), Zone: zone, Slots: 2, Seq: seq}); err != nil {
+							if err := cl.sendHeartbeat(m, target.Beat{ID: fmt.Sprintf("i-%d", i), Service: "a", Addr: fmt.Sprintf("10.0.0.%d:80", i), Zone: zone, Slots: 2, Seq: seq}); err != nil {
 								t.Error(err)
 							}
 							home := m.control().Home("a", zone)
-							m, _ = lo.Find(w.controllers, func(m *controllerHost) bool { return m.addr == home })
+							m, _ = lo.Find(cl.controllers, func(m *controllerHost) bool { return m.addr == home })
 							time.Sleep(gap)
 						}
 					})
 				}
 				// A suspicion is over as soon as the home hears of it, but it leaves its trace.
 				suspected := func() (out []string) {
-					for _, m := range w.controllers {
+					for _, m := range cl.controllers {
 						m.control().Board.Table(func(tb *target.Table, now time.Time) bool {
 							for r := range tb.All(now) {
 								if r.Silent > 0 {
@@ -60,18 +60,18 @@
 						break
 					}
 				}
-				w.mu.Lock()
+				cl.mu.Lock()
 				stop[17] = true
-				w.mu.Unlock()
-				w.await("suspicion of the one that fell silent", 4*gap, func() bool {
-					return w.gateways[0].run("i-17").Suspected() && w.gateways[1].run("i-17").Suspected()
+				cl.mu.Unlock()
+				cl.await("suspicion of the one that fell silent", 4*gap, func() bool {
+					return cl.gateways[0].run("i-17").Suspected() && cl.gateways[1].run("i-17").Suspected()
 				})
 				if s := suspected(); len(s) != 1 {
 					t.Errorf("suspected: %v", s)
 				}
-				w.mu.Lock()
+				cl.mu.Lock()
 				over = true
-				w.mu.Unlock()
+				cl.mu.Unlock()
 			})
 		})
 	}
@@ -80,9 +80,9 @@
 // TestHomesFollowWhoIsNear: who is near is looked up seldom, for beats are many, but a controller
 // that stops names another at once.
 func TestHomesFollowWhoIsNear(t *testing.T) {
-	play(t, 9, shape{zones: 3, disks: 3, gateways: 1, tolerance: quorum.Tolerance{Machines: 1}}, func(w *world) {
-		w.order(base(1), w.controllers)
-		m := w.controllers[0].control()
+	runCluster(t, 9, clusterShape{zones: 3, disks: 3, gateways: 1, tolerance: quorum.Tolerance{Machines: 1}}, func(cl *cluster) {
+		cl.mustApply(baseChange(1), cl.controllers)
+		m := cl.controllers[0].control()
 		time.Sleep(time.Second)
 		a, ok := m.HomeMember("a", m.Zone)
 		if !ok || a.ID != m.ID {
@@ -96,8 +96,8 @@
 		if !ok || b.ID == m.ID {
 			t.Errorf("a controller that stops names itself")
 		}
-		time.Sleep(2 * nearFor)
-		for _, other := range w.controllers[1:] {
+		time.Sleep(2 * nearbyCacheTTL)
+		for _, other := range cl.controllers[1:] {
 			if o, _ := other.control().HomeMember("a", m.Zone); o.ID == m.ID {
 				t.Errorf("%s still names the one that stops", other.control().ID)
 			}
--- a/internal/control/maybe.go
+++ b/internal/control/maybe.go
@@ -5,25 +5,25 @@
 	"time"
 )
 
-// Maybe is a figure that may not be known. A pointer would not do: gob takes one to zero
-// for none.
+// Maybe is a number that may be unknown. A pointer would not do, because gob does not transmit a
+// pointer to zero and it would decode as nil.
 type Maybe struct {
 	Known bool
 	Value float64
 }
 
-// some is a figure that is known.
-func some(f float64) Maybe { return Maybe{true, f} }
+// knownValue returns a Maybe that is known.
+func knownValue(f float64) Maybe { return Maybe{true, f} }
 
-// ago is the time since t in milliseconds, where t is known.
-func ago(now, t time.Time) Maybe {
+// millisecondsSince returns the time from t to now in milliseconds, or an unknown value when t is zero.
+func millisecondsSince(now, t time.Time) Maybe {
 	if t.IsZero() {
 		return Maybe{}
 	}
-	return some(float64(now.Sub(t).Milliseconds()))
+	return knownValue(float64(now.Sub(t).Milliseconds()))
 }
 
-// MarshalJSON writes null for what is not known.
+// MarshalJSON encodes an unknown value as null.
 func (m Maybe) MarshalJSON() ([]byte, error) {
 	if !m.Known {
 		return []byte("null"), nil
--- a/internal/control/net_test.go
+++ b/internal/control/net_test.go
@@ -20,7 +20,7 @@
 type network struct {
 	*simnet.Net
 	mu    sync.Mutex
-	mends []func()
+	heals []func()
 }
 
 func newNetwork(seed uint64) *network {
@@ -31,16 +31,16 @@
 	mend := n.Between([]string{from}, []string{to}, both)
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.mends = append(n.mends, mend)
+	n.heals = append(n.heals, mend)
 }
 
-func (n *network) mend() {
+func (n *network) healAll() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for _, m := range n.mends {
+	for _, m := range n.heals {
 		m()
 	}
-	n.mends = nil
+	n.heals = nil
 }
 
 // host is a machine with one process, which can be killed; its disk outlives it.
@@ -54,7 +54,7 @@
 	done chan struct{}
 }
 
-func (n *network) add(addr string, d *disk) *host {
+func (n *network) addHost(addr string, d *disk) *host {
 	return &host{Host: n.Host(addr, ""), addr: addr, disk: d}
 }
 
@@ -68,11 +68,11 @@
 	return h.proc
 }
 
-// awake waits while the host is frozen.
-func (h *host) awake() { h.process().Awake() }
+// waitWhileFrozen waits while the host is frozen.
+func (h *host) waitWhileFrozen() { h.process().Awake() }
 
-// up is the context of the running process, nil when there is none.
-func (h *host) up() context.Context {
+// processContext is the context of the running process, nil when there is none.
+func (h *host) processContext() context.Context {
 	if p := h.process(); p != nil && !p.Dead() {
 		return p.Context()
 	}
@@ -108,8 +108,8 @@
 // disk is a disk with notes in memory.
 type disk struct {
 	*simnet.Disk
-	mu    sync.Mutex
-	notes [][]byte // the journal
+	mu      sync.Mutex
+	journal [][]byte // the journal
 }
 
 func newDisk(rnd *rand.Rand) *disk { return &disk{Disk: simnet.NewDisk(rnd, "")} }
@@ -120,7 +120,7 @@
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.notes = nil
+	d.journal = nil
 }
 
 func (d *disk) holds(text string) bool { return d.Holds(text) }
--- a/internal/control/page.go
+++ b/internal/control/page.go
@@ -6,24 +6,24 @@
 )
 
 const (
-	// usualRows is how many rows an answer has where nothing else is asked for.
-	usualRows = 200
-	// mostBytes bounds an answer: well below what a link carries.
-	mostBytes = 1 << 20
+	// defaultRows is the number of rows of an answer when Most is 0.
+	defaultRows = 200
+	// maxAnswerBytes bounds the size of an answer; it is well below the message limit of a link.
+	maxAnswerBytes = 1 << 20
 )
 
-// Page says which rows of a list are wanted: those past the key After, at most Most; 0 is
-// usualRows.
+// Page selects rows of a list: those with keys after After, and at most Most of them; 0 selects
+// defaultRows.
 type Page struct {
 	After string `validate:"max=2048"`
 	Most  int    `validate:"min=0,max=1000"`
 }
 
-// About says who answers, and how far it can be believed.
+// About describes the node that answers, and how current its data is.
 type About struct {
 	Node string `json:"node"`
 	Zone string `json:"zone"`
-	// Fresh says that everything acknowledged until BehindMS ago is known here.
+	// Fresh reports that everything acknowledged until BehindMS ago is known here.
 	Fresh    bool  `json:"fresh"`
 	BehindMS int64 `json:"behind_ms"`
 }
@@ -32,42 +32,42 @@
 type Answer[R any] struct {
 	About
 	Rows []R `json:"rows"`
-	// Total is how many rows there are in all. Next is the After of the next page; ""
-	// says that this is the last.
+	// Total is the number of rows on all pages. Next is the After of the next page; "" marks
+	// the last page.
 	Total int    `json:"total"`
 	Next  string `json:"next,omitempty"`
 }
 
-// page gathers the rows with the lowest keys past one, without keeping all of them.
-type page[T any] struct {
+// pageCollector collects the rows with the lowest keys after a given key, without keeping all rows.
+type pageCollector[T any] struct {
 	after string
-	most  int
+	limit int
 	rows  []keyed[T]
 	total int
 }
 
 type keyed[T any] struct {
-	key string
-	of  T
+	key   string
+	value T
 }
 
-func newPage[T any](p Page) *page[T] {
-	return &page[T]{after: p.After, most: cmp.Or(p.Most, usualRows)}
+func newPageCollector[T any](p Page) *pageCollector[T] {
+	return &pageCollector[T]{after: p.After, limit: cmp.Or(p.Most, defaultRows)}
 }
 
-// add takes in one row; of two with one key the later stands.
-func (p *page[T]) add(key string, of T) {
+// add adds a row; it replaces an earlier row with the same key.
+func (p *pageCollector[T]) add(key string, of T) {
 	p.total++
 	if key <= p.after {
 		return
 	}
-	if p.rows = append(p.rows, keyed[T]{key, of}); len(p.rows) > 4*(p.most+1) {
+	if p.rows = append(p.rows, keyed[T]{key, of}); len(p.rows) > 4*(p.limit+1) {
 		p.trim()
 	}
 }
 
-// trim keeps what is on the page, and one more to tell that there is more.
-func (p *page[T]) trim() {
+// trim keeps the rows of the page, and one more that shows whether there is a next page.
+func (p *pageCollector[T]) trim() {
 	slices.SortStableFunc(p.rows, func(a, b keyed[T]) int { return cmp.Compare(a.key, b.key) })
 	out := p.rows[:0]
 	for _, r := range p.rows {
@@ -78,19 +78,19 @@
 		}
 		out = append(out, r)
 	}
-	clear(p.rows[min(len(out), p.most+1):])
-	p.rows = out[:min(len(out), p.most+1)]
+	clear(p.rows[min(len(out), p.limit+1):])
+	p.rows = out[:min(len(out), p.limit+1)]
 }
 
-// pageOf makes rows of what is on the page, as far as they fit. size is about what a row
-// takes besides its fixed parts.
-func pageOf[T, R any](a About, p *page[T], row func(key string, of T) (r R, size int)) Answer[R] {
+// buildAnswer converts the rows of the page, as far as they fit into maxAnswerBytes. The size that row
+// returns is the approximate size of the variable parts of a row.
+func buildAnswer[T, R any](a About, p *pageCollector[T], row func(key string, of T) (r R, size int)) Answer[R] {
 	p.trim()
 	out := Answer[R]{About: a, Rows: []R{}, Total: p.total}
 	size := 0
 	for i, r := range p.rows {
-		x, n := row(r.key, r.of)
-		if size += n + 64; i == p.most || i > 0 && size > mostBytes {
+		x, n := row(r.key, r.value)
+		if size += n + 64; i == p.limit || i > 0 && size > maxAnswerBytes {
 			out.Next = p.rows[i-1].key
 			break
 		}
--- a/internal/control/page_test.go
+++ b/internal/control/page_test.go
@@ -10,12 +10,12 @@
 
 // A list that is asked for page by page has each row once, in order.
 func TestPagesMakeTheList(t *testing.T) {
-	play(t, 25, small, func(w *world) {
-		w.order(base(20), w.controllers[:1])
-		l := w.operator()
+	runCluster(t, 25, smallCluster, func(cl *cluster) {
+		cl.mustApply(baseChange(20), cl.controllers[:1])
+		l := cl.operatorLine()
 		var got []string
 		for after, pages := "", 1; ; pages++ {
-			a := look[ItemRow](w, l, w.controllers[0], ItemsAsk{Page: Page{After: after, Most: 7}})
+			a := mustAsk[ItemRow](cl, l, cl.controllers[0], ItemsAsk{Page: Page{After: after, Most: 7}})
 			if a.Total != 23 || len(a.Rows) > 7 {
 				t.Fatalf("%d rows of %d", len(a.Rows), a.Total)
 			}
@@ -37,15 +37,15 @@
 
 // An answer that would be too large is cut before the page is full.
 func TestAnswersAreBoundedInBytes(t *testing.T) {
-	p := newPage[int](Page{Most: 1000})
+	p := newPageCollector[int](Page{Most: 1000})
 	for i := range 1000 {
 		p.add(fmt.Sprintf("%04d", i), i)
 	}
-	a := pageOf(About{}, p, func(string, int) (int, int) { return 0, 10000 })
-	if len(a.Rows) == 0 || len(a.Rows) > mostBytes/10000 || a.Next != fmt.Sprintf("%04d", len(a.Rows)-1) || a.Total != 1000 {
+	a := buildAnswer(About{}, p, func(string, int) (int, int) { return 0, 10000 })
+	if len(a.Rows) == 0 || len(a.Rows) > maxAnswerBytes/10000 || a.Next != fmt.Sprintf("%04d", len(a.Rows)-1) || a.Total != 1000 {
 		t.Errorf("%d rows, next %q", len(a.Rows), a.Next)
 	}
-	a = pageOf(About{}, p, func(string, int) (int, int) { return 0, 2 * mostBytes })
+	a = buildAnswer(About{}, p, func(string, int) (int, int) { return 0, 2 * maxAnswerBytes })
 	if len(a.Rows) != 1 || a.Next != "0000" {
 		t.Errorf("one row at least, to get on: %+v", a)
 	}
@@ -53,11 +53,11 @@
 
 // However long a list, little more than a page is kept of it.
 func TestAPageKeepsLittle(t *testing.T) {
-	p := newPage[int](Page{Most: 5})
+	p := newPageCollector[int](Page{Most: 5})
 	for i := range 3 {
 		p.add("0", i) // changed while the list was read
 	}
-	if p.trim(); p.total != 1 || len(p.rows) != 1 || p.rows[0].of != 2 {
+	if p.trim(); p.total != 1 || len(p.rows) != 1 || p.rows[0].value != 2 {
 		t.Errorf("%+v of %d", p.rows, p.total)
 	}
 	for i := range 100000 {
--- a/internal/control/price_test.go
+++ b/internal/control/price_test.go
@@ -13,13 +13,13 @@
 // 0.2 to 3 ms. A change takes four round trips (what stands, promises, accepts, copies) and three
 // syncs, a leaving one of each.
 func TestAcknowledgementsTakeFewRoundTrips(t *testing.T) {
-	play(t, 21, small, func(w *world) {
-		w.order(base(10), w.controllers)
+	runCluster(t, 21, smallCluster, func(cl *cluster) {
+		cl.mustApply(baseChange(10), cl.controllers)
 		var changes, leavings []time.Duration
 		for i := range 60 {
-			changes = append(changes, w.order(Change{Routes: []route.Route{routeTo("r0", uint64(10+i), "b")}}, mixed(w, w.controllers)))
+			changes = append(changes, cl.mustApply(Change{Routes: []route.Route{routeTo("r0", uint64(10+i), "b")}}, shuffled(cl, cl.controllers)))
 			begun := time.Now()
-			if err := pick(w, w.controllers).control().Leave(w.ctx, fmt.Sprintf("i-%d", i)); err != nil {
+			if err := pick(cl, cl.controllers).control().Leave(cl.ctx, fmt.Sprintf("i-%d", i)); err != nil {
 				t.Fatal(err)
 			}
 			leavings = append(leavings, time.Since(begun))
--- a/internal/control/query.go
+++ b/internal/control/query.go
@@ -7,13 +7,13 @@
 	"walkrudder/internal/steperr"
 )
 
-// Queries let operators look into a running node (design 25.7). But for the two orders of upgrades a query changes nothing,
-// costs nothing while nobody asks, and holds a lock for some hundred entries at most.
+// Queries let operators inspect a running node (design 25.7). Except for the two upgrade orders a query changes nothing,
+// costs nothing while unused, and holds a lock for a few hundred entries at most.
 const (
-	// chunk is how many entries are looked at in one go under a table's lock.
-	chunk = 256
-	// mostQueries is how many are answered at once; others wait for their turn.
-	mostQueries = 2
+	// scanChunk is the number of entries that are read at once under the lock of a table.
+	scanChunk = 256
+	// maxConcurrentQueries is how many queries are answered at once; others wait for their turn.
+	maxConcurrentQueries = 2
 )
 
 func init() {
@@ -28,30 +28,30 @@
 	link.Pair[UpgradeRevertAsk, UpgradeTold]()
 }
 
-// serveQueries teaches the desk to answer them.
+// serveQueries registers the handlers of queries.
 func (n *Node) serveQueries() {
-	query(n, n.items)
-	query(n, n.runs)
-	query(n, n.memberRows)
-	query(n, n.disks)
-	query(n, n.coreRows)
-	query(n, n.counters)
-	query(n, n.upgradeRows)
-	query(n, n.orderUpgrade)
-	query(n, n.revertUpgrade)
+	registerQuery(n, n.listItems)
+	registerQuery(n, n.listRuns)
+	registerQuery(n, n.listMembers)
+	registerQuery(n, n.listDisks)
+	registerQuery(n, n.listSeats)
+	registerQuery(n, n.listCounters)
+	registerQuery(n, n.listUpgrades)
+	registerQuery(n, n.orderUpgrade)
+	registerQuery(n, n.revertUpgrade)
 }
 
-// query checks an ask before it is answered.
-func query[A, R any](n *Node, f func(context.Context, A) (R, error)) {
+// registerQuery registers a handler that validates the request, and limits concurrency, before it calls f.
+func registerQuery[A, R any](n *Node, f func(context.Context, A) (R, error)) {
 	link.On(n.Desk, func(ctx context.Context, _ link.Who, a A) (r R, err error) {
-		if err := check.Struct(a); err != nil {
-			n.counts.queries.note(true, nil)
+		if err := validate.Struct(a); err != nil {
+			n.calls.queries.record(true, nil)
 			return r, steperr.At("query", n.ID, err)
 		}
-		defer func() { n.counts.queries.note(false, err) }()
+		defer func() { n.calls.queries.record(false, err) }()
 		select {
-		case n.asked <- struct{}{}:
-			defer func() { <-n.asked }()
+		case n.querySlots <- struct{}{}:
+			defer func() { <-n.querySlots }()
 		case <-ctx.Done():
 			return r, steperr.At("query", n.ID, ctx.Err())
 		}
@@ -59,7 +59,7 @@
 	})
 }
 
-// about is this node, as answers name it.
+// about describes this node in answers.
 func (n *Node) about() About {
 	lag, fresh := n.fresh()
 	return About{Node: n.ID, Zone: n.Zone, Fresh: fresh, BehindMS: lag.Milliseconds()}
--- a/internal/control/querycounters.go
+++ b/internal/control/querycounters.go
@@ -7,27 +7,27 @@
 	"walkrudder/internal/usage"
 )
 
-// CountersAsk asks for the counters whose name begins with Prefix.
+// CountersAsk queries the counters whose name begins with Prefix.
 type CountersAsk struct {
 	Page
 	Prefix string `validate:"max=256"`
 }
 
-// CounterRow is one of them, since the start; those of memory and of what is known here
-// are as they are now.
+// CounterRow is one counter since the start of the process. Values about memory and about the known
+// state are current values.
 type CounterRow struct {
 	Name  string `json:"name"`
 	Value uint64 `json:"value"`
 }
 
-// counterRows reads them all.
+// counterRows reads all counters.
 func (n *Node) counterRows() (out []CounterRow) {
 	add := func(name string, v uint64) { out = append(out, CounterRow{name, v}) }
 	for _, c := range []struct {
 		name string
-		*count
-	}{{"beats", &n.counts.beats}, {"leavings", &n.counts.leaves}, {"changes", &n.counts.changes}, {"reads", &n.counts.reads}, {"queries", &n.counts.queries}, {"upgrade_orders", &n.counts.orders}, {"unknown_calls", &n.counts.unknown}} {
-		add(c.name, c.all.Load())
+		*callCounter
+	}{{"beats", &n.calls.beats}, {"leavings", &n.calls.departures}, {"changes", &n.calls.changes}, {"reads", &n.calls.reads}, {"queries", &n.calls.queries}, {"upgrade_orders", &n.calls.orders}, {"unknown_calls", &n.calls.unknown}} {
+		add(c.name, c.total.Load())
 		add(c.name+"_failed", c.failed.Load())
 		add(c.name+"_refused", c.refused.Load())
 	}
@@ -49,13 +49,13 @@
 	return out
 }
 
-// counters lists them.
-func (n *Node) counters(_ context.Context, a CountersAsk) (Answer[CounterRow], error) {
-	p := newPage[CounterRow](a.Page)
+// listCounters answers a CountersAsk.
+func (n *Node) listCounters(_ context.Context, a CountersAsk) (Answer[CounterRow], error) {
+	p := newPageCollector[CounterRow](a.Page)
 	for _, r := range n.counterRows() {
 		if strings.HasPrefix(r.Name, a.Prefix) {
 			p.add(r.Name, r)
 		}
 	}
-	return pageOf(n.about(), p, func(_ string, r CounterRow) (CounterRow, int) { return r, len(r.Name) }), nil
+	return buildAnswer(n.about(), p, func(_ string, r CounterRow) (CounterRow, int) { return r, len(r.Name) }), nil
 }
--- a/internal/control/querydisk_test.go
+++ b/internal/control/querydisk_test.go
@@ -6,14 +6,14 @@
 )
 
 func TestDisksTellOfTheirWrites(t *testing.T) {
-	play(t, 29, small, func(w *world) {
-		l := w.operator()
+	runCluster(t, 29, smallCluster, func(cl *cluster) {
+		l := cl.operatorLine()
 		// The gateway of notes began with the core; each change is synced besides.
-		before := look[DiskRow](w, l, w.controllers[0], DiskAsk{}).Rows
-		w.order(base(2), w.controllers[:1])
-		time.Sleep(bound)
-		for _, m := range w.controllers {
-			rows := look[DiskRow](w, l, m, DiskAsk{}).Rows
+		before := mustAsk[DiskRow](cl, l, cl.controllers[0], DiskAsk{}).Rows
+		cl.mustApply(baseChange(2), cl.controllers[:1])
+		time.Sleep(propagationLimit)
+		for _, m := range cl.controllers {
+			rows := mustAsk[DiskRow](cl, l, m, DiskAsk{}).Rows
 			if m.disk == nil {
 				if len(rows) != 0 {
 					t.Errorf("%s has no disk: %+v", m.id, rows)
@@ -25,7 +25,7 @@
 				t.Errorf("%s: %+v", m.id, rows)
 			}
 		}
-		if after := look[DiskRow](w, l, w.controllers[0], DiskAsk{}).Rows; after[0].Writes <= before[0].Writes {
+		if after := mustAsk[DiskRow](cl, l, cl.controllers[0], DiskAsk{}).Rows; after[0].Writes <= before[0].Writes {
 			t.Errorf("%d writes before a change, %d after", before[0].Writes, after[0].Writes)
 		}
 	})
--- a/internal/control/queryitems.go
+++ b/internal/control/queryitems.go
@@ -12,23 +12,23 @@
 )
 
 const (
-	// mostNames bounds the names in one field of a row.
-	mostNames = 8
-	// More stands in a list of names that was cut.
-	More = "..."
+	// maxNames bounds the number of names in one field of a row.
+	maxNames = 8
+	// TruncationMark is the last entry of a list of names that was truncated.
+	TruncationMark = "..."
 )
 
-// ItemsAsk asks for the items whose name begins with Prefix, or whose host and path do.
+// ItemsAsk queries the items whose name, or host and path prefix, begins with Prefix.
 type ItemsAsk struct {
 	Page
 	Prefix string `validate:"max=2048"`
 }
 
-// The states of an item.
+// States of an item.
 const (
 	InForce    = "in force"
 	Dropped    = "dropped"
-	Unreadable = "unreadable" // from a later release: what stood before still does
+	Unreadable = "unreadable" // written by a later release; the previous version stays in effect
 )
 
 // ItemRow is one item.
@@ -37,20 +37,20 @@
 	Name    string `json:"name"`
 	Version uint64 `json:"version"`
 	State   string `json:"state"`
-	// Place is a route's host and path prefix, and Services are where it leads.
+	// Place is the host and path prefix of a route, and Services are its destinations.
 	Place    string   `json:"place"`
 	Services []string `json:"services"`
-	// Held says that this node saw a majority of synced disks hold this version.
+	// Held reports that this node saw a majority of synced disks hold this version.
 	Held bool `json:"held"`
-	// Gateways is how many gateways asked this node within the last seconds, and Behind how many
-	// of them had not yet heard of this version then; Late names the first of these. One
-	// whose ask is old may have gone to another controller.
+	// Gateways is how many gateways asked this node for news within the last seconds, and Behind how
+	// many of them had not received this version by then; Late names the first of these. A gateway
+	// whose last request is old may have switched to another controller.
 	Gateways int    `json:"gateways"`
 	Behind   int    `json:"behind"`
 	Late     []Late `json:"late"`
 }
 
-// Late is a gateway that had not heard of something when it asked last.
+// Late is a gateway that had not received something when it last asked for news.
 type Late struct {
 	Gateway string `json:"gateway"`
 	AskedMS int64  `json:"asked_ago_ms"`
@@ -58,21 +58,21 @@
 
 var kindNames = map[item.Kind]string{item.Route: "route", item.Service: "service", item.Limits: "limits", item.Upgrade: "upgrade"}
 
-// itemKey orders items, and names them in a Page.
-func itemKey(k item.Key) string { return kindNames[k.Kind] + "/" + k.Name }
+// itemSortKey is the key by which items are ordered and paged.
+func itemSortKey(k item.Key) string { return kindNames[k.Kind] + "/" + k.Name }
 
-// items lists items.
-func (n *Node) items(ctx context.Context, a ItemsAsk) (r Answer[ItemRow], err error) {
-	p := newPage[item.Item](a.Page)
+// listItems answers an ItemsAsk.
+func (n *Node) listItems(ctx context.Context, a ItemsAsk) (r Answer[ItemRow], err error) {
+	p := newPageCollector[item.Item](a.Page)
 	for from, more := uint64(0), true; more; {
 		if ctx.Err() != nil {
 			return r, steperr.At("items", n.ID, ctx.Err())
 		}
 		var got []item.Item
-		n.Board.Items(func(s *item.Set) { got, from, more = s.Since(from, chunk, 0) })
+		n.Board.Items(func(s *item.Set) { got, from, more = s.Since(from, scanChunk, 0) })
 		for _, i := range got {
-			if strings.HasPrefix(i.Name, a.Prefix) || strings.HasPrefix(placeOf(i), a.Prefix) {
-				p.add(itemKey(i.Key), i)
+			if strings.HasPrefix(i.Name, a.Prefix) || strings.HasPrefix(routePlace(i), a.Prefix) {
+				p.add(itemSortKey(i.Key), i)
 			}
 		}
 	}
@@ -80,18 +80,18 @@
 	seqs := make(map[item.Key]uint64, len(p.rows))
 	n.Board.Items(func(s *item.Set) {
 		for _, x := range p.rows {
-			seqs[x.of.Key] = s.SeqOf(x.of.Key)
+			seqs[x.value.Key] = s.SeqOf(x.value.Key)
 		}
 	})
-	gateways := n.attached()
-	return pageOf(n.about(), p, func(_ string, i item.Item) (ItemRow, int) {
+	gateways := n.attachedGateways()
+	return buildAnswer(n.about(), p, func(_ string, i item.Item) (ItemRow, int) {
 		x := itemRow(i)
-		x.Held, x.Gateways = n.ledger.has(i), len(gateways)
+		x.Held, x.Gateways = n.durable.has(i), len(gateways)
 		for _, f := range gateways {
 			if f.Seen.Items >= seqs[i.Key] {
 				continue
 			}
-			if x.Behind++; x.Behind <= mostNames {
+			if x.Behind++; x.Behind <= maxNames {
 				x.Late = append(x.Late, Late{f.ID, f.Age.Milliseconds()})
 			}
 		}
@@ -106,8 +106,8 @@
 	}), nil
 }
 
-// attached are the gateways that follow this node.
-func (n *Node) attached() (out []watch.Follower) {
+// attachedGateways returns the gateways that follow this node.
+func (n *Node) attachedGateways() (out []watch.Follower) {
 	for _, f := range n.teller.Followers() {
 		if f.Kind == watch.Gateway && !f.Gone() {
 			out = append(out, f)
@@ -116,8 +116,8 @@
 	return out
 }
 
-// placeOf is a standing route's host and path prefix, "" for anything else.
-func placeOf(i item.Item) string {
+// routePlace returns the host and path prefix of an existing route, or "" for any other item.
+func routePlace(i item.Item) string {
 	if i.Kind != item.Route || i.Gone {
 		return ""
 	}
@@ -143,7 +143,7 @@
 		for _, s := range r.Shares {
 			x.Services = append(x.Services, s.Service)
 		}
-		x.Services = cut(x.Services)
+		x.Services = truncateNames(x.Services)
 	case item.Service:
 		_, err = route.ServiceFromItem(i)
 	case item.Limits:
@@ -157,10 +157,10 @@
 	return x
 }
 
-// cut bounds a list of names, and shows that it did.
-func cut(names []string) []string {
-	if len(names) > mostNames {
-		return append(names[:mostNames:mostNames], More)
+// truncateNames limits a list of names to maxNames, and marks the truncation.
+func truncateNames(names []string) []string {
+	if len(names) > maxNames {
+		return append(names[:maxNames:maxNames], TruncationMark)
 	}
 	return names
 }
--- a/internal/control/queryitems_test.go
+++ b/internal/control/queryitems_test.go
@@ -13,16 +13,16 @@
 )
 
 func TestItemsTellWhatStandsAndWhoHasIt(t *testing.T) {
-	play(t, 24, small, func(w *world) {
-		l, m, o := w.operator(), w.controllers[0], w.controllers[1]
+	runCluster(t, 24, smallCluster, func(cl *cluster) {
+		l, m, o := cl.operatorLine(), cl.controllers[0], cl.controllers[1]
 		time.Sleep(6 * time.Second) // gateways that began at any controller have gone to their own
-		w.order(base(5), []*controllerHost{m})
-		w.order(Change{Drops: []Drop{{Kind: item.Route, Name: "r0", Version: 2}}}, []*controllerHost{m})
-		time.Sleep(bound)
+		cl.mustApply(baseChange(5), []*controllerHost{m})
+		cl.mustApply(Change{Drops: []Drop{{Kind: item.Route, Name: "r0", Version: 2}}}, []*controllerHost{m})
+		time.Sleep(propagationLimit)
 		by := func(rows []ItemRow) map[string]ItemRow {
 			return lo.SliceToMap(rows, func(r ItemRow) (string, ItemRow) { return r.Kind + "/" + r.Name, r })
 		}
-		a := look[ItemRow](w, l, m, ItemsAsk{})
+		a := mustAsk[ItemRow](cl, l, m, ItemsAsk{})
 		if a.Node != m.id || a.Zone != m.zone || !a.Fresh || a.Total != 8 || len(a.Rows) != 8 || a.Next != "" {
 			t.Fatalf("%+v", a)
 		}
@@ -36,25 +36,25 @@
 		if r := all["route/r1"]; r.State != InForce || r.Version != 1 || r.Place != "h.example/r1/" || !slices.Equal(r.Services, []string{"a"}) || !r.Held || r.Gateways == 0 || r.Behind > 0 {
 			t.Errorf("%+v", r)
 		}
-		if r := by(look[ItemRow](w, l, o, ItemsAsk{}).Rows)["route/r1"]; r.Held || r.State != InForce {
+		if r := by(mustAsk[ItemRow](cl, l, o, ItemsAsk{}).Rows)["route/r1"]; r.Held || r.State != InForce {
 			t.Errorf("a controller that did not take the change: %+v", r)
 		}
 		for prefix, want := range map[string]int{"r1": 1, "h.example/r": 4, "h.example/r3/": 1, "limits": 1, "none": 0, "": 8} {
-			if a := look[ItemRow](w, l, m, ItemsAsk{Prefix: prefix}); len(a.Rows) != want || a.Total != want {
+			if a := mustAsk[ItemRow](cl, l, m, ItemsAsk{Prefix: prefix}); len(a.Rows) != want || a.Total != want {
 				t.Errorf("%q: %d rows, %d in all, want %d", prefix, len(a.Rows), a.Total, want)
 			}
 		}
 		// A gateway that stands still has not heard of a change, until it does.
-		frozen, ok := lo.Find(w.gateways, func(x *gatewayHost) bool {
-			return lo.ContainsBy(m.control().attached(), func(f watch.Follower) bool { return f.ID == x.id })
+		frozen, ok := lo.Find(cl.gateways, func(x *gatewayHost) bool {
+			return lo.ContainsBy(m.control().attachedGateways(), func(f watch.Follower) bool { return f.ID == x.id })
 		})
 		if !ok {
 			t.Fatal("no gateway follows the controller")
 		}
 		frozen.freeze()
-		w.order(Change{Routes: nil, Drops: []Drop{{Kind: item.Route, Name: "r1", Version: 7}}}, []*controllerHost{m})
+		cl.mustApply(Change{Routes: nil, Drops: []Drop{{Kind: item.Route, Name: "r1", Version: 7}}}, []*controllerHost{m})
 		time.Sleep(500 * time.Millisecond)
-		a = look[ItemRow](w, l, m, ItemsAsk{Prefix: "r"})
+		a = mustAsk[ItemRow](cl, l, m, ItemsAsk{Prefix: "r"})
 		if r := by(a.Rows)["route/r1"]; r.Version != 7 || r.Behind != 1 || len(r.Late) != 1 || r.Late[0].Gateway != frozen.id || r.Late[0].AskedMS < 400 || r.Gateways < 1 {
 			t.Errorf("%s stands still: %+v", frozen.id, r)
 		}
@@ -62,8 +62,8 @@
 			t.Errorf("of an older change: %+v", r)
 		}
 		frozen.thaw()
-		time.Sleep(bound)
-		if r := by(look[ItemRow](w, l, m, ItemsAsk{}).Rows)["route/r1"]; r.Behind > 0 {
+		time.Sleep(propagationLimit)
+		if r := by(mustAsk[ItemRow](cl, l, m, ItemsAsk{}).Rows)["route/r1"]; r.Behind > 0 {
 			t.Errorf("%s has heard: %+v", frozen.id, r)
 		}
 	})
--- a/internal/control/queryruns.go
+++ b/internal/control/queryruns.go
@@ -10,14 +10,14 @@
 	"walkrudder/internal/target"
 )
 
-// RunsAsk asks for the runs of a service, or of all, whose ID begins with Prefix.
+// RunsAsk queries the runs of a service, or of all services, whose ID begins with Prefix.
 type RunsAsk struct {
 	Page
 	Service string `validate:"max=256"`
 	Prefix  string `validate:"max=256"`
 }
 
-// RunRow is one run as this node sees it.
+// RunRow is one run as seen by this node.
 type RunRow struct {
 	ID      string `json:"run"`
 	Service string `json:"service"`
@@ -25,19 +25,19 @@
 	Zone    string `json:"zone"`
 	Slots   int    `json:"slots"`
 	State   string `json:"state"`
-	// Held says that this node saw a majority of the voters hold that the run drains or
+	// Held reports that this node saw a majority of the voters hold that the run drains or
 	// has ended.
 	Held bool `json:"held"`
-	// Home is the inner address of the controller at which its beats should come in: that one
-	// judges it.
+	// Home is the inner address of the controller that should receive the heartbeats of the run: that
+	// controller judges it.
 	Home string `json:"home"`
 	Beat uint64 `json:"beat"`
-	// BeatMS is how long ago its last beat came in here, and NewsMS when anything was
-	// heard of it, also from other controllers.
+	// BeatMS is the time since its last heartbeat arrived here, and NewsMS the time since anything
+	// was heard of it, also from other controllers.
 	BeatMS Maybe `json:"beat_ago_ms"`
 	NewsMS Maybe `json:"news_ago_ms"`
-	// Suspicion is w_d now, where its beats come in here. Suspected is what all controllers
-	// hold.
+	// Suspicion is the current w_d if its heartbeats arrive here. Suspected is the verdict that
+	// all controllers share.
 	Suspicion Maybe `json:"suspicion"`
 	Suspected bool  `json:"suspected"`
 	Recalled  bool  `json:"recalled"`
@@ -45,16 +45,16 @@
 
 var stateNames = map[target.State]string{target.Ready: "ready", target.Draining: "draining", target.Ended: "ended"}
 
-// runs lists runs.
-func (n *Node) runs(ctx context.Context, a RunsAsk) (r Answer[RunRow], err error) {
-	p := newPage[target.Run](a.Page)
+// listRuns answers a RunsAsk.
+func (n *Node) listRuns(ctx context.Context, a RunsAsk) (r Answer[RunRow], err error) {
+	p := newPageCollector[target.Run](a.Page)
 	for from, more := uint64(0), true; more; {
 		if ctx.Err() != nil {
 			return r, steperr.At("runs", n.ID, ctx.Err())
 		}
 		var got []target.Run
 		n.Board.Table(func(t *target.Table, now time.Time) bool {
-			got, from, more = t.Since(from, chunk, 0, now)
+			got, from, more = t.Since(from, scanChunk, 0, now)
 			return false
 		})
 		for _, x := range got {
@@ -65,17 +65,17 @@
 	}
 	p.trim()
 	rows := make(map[string]RunRow, len(p.rows))
-	for at := 0; at < len(p.rows); at += chunk {
+	for at := 0; at < len(p.rows); at += scanChunk {
 		n.Board.Table(func(t *target.Table, now time.Time) bool {
-			for _, k := range p.rows[at:min(at+chunk, len(p.rows))] {
-				x := k.of
+			for _, k := range p.rows[at:min(at+scanChunk, len(p.rows))] {
+				x := k.value
 				row := RunRow{ID: x.ID, Service: x.Service, Addr: x.Addr, Zone: x.Zone, Slots: x.Slots, State: stateNames[x.State], Beat: x.Seq,
-					Suspected: x.Suspected(), Recalled: x.Recalled, Held: n.departures.held(x)}
+					Suspected: x.Suspected(), Recalled: x.Recalled, Held: n.departures.isHeld(x)}
 				beat, last := t.Heard(x.ID)
-				row.BeatMS, row.NewsMS = ago(now, beat), ago(now, last)
-				if w, ok := n.watch.Suspicion(x.ID, now); ok {
+				row.BeatMS, row.NewsMS = millisecondsSince(now, beat), millisecondsSince(now, last)
+				if w, ok := n.runWatch.Suspicion(x.ID, now); ok {
 					if _, newest := t.Own(x.ID); newest {
-						row.Suspicion = some(math.Round(w*1e6) / 1e6)
+						row.Suspicion = knownValue(math.Round(w*1e6) / 1e6)
 					}
 				}
 				rows[k.key] = row
@@ -84,7 +84,7 @@
 		})
 	}
 	homes := map[[2]string]string{}
-	return pageOf(n.about(), p, func(key string, _ target.Run) (RunRow, int) {
+	return buildAnswer(n.about(), p, func(key string, _ target.Run) (RunRow, int) {
 		x := rows[key]
 		if x.State != stateNames[target.Ended] {
 			at := [2]string{x.Service, x.Zone}
--- a/internal/control/queryruns_test.go
+++ b/internal/control/queryruns_test.go
@@ -11,22 +11,22 @@
 )
 
 func TestRunsTellHowTheyAre(t *testing.T) {
-	play(t, 26, small, func(w *world) {
-		w.order(base(1), w.controllers[:1])
+	runCluster(t, 26, smallCluster, func(cl *cluster) {
+		cl.mustApply(baseChange(1), cl.controllers[:1])
 		stops := map[string]func(){}
 		for i := range 4 {
 			id := fmt.Sprintf("i-%d", i)
-			stops[id] = w.beats(id, "a", "z0", fmt.Sprintf("10.0.0.%d:80", i))
+			stops[id] = cl.startHeartbeats(id, "a", "z0", fmt.Sprintf("10.0.0.%d:80", i))
 		}
-		other := w.beats("x-0", "b", "z1", "10.0.1.0:80")
+		other := cl.startHeartbeats("x-0", "b", "z1", "10.0.1.0:80")
 		time.Sleep(20 * time.Second)
-		l := w.operator()
-		addr := w.controllers[0].control().Home("a", "z0")
-		home, _ := lo.Find(w.controllers, func(m *controllerHost) bool { return m.addr == addr })
-		away, _ := lo.Find(w.controllers, func(m *controllerHost) bool { return m.zone != "z0" })
+		l := cl.operatorLine()
+		addr := cl.controllers[0].control().Home("a", "z0")
+		home, _ := lo.Find(cl.controllers, func(m *controllerHost) bool { return m.addr == addr })
+		away, _ := lo.Find(cl.controllers, func(m *controllerHost) bool { return m.zone != "z0" })
 		row := func(m *controllerHost, id string) RunRow {
 			t.Helper()
-			a := look[RunRow](w, l, m, RunsAsk{Service: "a", Prefix: id})
+			a := mustAsk[RunRow](cl, l, m, RunsAsk{Service: "a", Prefix: id})
 			if len(a.Rows) != 1 || a.Total != 1 {
 				t.Fatalf("%s: %+v", id, a)
 			}
@@ -40,15 +40,15 @@
 		if r := row(away, "i-1"); r.State != "ready" || r.Home != home.addr || r.Suspicion.Known || !r.NewsMS.Known {
 			t.Errorf("elsewhere: %+v", r)
 		}
-		if a := look[RunRow](w, l, home, RunsAsk{}); a.Total != 5 || len(a.Rows) != 5 {
+		if a := mustAsk[RunRow](cl, l, home, RunsAsk{}); a.Total != 5 || len(a.Rows) != 5 {
 			t.Errorf("%d of %d", len(a.Rows), a.Total)
 		}
-		if a := look[RunRow](w, l, home, RunsAsk{Service: "b"}); len(a.Rows) != 1 || a.Total != 1 || a.Rows[0].ID != "x-0" {
+		if a := mustAsk[RunRow](cl, l, home, RunsAsk{Service: "b"}); len(a.Rows) != 1 || a.Total != 1 || a.Rows[0].ID != "x-0" {
 			t.Errorf("of the other service: %+v", a)
 		}
 		// Where a run was heard once, its silence shows nothing after it moved on.
 		for seq, m := range []*controllerHost{away, home} {
-			if err := w.beat(m, target.Beat{ID: "y-0", Service: "a", Addr: "10.0.0.9:80", Zone: "z0", Slots: 2, Seq: uint64(seq + 1)}); err != nil {
+			if err := cl.sendHeartbeat(m, target.Beat{ID: "y-0", Service: "a", Addr: "10.0.0.9:80", Zone: "z0", Slots: 2, Seq: uint64(seq + 1)}); err != nil {
 				t.Fatal(err)
 			}
 			time.Sleep(time.Second)
@@ -70,16 +70,16 @@
 		}
 		stops["i-3"]()
 		time.Sleep(1100 * time.Millisecond)
-		if err := w.beat(away, target.Beat{ID: "i-3", Service: "a", Addr: "10.0.0.3:80", Zone: "z0", Slots: 2, Seq: 1000, Draining: true}); err != nil {
+		if err := cl.sendHeartbeat(away, target.Beat{ID: "i-3", Service: "a", Addr: "10.0.0.3:80", Zone: "z0", Slots: 2, Seq: 1000, Draining: true}); err != nil {
 			t.Fatal(err)
 		}
 		if r := row(away, "i-3"); r.State != "draining" || !r.Held {
 			t.Errorf("drains: %+v", r)
 		}
-		if err := away.control().Leave(w.ctx, "i-3"); err != nil {
+		if err := away.control().Leave(cl.ctx, "i-3"); err != nil {
 			t.Fatal(err)
 		}
-		time.Sleep(bound)
+		time.Sleep(propagationLimit)
 		if r := row(home, "i-3"); r.State != "ended" || r.Held || r.Home != "" {
 			t.Errorf("ended, at a controller that did not take it: %+v", r)
 		}
--- a/internal/control/queryupgrades.go
+++ b/internal/control/queryupgrades.go
@@ -12,28 +12,28 @@
 	"walkrudder/internal/watch"
 )
 
-// UpgradesAsk asks for the newest upgrades of services whose name begins with Prefix.
+// UpgradesAsk queries the newest upgrade of each service whose name begins with Prefix.
 type UpgradesAsk struct {
 	Page
 	Prefix string `validate:"max=256"`
 }
 
-// UpgradeRow is one service's newest upgrade, as this controller knows it.
+// UpgradeRow is the newest upgrade of one service, as known to this controller.
 type UpgradeRow struct {
 	Service string `json:"service"`
 	From    string `json:"from"`
 	To      string `json:"to"`
 	Phase   string `json:"phase"`
-	// Share is the part of the requests for the new version, in thousandths.
+	// Share is the share of the requests for the new version, in thousandths.
 	Share     int       `json:"share"`
 	Ordered   time.Time `json:"ordered"`
 	TermMS    int64     `json:"term_ms"`
 	ElapsedMS int64     `json:"elapsed_ms"`
 	Reason    string    `json:"reason"`
-	// DecidedBy is the controller that decides now, as far as this one knows.
+	// DecidedBy is the controller that decides the steps now, as far as this one knows.
 	DecidedBy string `json:"decided_by"`
-	// Reporting is how many gateways report here, Stopped how many of them have stopped by their own judgement, and Waiting
-	// names some that do not go by this step yet, or have requests at old targets.
+	// Reporting is how many gateways report to this controller, and Stopped how many of them have stopped by their own
+	// judgement. Waiting names some that do not apply this step yet, or have requests at old targets.
 	Reporting int                     `json:"reporting"`
 	Stopped   int                     `json:"stopped"`
 	Waiting   []string                `json:"waiting"`
@@ -43,18 +43,18 @@
 type (
 	// UpgradeOrderAsk orders an upgrade.
 	UpgradeOrderAsk struct{ Order upgrade.Order }
-	// UpgradeRevertAsk orders that one under way is taken back.
+	// UpgradeRevertAsk orders the upgrade under way to be reverted.
 	UpgradeRevertAsk struct {
 		Service string `validate:"required,max=256"`
 	}
-	// UpgradeTold is what stands after either.
+	// UpgradeTold is the upgrade's number after either order.
 	UpgradeTold struct{ Number uint64 }
 )
 
-// upgradeRows lists upgrades.
-func (n *Node) upgradeRows(_ context.Context, a UpgradesAsk) (Answer[UpgradeRow], error) {
-	p := newPage[UpgradeRow](a.Page)
-	ids := lo.Map(n.near(), func(m watch.Member, _ int) string { return m.ID })
+// listUpgrades answers an UpgradesAsk.
+func (n *Node) listUpgrades(_ context.Context, a UpgradesAsk) (Answer[UpgradeRow], error) {
+	p := newPageCollector[UpgradeRow](a.Page)
+	ids := lo.Map(n.nearbyControllers(), func(m watch.Member, _ int) string { return m.ID })
 	attached := n.teller.Attached()
 	for _, u := range n.Upgrades() {
 		if strings.HasPrefix(u.Service, a.Prefix) {
@@ -65,7 +65,7 @@
 			p.add(u.Service, row)
 		}
 	}
-	return pageOf(n.about(), p, func(_ string, r UpgradeRow) (UpgradeRow, int) {
+	return buildAnswer(n.about(), p, func(_ string, r UpgradeRow) (UpgradeRow, int) {
 		return r, len(r.Service) + len(r.Reason) + 64*(1+len(r.Routes))
 	}), nil
 }
@@ -75,7 +75,7 @@
 		TermMS: u.Term.Milliseconds(), ElapsedMS: time.Since(u.Ordered).Milliseconds(), Reason: u.Reason}
 	n.upgrades.mu.Lock()
 	defer n.upgrades.mu.Unlock()
-	d := n.upgrades.by[u.Service]
+	d := n.upgrades.byService[u.Service]
 	if d == nil {
 		return row
 	}
@@ -85,35 +85,35 @@
 	}
 	now := n.Clock.Now()
 	for _, h := range d.reports {
-		if now.Sub(h.at) < reportGone {
+		if now.Sub(h.receivedAt) < reportExpiry {
 			row.Reporting++
 			row.Stopped += lo.Ternary(h.Stopped, 1, 0)
 		}
 	}
 	for id := range attached {
-		if !d.away(id, u.Number, now) {
+		if !d.hasSwitched(id, u.Number, now) {
 			row.Waiting = append(row.Waiting, id)
 		}
 	}
 	slices.Sort(row.Waiting)
-	row.Waiting = cut(row.Waiting)
+	row.Waiting = truncateNames(row.Waiting)
 	return row
 }
 
-// orderUpgrade takes an operator's order over the inner links.
+// orderUpgrade handles an operator's order that arrives over the internal links.
 func (n *Node) orderUpgrade(ctx context.Context, a UpgradeOrderAsk) (UpgradeTold, error) {
 	if err := n.StartUpgrade(ctx, nil, a.Order); err != nil {
 		return UpgradeTold{}, err
 	}
-	u, err := n.upgradeOf(a.Order.Service)
+	u, err := n.newestUpgrade(a.Order.Service)
 	return UpgradeTold{u.Number}, err
 }
 
-// revertUpgrade takes an operator's order to go back over the inner links.
+// revertUpgrade handles an operator's order to revert that arrives over the internal links.
 func (n *Node) revertUpgrade(ctx context.Context, a UpgradeRevertAsk) (UpgradeTold, error) {
 	if err := n.RevertUpgrade(ctx, a.Service); err != nil {
 		return UpgradeTold{}, err
 	}
-	u, err := n.upgradeOf(a.Service)
+	u, err := n.newestUpgrade(a.Service)
 	return UpgradeTold{u.Number}, err
 }
--- a/internal/control/race_test.go
+++ b/internal/control/race_test.go
@@ -61,19 +61,19 @@
 // raceOutcome is what the operators of one race were told.
 type raceOutcome struct{ confirmed, refused, unclear int }
 
-// race sends two contents of one version of one route to two nodes at once, each again
+// raceChanges sends two contents of one version of one route to two nodes at once, each again
 // while the answer is unclear, and tells what the operators were told at last.
-func (w *world) race(c *confirmations, round int, lost func() bool) (out raceOutcome) {
+func (cl *cluster) raceChanges(c *confirmations, round int, lost func() bool) (out raceOutcome) {
 	version := uint64(10 + 2*round)
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	for op, service := range []string{"a", "b"} {
 		change := Change{Routes: []route.Route{routeTo("r0", version, service)}}
-		turn := mixed(w, w.controllers)
+		turn := shuffled(cl, cl.controllers)
 		wg.Go(func() {
 			confirmed, refused := false, false
 			for try := range 12 {
-				ps, err := w.apply(turn[(try+op)%len(turn)], change)
+				ps, err := cl.apply(turn[(try+op)%len(turn)], change)
 				switch {
 				case len(ps) > 0 || IsConflict(err):
 					refused = true
@@ -102,18 +102,18 @@
 // Of two operators who send two contents of one version to two nodes one is confirmed and
 // the other refused, and the refused content is in force nowhere.
 func TestOneContentOfAVersionIsConfirmed(t *testing.T) {
-	each(t, func(w *world) {
-		w.order(base(2), w.controllers)
+	eachSeed(t, func(cl *cluster) {
+		cl.mustApply(baseChange(2), cl.controllers)
 		var c confirmations
 		for round := range 10 {
-			if got := w.race(&c, round, nil); got.confirmed != 1 || got.refused != 1 {
+			if got := cl.raceChanges(&c, round, nil); got.confirmed != 1 || got.refused != 1 {
 				t.Errorf("round %d: %+v", round, got)
 			}
 		}
 		c.check(t)
-		time.Sleep(bound)
+		time.Sleep(propagationLimit)
 		key := item.Key{Kind: item.Route, Name: "r0"}
-		for _, x := range w.gateways {
+		for _, x := range cl.gateways {
 			if got := x.item(key); !c.sets[key][got.Version][content(got)] {
 				t.Errorf("%s shows a content that was not confirmed: %+v", x.id, got)
 			}
@@ -123,20 +123,20 @@
 
 // The same while answers are lost and a controller is killed or loses its disk in each round.
 func TestOneContentOfAVersionIsConfirmedInTrouble(t *testing.T) {
-	each(t, func(w *world) {
-		w.order(base(2), w.controllers)
+	eachSeed(t, func(cl *cluster) {
+		cl.mustApply(baseChange(2), cl.controllers)
 		var c confirmations
 		for round := range 6 {
-			w.wg.Go(func() {
-				time.Sleep(time.Duration(w.chance(12)) * time.Millisecond)
-				m := pick(w, w.controllers)
+			cl.wg.Go(func() {
+				time.Sleep(time.Duration(cl.randN(12)) * time.Millisecond)
+				m := pick(cl, cl.controllers)
 				m.kill()
 				if m.disk != nil && round%3 == 0 {
 					m.disk.wipe()
 				}
 				m.boot()
 			})
-			got := w.race(&c, round, func() bool { return w.chance(2) == 0 })
+			got := cl.raceChanges(&c, round, func() bool { return cl.randN(2) == 0 })
 			if got.confirmed > 1 || got.confirmed+got.refused+got.unclear != 2 {
 				t.Errorf("round %d: %+v", round, got)
 			}
@@ -148,6 +148,6 @@
 				t.Error(fmt.Sprint("version ", 10+2*v, " has ", n, " contents"))
 			}
 		}
-		w.readBack(w.controllers)
+		cl.expectAcknowledged(cl.controllers)
 	})
 }
--- a/internal/control/recall.go
+++ b/internal/control/recall.go
@@ -7,41 +7,41 @@
 	"walkrudder/internal/target"
 )
 
-// A controller notes the runs that it knows, so that after a loss of all processes gateways have
-// targets at once and not only with the next beats. The notes are not synced and may be
-// old or torn. A run from them is recalled: as good as ready until this life's beats had
-// the time to come in, then suspected where none came; a controller that was up before takes
-// none of them in, and has this one doubt them at once.
+// A controller writes the runs that it knows to a journal, so that gateways have targets
+// immediately after all processes were lost, and not only with the next heartbeats. The journal is
+// not synced, and may be outdated or torn. A run loaded from it is marked as recalled: it counts as
+// ready until heartbeats to this process had time to arrive, and is then suspected if none arrived.
+// A controller that was up before accepts no recalled run, and makes this one suspect them at once.
 //
-// Why no old note breaks the rules, whichever processes, machines or disks are lost:
-//   - A leaving that is missing in the notes is on the synced disks of a majority (departure.go):
-//     a fresh node has heard of it, whichever processes died.
-//   - An address that has another run by now is never served by mistake, for each send
-//     names the run that is meant, and another one turns it away. The other's first beat
-//     has the older run suspected.
-//   - States only rise: a run noted as draining or ended comes back as that, and what
-//     others know of a run prevails over a note that says less.
-//   - A wiped disk has no notes, and takes the others' as told by them.
+// Why outdated records break no rule, whichever processes, machines or disks are lost:
+//   - A departure that is missing in the journal is on the synced disks of a majority (departure.go):
+//     a fresh node has received it, whichever processes died.
+//   - An address that belongs to another run by now never serves a request by mistake: each request
+//     names the intended run, and any other run rejects it. The first heartbeat of the other run
+//     makes the older one suspected.
+//   - States only rise: a run recorded as draining or ended is loaded as such, and what other
+//     nodes know of a run prevails over a record that says less.
+//   - A wiped disk has no journal, and receives the runs from other nodes.
 const (
-	// noteEvery bounds how often notes are written.
-	noteEvery = time.Second
-	// noteAgain is the pause after notes could not be written.
-	noteAgain = 10 * time.Second
-	// slackNotes is how many overtaken notes are kept besides as many as there are runs.
-	slackNotes = 256
-	// confirmBeats and confirmSlack are how long recalled runs have to beat.
-	confirmBeats = 2.5
-	confirmSlack = time.Second
+	// journalInterval bounds how often the journal is written.
+	journalInterval = time.Second
+	// journalRetryDelay is the pause after the journal could not be written.
+	journalRetryDelay = 10 * time.Second
+	// maxExtraRecords is how many superseded records are kept in addition to as many as there are runs.
+	maxExtraRecords = 256
+	// confirmHeartbeats and confirmSlack are the time in which recalled runs must send a heartbeat.
+	confirmHeartbeats = 2.5
+	confirmSlack      = time.Second
 )
 
-// confirmTime is how long after the start a recalled run must have beaten.
-func (n *Node) confirmTime() time.Duration {
-	return time.Duration(confirmBeats*float64(n.BeatEvery)) + confirmSlack
+// recallWindow is the time after the start within which a recalled run must have sent a heartbeat.
+func (n *Node) recallWindow() time.Duration {
+	return time.Duration(confirmHeartbeats*float64(n.HeartbeatInterval)) + confirmSlack
 }
 
-// recall puts what an earlier life noted on the board.
-func (n *Node) recall() {
-	records, err := n.Notes.Load()
+// loadJournal adds the runs recorded by earlier processes to the board.
+func (n *Node) loadJournal() {
+	records, err := n.RunJournal.Load()
 	if err != nil {
 		n.Log.Warn("notes of targets can't be read", "step", "recall", "err", err)
 	}
@@ -60,10 +60,10 @@
 	}
 }
 
-// settle ends the time in which recalled runs count, once this node misses nothing that
-// another has heard.
-func (n *Node) settle(now time.Time) {
-	if n.Board.Settled() || now.Sub(n.started) < n.confirmTime()+n.pause.At(now) {
+// endRecallWindow stops counting unconfirmed recalled runs as ready, once the time for heartbeats has passed and this
+// node knows everything that another node has received.
+func (n *Node) endRecallWindow(now time.Time) {
+	if n.Board.Settled() || now.Sub(n.started) < n.recallWindow()+n.pauses.At(now) {
 		return
 	}
 	if _, fresh := n.Mesh.Fresh(); fresh {
@@ -71,29 +71,29 @@
 	}
 }
 
-// notes is what stands in the journal.
-type notes struct {
-	seq     uint64            // of the last change of the table that was looked at
-	sums    map[string]uint64 // of what was written, by run
-	written int               // records since the last whole writing
-	whole   int               // records in it
-	sound   bool              // the journal can be added to
+// journalState describes the content of the journal.
+type journalState struct {
+	seq         uint64            // of the last change of the table that was read
+	sums        map[string]uint64 // checksums of the written records, by run
+	appended    int               // records since the journal was last replaced
+	snapshotLen int               // records written when it was last replaced
+	appendable  bool              // the journal can be appended to
 }
 
-// note writes what changed in the table of runs until ctx ends.
-func (n *Node) note(ctx context.Context) {
-	var s notes
+// maintainJournal writes changes of the table of runs until ctx ends.
+func (n *Node) maintainJournal(ctx context.Context) {
+	var s journalState
 	for ctx.Err() == nil {
 		changed := n.Board.Changed()
-		pause := noteEvery
-		if err := n.write(&s); err != nil {
+		pause := journalInterval
+		if err := n.updateJournal(&s); err != nil {
 			n.Log.Warn("notes of targets can't be written", "step", "note", "err", err)
-			s.sound, pause = false, noteAgain
+			s.appendable, pause = false, journalRetryDelay
 		}
 		if n.Clock.Sleep(ctx, pause) != nil {
 			return
 		}
-		if !s.sound {
+		if !s.appendable {
 			continue
 		}
 		select {
@@ -103,10 +103,10 @@
 	}
 }
 
-// write brings the journal up to date: by what changed, or where that has grown to more
-// than the runs themselves, as a whole.
-func (n *Node) write(s *notes) error {
-	whole := !s.sound || s.written > s.whole+slackNotes
+// updateJournal appends what changed to the journal, or replaces the journal when it is not appendable or the
+// records appended since it was last replaced exceed those written then by more than maxExtraRecords.
+func (n *Node) updateJournal(s *journalState) error {
+	whole := !s.appendable || s.appended > s.snapshotLen+maxExtraRecords
 	var runs []target.Run
 	n.Board.Table(func(t *target.Table, now time.Time) bool {
 		if whole {
@@ -127,14 +127,14 @@
 	}
 	switch {
 	case whole:
-		if err := n.Notes.Replace(records); err != nil {
+		if err := n.RunJournal.Replace(records); err != nil {
 			return err
 		}
-		s.sound, s.whole, s.written = true, len(records), 0
+		s.appendable, s.snapshotLen, s.appended = true, len(records), 0
 		return nil
 	case len(records) == 0:
 		return nil
 	}
-	s.written += len(records)
-	return n.Notes.Append(records)
+	s.appended += len(records)
+	return n.RunJournal.Append(records)
 }
--- a/internal/control/report.go
+++ b/internal/control/report.go
@@ -7,34 +7,34 @@
 	"walkrudder/internal/target"
 )
 
-// Report is what a controller tells people of itself in one log line.
+// Report is the state of a controller that it logs in one line for operators.
 type Report struct {
 	About
 	Epoch uint64 `json:"epoch"`
 	Seats int    `json:"seats"`
-	Votes uint64 `json:"votes"` // the epoch in which the own disk has a seat; 0 is none
-	// Controllers are the other controllers that answered lately, and Gateways all gateways known.
+	Votes uint64 `json:"votes"` // the epoch of the core in which the local disk has a seat; 0 means none
+	// Controllers are the other controllers that answered recently, and Gateways all known gateways.
 	Controllers int `json:"controllers"`
 	Gateways    int `json:"gateways"`
-	Items       int `json:"items"` // dropped ones too
-	// Runs are those known, by state; Suspected are counted besides.
+	Items       int `json:"items"` // including dropped ones
+	// Runs counts the known runs by state; Suspected counts the suspected ones among those that have not ended.
 	Runs      map[string]int    `json:"runs"`
 	Suspected int               `json:"suspected"`
 	Files     []DiskRow         `json:"files"`
 	Counters  map[string]uint64 `json:"counters"`
 }
 
-// Report tells what this node sees.
+// Report summarizes the state of this node.
 func (n *Node) Report() Report {
 	c := n.core()
-	r := Report{About: n.about(), Epoch: c.Epoch, Seats: len(c.Seats), Votes: n.votes(), Controllers: len(n.Mesh.Others()), Runs: map[string]int{},
+	r := Report{About: n.about(), Epoch: c.Epoch, Seats: len(c.Seats), Votes: n.seatEpoch(), Controllers: len(n.Mesh.Others()), Runs: map[string]int{},
 		Files: n.diskRows(), Counters: map[string]uint64{}}
 	r.Gateways, _ = n.teller.Gateways()
 	n.Board.Items(func(s *item.Set) { r.Items = s.Len() })
 	for from, more := uint64(0), true; more; {
 		var got []target.Run
 		n.Board.Table(func(t *target.Table, now time.Time) bool {
-			got, from, more = t.Since(from, chunk, 0, now)
+			got, from, more = t.Since(from, scanChunk, 0, now)
 			return false
 		})
 		for _, x := range got {
--- a/internal/control/report_test.go
+++ b/internal/control/report_test.go
@@ -8,16 +8,16 @@
 )
 
 func TestAControllerReportsWhatItSees(t *testing.T) {
-	play(t, 31, small, func(w *world) {
-		m := w.controllers[0]
+	runCluster(t, 31, smallCluster, func(cl *cluster) {
+		m := cl.controllers[0]
 		time.Sleep(6 * time.Second)
-		w.order(base(1), []*controllerHost{m})
+		cl.mustApply(baseChange(1), []*controllerHost{m})
 		for _, id := range []string{"i-1", "i-2", "i-3", "i-4", "i-5", "i-6"} {
-			if err := w.beat(m, target.Beat{ID: id, Service: "a", Addr: "10.0.0." + id[2:] + ":80", Zone: "z0", Slots: 2, Seq: 1, Draining: id == "i-2"}); err != nil {
+			if err := cl.sendHeartbeat(m, target.Beat{ID: id, Service: "a", Addr: "10.0.0." + id[2:] + ":80", Zone: "z0", Slots: 2, Seq: 1, Draining: id == "i-2"}); err != nil {
 				t.Fatal(err)
 			}
 		}
-		if err := m.control().Leave(w.ctx, "i-1"); err != nil {
+		if err := m.control().Leave(cl.ctx, "i-1"); err != nil {
 			t.Fatal(err)
 		}
 		r := m.control().Report()
--- a/internal/control/restore_test.go
+++ b/internal/control/restore_test.go
@@ -10,15 +10,15 @@
 	"walkrudder/internal/sim/simnet"
 )
 
-// restored writes items onto the disks of controllers that have not started yet.
-func (w *world) restored(items []item.Item) {
-	for _, m := range w.controllers {
+// storeItems writes items onto the disks of controllers that have not started yet.
+func (cl *cluster) storeItems(items []item.Item) {
+	for _, m := range cl.controllers {
 		if m.disk == nil {
 			continue
 		}
-		proc := m.Start(w.ctx, "")
+		proc := m.Start(cl.ctx, "")
 		if err := quorum.Store(&simnet.Handle{D: m.disk.Disk, P: proc, Calm: true}, items); err != nil {
-			w.t.Fatal(err)
+			cl.t.Fatal(err)
 		}
 		proc.Kill()
 	}
@@ -30,20 +30,20 @@
 	service := route.Service{Name: "s", Version: 3, Health: "/h", Source: []byte("{}")}
 	old := sampleRoute("r", 7)
 	items := []item.Item{service.Item(), old.Item(), {Key: item.Key{Kind: item.Route, Name: "gone"}, Version: 9, Gone: true}}
-	playOn(t, 1, small, func(w *world) { w.restored(items) }, func(w *world) {
+	runClusterOn(t, 1, smallCluster, func(cl *cluster) { cl.storeItems(items) }, func(cl *cluster) {
 		time.Sleep(3 * time.Second)
-		w.note(items)
-		w.readBack(w.controllers)
-		for _, m := range w.controllers {
+		cl.recordAcknowledged(items)
+		cl.expectAcknowledged(cl.controllers)
+		for _, m := range cl.controllers {
 			for _, r := range []route.Route{sampleRoute("r", 5), sampleRoute("gone", 8)} {
-				if _, err := m.control().Apply(w.ctx, Change{Routes: []route.Route{r}}); err != nil {
+				if _, err := m.control().Apply(cl.ctx, Change{Routes: []route.Route{r}}); err != nil {
 					t.Errorf("an older version of %s at %s: %v", r.Name, m.id, err)
 				}
 			}
 		}
-		w.readBack(w.controllers)
-		w.order(Change{Routes: []route.Route{sampleRoute("r", 11)}}, w.controllers)
-		w.readBack(w.controllers)
+		cl.expectAcknowledged(cl.controllers)
+		cl.mustApply(Change{Routes: []route.Route{sampleRoute("r", 11)}}, cl.controllers)
+		cl.expectAcknowledged(cl.controllers)
 	})
 }
 
--- a/internal/control/seeds_test.go
+++ b/internal/control/seeds_test.go
@@ -11,23 +11,23 @@
 func TestAnEmptyDiskFindsTheCoreByOneSeed(t *testing.T) {
 	for name, only := range map[string]int{"a controller without a disk": 6, "a voter": 2} {
 		t.Run(name, func(t *testing.T) {
-			play(t, 9, large, func(w *world) {
-				w.order(base(3), w.controllers)
+			runCluster(t, 9, largeCluster, func(cl *cluster) {
+				cl.mustApply(baseChange(3), cl.controllers)
 				time.Sleep(3 * time.Second)
-				lost, down, other := w.controllers[0], w.controllers[1], w.controllers[5]
+				lost, down, other := cl.controllers[0], cl.controllers[1], cl.controllers[5]
 				for _, m := range []*controllerHost{lost, down, other} {
 					m.kill()
 				}
 				lost.disk.wipe()
 				time.Sleep(12 * time.Second) // the others forget whom they do not need
-				w.mu.Lock()
-				w.seeds = []string{lost.addr, down.addr, other.addr, w.controllers[only].addr}
-				w.mu.Unlock()
+				cl.mu.Lock()
+				cl.seeds = []string{lost.addr, down.addr, other.addr, cl.controllers[only].addr}
+				cl.mu.Unlock()
 				lost.boot()
-				w.await("freshness", 3*time.Second, func() bool { return lost.control().Ready() })
-				w.await("vote", 15*time.Second, func() bool { return lost.control().votes() > 0 })
-				w.order(Change{Drops: []Drop{{Kind: base(1).Routes[0].Item().Kind, Name: "r0", Version: 2}}}, []*controllerHost{lost})
-				w.readBack([]*controllerHost{lost})
+				cl.await("freshness", 3*time.Second, func() bool { return lost.control().Ready() })
+				cl.await("vote", 15*time.Second, func() bool { return lost.control().seatEpoch() > 0 })
+				cl.mustApply(Change{Drops: []Drop{{Kind: baseChange(1).Routes[0].Item().Kind, Name: "r0", Version: 2}}}, []*controllerHost{lost})
+				cl.expectAcknowledged([]*controllerHost{lost})
 			})
 		})
 	}
@@ -36,19 +36,19 @@
 // Seeds that are exchanged while a controller runs are asked at once. Nobody else knows of
 // this one, so that it must find the others itself.
 func TestNewSeedsAreAskedAtOnce(t *testing.T) {
-	play(t, 10, small, func(w *world) {
-		w.order(base(3), w.controllers)
-		seeds := w.seedList()
-		w.mu.Lock()
-		w.seeds = []string{"in-nobody", "in-noone"}
-		w.mu.Unlock()
-		m := w.addController("m9", "z0", true)
+	runCluster(t, 10, smallCluster, func(cl *cluster) {
+		cl.mustApply(baseChange(3), cl.controllers)
+		seeds := cl.seedList()
+		cl.mu.Lock()
+		cl.seeds = []string{"in-nobody", "in-noone"}
+		cl.mu.Unlock()
+		m := cl.addController("m9", "z0", true)
 		m.boot()
 		time.Sleep(3 * time.Second)
 		if m.control().Ready() {
 			t.Fatal("found the core by no seed")
 		}
 		m.control().SetSeeds([]string{"in-nobody", seeds[2]})
-		w.await("freshness", time.Second, func() bool { return m.control().Ready() })
+		cl.await("freshness", time.Second, func() bool { return m.control().Ready() })
 	})
 }
--- a/internal/control/upgrade.go
+++ b/internal/control/upgrade.go
@@ -14,32 +14,31 @@
 	"walkrudder/internal/upgrade"
 )
 
-// An upgrade's steps are items whose versions rise by one. Each is decided in the register of
-// its name like an item of the configuration, so of two controllers that end an upgrade in
-// two ways one prevails, whoever thinks that it decides.
+// The steps of an upgrade are items whose versions rise by one. Each is decided in the register of
+// its name, like a configuration item. If two controllers end an upgrade in different ways, only one
+// of them succeeds, even if both believe that they are responsible.
 
 var (
-	// ErrUnknownService says that an order names a service that the configuration does not have.
+	// ErrUnknownService reports that an order names a service that is not configured.
 	ErrUnknownService = errors.New("unknown service")
-	// ErrUnderWay says that another upgrade of the service is under way.
-	ErrUnderWay = errors.New("another upgrade of the service is under way")
-	// ErrNoUpgrade says that there never was an upgrade of the service.
+	// ErrUpgradeInProgress reports that another upgrade of the service is under way.
+	ErrUpgradeInProgress = errors.New("another upgrade of the service is under way")
+	// ErrNoUpgrade reports that the service was never upgraded.
 	ErrNoUpgrade = errors.New("no upgrade of the service")
-	// errOvertaken says that another step was decided in the place of the one given.
-	errOvertaken = errors.New("another step was decided")
+	// errSuperseded reports that another step was decided instead of the given one.
+	errSuperseded = errors.New("another step was decided")
 )
 
-// InvalidOrderError says what is wrong with an order.
+// InvalidOrderError reports that the content of an order is invalid.
 type InvalidOrderError struct{ Why error }
 
-// Error tells it.
 func (e InvalidOrderError) Error() string { return e.Why.Error() }
 
-// StartUpgrade takes an order in. It returns once a majority of synced disks holds the upgrade, or
-// with InvalidOrderError, ErrUnknownService or ErrUnderWay once it is sure that nothing of the order is
-// in force; after another error the order may take effect yet.
+// StartUpgrade accepts an upgrade order. It returns nil once a majority of synced disks holds the upgrade. It
+// returns InvalidOrderError, ErrUnknownService or ErrUpgradeInProgress only when nothing of the order is in
+// force; after any other error the order may still take effect.
 func (n *Node) StartUpgrade(ctx context.Context, caller Caller, o upgrade.Order) (err error) {
-	defer func() { n.counts.orders.note(IsRefusedOrder(err), err) }()
+	defer func() { n.calls.orders.record(IsRefusedOrder(err), err) }()
 	if err := o.Check(); err != nil {
 		return InvalidOrderError{err}
 	}
@@ -54,75 +53,75 @@
 		if !n.hasService(o.Service) {
 			return steperr.At("order", o.Service, ErrUnknownService)
 		}
-		was, err := n.upgradeOf(o.Service)
+		previous, err := n.newestUpgrade(o.Service)
 		if err != nil {
 			return err
 		}
-		next, verdict := o.Take(was, n.commonVersion(o.Service, o.To), time.Now())
+		next, verdict := o.Take(previous, n.mostCommonVersion(o.Service, o.To), time.Now())
 		switch {
 		case verdict == upgrade.Busy:
-			return steperr.At("order", o.Service, ErrUnderWay)
+			return steperr.At("order", o.Service, ErrUpgradeInProgress)
 		case verdict == upgrade.Repeated:
-			return n.secure(ctx, []item.Item{was.Item()})
+			return n.ensureDurable(ctx, []item.Item{previous.Item()})
 		case n.stale(caller):
 			return steperr.At("order", o.Service, ErrStale)
 		}
-		if err := n.decideUpgrade(ctx, next); !errors.Is(err, errOvertaken) {
+		if err := n.decideUpgrade(ctx, next); !errors.Is(err, errSuperseded) {
 			return err
 		}
 	}
 }
 
-// IsRefusedOrder tells whether an order was refused for what it holds or for what is under way.
+// IsRefusedOrder reports whether an order was refused for its content or because of an upgrade under way.
 func IsRefusedOrder(err error) bool {
 	var invalid InvalidOrderError
-	return errors.As(err, &invalid) || errors.Is(err, ErrUnknownService) || errors.Is(err, ErrUnderWay)
+	return errors.As(err, &invalid) || errors.Is(err, ErrUnknownService) || errors.Is(err, ErrUpgradeInProgress)
 }
 
-// Upgrade is a service's newest upgrade, with everything that was acknowledged or shown before the
-// call.
+// Upgrade returns the newest upgrade of a service, including everything that was acknowledged or shown before
+// the call.
 func (n *Node) Upgrade(ctx context.Context, service string) (u upgrade.Upgrade, err error) {
-	defer func() { n.counts.reads.note(errors.Is(err, ErrNoUpgrade), err) }()
+	defer func() { n.calls.reads.record(errors.Is(err, ErrNoUpgrade), err) }()
 	if err := n.Mesh.Sync(ctx); err != nil {
 		return u, err
 	}
-	u, err = n.upgradeOf(service)
+	u, err = n.newestUpgrade(service)
 	switch {
 	case err != nil:
 		return u, err
 	case u.Phase == 0:
 		return u, steperr.At("read upgrade", service, ErrNoUpgrade)
 	}
-	return u, n.secure(ctx, []item.Item{u.Item()})
+	return u, n.ensureDurable(ctx, []item.Item{u.Item()})
 }
 
-// decideUpgrade has a step settled and held by a majority. errOvertaken says that another step took its place, which is
-// known here by then.
+// decideUpgrade has a step decided and stored by a majority. It returns errSuperseded if another step took its place;
+// that step is known here by then.
 func (n *Node) decideUpgrade(ctx context.Context, u upgrade.Upgrade) error {
 	step := u.Item()
-	stands, err := n.Prop.Decide(ctx, []item.Item{step})
+	decided, err := n.Proposer.Decide(ctx, []item.Item{step})
 	switch {
 	case IsConflict(err):
-		// Whoever decided the other may have ended before showing it: what stands is read from its register, which an
-		// item below all versions leaves as it is.
+		// The controller that decided the other step may have ended before publishing it. The step is read from its
+		// register by proposing an item below all versions, which leaves the register unchanged.
 		below := item.Item{Key: step.Key, Gone: true}
-		if stands, err = n.Prop.Decide(ctx, []item.Item{below}); err != nil {
+		if decided, err = n.Proposer.Decide(ctx, []item.Item{below}); err != nil {
 			return err
 		}
 	case err != nil:
 		return err
 	}
-	if err := n.secure(ctx, stands); err != nil {
+	if err := n.ensureDurable(ctx, decided); err != nil {
 		return err
 	}
-	if !stands[0].Same(step) {
-		return steperr.At("decide upgrade", u.Service, errOvertaken)
+	if !decided[0].Same(step) {
+		return steperr.At("decide upgrade", u.Service, errSuperseded)
 	}
 	return nil
 }
 
-// upgradeOf is the newest upgrade of a service known here, of no phase where there is none.
-func (n *Node) upgradeOf(service string) (u upgrade.Upgrade, err error) {
+// newestUpgrade returns the newest upgrade of a service known here; its phase is 0 if there is none.
+func (n *Node) newestUpgrade(service string) (u upgrade.Upgrade, err error) {
 	n.Board.Items(func(s *item.Set) {
 		if i, ok := s.Get(upgrade.Key(service)); ok && !i.Gone {
 			u, err = upgrade.FromItem(i)
@@ -139,11 +138,11 @@
 	return has
 }
 
-// commonVersion is the version that most targets of a service have, but for one; "" where there are none.
-func (n *Node) commonVersion(service, but string) (most string) {
+// mostCommonVersion returns the version that most targets of a service have, ignoring except; "" if there are none.
+func (n *Node) mostCommonVersion(service, except string) (most string) {
 	counts := map[string]int{}
-	n.readyRuns(service, func(r target.Run) { counts[r.Version]++ })
-	delete(counts, but)
+	n.forEachReadyRun(service, func(r target.Run) { counts[r.Version]++ })
+	delete(counts, except)
 	for version, count := range counts {
 		if count > counts[most] || count == counts[most] && version < most {
 			most = version
@@ -152,8 +151,8 @@
 	return most
 }
 
-// readyRuns walks through the targets of a service that are ready.
-func (n *Node) readyRuns(service string, f func(target.Run)) {
+// forEachReadyRun calls f for each target of a service that is ready and not suspected.
+func (n *Node) forEachReadyRun(service string, f func(target.Run)) {
 	n.Board.Table(func(t *target.Table, now time.Time) bool {
 		for r := range t.All(now) {
 			if r.Service == service && r.State == target.Ready && !r.Suspected() {
@@ -164,7 +163,7 @@
 	})
 }
 
-// RevertUpgrade is an operator's order to go back to the old version.
+// RevertUpgrade carries out an operator's order to return to the old version.
 func (n *Node) RevertUpgrade(ctx context.Context, service string) error {
 	for {
 		u, err := n.Upgrade(ctx, service)
@@ -176,15 +175,15 @@
 		case !u.Active():
 			return steperr.At("revert", service, fmt.Errorf("the upgrade to %s is %s", u.To, u.Phase))
 		}
-		if err := n.decideUpgrade(ctx, u.Revert("an operator's order")); !errors.Is(err, errOvertaken) {
+		if err := n.decideUpgrade(ctx, u.Revert("an operator's order")); !errors.Is(err, errSuperseded) {
 			return err
 		}
 	}
 }
 
-// Upgrades are the newest upgrades known here, by service.
+// Upgrades returns the newest upgrade known here of each service, in no particular order.
 func (n *Node) Upgrades() []upgrade.Upgrade {
 	n.upgrades.mu.Lock()
 	defer n.upgrades.mu.Unlock()
-	return lo.Map(lo.Values(n.upgrades.by), func(d *direction, _ int) upgrade.Upgrade { return d.now })
+	return lo.Map(lo.Values(n.upgrades.byService), func(d *upgradeState, _ int) upgrade.Upgrade { return d.current })
 }
--- a/internal/control/view.go
+++ b/internal/control/view.go
@@ -11,40 +11,40 @@
 	"walkrudder/internal/watch"
 )
 
-// View is what operators are told of a node.
+// View is the state of a node that is shown to operators.
 type View struct {
 	Me    watch.Member
 	Fresh bool
-	// Lag is how long ago everything acknowledged until then was known here.
+	// Lag is the age of the knowledge: everything acknowledged until Lag ago is known here.
 	Lag         time.Duration
 	Core        quorum.Core
-	Votes       uint64         // the epoch of the core in which the own disk votes; 0 is none
+	Votes       uint64         // the epoch of the core in which the local disk votes; 0 means none
 	Controllers []watch.Member // that answer this node
-	Askers      []watch.Member // that ask it
+	Askers      []watch.Member // that ask this node for news
 	Gateways    int
-	Zones       map[string]int // of gateways
-	Items       int            // dropped ones too
+	Zones       map[string]int // gateways by zone
+	Items       int            // including dropped ones
 	Runs        []RunView
 }
 
-// RunView is a run as this node sees it.
+// RunView is a run as seen by this node.
 type RunView struct {
 	target.Run
-	// Suspicion is w_d now, of a run whose beats come in here; Judged says so.
-	Suspicion float64
-	Judged    bool
+	// Suspicion is the current w_d of a run whose heartbeats arrive here; HasSuspicion reports whether they do.
+	Suspicion    float64
+	HasSuspicion bool
 }
 
-// View tells what this node sees.
+// View returns the state of this node.
 func (n *Node) View() View {
-	v := View{Me: n.me(), Core: n.core(), Votes: n.votes(), Controllers: n.Mesh.Others(), Askers: n.teller.Askers()}
+	v := View{Me: n.selfMember(), Core: n.core(), Votes: n.seatEpoch(), Controllers: n.Mesh.Others(), Askers: n.teller.Askers()}
 	v.Lag, v.Fresh = n.fresh()
 	v.Gateways, v.Zones = n.teller.Gateways()
 	n.Board.Items(func(s *item.Set) { v.Items = s.Len() })
 	n.Board.Table(func(t *target.Table, now time.Time) bool {
 		for r := range t.All(now) {
 			x := RunView{Run: r}
-			x.Suspicion, x.Judged = n.watch.Suspicion(r.ID, now)
+			x.Suspicion, x.HasSuspicion = n.runWatch.Suspicion(r.ID, now)
 			v.Runs = append(v.Runs, x)
 		}
 		return false
@@ -54,7 +54,7 @@
 	return v
 }
 
-// Members are the nodes that this one hears: the controllers that answer, and all that ask.
+// Members returns the nodes known to be up: the controllers that answer this node, and all nodes that ask it.
 func (n *Node) Members() []watch.Member {
 	out := n.Mesh.Near()
 	for _, a := range n.teller.Askers() {
--- a/internal/sim/day/machine.go
+++ b/internal/sim/day/machine.go
@@ -92,17 +92,17 @@
 	}
 	p := m.host.Start(w.ctx, controllerPart)
 	inc := m.nextInc()
-	parts := control.Parts{Settings: control.Settings{ID: m.ID, Zone: m.Zone, Region: w.Shape.region(m.Zone), Zones: w.Shape.regions(), Inner: m.innerAddr(), Door: m.innerAddr(), Seeds: w.seedList(),
-		Tolerance: quorum.Tolerance{Machines: w.Shape.Bear, Zones: w.Shape.BearZones, Regions: w.Shape.BearRegions}, First: w.first, BeatEvery: beatEvery},
-		Inc: inc, Fresh: fmt.Sprintf("%s-%d", m.ID, inc), Line: simnet.Line{P: p}, Clock: simnet.Clock{P: p}, Log: quietLog()}
+	parts := control.Parts{Settings: control.Settings{ID: m.ID, Zone: m.Zone, Region: w.Shape.region(m.Zone), Zones: w.Shape.regions(), InternalAddr: m.innerAddr(), PublicAddr: m.innerAddr(), Seeds: w.seedList(),
+		Tolerance: quorum.Tolerance{Machines: w.Shape.Bear, Zones: w.Shape.BearZones, Regions: w.Shape.BearRegions}, InitialStart: w.first, HeartbeatInterval: beatEvery},
+		Incarnation: inc, NewDiskID: fmt.Sprintf("%s-%d", m.ID, inc), Line: simnet.Line{P: p}, Clock: simnet.Clock{P: p}, Log: quietLog()}
 	l := &life{p: p, done: make(chan struct{})}
-	parts.OnBad = func(error) { go m.endController(l) }
+	parts.OnDiskFailure = func(error) { go m.endController(l) }
 	var h *simnet.Handle
 	var notes *storage.FileJournal
 	if m.disk != nil {
 		h = &simnet.Handle{D: m.disk, P: p, Calm: true}
 		notes = storage.OpenJournal(m.disk.Dir, "runs.journal")
-		parts.Disk, parts.Notes = h, notes
+		parts.Disk, parts.RunJournal = h, notes
 	}
 	n, err := control.New(parts)
 	if err != nil {
--- a/internal/sim/day/operator.go
+++ b/internal/sim/day/operator.go
@@ -237,10 +237,10 @@
 func (o *operator) current(m *Machine) ([]item.Item, error) {
 	cx, end := context.WithTimeout(o.w.ctx, time.Second)
 	defer end()
-	st, err := simnet.Do(cx, o.p, m.innerAddr(), func(cx context.Context, _ *simnet.Proc) (control.State, error) {
+	st, err := simnet.Do(cx, o.p, m.innerAddr(), func(cx context.Context, _ *simnet.Proc) (control.Configuration, error) {
 		n := m.node()
 		if n == nil {
-			return control.State{}, net.ErrClosed
+			return control.Configuration{}, net.ErrClosed
 		}
 		cx, end := context.WithTimeout(cx, 3*time.Second)
 		defer end()
--- a/internal/sim/day/trouble_domains.go
+++ b/internal/sim/day/trouble_domains.go
@@ -51,8 +51,8 @@
 func (w *World) voters() []*Machine {
 	var core quorum.Core
 	for _, m := range w.core() {
-		if n := m.node(); n != nil && n.Prop.Core().Epoch > core.Epoch {
-			core = n.Prop.Core()
+		if n := m.node(); n != nil && n.Proposer.Core().Epoch > core.Epoch {
+			core = n.Proposer.Core()
 		}
 	}
 	return lo.Filter(w.core(), func(m *Machine, _ int) bool {
--- a/internal/sim/model/actors.go
+++ b/internal/sim/model/actors.go
@@ -128,7 +128,7 @@
 
 func (w *World) read(id string) {
 	r := w.history.beginRead()
-	st, err := at(w, "read at "+id, id, func(ctx context.Context, n *control.Node) (control.State, error) { return n.Current(ctx) })
+	st, err := at(w, "read at "+id, id, func(ctx context.Context, n *control.Node) (control.Configuration, error) { return n.Current(ctx) })
 	if err != nil {
 		return
 	}
@@ -209,7 +209,7 @@
 	p := n.now.Load()
 	for _, o := range n.w.list {
 		if v := o.voter(); v != nil && p != nil && !n.w.cut(o.id, n.id) {
-			p.control.Prop.Learn(v.Core())
+			p.control.Proposer.Learn(v.Core())
 		}
 	}
 }
--- a/internal/sim/model/forming.go
+++ b/internal/sim/model/forming.go
@@ -30,7 +30,7 @@
 			}
 			p.boots.Step(byActor(p.ctx, "bootstrap at "+id))
 			// What a process that ended meanwhile had in memory counts for nothing.
-			if p.ctx.Err() == nil && p.control.Prop.Core().Epoch > 0 {
+			if p.ctx.Err() == nil && p.control.Proposer.Core().Epoch > 0 {
 				return
 			}
 		}
@@ -49,7 +49,7 @@
 			if !w.drive() {
 				return false
 			}
-			known = known && n.now.Load().control.Prop.Core().Epoch > 0
+			known = known && n.now.Load().control.Proposer.Core().Epoch > 0
 		}
 		if known {
 			return true
--- a/internal/sim/model/history.go
+++ b/internal/sim/model/history.go
@@ -138,7 +138,7 @@
 }
 
 // endRead checks what a read told.
-func (h *history) endRead(node string, r reading, st control.State, runs map[string]target.State) {
+func (h *history) endRead(node string, r reading, st control.Configuration, runs map[string]target.State) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	got := map[item.Key]item.Item{}
--- a/internal/sim/model/node.go
+++ b/internal/sim/model/node.go
@@ -71,9 +71,9 @@
 	clk := modelClock{n.w, n, p.ctx}
 	n.disk.calm = true
 	c, err := control.New(control.Parts{
-		Settings: control.Settings{ID: n.id, Zone: n.zone, Inner: n.id, Seeds: []string{n.id}, Tolerance: n.w.tolerance(), First: n.first(), BeatEvery: time.Second},
-		Inc:      uint64(n.lives), Fresh: fresh, Line: line, Clock: clk,
-		Disk: &handle{n.disk, n.w, n, p.ctx}, Notes: &notes{n.notes}, Log: quiet(), OnBad: func(error) {}})
+		Settings:    control.Settings{ID: n.id, Zone: n.zone, InternalAddr: n.id, Seeds: []string{n.id}, Tolerance: n.w.tolerance(), InitialStart: n.first(), HeartbeatInterval: time.Second},
+		Incarnation: uint64(n.lives), NewDiskID: fresh, Line: line, Clock: clk,
+		Disk: &handle{n.disk, n.w, n, p.ctx}, RunJournal: &notes{n.notes}, Log: quiet(), OnDiskFailure: func(error) {}})
 	if err != nil {
 		panic(err) // the model's own settings
 	}
@@ -84,8 +84,8 @@
 	if n.w.blind {
 		tolerance = quorum.Tolerance{}
 	}
-	p.reconf = &quorum.Reconfigurer{Tolerance: tolerance, Size: n.w.scenario.Size, Heard: func() []quorum.Heard { return n.heard(seat) }, Prop: c.Prop, Line: line, Clock: clk, Shuffle: func(int, func(i, j int)) {}}
-	p.boots = &quorum.Bootstrapper{Seeds: n.w.seeds(), Self: n.id, Size: n.w.scenario.Seats, Later: !n.first(), Line: line, Clock: clk, Prop: c.Prop, Voter: c.Voter, Draw: func(int) int { return 0 }}
+	p.reconf = &quorum.Reconfigurer{Tolerance: tolerance, Size: n.w.scenario.Size, Heard: func() []quorum.Heard { return n.heard(seat) }, Prop: c.Proposer, Line: line, Clock: clk, Shuffle: func(int, func(i, j int)) {}}
+	p.boots = &quorum.Bootstrapper{Seeds: n.w.seeds(), Self: n.id, Size: n.w.scenario.Seats, Later: !n.first(), Line: line, Clock: clk, Prop: c.Proposer, Voter: c.Voter, Draw: func(int) int { return 0 }}
 	go func() {
 		defer close(p.stopped)
 		c.Voter.Run(p.ctx)
--- a/internal/sim/model/world.go
+++ b/internal/sim/model/world.go
@@ -173,7 +173,7 @@
 		}
 	}
 	for _, n := range w.list {
-		n.now.Load().control.Prop.Learn(core)
+		n.now.Load().control.Proposer.Learn(core)
 	}
 }
 
--- a/tools/hollow/controllers.go
+++ b/tools/hollow/controllers.go
@@ -65,9 +65,9 @@
 	way := &Way{Line: line, Delay: ways(controllerZone(a.N))}
 	bad := &atomic.Pointer[string]{}
 	n, err := control.New(control.Parts{
-		Settings: control.Settings{ID: id, Zone: zoneName(controllerZone(a.N)), Inner: a.Inner, Door: a.Door, Seeds: strings.Split(a.Seeds, ","), Tolerance: quorum.Tolerance{Machines: a.Bear}, First: a.First, BeatEvery: a.Every},
-		Inc:      rand.Uint64() | 1, Fresh: fmt.Sprintf("%016x", rand.Uint64()), Line: way, Clock: clock.Wall{}, Disk: disk, Log: quiet(),
-		OnBad: func(err error) { s := err.Error(); bad.Store(&s) }})
+		Settings:    control.Settings{ID: id, Zone: zoneName(controllerZone(a.N)), InternalAddr: a.Inner, PublicAddr: a.Door, Seeds: strings.Split(a.Seeds, ","), Tolerance: quorum.Tolerance{Machines: a.Bear}, InitialStart: a.First, HeartbeatInterval: a.Every},
+		Incarnation: rand.Uint64() | 1, NewDiskID: fmt.Sprintf("%016x", rand.Uint64()), Line: way, Clock: clock.Wall{}, Disk: disk, Log: quiet(),
+		OnDiskFailure: func(err error) { s := err.Error(); bad.Store(&s) }})
 	if err != nil {
 		return nil, errors.Join(err, inner.Close(), door.Close(), disk.Close())
 	}
