--- a/internal/control/beat.go
+++ b/internal/control/beat.go
@@ -27,15 +27,15 @@
 	defer func() { n.calls.beats.record(false, err) }()
 	var r target.Run
 	known := false
-	n.Board.Table(func(t *target.Table, now time.Time) (news bool) {
+	n.Board.Table(func(t *target.Table, now time.Time) (changed bool) {
 		var moved bool
-		if r, news, moved = t.Hear(b, n.addressReuseSilence(), now); moved || news {
+		if r, changed, moved = t.Hear(b, n.addressReuseSilence(), now); moved || changed {
 			_, known = t.Get(b.ID, now)
 		} else {
 			known = true
 		}
 		n.runWatch.Heard(b.ID, b.Seq, moved, now)
-		return news
+		return changed
 	})
 	if !known {
 		return steperr.At("beat", b.ID, errTableFull)
@@ -54,9 +54,9 @@
 	}
 	defer func() { n.calls.departures.record(false, err) }()
 	var r target.Run
-	n.Board.Table(func(t *target.Table, now time.Time) (news bool) {
-		r, news = t.Leave(id, now)
-		return news
+	n.Board.Table(func(t *target.Table, now time.Time) (changed bool) {
+		r, changed = t.Leave(id, now)
+		return changed
 	})
 	return n.persistDeparture(ctx, r)
 }
@@ -67,14 +67,14 @@
 
 // nearbyCache is the list of eligible controllers and the time at which it was read.
 type nearbyCache struct {
-	at          time.Time
+	readAt      time.Time
 	controllers []watch.Member
 }
 
 // nearbyControllers returns the controllers that may be given work, at most nearbyCacheTTL old.
 func (n *Node) nearbyControllers() []watch.Member {
 	now := n.Clock.Now()
-	if cached := n.nearbyCache.Load(); cached != nil && now.Sub(cached.at) < nearbyCacheTTL {
+	if cached := n.nearbyCache.Load(); cached != nil && now.Sub(cached.readAt) < nearbyCacheTTL {
 		return cached.controllers
 	}
 	cached := &nearbyCache{now, n.Mesh.Near()}
--- a/internal/control/beat_test.go
+++ b/internal/control/beat_test.go
@@ -12,10 +12,10 @@
 	"walkrudder/internal/target"
 )
 
-// startHeartbeats has a target run beat at the controller that is its home, as targets do; it goes to
-// the next when that one fails. The returned function ends it.
+// startHeartbeats sends heartbeats of a target run to its home controller, as targets do, and to
+// another controller when that one fails. The returned function stops them.
 func (cl *cluster) startHeartbeats(id, service, zone, addr string) (stop func()) {
-	ctx, end := context.WithCancel(cl.ctx)
+	ctx, cancel := context.WithCancel(cl.ctx)
 	cl.wg.Go(func() {
 		to := ""
 		for seq := uint64(1); ctx.Err() == nil; seq++ {
@@ -36,21 +36,21 @@
 			}
 		}
 	})
-	return end
+	return cancel
 }
 
-// sendHeartbeat sends one beat over the network, as it were.
+// sendHeartbeat sends one heartbeat, as if over the network.
 func (cl *cluster) sendHeartbeat(m *controllerHost, b target.Beat) error {
 	run := m.processContext()
 	if run == nil {
 		return errRefused
 	}
-	cx, end := context.WithTimeout(cl.ctx, time.Second)
-	defer end()
+	callCtx, cancel := context.WithTimeout(cl.ctx, time.Second)
+	defer cancel()
 	ch := make(chan error, 1)
 	go func() {
 		m.waitWhileFrozen()
-		err := m.control().Beat(cx, b)
+		err := m.control().Beat(callCtx, b)
 		m.waitWhileFrozen()
 		if run.Err() == nil {
 			ch <- err
@@ -59,8 +59,8 @@
 	select {
 	case err := <-ch:
 		return err
-	case <-cx.Done():
-		return cx.Err()
+	case <-callCtx.Done():
+		return callCtx.Err()
 	}
 }
 
@@ -116,7 +116,7 @@
 			time.Sleep(propagationLimit + time.Second)
 			heal()
 			time.Sleep(3500 * time.Millisecond)
-			// A late beat does not bring it back.
+			// A late heartbeat does not make the run ready again.
 			b.Draining = false
 			if err := pick(cl, cl.controllers).control().Beat(cl.ctx, b); err != nil {
 				t.Fatal(err)
@@ -124,7 +124,7 @@
 			time.Sleep(100 * time.Millisecond)
 			for _, x := range cl.gateways {
 				if r := x.run(id); r.State != state {
-					t.Errorf("%s: a late beat changed %+v", x.id, r)
+					t.Errorf("%s: a late heartbeat changed %+v", x.id, r)
 				}
 			}
 		}
@@ -137,12 +137,12 @@
 			t.Fatal(err)
 		}
 		cl.expectState("i-never", target.Ended, cl.gateways)
-		// What is known to be held is acknowledged though nobody is there any more.
+		// A departure that is known to be held is acknowledged even without a reachable majority.
 		for _, o := range cl.controllers[:5] {
 			cl.net.cut(cl.controllers[5].addr, o.addr, true)
 		}
 		if err := cl.controllers[5].control().Leave(cl.ctx, "i-never"); err != nil {
-			t.Errorf("a leaving already held: %v", err)
+			t.Errorf("departure that is already held: %v", err)
 		}
 	})
 }
@@ -159,7 +159,7 @@
 		for _, x := range cl.gateways {
 			for id := range stops {
 				if r := x.run(id); r.State != target.Ready || r.Suspected() {
-					t.Fatalf("%s: a run that beats is %+v", x.id, r)
+					t.Fatalf("%s: a run that sends heartbeats is %+v", x.id, r)
 				}
 			}
 		}
@@ -172,7 +172,7 @@
 				}
 			}
 		}
-		// One newer beat, at whatever node, clears it.
+		// A newer heartbeat at any controller clears the suspicion.
 		if err := pick(cl, cl.controllers).control().Beat(cl.ctx, target.Beat{ID: "i-3", Service: "a", Addr: "10.0.0.3:80", Zone: "z0", Slots: 2, Seq: 1000}); err != nil {
 			t.Fatal(err)
 		}
@@ -182,20 +182,20 @@
 				t.Errorf("%s: still suspected: %+v", x.id, r)
 			}
 		}
-		// All fall silent: half of them at most are given up.
+		// When all runs fall silent, at most half of them are suspected.
 		for _, stop := range stops {
 			stop()
 		}
 		time.Sleep(20 * time.Second)
 		for _, x := range cl.gateways {
 			if n := lo.CountBy(lo.Keys(stops), func(id string) bool { return x.run(id).Suspected() }); n == 0 || n > 4 {
-				t.Errorf("%s holds %d of 8 runs for silent", x.id, n)
+				t.Errorf("%s suspects %d of 8 runs", x.id, n)
 			}
 		}
 	})
 }
 
-// A controller that stood still must not take the silence for the targets'.
+// A controller that was paused must not treat the heartbeats it missed as silence of the targets.
 func TestOwnPausesMakeNoSuspicion(t *testing.T) {
 	eachSeed(t, func(cl *cluster) {
 		cl.mustApply(baseChange(1), cl.controllers)
--- a/internal/control/change_test.go
+++ b/internal/control/change_test.go
@@ -16,7 +16,7 @@
 	"walkrudder/internal/watch"
 )
 
-// eachSeed plays f with each seed, in small and large worlds in turn.
+// eachSeed runs f with each seed, every third time in a large cluster.
 func eachSeed(t *testing.T, f func(cl *cluster)) {
 	for seed := range *seeds {
 		s := lo.Ternary(seed%3 == 2, largeCluster, smallCluster)
@@ -24,12 +24,12 @@
 	}
 }
 
-// follows says which gateways follow a controller now.
+// following returns the number of gateways that follow a controller.
 func (cl *cluster) following(m *controllerHost) int {
 	return lo.CountBy(cl.gateways, func(x *gatewayHost) bool { return x.subscriber().Following().ID == m.id })
 }
 
-// injectFault brings one fault about and says what heals it.
+// injectFault injects one random fault, and returns what it was, where, and how to repair it.
 func (cl *cluster) injectFault() (what string, m *controllerHost, heal func()) {
 	m = pick(cl, cl.controllers)
 	others := lo.Without(cl.controllers, m)
@@ -56,7 +56,7 @@
 		m.disk.wipe()
 	}
 	m.boot()
-	// The seat is to be filled again before the next fault.
+	// Let the seat be filled again before the next fault.
 	return "wiped", m, func() { time.Sleep(6 * time.Second) }
 }
 
@@ -65,7 +65,7 @@
 		cl.mustApply(baseChange(5), cl.controllers)
 		cl.expectItems(itemsOf(baseChange(5)), cl.gateways)
 		v := uint64(1)
-		// change lets two operators change the same and other routes at two nodes at once.
+		// change lets two operators concurrently change one route that they share and one of their own, at two nodes.
 		change := func(to []*controllerHost) {
 			done := make(chan []item.Item, 2)
 			for op := range 2 {
@@ -103,8 +103,8 @@
 	})
 }
 
-// Without waiting for calm, changes must last and reach everybody in the end, and no
-// gateway may go back (which every gateway notes by itself).
+// Without waits for recovery between faults, changes must persist and reach every gateway in the
+// end, and no gateway may go back to an older state (which every gatewayHost checks itself).
 func TestNoGatewayGoesBackInTrouble(t *testing.T) {
 	eachSeed(t, func(cl *cluster) {
 		cl.mustApply(baseChange(5), cl.controllers)
@@ -130,7 +130,7 @@
 	})
 }
 
-// lossScenarios are what acknowledged changes must outlive.
+// lossScenarios are the losses that acknowledged changes must survive.
 var lossScenarios = []struct {
 	name string
 	lose func(cl *cluster)
@@ -173,7 +173,7 @@
 					}
 				}
 				cl.expectAcknowledged(cl.controllers)
-				// A second loss, once the first is made good.
+				// A second loss, after the first one was repaired.
 				time.Sleep(6 * time.Second)
 				m := pick(cl, withDisk(cl.controllers))
 				m.kill()
@@ -193,8 +193,8 @@
 		t.Run(fmt.Sprintf("seed=%d", seed), func(t *testing.T) {
 			runCluster(t, uint64(seed), clusterShape{zones: 3, disks: 3, others: 3, gateways: 6, tolerance: quorum.Tolerance{Machines: 1}}, func(cl *cluster) {
 				cl.mustApply(baseChange(10), cl.controllers)
-				old := append([]*controllerHost(nil), cl.controllers[:3]...)
-				for i, o := range old {
+				oldSeeds := append([]*controllerHost(nil), cl.controllers[:3]...)
+				for i, o := range oldSeeds {
 					m := cl.addController(fmt.Sprintf("n%d", i), o.zone, true)
 					cl.mu.Lock()
 					cl.seeds = append(lo.Without(cl.seeds, o.addr), m.addr)
@@ -217,14 +217,14 @@
 				time.Sleep(propagationLimit)
 				cl.expectAcknowledged(cl.controllers)
 				c := cl.controllers[0].control().core()
-				if lo.SomeBy(old, func(o *controllerHost) bool { _, ok := c.Seat(o.id); return ok }) {
-					t.Errorf("a controller that is gone still has a seat: %+v", c)
+				if lo.SomeBy(oldSeeds, func(o *controllerHost) bool { _, ok := c.Seat(o.id); return ok }) {
+					t.Errorf("a removed controller still has a seat: %+v", c)
 				}
-				// A gateway that starts now finds its way by the new seeds alone.
+				// A gateway that starts now connects through the new seeds alone.
 				x := cl.gateways[0]
 				x.kill()
 				x.boot()
-				cl.await("gateway that starts by the new seeds", 3*time.Second, func() bool { return x.subscriber().Synced() })
+				cl.await("synced gateway through the new seeds", 3*time.Second, func() bool { return x.subscriber().Synced() })
 			})
 		})
 	}
@@ -233,12 +233,12 @@
 func TestInvalidChangesLeaveNoTrace(t *testing.T) {
 	runCluster(t, 1, smallCluster, func(cl *cluster) {
 		cl.mustApply(baseChange(3), cl.controllers)
-		mark := "trace-of-an-invalid-change"
+		marker := "trace-of-an-invalid-change"
 		with := func(f func(*route.Route)) Change {
 			r := routeTo("bad", 5, "a")
-			r.Source = []byte(mark)
+			r.Source = []byte(marker)
 			f(&r)
-			return Change{Routes: []route.Route{routeTo("r0", 9, "b"), r}, Services: []route.Service{testService("c-"+mark, 5)}}
+			return Change{Routes: []route.Route{routeTo("r0", 9, "b"), r}, Services: []route.Service{testService("c-"+marker, 5)}}
 		}
 		bad := map[string]Change{
 			"unknown service": with(func(r *route.Route) { r.Shares[0].Service = "nowhere" }),
@@ -247,9 +247,9 @@
 			"held too long":   with(func(r *route.Route) { r.HoldMS = 600001 }),
 			"no slash":        with(func(r *route.Route) { r.Prefix = "x/" }),
 			"unknown repeat":  with(func(r *route.Route) { r.Repeat = 9 }),
-			"service still in use": {Services: []route.Service{testService("c-"+mark, 5)},
+			"service still in use": {Services: []route.Service{testService("c-"+marker, 5)},
 				Drops: []Drop{{item.Service, "a", 9}}},
-			"nameless drop": {Services: []route.Service{testService("c-"+mark, 5)}, Drops: []Drop{{item.Route, "", 9}}},
+			"nameless drop": {Services: []route.Service{testService("c-"+marker, 5)}, Drops: []Drop{{item.Route, "", 9}}},
 		}
 		for name, c := range bad {
 			for _, m := range cl.controllers {
@@ -261,15 +261,15 @@
 		}
 		time.Sleep(5 * time.Second)
 		for _, m := range cl.controllers {
-			if m.disk != nil && m.disk.holds(mark) {
-				t.Errorf("%s keeps an invalid change", m.id)
+			if m.disk != nil && m.disk.holds(marker) {
+				t.Errorf("%s stored an invalid change", m.id)
 			}
 			m.control().Board.Items(func(s *item.Set) {
 				if s.Len() != 6 {
 					t.Errorf("%s knows %d items", m.id, s.Len())
 				}
 				if i, _ := s.Get(item.Key{Kind: item.Route, Name: "r0"}); i.Version != 1 {
-					t.Errorf("%s took a part of an invalid change: %d", m.id, i.Version)
+					t.Errorf("%s applied a part of an invalid change: %d", m.id, i.Version)
 				}
 			})
 		}
@@ -277,7 +277,7 @@
 	})
 }
 
-// A view that is old must neither refuse what is valid nor take what is not.
+// An outdated view must not make a node refuse a valid change or accept an invalid one.
 func TestChangesAreCheckedAgainstAllThatWasAcknowledged(t *testing.T) {
 	eachSeed(t, func(cl *cluster) {
 		cl.mustApply(baseChange(3), cl.controllers)
@@ -285,21 +285,21 @@
 		for v := uint64(2); v < 20; v++ {
 			name := fmt.Sprintf("s%d", v)
 			cl.mustApply(Change{Services: []route.Service{testService(name, v)}}, []*controllerHost{a})
-			// Right after the acknowledgement, at another node.
+			// Immediately after the acknowledgement, at another node.
 			if ps, err := cl.apply(b, Change{Routes: []route.Route{routeTo("on-"+name, v, name)}}); len(ps) > 0 || err != nil {
-				t.Fatalf("refused for an old view: %v %v", ps, err)
+				t.Fatalf("valid change refused because of an outdated view: %v %v", ps, err)
 			}
 			cl.mustApply(Change{Drops: []Drop{{item.Route, "on-" + name, v + 1}, {item.Service, name, v + 1}}}, []*controllerHost{a})
 			if ps, err := cl.apply(b, Change{Routes: []route.Route{routeTo("again-"+name, v, name)}}); len(ps) == 0 || err != nil {
-				t.Fatalf("taken for an old view: %v %v", ps, err)
+				t.Fatalf("invalid change accepted because of an outdated view: %v %v", ps, err)
 			}
 		}
 	})
 }
 
-// A lower version changes nothing and is acknowledged. Another content under the version that
-// stands is refused, and so is one under an earlier version whose content is settled; the same
-// content is acknowledged again, also of an earlier version.
+// A lower version changes nothing and is acknowledged. Different content for the version in force is
+// refused, and so is different content for an earlier version whose content was decided. Sending the
+// same content again is acknowledged, also for an earlier version.
 func TestOlderVersionsChangeNothing(t *testing.T) {
 	eachSeed(t, func(cl *cluster) {
 		cl.mustApply(baseChange(3), cl.controllers)
@@ -318,7 +318,7 @@
 			for _, c := range []Change{{Routes: []route.Route{old}}, {Routes: []route.Route{routeTo("r1", 7, "a")}}, {Drops: []Drop{{item.Route, "r0", 7}}},
 				{Routes: []route.Route{routeTo("r2", 5, "a")}}, {Routes: []route.Route{routeTo("r2", 1, "b")}}, {Routes: []route.Route{routeTo("r0", 6, "b")}}} {
 				if ps, err := cl.apply(m, c); len(ps) > 0 || !IsConflict(err) {
-					t.Fatalf("%s: another content of a settled version: %v %v", m.id, ps, err)
+					t.Fatalf("%s: different content of a decided version: %v %v", m.id, ps, err)
 				}
 			}
 		}
@@ -326,13 +326,13 @@
 		cl.expectItems(lo.Values(cl.acknowledged), cl.gateways)
 		for _, x := range cl.gateways {
 			if i := x.item(item.Key{Kind: item.Route, Name: "r0"}); i.Gone || i.Version != 7 {
-				t.Errorf("%s took an older version: %+v", x.id, i)
+				t.Errorf("%s accepted an older version: %+v", x.id, i)
 			}
 		}
 	})
 }
 
-// Of a call that is refused for a conflict nothing comes into force, whatever else it holds.
+// No part of a change that is refused for a conflict comes into force.
 func TestARefusedCallLeavesNothingInForce(t *testing.T) {
 	eachSeed(t, func(cl *cluster) {
 		cl.mustApply(baseChange(3), cl.controllers)
@@ -342,7 +342,7 @@
 				t.Fatalf("%s: %v %v", m.id, ps, err)
 			}
 		}
-		// Lower versions of the same names are free still, and find nothing of the call.
+		// Lower versions of the same names are still unused, and are not affected by the refused change.
 		cl.mustApply(Change{Routes: []route.Route{routeTo("r1", 40, "a"), routeTo("beside", 40, "a")}}, cl.controllers)
 		time.Sleep(propagationLimit)
 		cl.expectAcknowledged(cl.controllers)
@@ -361,39 +361,39 @@
 		cl.mustApply(baseChange(3), cl.controllers)
 		core := cl.controllers[0].control().core()
 		voters := lo.Filter(cl.controllers, func(m *controllerHost, _ int) bool { _, ok := core.Seat(m.id); return ok })
-		few := shuffled(cl, voters)[:core.Quorum()-1]
-		rest := lo.Filter(cl.controllers, func(m *controllerHost, _ int) bool { return !lo.Contains(few, m) })
-		for _, a := range few {
-			for _, b := range rest {
+		minority := shuffled(cl, voters)[:core.Quorum()-1]
+		majority := lo.Filter(cl.controllers, func(m *controllerHost, _ int) bool { return !lo.Contains(minority, m) })
+		for _, a := range minority {
+			for _, b := range majority {
 				cl.net.cut(a.addr, b.addr, true)
 			}
 		}
 		for round := range 3 {
-			m := few[round%len(few)]
+			m := minority[round%len(minority)]
 			if ps, err := cl.apply(m, Change{Routes: []route.Route{routeTo("r0", 50, "b")}}); err == nil {
 				t.Fatalf("a minority acknowledged a change: %v", ps)
 			}
-			begun := time.Now()
+			start := time.Now()
 			if err := m.control().Leave(cl.ctx, fmt.Sprintf("i-%d", round)); err == nil {
-				t.Fatal("a minority acknowledged a leaving")
-			} else if d := time.Since(begun); d > 900*time.Millisecond || !errors.Is(err, quorum.ErrNoQuorum) {
-				t.Errorf("it took %v to say so: %v", d, err)
+				t.Fatal("a minority acknowledged a departure")
+			} else if d := time.Since(start); d > 900*time.Millisecond || !errors.Is(err, quorum.ErrNoQuorum) {
+				t.Errorf("failing took %v: %v", d, err)
 			}
 			if _, err := func() (Configuration, error) {
-				cx, end := context.WithTimeout(cl.ctx, time.Second)
-				defer end()
-				return m.control().Current(cx)
+				callCtx, cancel := context.WithTimeout(cl.ctx, time.Second)
+				defer cancel()
+				return m.control().Current(callCtx)
 			}(); err == nil {
 				t.Fatal("a minority answered a read")
 			}
 			time.Sleep(time.Second)
 		}
-		for _, m := range few {
+		for _, m := range minority {
 			if m.control().Ready() {
-				t.Errorf("%s, in a minority, says that it is ready", m.id)
+				t.Errorf("%s, in a minority, reports that it is ready", m.id)
 			}
 		}
-		cl.mustApply(Change{Routes: []route.Route{routeTo("r1", 50, "b")}}, rest)
+		cl.mustApply(Change{Routes: []route.Route{routeTo("r1", 50, "b")}}, majority)
 		cl.expectItems(itemsOf(Change{Routes: []route.Route{routeTo("r1", 50, "b")}}), cl.gateways)
 		time.Sleep(propagationLimit)
 		cl.net.healAll()
@@ -401,7 +401,7 @@
 		cl.expectAcknowledged(cl.controllers)
 		for _, m := range cl.controllers {
 			if !m.control().Ready() {
-				t.Errorf("%s is not ready after the cut", m.id)
+				t.Errorf("%s is not ready after the partition healed", m.id)
 			}
 		}
 	})
@@ -419,13 +419,13 @@
 		for _, x := range cl.gateways {
 			all, near := x.subscriber().Gateways()
 			if want := lo.CountBy(cl.gateways, func(o *gatewayHost) bool { return o.zone == x.zone }); all != len(cl.gateways) || near != want {
-				t.Errorf("%s is told of %d gateways, %d in its zone", x.id, all, near)
+				t.Errorf("%s received a count of %d gateways, %d in its zone", x.id, all, near)
 			}
 			if z := x.subscriber().Following().Zone; z != x.zone {
 				t.Errorf("%s follows a controller in %s", x.id, z)
 			}
 		}
-		// All say the same home, of the target's zone.
+		// All controllers name the same home, in the zone of the target.
 		homes := lo.Map(cl.controllers, func(m *controllerHost, _ int) watch.Member {
 			h, _ := m.control().HomeMember("a", "z1")
 			h.Age = 0
@@ -437,8 +437,8 @@
 	})
 }
 
-// In calm nothing but long polls is sent: a controller sends and answers some twenty messages a
-// second, a gateway sends one or two.
+// An idle deployment exchanges nothing but long polls: a controller sends and answers about twenty
+// messages per second, a gateway sends one or two.
 func TestCalmCostsFewMessages(t *testing.T) {
 	runCluster(t, 6, clusterShape{zones: 4, disks: 4, others: 2, gateways: 13, tolerance: quorum.Tolerance{Machines: 1}}, func(cl *cluster) {
 		cl.mustApply(baseChange(50), cl.controllers)
@@ -456,12 +456,12 @@
 		a, b := count()
 		time.Sleep(span * time.Second)
 		c, d := count()
-		t.Logf("%d asks and %d bytes a second between %d nodes", (c-a)/span, (d-b)/span, len(cl.controllers)+len(cl.gateways))
+		t.Logf("%d requests and %d bytes per second between %d nodes", (c-a)/span, (d-b)/span, len(cl.controllers)+len(cl.gateways))
 		if n := (c - a) / span; n == 0 || n > 80 {
-			t.Errorf("%d asks a second", n)
+			t.Errorf("%d requests per second", n)
 		}
 		if n := (d - b) / span; n > 20_000 {
-			t.Errorf("%d bytes a second", n)
+			t.Errorf("%d bytes per second", n)
 		}
 	})
 }
--- a/internal/control/core_test.go
+++ b/internal/control/core_test.go
@@ -11,15 +11,15 @@
 	"walkrudder/internal/quorum"
 )
 
-// An operator sees where the seats of the core stand and whether they bear what is to be borne.
+// Operators see the location of each seat of the core, and whether the core tolerates the losses that it should.
 func TestTheCoreTellsWhereItsSeatsStand(t *testing.T) {
-	s := domainShapes["three regions of two zones"]
-	s.disks, s.layout = 3, s.layout[:3] // two disks in the north and one in the south bear no loss of a region
+	s := domainClusterShapes["three regions of two zones"]
+	s.disks, s.layout = 3, s.layout[:3] // two disks in the north and one in the south do not tolerate the loss of a region
 	runCluster(t, 34, s, func(cl *cluster) {
 		cl.mustApply(baseChange(2), cl.controllers)
 		time.Sleep(recoveryTime)
-		l, m := cl.operatorLine(), cl.controllers[0]
-		a := mustAsk[SeatRow](cl, l, m, CoreAsk{})
+		line, m := cl.operatorLine(), cl.controllers[0]
+		a := mustAsk[SeatRow](cl, line, m, CoreAsk{})
 		if len(a.Rows) != 3 {
 			t.Fatalf("%+v", a.Rows)
 		}
@@ -35,14 +35,14 @@
 			}
 		}
 		for name, want := range map[string]uint64{"core_epoch": 1, "core_seats": 3, "core_exposed_regions": 1, "core_exposed_zones": 0, "core_exposed_machines": 0} {
-			if got := counter(cl, l, m, name); got != want {
+			if got := counter(cl, line, m, name); got != want {
 				t.Errorf("%s is %d, want %d", name, got, want)
 			}
 		}
 	})
 }
 
-// What the core bears is logged when it changes, and so is the loss of its majority.
+// The losses that the core tolerates are logged when they change, and so is the loss of its majority.
 func TestTheCoreIsLoggedWhenItChanges(t *testing.T) {
 	var out bytes.Buffer
 	n := &Node{Parts: Parts{Settings: Settings{Tolerance: quorum.Tolerance{Regions: 1}}, Log: log.NewWithOptions(&out, log.Options{Formatter: log.JSONFormatter})}}
--- a/internal/control/direct_test.go
+++ b/internal/control/direct_test.go
@@ -7,8 +7,8 @@
 	"walkrudder/internal/upgrade"
 )
 
-// Reports hold sums since the order: one that comes late, or twice, counts nothing again, and what a lost one held is in the
-// next.
+// Reports hold totals since the order: a late or repeated report counts nothing twice, and the counts of a lost report are
+// included in the next one.
 func TestReportsCountOnce(t *testing.T) {
 	d := &upgradeState{judge: upgrade.NewJudge(), reports: map[string]*gatewayReport{}}
 	report := func(inc, seq uint64, answers int) upgrade.Report {
@@ -18,11 +18,11 @@
 	for _, x := range []struct {
 		inc, seq uint64
 		answers  int
-		want     int // in all
+		want     int // total answers
 	}{{1, 1, 4, 4}, {1, 3, 12, 12}, {1, 2, 8, 12}, {1, 3, 12, 12}, {1, 5, 20, 20}, {2, 1, 4, 24}} {
 		d.addReport(report(x.inc, x.seq, x.answers), time.Now())
 		if got := d.judge.Routes()[0]; got.New.Answers != x.want || got.Old.Answers != x.want {
-			t.Errorf("after report %d of life %d: %+v, want %d answers", x.seq, x.inc, got, x.want)
+			t.Errorf("after report %d of incarnation %d: %+v, want %d answers", x.seq, x.inc, got, x.want)
 		}
 	}
 }
--- a/internal/control/domain_test.go
+++ b/internal/control/domain_test.go
@@ -13,16 +13,16 @@
 )
 
 const (
-	// recoveryTime is how long a machine that is back still counts as lost, and downTime for how long a
+	// recoveryTime is how long a machine that has returned still counts as lost, and downTime is how long a
 	// domain is down.
 	recoveryTime = 4 * time.Second
 	downTime     = 2 * time.Second
-	// lossPairs is how many pairs of losses a test draws for each seed.
+	// lossPairs is the number of pairs of losses that a test draws for each seed.
 	lossPairs = 3
 )
 
-// Deployments that are to bear the loss of a whole failure domain. The first three machines are the seeds.
-var domainShapes = map[string]clusterShape{
+// domainClusterShapes are deployments that must tolerate the loss of a whole failure domain. The first three machines are the seeds.
+var domainClusterShapes = map[string]clusterShape{
 	"three regions of two zones": {zones: 6, disks: 6, gateways: 3, tolerance: quorum.Tolerance{Regions: 1},
 		layout:  []string{"north-a", "north-b", "south-a", "south-b", "west-a", "west-b"},
 		regions: map[string]string{"north-a": "north", "north-b": "north", "south-a": "south", "south-b": "south", "west-a": "west", "west-b": "west"}},
@@ -37,16 +37,16 @@
 		layout: []string{"za", "za", "za", "zb", "zc", "zd", "ze"}},
 }
 
-// eachDomainShape plays f in worlds of each shape.
-func eachDomainShape(t *testing.T, f func(cl *cluster)) {
-	for name, s := range domainShapes {
-		for seed := range (*seeds + len(domainShapes) - 1) / len(domainShapes) {
+// eachDomainClusterShape runs f in clusters of each shape.
+func eachDomainClusterShape(t *testing.T, f func(cl *cluster)) {
+	for name, s := range domainClusterShapes {
+		for seed := range (*seeds + len(domainClusterShapes) - 1) / len(domainClusterShapes) {
 			t.Run(fmt.Sprintf("%s/seed=%d", name, seed), func(t *testing.T) { runCluster(t, uint64(seed), s, f) })
 		}
 	}
 }
 
-// toleratedLosses are the sets of machines that the tolerance allows to be lost at once, those of whole domains.
+// toleratedLosses returns the sets of machines, each of whole domains, that the tolerance allows to be lost at once.
 func (cl *cluster) toleratedLosses() (sets [][]*controllerHost) {
 	domain := func(label func(*controllerHost) string, most int) {
 		names := lo.Uniq(lo.Map(cl.controllers, func(m *controllerHost, _ int) string { return label(m) }))
@@ -62,7 +62,7 @@
 	return sets
 }
 
-// takeDown ends machines at one moment, with their disks where that is said, and tells how they come back.
+// takeDown kills machines at the same moment, with their disks if disks is set, and returns a function that starts them again.
 func (cl *cluster) takeDown(lost []*controllerHost, disks bool) (back func()) {
 	for _, m := range lost {
 		m.kill()
@@ -82,10 +82,10 @@
 	return Change{Routes: []route.Route{routeTo("r0", v, lo.Ternary(v%2 == 0, "a", "b"))}}
 }
 
-// Guards against the loss of one failure domain taking the configuration with it: with one region to be lost at once
-// two of three voters stood in one region, and no node read anything back after its loss.
+// Guards against losing the configuration with one failure domain: with a tolerance of one region, two of three
+// voters were in one region, and no node could read anything after the loss of that region.
 func TestTheConfigurationOutlivesEachDomain(t *testing.T) {
-	eachDomainShape(t, func(cl *cluster) {
+	eachDomainClusterShape(t, func(cl *cluster) {
 		cl.mustApply(baseChange(5), cl.controllers)
 		time.Sleep(recoveryTime)
 		for i, lost := range cl.toleratedLosses() {
@@ -102,10 +102,10 @@
 	})
 }
 
-// Guards against a seat that was lent while its own domain was down standing where the next loss takes it: the seat
-// of a zone that was down for some seconds went to another zone and never came back.
+// Guards against a seat staying where the next loss takes it: the seat of a zone that was down for some seconds
+// moved to another zone, and never moved back.
 func TestADomainIsLostAfterAnotherWasDown(t *testing.T) {
-	eachDomainShape(t, func(cl *cluster) {
+	eachDomainClusterShape(t, func(cl *cluster) {
 		cl.mustApply(baseChange(5), cl.controllers)
 		time.Sleep(recoveryTime)
 		version := uint64(1)
@@ -126,10 +126,10 @@
 	})
 }
 
-// Losses overlap beyond the tolerance, and no more disks are lost than it allows: service may rest, and nothing
-// acknowledged is gone when all are back.
+// Losses overlap beyond the tolerance, but no more disks are lost than it allows: the service may be unavailable, and
+// nothing acknowledged is lost when all machines are back.
 func TestDisksOfADomainAreLostWhileAnotherIsDown(t *testing.T) {
-	eachDomainShape(t, func(cl *cluster) {
+	eachDomainClusterShape(t, func(cl *cluster) {
 		cl.mustApply(baseChange(5), cl.controllers)
 		time.Sleep(recoveryTime)
 		version := uint64(1)
--- a/internal/control/home_test.go
+++ b/internal/control/home_test.go
@@ -11,8 +11,8 @@
 	"walkrudder/internal/target"
 )
 
-// A target's first beat goes anywhere and the next to its home: the node that had the
-// first must not take the quiet for silence.
+// The first heartbeat of a target goes to any controller and the next one to its home. The controller that received
+// the first one must not take the absence of further heartbeats for silence.
 func TestMovesToTheHomeMakeNoSuspicion(t *testing.T) {
 	for _, gap := range []time.Duration{time.Second, 1500 * time.Millisecond, 1900 * time.Millisecond} {
 		t.Run(gap.String(), func(t *testing.T) {
@@ -40,7 +40,7 @@
 						}
 					})
 				}
-				// A suspicion is over as soon as the home hears of it, but it leaves its trace.
+				// A suspicion ends as soon as the home hears of it, but Silent keeps a trace of it.
 				suspected := func() (out []string) {
 					for _, m := range cl.controllers {
 						m.control().Board.Table(func(tb *target.Table, now time.Time) bool {
@@ -56,14 +56,14 @@
 				}
 				for end := time.Now().Add(30 * time.Second); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
 					if s := suspected(); len(s) > 0 {
-						t.Errorf("%d that beat were suspected", len(s))
+						t.Errorf("%d runs that send heartbeats were suspected", len(s))
 						break
 					}
 				}
 				cl.mu.Lock()
 				stop[17] = true
 				cl.mu.Unlock()
-				cl.await("suspicion of the one that fell silent", 4*gap, func() bool {
+				cl.await("suspicion of the silent run", 4*gap, func() bool {
 					return cl.gateways[0].run("i-17").Suspected() && cl.gateways[1].run("i-17").Suspected()
 				})
 				if s := suspected(); len(s) != 1 {
@@ -77,8 +77,8 @@
 	}
 }
 
-// TestHomesFollowWhoIsNear: who is near is looked up seldom, for beats are many, but a controller
-// that stops names another at once.
+// Heartbeats are frequent, so the list of eligible controllers is cached for nearbyCacheTTL. A controller that
+// stops must name another one as home at once nevertheless.
 func TestHomesFollowWhoIsNear(t *testing.T) {
 	runCluster(t, 9, clusterShape{zones: 3, disks: 3, gateways: 1, tolerance: quorum.Tolerance{Machines: 1}}, func(cl *cluster) {
 		cl.mustApply(baseChange(1), cl.controllers)
@@ -86,20 +86,20 @@
 		time.Sleep(time.Second)
 		a, ok := m.HomeMember("a", m.Zone)
 		if !ok || a.ID != m.ID {
-			t.Fatalf("%+v: a zone's own controller is not its home", a)
+			t.Fatalf("%+v: the home of a zone's targets is not the controller of that zone", a)
 		}
 		if n := testing.AllocsPerRun(100, func() { m.HomeMember("a", m.Zone) }); n > 0 {
-			t.Errorf("%v allocations a beat", n)
+			t.Errorf("%v allocations per heartbeat", n)
 		}
 		m.Stop()
 		b, ok := m.HomeMember("a", m.Zone)
 		if !ok || b.ID == m.ID {
-			t.Errorf("a controller that stops names itself")
+			t.Errorf("a stopping controller names itself")
 		}
 		time.Sleep(2 * nearbyCacheTTL)
 		for _, other := range cl.controllers[1:] {
 			if o, _ := other.control().HomeMember("a", m.Zone); o.ID == m.ID {
-				t.Errorf("%s still names the one that stops", other.control().ID)
+				t.Errorf("%s still names the stopping controller", other.control().ID)
 			}
 		}
 	})
--- a/internal/control/net_test.go
+++ b/internal/control/net_test.go
@@ -16,7 +16,7 @@
 	errDead    = errors.New("process ended")
 )
 
-// network is that of simulated worlds, with cuts that are mended together.
+// network is a simulated network whose partitions are healed together.
 type network struct {
 	*simnet.Net
 	mu    sync.Mutex
@@ -43,14 +43,14 @@
 	n.heals = nil
 }
 
-// host is a machine with one process, which can be killed; its disk outlives it.
+// host is a machine with one process, which can be killed; its disk survives the process.
 type host struct {
 	*simnet.Host
 	addr string
 	disk *disk // nil without one
 
 	mu   sync.Mutex
-	proc *simnet.Proc // nil before the first
+	proc *simnet.Proc // nil before the first start
 	done chan struct{}
 }
 
@@ -61,17 +61,17 @@
 func (h *host) freeze() { h.Freeze() }
 func (h *host) thaw()   { h.Thaw() }
 
-// process is the newest one, nil before the first.
+// process returns the newest process, or nil before the first start.
 func (h *host) process() *simnet.Proc {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.proc
 }
 
-// waitWhileFrozen waits while the host is frozen.
+// waitWhileFrozen blocks while the host is frozen.
 func (h *host) waitWhileFrozen() { h.process().Awake() }
 
-// processContext is the context of the running process, nil when there is none.
+// processContext returns the context of the running process, or nil if none is running.
 func (h *host) processContext() context.Context {
 	if p := h.process(); p != nil && !p.Dead() {
 		return p.Context()
@@ -79,7 +79,7 @@
 	return nil
 }
 
-// start lets a process be found, and runs main until its context ends.
+// start makes a process reachable, and runs main until its context ends.
 func (h *host) start(p *simnet.Proc, desk *link.Desk, main func(context.Context)) {
 	done := make(chan struct{})
 	h.mu.Lock()
@@ -92,7 +92,7 @@
 	}()
 }
 
-// kill ends the process at once, and waits until nothing of it is left.
+// kill ends the process at once, and waits until all of its goroutines have ended.
 func (h *host) kill() {
 	h.mu.Lock()
 	p, done := h.proc, h.done
@@ -105,18 +105,18 @@
 	<-done
 }
 
-// disk is a disk with notes in memory.
+// disk is a disk with a run journal in memory.
 type disk struct {
 	*simnet.Disk
 	mu      sync.Mutex
-	journal [][]byte // the journal
+	journal [][]byte
 }
 
 func newDisk(rnd *rand.Rand) *disk { return &disk{Disk: simnet.NewDisk(rnd, "")} }
 
 func (d *disk) wipe() {
 	if err := d.Wipe(); err != nil {
-		panic(err) // it has no files
+		panic(err) // a simulated disk has no files
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/control/node.go
+++ b/internal/control/node.go
@@ -220,17 +220,17 @@
 
 // maintainRuns judges silent runs and cleans up the table of runs.
 func (n *Node) maintainRuns(ctx context.Context) {
-	var tidied time.Time
+	var lastTidied time.Time
 	clock.Every(ctx, n.Clock, judgeInterval, func() {
 		n.endRecallWindow(n.Clock.Now())
 		n.Board.Table(func(t *target.Table, now time.Time) bool {
-			news := n.runWatch.Judge(t, now)
-			if now.Sub(tidied) >= tidyInterval {
-				tidied = now
-				news = t.Yield(n.addressReuseSilence(), now) || news
-				news = t.Tend(now) || news
+			changed := n.runWatch.Judge(t, now)
+			if now.Sub(lastTidied) >= tidyInterval {
+				lastTidied = now
+				changed = t.Yield(n.addressReuseSilence(), now) || changed
+				changed = t.Tend(now) || changed
 			}
-			return news
+			return changed
 		})
 	})
 }
--- a/internal/control/page_test.go
+++ b/internal/control/page_test.go
@@ -8,14 +8,14 @@
 	"github.com/samber/lo"
 )
 
-// A list that is asked for page by page has each row once, in order.
+// Reading a list page by page returns each row once, in order.
 func TestPagesMakeTheList(t *testing.T) {
 	runCluster(t, 25, smallCluster, func(cl *cluster) {
 		cl.mustApply(baseChange(20), cl.controllers[:1])
-		l := cl.operatorLine()
+		line := cl.operatorLine()
 		var got []string
 		for after, pages := "", 1; ; pages++ {
-			a := mustAsk[ItemRow](cl, l, cl.controllers[0], ItemsAsk{Page: Page{After: after, Most: 7}})
+			a := mustAsk[ItemRow](cl, line, cl.controllers[0], ItemsAsk{Page: Page{After: after, Most: 7}})
 			if a.Total != 23 || len(a.Rows) > 7 {
 				t.Fatalf("%d rows of %d", len(a.Rows), a.Total)
 			}
@@ -35,7 +35,7 @@
 	})
 }
 
-// An answer that would be too large is cut before the page is full.
+// An answer that would be too large ends before the page is full.
 func TestAnswersAreBoundedInBytes(t *testing.T) {
 	p := newPageCollector[int](Page{Most: 1000})
 	for i := range 1000 {
@@ -47,11 +47,11 @@
 	}
 	a = buildAnswer(About{}, p, func(string, int) (int, int) { return 0, 2 * maxAnswerBytes })
 	if len(a.Rows) != 1 || a.Next != "0000" {
-		t.Errorf("one row at least, to get on: %+v", a)
+		t.Errorf("an answer must have at least one row, so that paging makes progress: %+v", a)
 	}
 }
 
-// However long a list, little more than a page is kept of it.
+// However long a list is, little more than one page of it is kept.
 func TestAPageKeepsLittle(t *testing.T) {
 	p := newPageCollector[int](Page{Most: 5})
 	for i := range 3 {
--- a/internal/control/price_test.go
+++ b/internal/control/price_test.go
@@ -9,20 +9,20 @@
 	"walkrudder/internal/route"
 )
 
-// What an acknowledgement costs in calm, on the virtual clock: ways of 0.2 to 2 ms and syncs of
-// 0.2 to 3 ms. A change takes four round trips (what stands, promises, accepts, copies) and three
-// syncs, a leaving one of each.
+// Bounds the latency of acknowledgements in an idle system, on the virtual clock: messages take 0.2 to
+// 2 ms and syncs 0.2 to 3 ms. A change takes four round trips (current state, promises, accepts, copies)
+// and three syncs, a departure one of each.
 func TestAcknowledgementsTakeFewRoundTrips(t *testing.T) {
 	runCluster(t, 21, smallCluster, func(cl *cluster) {
 		cl.mustApply(baseChange(10), cl.controllers)
 		var changes, leavings []time.Duration
 		for i := range 60 {
 			changes = append(changes, cl.mustApply(Change{Routes: []route.Route{routeTo("r0", uint64(10+i), "b")}}, shuffled(cl, cl.controllers)))
-			begun := time.Now()
+			start := time.Now()
 			if err := pick(cl, cl.controllers).control().Leave(cl.ctx, fmt.Sprintf("i-%d", i)); err != nil {
 				t.Fatal(err)
 			}
-			leavings = append(leavings, time.Since(begun))
+			leavings = append(leavings, time.Since(start))
 			time.Sleep(200 * time.Millisecond)
 		}
 		for _, x := range []struct {
@@ -32,7 +32,7 @@
 		}{{"change", changes, 40 * time.Millisecond}, {"leaving", leavings, 15 * time.Millisecond}} {
 			slices.Sort(x.took)
 			middle, last := x.took[len(x.took)/2], x.took[len(x.took)-1]
-			t.Logf("%s acknowledged after %v in the middle, %v at worst", x.what, middle.Round(10*time.Microsecond), last.Round(10*time.Microsecond))
+			t.Logf("%s: median latency %v, maximum %v", x.what, middle.Round(10*time.Microsecond), last.Round(10*time.Microsecond))
 			if last > x.most {
 				t.Errorf("%s: %v, bound %v", x.what, last, x.most)
 			}
--- a/internal/control/query_test.go
+++ b/internal/control/query_test.go
@@ -18,26 +18,26 @@
 	"walkrudder/internal/target"
 )
 
-// operatorLine is a host from which nodes are asked.
+// operatorLine returns a link from a host that queries nodes.
 func (cl *cluster) operatorLine() simnet.Line {
 	return simnet.Line{P: cl.net.addHost("operator", nil).Start(cl.ctx, "")}
 }
 
-// mustAsk asks a controller over the network, and must be answered.
-func mustAsk[R any](cl *cluster, l link.Line, m *controllerHost, ask any) Answer[R] {
+// mustAsk queries a controller over the network, and fails the test without an answer.
+func mustAsk[R any](cl *cluster, line link.Line, m *controllerHost, ask any) Answer[R] {
 	cl.t.Helper()
-	cx, end := context.WithTimeout(cl.ctx, 3*time.Second)
-	defer end()
-	a, err := link.Ask[Answer[R]](cx, l, m.addr, ask)
+	callCtx, cancel := context.WithTimeout(cl.ctx, 3*time.Second)
+	defer cancel()
+	a, err := link.Ask[Answer[R]](callCtx, line, m.addr, ask)
 	if err != nil {
 		cl.t.Fatalf("%s, asked %+v: %v", m.id, ask, err)
 	}
 	return a
 }
 
-func counter(cl *cluster, l link.Line, m *controllerHost, name string) uint64 {
+func counter(cl *cluster, line link.Line, m *controllerHost, name string) uint64 {
 	cl.t.Helper()
-	x, ok := lo.Find(mustAsk[CounterRow](cl, l, m, CountersAsk{Prefix: name}).Rows, func(r CounterRow) bool { return r.Name == name })
+	x, ok := lo.Find(mustAsk[CounterRow](cl, line, m, CountersAsk{Prefix: name}).Rows, func(r CounterRow) bool { return r.Name == name })
 	if !ok {
 		cl.t.Fatalf("no counter %s", name)
 	}
@@ -48,7 +48,7 @@
 	runCluster(t, 21, smallCluster, func(cl *cluster) {
 		cl.mustApply(baseChange(3), cl.controllers[:1])
 		time.Sleep(propagationLimit)
-		l, m := cl.operatorLine(), cl.controllers[0]
+		line, m := cl.operatorLine(), cl.controllers[0]
 		before := m.control().Board.End()
 		bad := []any{
 			ItemsAsk{Page: Page{Most: -1}}, ItemsAsk{Page: Page{Most: 1001}}, ItemsAsk{Prefix: strings.Repeat("x", 2049)},
@@ -56,15 +56,15 @@
 			MembersAsk{Page{Most: -1}}, DiskAsk{Page{Most: -1}}, CountersAsk{Prefix: strings.Repeat("x", 257)},
 		}
 		for _, ask := range bad {
-			cx, end := context.WithTimeout(cl.ctx, 3*time.Second)
-			begun := time.Now()
-			r, err := l.Call(cx, m.addr, ask)
-			end()
-			if err == nil || r != nil || !strings.Contains(err.Error(), "query (m0)") || time.Since(begun) > 100*time.Millisecond {
-				t.Errorf("%.80s: %v, %v after %v", fmt.Sprintf("%+v", ask), r, err, time.Since(begun))
+			callCtx, cancel := context.WithTimeout(cl.ctx, 3*time.Second)
+			start := time.Now()
+			r, err := line.Call(callCtx, m.addr, ask)
+			cancel()
+			if err == nil || r != nil || !strings.Contains(err.Error(), "query (m0)") || time.Since(start) > 100*time.Millisecond {
+				t.Errorf("%.80s: %v, %v after %v", fmt.Sprintf("%+v", ask), r, err, time.Since(start))
 			}
 		}
-		if n := counter(cl, l, m, "queries_refused"); n != uint64(len(bad)) {
+		if n := counter(cl, line, m, "queries_refused"); n != uint64(len(bad)) {
 			t.Errorf("%d refused, want %d", n, len(bad))
 		}
 		if end := m.control().Board.End(); end != before || !m.control().Ready() {
@@ -73,48 +73,48 @@
 	})
 }
 
-// A controller that stands still costs the asker its patience, and another one answers.
+// Querying a paused controller fails at the caller's deadline, and another controller answers.
 func TestASilentControllerCostsNoMoreThanPatience(t *testing.T) {
 	runCluster(t, 22, smallCluster, func(cl *cluster) {
-		l := cl.operatorLine()
+		line := cl.operatorLine()
 		cl.controllers[1].freeze()
-		cx, end := context.WithTimeout(cl.ctx, 3*time.Second)
-		defer end()
-		begun := time.Now()
-		if _, err := link.Ask[Answer[ItemRow]](cx, l, cl.controllers[1].addr, ItemsAsk{}); !errors.Is(err, context.DeadlineExceeded) || time.Since(begun) != 3*time.Second {
-			t.Errorf("%v after %v", err, time.Since(begun))
+		callCtx, cancel := context.WithTimeout(cl.ctx, 3*time.Second)
+		defer cancel()
+		start := time.Now()
+		if _, err := link.Ask[Answer[ItemRow]](callCtx, line, cl.controllers[1].addr, ItemsAsk{}); !errors.Is(err, context.DeadlineExceeded) || time.Since(start) != 3*time.Second {
+			t.Errorf("%v after %v", err, time.Since(start))
 		}
-		mustAsk[ItemRow](cl, l, cl.controllers[2], ItemsAsk{})
+		mustAsk[ItemRow](cl, line, cl.controllers[2], ItemsAsk{})
 		cl.controllers[1].thaw()
 	})
 }
 
-// Queries wait for their turn, and no longer than whoever asks.
+// Queries wait for a free slot, and no longer than their caller does.
 func TestFewQueriesAreAnsweredAtOnce(t *testing.T) {
 	runCluster(t, 23, smallCluster, func(cl *cluster) {
-		n := cl.controllers[0].control()
+		node := cl.controllers[0].control()
 		for range maxConcurrentQueries {
-			n.querySlots <- struct{}{}
+			node.querySlots <- struct{}{}
 		}
-		l := cl.operatorLine()
-		cx, end := context.WithTimeout(cl.ctx, time.Second)
-		if _, err := n.Desk.Answer(cx, link.Who{}, DiskAsk{}); !errors.Is(err, context.DeadlineExceeded) {
-			t.Errorf("out of turn: %v", err)
+		line := cl.operatorLine()
+		callCtx, cancel := context.WithTimeout(cl.ctx, time.Second)
+		if _, err := node.Desk.Answer(callCtx, link.Who{}, DiskAsk{}); !errors.Is(err, context.DeadlineExceeded) {
+			t.Errorf("query without a free slot: %v", err)
 		}
-		end()
+		cancel()
 		go func() {
 			time.Sleep(time.Second)
-			<-n.querySlots
+			<-node.querySlots
 		}()
-		mustAsk[DiskRow](cl, l, cl.controllers[0], DiskAsk{})
-		if n := len(n.querySlots); n != maxConcurrentQueries-1 {
-			t.Errorf("%d tokens are out", n)
+		mustAsk[DiskRow](cl, line, cl.controllers[0], DiskAsk{})
+		if used := len(node.querySlots); used != maxConcurrentQueries-1 {
+			t.Errorf("%d slots are in use", used)
 		}
-		<-n.querySlots
+		<-node.querySlots
 	})
 }
 
-// A long list is read in chunks, and as long as somebody waits for it.
+// A long list is read in chunks, and reading stops when the caller no longer waits.
 func TestLongListsAreReadInChunks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := standaloneNode(t)
@@ -125,15 +125,15 @@
 		if err != nil || a.Total != 3000 || len(a.Rows) != 5 || a.Rows[0].ID != "i-00101" || a.Next != "i-00105" {
 			t.Fatalf("%+v %v", a, err)
 		}
-		ctx, end := context.WithCancel(t.Context())
-		end()
+		ctx, cancel := context.WithCancel(t.Context())
+		cancel()
 		if _, err := n.listRuns(ctx, RunsAsk{}); err == nil {
-			t.Error("went on though nobody waits")
+			t.Error("query continued after its caller had left")
 		}
 	})
 }
 
-// standaloneNode is a controller that is asked without a network.
+// standaloneNode returns a controller without a network.
 func standaloneNode(tb testing.TB) *Node {
 	n, err := New(Parts{Settings: Settings{ID: "m", Zone: "z", InternalAddr: "in-m", Seeds: []string{"in-m"}, HeartbeatInterval: time.Second}, Incarnation: 1, NewDiskID: "x",
 		Line: simnet.Line{}, Clock: clock.Wall{}, Log: discardLog()})
@@ -143,7 +143,7 @@
 	return n
 }
 
-// What the largest tables cost to be looked through.
+// Measures queries over the largest tables.
 func BenchmarkQueries(b *testing.B) {
 	n := standaloneNode(b)
 	var rs []target.Run
--- a/internal/control/querycounters_test.go
+++ b/internal/control/querycounters_test.go
@@ -8,7 +8,7 @@
 
 func TestCountersCount(t *testing.T) {
 	runCluster(t, 30, smallCluster, func(cl *cluster) {
-		l, m := cl.operatorLine(), cl.controllers[0]
+		line, m := cl.operatorLine(), cl.controllers[0]
 		good := target.Beat{ID: "i-1", Service: "a", Addr: "10.0.0.1:80", Zone: "z0", Slots: 2, Seq: 1}
 		_ = cl.sendHeartbeat(m, good)
 		_ = cl.sendHeartbeat(m, target.Beat{})
@@ -16,7 +16,7 @@
 		bad := baseChange(1)
 		bad.Routes[0].Version, bad.Routes[0].Host = 9, ""
 		if ps, _ := cl.apply(m, bad); len(ps) == 0 {
-			t.Fatal("taken")
+			t.Fatal("invalid change accepted")
 		}
 		if _, err := m.control().Current(cl.ctx); err != nil {
 			t.Fatal(err)
@@ -24,12 +24,12 @@
 		_ = m.control().Leave(cl.ctx, "i-1")
 		for name, want := range map[string]uint64{"beats": 2, "beats_refused": 1, "beats_failed": 0, "changes": 2, "changes_refused": 1, "reads": 1, "leavings": 1,
 			"item_merges": 4, "run_merges": 2} {
-			if got := counter(cl, l, m, name); got != want {
+			if got := counter(cl, line, m, name); got != want {
 				t.Errorf("%s is %d, want %d", name, got, want)
 			}
 		}
 		for _, name := range []string{"asks", "queries", "goroutines", "heap_bytes"} {
-			if counter(cl, l, m, name) == 0 {
+			if counter(cl, line, m, name) == 0 {
 				t.Errorf("%s is 0", name)
 			}
 		}
--- a/internal/control/querymembers_test.go
+++ b/internal/control/querymembers_test.go
@@ -13,9 +13,9 @@
 	runCluster(t, 27, smallCluster, func(cl *cluster) {
 		cl.mustApply(baseChange(2), cl.controllers[:1])
 		time.Sleep(6 * time.Second)
-		l, m := cl.operatorLine(), cl.controllers[0]
+		line, m := cl.operatorLine(), cl.controllers[0]
 		ask := func() map[string]MemberRow {
-			a := mustAsk[MemberRow](cl, l, m, MembersAsk{})
+			a := mustAsk[MemberRow](cl, line, m, MembersAsk{})
 			return lo.SliceToMap(a.Rows, func(r MemberRow) (string, MemberRow) { return firstNonEmpty(r.ID, r.Inner), r })
 		}
 		got := ask()
@@ -36,38 +36,38 @@
 				t.Errorf("%+v", r)
 			}
 		}
-		// A way that is cut shows on its side alone.
+		// A cut of one direction shows in one value alone.
 		o := cl.controllers[3]
 		cl.net.cut(o.addr, m.addr, false)
 		time.Sleep(3 * time.Second)
 		cl.net.healAll()
 		if r := ask()[o.id]; r.AnsweredMS.Value < 2000 || r.AskedMS.Value < 2000 {
-			t.Errorf("neither its asks nor its answers came: %+v", r)
+			t.Errorf("neither requests nor answers arrived: %+v", r)
 		}
 		time.Sleep(3 * time.Second)
 		cl.net.cut(m.addr, o.addr, false)
 		time.Sleep(1500 * time.Millisecond)
 		if r := ask()[o.id]; r.AnsweredMS.Value < 900 || r.AskedMS.Value > 1200 {
-			t.Errorf("its asks come, answers do not: %+v", r)
+			t.Errorf("requests arrive, answers do not: %+v", r)
 		}
 		cl.net.healAll()
-		// A dead gateway is no longer a follower, and is forgotten.
+		// A dead gateway is no longer a follower.
 		cl.gateways[0].kill()
 		time.Sleep(4 * time.Second)
 		if r, ok := ask()[cl.gateways[0].id]; ok && len(r.Follows) > 0 {
-			t.Errorf("dead for 4 s: %+v", r)
+			t.Errorf("dead for 4 s, still a follower: %+v", r)
 		}
 		o.control().Stop()
 		time.Sleep(time.Second)
 		if r := ask()[o.id]; !r.Going {
-			t.Errorf("stops: %+v", r)
+			t.Errorf("not reported as stopping: %+v", r)
 		}
 	})
 }
 
 func firstNonEmpty(a, b string) string { return lo.Ternary(a != "", a, b) }
 
-// A seed that never answered is shown by its address.
+// A seed that never answered is listed by its address.
 func TestMembersTellOfSeedsThatNeverAnswered(t *testing.T) {
 	runCluster(t, 28, smallCluster, func(cl *cluster) {
 		m := cl.controllers[0]
--- a/internal/control/queryruns_test.go
+++ b/internal/control/queryruns_test.go
@@ -20,13 +20,13 @@
 		}
 		other := cl.startHeartbeats("x-0", "b", "z1", "10.0.1.0:80")
 		time.Sleep(20 * time.Second)
-		l := cl.operatorLine()
+		line := cl.operatorLine()
 		addr := cl.controllers[0].control().Home("a", "z0")
 		home, _ := lo.Find(cl.controllers, func(m *controllerHost) bool { return m.addr == addr })
 		away, _ := lo.Find(cl.controllers, func(m *controllerHost) bool { return m.zone != "z0" })
 		row := func(m *controllerHost, id string) RunRow {
 			t.Helper()
-			a := mustAsk[RunRow](cl, l, m, RunsAsk{Service: "a", Prefix: id})
+			a := mustAsk[RunRow](cl, line, m, RunsAsk{Service: "a", Prefix: id})
 			if len(a.Rows) != 1 || a.Total != 1 {
 				t.Fatalf("%s: %+v", id, a)
 			}
@@ -35,18 +35,18 @@
 		r := row(home, "i-1")
 		if r.Service != "a" || r.Addr != "10.0.0.1:80" || r.Zone != "z0" || r.Slots != 2 || r.State != "ready" || r.Home != home.addr || r.Held || r.Suspected || r.Recalled ||
 			!r.BeatMS.Known || r.BeatMS.Value > 1100 || !r.Suspicion.Known || r.Suspicion.Value >= target.Threshold {
-			t.Errorf("at home: %+v", r)
+			t.Errorf("at the home: %+v", r)
 		}
 		if r := row(away, "i-1"); r.State != "ready" || r.Home != home.addr || r.Suspicion.Known || !r.NewsMS.Known {
-			t.Errorf("elsewhere: %+v", r)
+			t.Errorf("at another controller: %+v", r)
 		}
-		if a := mustAsk[RunRow](cl, l, home, RunsAsk{}); a.Total != 5 || len(a.Rows) != 5 {
-			t.Errorf("%d of %d", len(a.Rows), a.Total)
+		if a := mustAsk[RunRow](cl, line, home, RunsAsk{}); a.Total != 5 || len(a.Rows) != 5 {
+			t.Errorf("%d rows, total %d", len(a.Rows), a.Total)
 		}
-		if a := mustAsk[RunRow](cl, l, home, RunsAsk{Service: "b"}); len(a.Rows) != 1 || a.Total != 1 || a.Rows[0].ID != "x-0" {
-			t.Errorf("of the other service: %+v", a)
+		if a := mustAsk[RunRow](cl, line, home, RunsAsk{Service: "b"}); len(a.Rows) != 1 || a.Total != 1 || a.Rows[0].ID != "x-0" {
+			t.Errorf("runs of the other service: %+v", a)
 		}
-		// Where a run was heard once, its silence shows nothing after it moved on.
+		// A controller that received one heartbeat of a run does not judge its silence after the run moved on.
 		for seq, m := range []*controllerHost{away, home} {
 			if err := cl.sendHeartbeat(m, target.Beat{ID: "y-0", Service: "a", Addr: "10.0.0.9:80", Zone: "z0", Slots: 2, Seq: uint64(seq + 1)}); err != nil {
 				t.Fatal(err)
@@ -54,9 +54,9 @@
 			time.Sleep(time.Second)
 		}
 		if here, there := row(home, "y-0"), row(away, "y-0"); !here.Suspicion.Known || there.Suspicion.Known || !there.BeatMS.Known {
-			t.Errorf("moved: at home %+v, where it was %+v", here, there)
+			t.Errorf("after the move: at the home %+v, at the previous controller %+v", here, there)
 		}
-		// Suspicion is fresh at each look, and a drain shows with its mark.
+		// Suspicion is computed anew for each query, and a draining run is shown as held.
 		stops["i-2"]()
 		time.Sleep(1200 * time.Millisecond)
 		one := row(home, "i-2")
@@ -66,7 +66,7 @@
 		}
 		time.Sleep(6 * time.Second)
 		if r := row(away, "i-2"); !r.Suspected {
-			t.Errorf("silent: %+v", r)
+			t.Errorf("silent run: %+v", r)
 		}
 		stops["i-3"]()
 		time.Sleep(1100 * time.Millisecond)
@@ -74,14 +74,14 @@
 			t.Fatal(err)
 		}
 		if r := row(away, "i-3"); r.State != "draining" || !r.Held {
-			t.Errorf("drains: %+v", r)
+			t.Errorf("draining run: %+v", r)
 		}
 		if err := away.control().Leave(cl.ctx, "i-3"); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(propagationLimit)
 		if r := row(home, "i-3"); r.State != "ended" || r.Held || r.Home != "" {
-			t.Errorf("ended, at a controller that did not take it: %+v", r)
+			t.Errorf("ended run, at a controller that did not receive the call: %+v", r)
 		}
 		other()
 		for _, stop := range stops {
--- a/internal/control/race_off_test.go
+++ b/internal/control/race_off_test.go
@@ -2,5 +2,5 @@
 
 package control
 
-// defaultSeeds is how many seeds the random runs take unless told otherwise.
+// defaultSeeds is how many seeds the randomized tests run by default.
 const defaultSeeds = 12
--- a/internal/control/race_on_test.go
+++ b/internal/control/race_on_test.go
@@ -2,6 +2,6 @@
 
 package control
 
-// defaultSeeds is smaller under the race detector, which makes a run some ten times
+// defaultSeeds is smaller under the race detector, which makes a run about ten times
 // as long.
 const defaultSeeds = 4
--- a/internal/control/race_test.go
+++ b/internal/control/race_test.go
@@ -13,30 +13,30 @@
 )
 
 // confirmations are the contents that operators were told to be in force, by item and
-// version. It does not use the product's own order of copies: that order is judged here.
+// version. It deliberately avoids the product's own comparison of copies, which is under test.
 type confirmations struct {
-	mu   sync.Mutex
-	sets map[item.Key]map[uint64]map[string]bool
+	mu       sync.Mutex
+	contents map[item.Key]map[uint64]map[string]bool
 }
 
 func (c *confirmations) note(items []item.Item) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.sets == nil {
-		c.sets = map[item.Key]map[uint64]map[string]bool{}
+	if c.contents == nil {
+		c.contents = map[item.Key]map[uint64]map[string]bool{}
 	}
 	for _, i := range items {
-		if c.sets[i.Key] == nil {
-			c.sets[i.Key] = map[uint64]map[string]bool{}
+		if c.contents[i.Key] == nil {
+			c.contents[i.Key] = map[uint64]map[string]bool{}
 		}
-		if c.sets[i.Key][i.Version] == nil {
-			c.sets[i.Key][i.Version] = map[string]bool{}
+		if c.contents[i.Key][i.Version] == nil {
+			c.contents[i.Key][i.Version] = map[string]bool{}
 		}
-		c.sets[i.Key][i.Version][content(i)] = true
+		c.contents[i.Key][i.Version][content(i)] = true
 	}
 }
 
-// content is what tells two contents of one version apart.
+// content distinguishes two contents of one version.
 func content(i item.Item) string {
 	if i.Gone {
 		return "dropped"
@@ -44,12 +44,12 @@
 	return string(i.Body)
 }
 
-// check wants one content at most for each version.
+// check fails the test if more than one content of a version was confirmed.
 func (c *confirmations) check(t *testing.T) {
 	t.Helper()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for k, versions := range c.sets {
+	for k, versions := range c.contents {
 		for v, contents := range versions {
 			if len(contents) > 1 {
 				t.Errorf("%d contents of %v at version %d were confirmed", len(contents), k, v)
@@ -58,12 +58,12 @@
 	}
 }
 
-// raceOutcome is what the operators of one race were told.
-type raceOutcome struct{ confirmed, refused, unclear int }
+// conflictOutcome counts the answers that the operators of one conflict received.
+type conflictOutcome struct{ confirmed, refused, unclear int }
 
-// raceChanges sends two contents of one version of one route to two nodes at once, each again
-// while the answer is unclear, and tells what the operators were told at last.
-func (cl *cluster) raceChanges(c *confirmations, round int, lost func() bool) (out raceOutcome) {
+// sendConflictingChanges concurrently sends two contents of one version of one route to two nodes, retrying each
+// while its outcome is unknown, and returns the final answers.
+func (cl *cluster) sendConflictingChanges(c *confirmations, round int, lost func() bool) (out conflictOutcome) {
 	version := uint64(10 + 2*round)
 	var mu sync.Mutex
 	var wg sync.WaitGroup
@@ -78,7 +78,7 @@
 				case len(ps) > 0 || IsConflict(err):
 					refused = true
 				case err == nil && lost != nil && lost():
-					// The answer is lost on its way: the same is sent again.
+					// The answer is lost on the network: the same change is sent again.
 				case err == nil:
 					confirmed = true
 					c.note(itemsOf(change))
@@ -99,14 +99,14 @@
 	return out
 }
 
-// Of two operators who send two contents of one version to two nodes one is confirmed and
+// Of two operators who concurrently send two contents of one version to two nodes, one is confirmed and
 // the other refused, and the refused content is in force nowhere.
 func TestOneContentOfAVersionIsConfirmed(t *testing.T) {
 	eachSeed(t, func(cl *cluster) {
 		cl.mustApply(baseChange(2), cl.controllers)
 		var c confirmations
 		for round := range 10 {
-			if got := cl.raceChanges(&c, round, nil); got.confirmed != 1 || got.refused != 1 {
+			if got := cl.sendConflictingChanges(&c, round, nil); got.confirmed != 1 || got.refused != 1 {
 				t.Errorf("round %d: %+v", round, got)
 			}
 		}
@@ -114,14 +114,14 @@
 		time.Sleep(propagationLimit)
 		key := item.Key{Kind: item.Route, Name: "r0"}
 		for _, x := range cl.gateways {
-			if got := x.item(key); !c.sets[key][got.Version][content(got)] {
-				t.Errorf("%s shows a content that was not confirmed: %+v", x.id, got)
+			if got := x.item(key); !c.contents[key][got.Version][content(got)] {
+				t.Errorf("%s shows content that was not confirmed: %+v", x.id, got)
 			}
 		}
 	})
 }
 
-// The same while answers are lost and a controller is killed or loses its disk in each round.
+// As above, while answers are lost, and in each round a controller is killed or loses its disk.
 func TestOneContentOfAVersionIsConfirmedInTrouble(t *testing.T) {
 	eachSeed(t, func(cl *cluster) {
 		cl.mustApply(baseChange(2), cl.controllers)
@@ -136,15 +136,15 @@
 				}
 				m.boot()
 			})
-			got := cl.raceChanges(&c, round, func() bool { return cl.randN(2) == 0 })
+			got := cl.sendConflictingChanges(&c, round, func() bool { return cl.randN(2) == 0 })
 			if got.confirmed > 1 || got.confirmed+got.refused+got.unclear != 2 {
 				t.Errorf("round %d: %+v", round, got)
 			}
-			time.Sleep(7 * time.Second) // an emptied disk has taken its seat back
+			time.Sleep(7 * time.Second) // time for a wiped disk to get its seat back
 		}
 		c.check(t)
 		for v := range uint64(6) {
-			if n := len(c.sets[item.Key{Kind: item.Route, Name: "r0"}][10+2*v]); n > 1 {
+			if n := len(c.contents[item.Key{Kind: item.Route, Name: "r0"}][10+2*v]); n > 1 {
 				t.Error(fmt.Sprint("version ", 10+2*v, " has ", n, " contents"))
 			}
 		}
--- a/internal/control/recall_test.go
+++ b/internal/control/recall_test.go
@@ -12,8 +12,8 @@
 	"walkrudder/internal/target"
 )
 
-// diskJournal is one process's use of a disk's notes. What is written is there at once: a
-// killed process loses none of it.
+// diskJournal is the journal on a disk, as used by one process. Writes take effect at once: a
+// killed process loses none of them.
 type diskJournal struct {
 	d   *disk
 	ctx context.Context
@@ -41,8 +41,8 @@
 	return slices.Clone(d.journal)
 }
 
-// journalCopies are the notes of all disks now, and lose puts them back, as a power loss does
-// with what was written since and not synced.
+// journalCopies returns the current journals of all disks, and restoreJournals puts them back, as a power
+// loss does when later writes were not synced.
 func (cl *cluster) journalCopies() map[*disk][][]byte {
 	return lo.SliceToMap(withDisk(cl.controllers), func(m *controllerHost) (*disk, [][]byte) { return m.disk, m.disk.journalCopy() })
 }
@@ -55,13 +55,13 @@
 	}
 }
 
-// targetGroup are targets that beat when a test says so, each at some controller.
+// targetGroup is a group of targets that send heartbeats when a test says so, each to a random controller.
 type targetGroup struct {
 	cluster  *cluster
 	seq      uint64
 	runs     []string
-	silent   map[string]bool // that beat no more
-	draining map[string]bool // that beat as draining
+	silent   map[string]bool // that send no more heartbeats
+	draining map[string]bool // whose heartbeats announce draining
 }
 
 func (cl *cluster) newTargetGroup(n int) *targetGroup {
@@ -72,7 +72,7 @@
 	return h
 }
 
-// sendHeartbeats has each of the herd beat once.
+// sendHeartbeats sends one heartbeat of each target that is not silent.
 func (h *targetGroup) sendHeartbeats() {
 	h.cluster.t.Helper()
 	h.seq++
@@ -85,7 +85,7 @@
 	}
 }
 
-// runFor has the herd beat for d, and calls look now and then.
+// runFor sends heartbeats for d, and calls look repeatedly.
 func (h *targetGroup) runFor(d time.Duration, look func()) {
 	for end := time.Now().Add(d); time.Now().Before(end); {
 		h.sendHeartbeats()
@@ -95,7 +95,7 @@
 	}
 }
 
-// restartAll kills every process and starts all again.
+// restartAll kills every process, calls between, and starts all processes again.
 func (cl *cluster) restartAll(between func()) {
 	for _, m := range cl.controllers {
 		m.kill()
@@ -113,7 +113,7 @@
 	}
 }
 
-// canUse tells whether a gateway that was told everything would use a run.
+// canUse reports whether a synced gateway would send requests to a run.
 func (x *gatewayHost) canUse(id string) bool {
 	r := x.run(id)
 	return x.subscriber().Synced() && r.State == target.Ready && !r.Suspected()
@@ -126,7 +126,7 @@
 		h.runFor(6*time.Second, func() {})
 		for range 2 {
 			cl.restartAll(func() {})
-			// No beat comes in meanwhile.
+			// No heartbeat arrives meanwhile.
 			cl.await("knowledge of all targets", 500*time.Millisecond, func() bool {
 				return lo.EveryBy(cl.gateways, func(x *gatewayHost) bool { return lo.EveryBy(h.runs, x.canUse) })
 			})
@@ -134,13 +134,13 @@
 				for _, x := range cl.gateways {
 					for _, id := range h.runs {
 						if !x.canUse(id) {
-							t.Errorf("%s: a run that beats is %+v", x.id, x.run(id))
+							t.Errorf("%s: a run that sends heartbeats is %+v", x.id, x.run(id))
 						}
 					}
 				}
 			})
 		}
-		// One does not come back.
+		// One target does not return.
 		h.silent["i-3"] = true
 		cl.restartAll(func() {})
 		at := time.Now()
@@ -148,7 +148,7 @@
 		h.runFor(n.recallWindow()+1500*time.Millisecond, func() {
 			for _, x := range cl.gateways {
 				if r := x.run("i-3"); r.Suspected() && time.Since(at) < n.recallWindow()-200*time.Millisecond {
-					t.Errorf("%s: doubted after %v: %+v", x.id, time.Since(at), r)
+					t.Errorf("%s: suspected after %v: %+v", x.id, time.Since(at), r)
 				}
 			}
 		})
@@ -217,14 +217,14 @@
 						t.Fatal(err)
 					}
 				})
-				// Never again, not even until the next beats: i-1 may serve on and say no more.
+				// Never again, not even before the next heartbeats: i-1 may still accept requests, but announces nothing.
 				h.runFor(8*time.Second, func() {
 					for _, x := range cl.gateways {
 						if x.canUse("i-0") {
-							t.Errorf("%s: the run that drains is %+v", x.id, x.run("i-0"))
+							t.Errorf("%s: the draining run is %+v", x.id, x.run("i-0"))
 						}
 						if x.canUse("i-1") {
-							t.Errorf("%s: the run that ended is %+v", x.id, x.run("i-1"))
+							t.Errorf("%s: the ended run is %+v", x.id, x.run("i-1"))
 						}
 					}
 				})
@@ -240,8 +240,8 @@
 	}
 }
 
-// The others have even forgotten the run by the time at which a controller that remembers it
-// comes back.
+// The run must stay ended even when the other controllers have already forgotten it by the time at which a controller
+// whose journal has it comes back.
 func TestARunThatEndedWhileAControllerWasDownStaysAway(t *testing.T) {
 	runCluster(t, 6, smallCluster, func(cl *cluster) {
 		cl.mustApply(baseChange(1), cl.controllers)
@@ -264,14 +264,14 @@
 		others := lo.Without(cl.controllers, m)
 		for _, o := range others {
 			if holds(o.control(), "i-0") || holds(o.control(), "i-1") {
-				t.Fatalf("%s has not forgotten what is over", o.id)
+				t.Fatalf("%s has not forgotten the ended runs", o.id)
 			}
 		}
 		m.boot()
 		if !holds(m.control(), "i-0") {
-			t.Fatal("the controller does not remember the run: this test shows nothing")
+			t.Fatal("the controller did not load the run from its journal: this test shows nothing")
 		}
-		// Gateways that know nothing and have nobody else to ask: they follow it from the start.
+		// Gateways without state whose only seed is this controller follow it from the start.
 		cl.mu.Lock()
 		cl.seeds = []string{m.addr}
 		cl.mu.Unlock()
@@ -279,7 +279,7 @@
 			x.kill()
 			x.boot()
 		}
-		cl.await("first word at the gateways", time.Second, func() bool {
+		cl.await("sync of the gateways", time.Second, func() bool {
 			return lo.EveryBy(cl.gateways, func(x *gatewayHost) bool { return x.subscriber().Synced() })
 		})
 		h.runFor(15*time.Second, func() {
@@ -290,7 +290,7 @@
 			}
 			for _, o := range others {
 				if holds(o.control(), "i-0") || holds(o.control(), "i-1") {
-					t.Errorf("%s has an old memory of another", o.id)
+					t.Errorf("%s took an ended run from another controller's journal", o.id)
 				}
 			}
 		})
@@ -302,8 +302,8 @@
 	})
 }
 
-// The journal grows with what changes, not with the beats, and is written anew before
-// it is much longer than the table.
+// The journal grows with changes, not with heartbeats, and is rewritten before it is much longer
+// than the table.
 func TestNotesStaySmall(t *testing.T) {
 	runCluster(t, 7, clusterShape{zones: 1, disks: 1, gateways: 1}, func(cl *cluster) {
 		h := cl.newTargetGroup(10)
@@ -315,7 +315,7 @@
 		}
 		h.runFor(70*time.Second, func() {})
 		if got := len(d.journalCopy()); got != n {
-			t.Errorf("%d records after 70 s of beats, %d before", got, n)
+			t.Errorf("%d records after 70 s of heartbeats, %d before", got, n)
 		}
 		for slots := range maxExtraRecords + 50 {
 			cl.controllers[0].control().Board.Table(func(tb *target.Table, now time.Time) bool {
@@ -337,12 +337,12 @@
 			}
 		}
 		if last.Slots != maxExtraRecords+50 {
-			t.Errorf("the last change is not noted: %+v", last)
+			t.Errorf("the last change is not in the journal: %+v", last)
 		}
 	})
 }
 
-// A gateway that starts may hear old memories of a controller that is cut off, before one that
+// A starting gateway may receive outdated runs from a partitioned controller before it reaches a controller that
 // knows better.
 func TestAGatewayDoubtsWhatAFirmControllerDoesNotKnow(t *testing.T) {
 	runCluster(t, 11, smallCluster, func(cl *cluster) {
@@ -366,7 +366,7 @@
 		x.boot()
 		time.Sleep(2 * time.Second)
 		if r := x.run("i-old"); r.State != target.Ready || r.Suspected() || x.subscriber().Synced() {
-			t.Fatalf("the gateway did not hear of it from a controller that is not fresh: %+v", r)
+			t.Fatalf("the gateway did not receive the run from a controller that is not fresh: %+v", r)
 		}
 		x.subscriber().SetSeeds([]string{seeds[0]})
 		cl.await("fresh controller", 2*time.Second, x.subscriber().Synced)
--- a/internal/control/refused_test.go
+++ b/internal/control/refused_test.go
@@ -12,7 +12,7 @@
 
 // staleCopies are the ways in which a copy of an order reaches a node after the order was refused elsewhere.
 var staleCopies = map[string]struct {
-	hold   func(m *controllerHost) // the node, before the copy comes
+	hold   func(m *controllerHost) // before the copy arrives
 	let    func(m *controllerHost)
 	caller Caller
 }{
@@ -20,13 +20,13 @@
 	"from a caller that has gone meanwhile":     {func(*controllerHost) {}, func(*controllerHost) {}, departedCaller{}},
 }
 
-// departedCaller is a caller that has gone.
+// departedCaller is a caller that has disconnected.
 type departedCaller struct{}
 
 func (departedCaller) Left() bool { return true }
 
-// Guards against an order that was refused coming into force later by another copy of it: the operator sent it to a node that
-// stood still, had it refused by a second node, and mended its cause before the first one woke.
+// Guards against a refused order coming into force later through another copy of it: the operator sent it to a node that
+// was paused, a second node refused it, and the operator fixed the cause before the first node resumed.
 func TestARefusedOrderStaysRefused(t *testing.T) {
 	for name, x := range staleCopies {
 		t.Run(name, func(t *testing.T) {
@@ -42,9 +42,9 @@
 					go func() {
 						first.waitWhileFrozen()
 						<-release
-						cx, end := context.WithTimeout(cl.ctx, 3500*time.Millisecond)
-						defer end()
-						_, err := first.control().ApplyFor(cx, x.caller, bad)
+						callCtx, cancel := context.WithTimeout(cl.ctx, 3500*time.Millisecond)
+						defer cancel()
+						_, err := first.control().ApplyFor(callCtx, x.caller, bad)
 						copied <- err
 					}()
 					if ps, err := cl.apply(second, bad); len(ps) == 0 || err != nil {
@@ -63,7 +63,7 @@
 							t.Errorf("%s has the refused route in force", g.id)
 						}
 					}
-					// The same order, given anew, is taken: by another node, and by the same one soon after.
+					// The same order, sent again, is accepted by another node, and soon after by the same one.
 					cl.mustApply(bad, []*controllerHost{second})
 					time.Sleep(2 * time.Second)
 					cl.mustApply(Change{Routes: []route.Route{routeTo("new", 21, "beta")}}, []*controllerHost{first})
--- a/internal/control/report_test.go
+++ b/internal/control/report_test.go
@@ -26,9 +26,9 @@
 			t.Errorf("%+v", r)
 		}
 		time.Sleep(10 * time.Second)
-		// All are silent; two of the five that live are held for it.
+		// All runs are silent, but only two of the five that have not ended are suspected for it.
 		if r := m.control().Report(); r.Suspected != 2 || r.Runs["ready"] != 4 {
-			t.Errorf("silent for 10 s: %+v", r)
+			t.Errorf("after 10 s of silence: %+v", r)
 		}
 	})
 }
--- a/internal/control/restore_test.go
+++ b/internal/control/restore_test.go
@@ -10,7 +10,7 @@
 	"walkrudder/internal/sim/simnet"
 )
 
-// storeItems writes items onto the disks of controllers that have not started yet.
+// storeItems writes items to the disks of controllers that have not started yet.
 func (cl *cluster) storeItems(items []item.Item) {
 	for _, m := range cl.controllers {
 		if m.disk == nil {
@@ -24,8 +24,8 @@
 	}
 }
 
-// A system that starts on restored disks shows the whole configuration, takes newer changes, and
-// goes back for no older one, also of what was dropped.
+// A system that starts on restored disks serves the whole configuration, accepts newer changes, and does
+// not go back to older versions, including those of dropped items.
 func TestASystemStartsOnARestoredConfiguration(t *testing.T) {
 	service := route.Service{Name: "s", Version: 3, Health: "/h", Source: []byte("{}")}
 	old := sampleRoute("r", 7)
@@ -47,7 +47,7 @@
 	})
 }
 
-// sampleRoute is a route to the service s.
+// sampleRoute returns a route to the service s.
 func sampleRoute(name string, version uint64) route.Route {
 	return route.Route{Name: name, Version: version, Host: "h", Prefix: "/" + name + "/", Repeat: route.Idempotent,
 		Shares: []route.Share{{Service: "s", Weight: 1}}, Source: []byte(name)}
--- a/internal/control/seeds_test.go
+++ b/internal/control/seeds_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// A controller that starts with an empty disk and other seeds than it had finds the core
-// through whichever seed is up, though that one may have no disk and follow no seat but
-// by what others told it.
+// A controller that starts with an empty disk and other seeds than before finds the core through
+// whichever seed is up, even if that seed has no disk and knows the seats only from other
+// controllers.
 func TestAnEmptyDiskFindsTheCoreByOneSeed(t *testing.T) {
 	for name, only := range map[string]int{"a controller without a disk": 6, "a voter": 2} {
 		t.Run(name, func(t *testing.T) {
@@ -19,7 +19,7 @@
 					m.kill()
 				}
 				lost.disk.wipe()
-				time.Sleep(12 * time.Second) // the others forget whom they do not need
+				time.Sleep(12 * time.Second) // the others forget nodes that they do not need
 				cl.mu.Lock()
 				cl.seeds = []string{lost.addr, down.addr, other.addr, cl.controllers[only].addr}
 				cl.mu.Unlock()
@@ -33,8 +33,8 @@
 	}
 }
 
-// Seeds that are exchanged while a controller runs are asked at once. Nobody else knows of
-// this one, so that it must find the others itself.
+// Seeds that are replaced while a controller runs are asked at once. No other node knows this
+// controller, so it must find the others itself.
 func TestNewSeedsAreAskedAtOnce(t *testing.T) {
 	runCluster(t, 10, smallCluster, func(cl *cluster) {
 		cl.mustApply(baseChange(3), cl.controllers)
@@ -46,7 +46,7 @@
 		m.boot()
 		time.Sleep(3 * time.Second)
 		if m.control().Ready() {
-			t.Fatal("found the core by no seed")
+			t.Fatal("found the core without a working seed")
 		}
 		m.control().SetSeeds([]string{"in-nobody", seeds[2]})
 		cl.await("freshness", time.Second, func() bool { return m.control().Ready() })
--- a/internal/control/stop_test.go
+++ b/internal/control/stop_test.go
@@ -10,7 +10,7 @@
 	"walkrudder/internal/watch"
 )
 
-// A controller that is about to stop sends everybody on before it is gone, and answers until
+// A stopping controller moves its followers and targets to other controllers before it ends, and answers until
 // then.
 func TestAPlannedStopIsToldAtOnce(t *testing.T) {
 	eachSeed(t, func(cl *cluster) {
@@ -35,17 +35,17 @@
 			for _, service := range []string{"a", "b", "c", "d"} {
 				for _, o := range cl.controllers {
 					if h, ok := o.control().HomeMember(service, m.zone); !ok || h.ID == m.id {
-						t.Errorf("%s names %s for later beats, which stops", o.id, h.ID)
+						t.Errorf("%s names %s, which is stopping, as home", o.id, h.ID)
 					}
 				}
 			}
 			if err := cl.sendHeartbeat(m, target.Beat{ID: "i-" + m.id, Service: "a", Addr: "10.0.0.1:80", Zone: m.zone, Slots: 2, Seq: 1, Draining: true}); err != nil {
-				t.Errorf("a controller that stops does not hold a leaving: %v", err)
+				t.Errorf("a stopping controller does not store a departure: %v", err)
 			}
 			cl.expectState("i-"+m.id, target.Draining, cl.gateways)
 			time.Sleep(100 * time.Millisecond)
 			m.kill()
-			// Nobody notices the end.
+			// The end of the process has no visible effect.
 			for range 30 {
 				time.Sleep(100 * time.Millisecond)
 				for _, x := range cl.gateways {
@@ -56,7 +56,7 @@
 			}
 			m.boot()
 			cl.await("return", 8*time.Second, func() bool { return m.control().Ready() })
-			cl.await("return of the others' trust", 5*time.Second, func() bool {
+			cl.await("acceptance by the other controllers", 5*time.Second, func() bool {
 				return lo.EveryBy(others, func(o *controllerHost) bool {
 					return lo.ContainsBy(o.control().Mesh.Near(), func(x watch.Member) bool { return x.ID == m.id })
 				})
--- a/internal/control/upgrade_test.go
+++ b/internal/control/upgrade_test.go
@@ -11,24 +11,24 @@
 	"walkrudder/internal/upgrade"
 )
 
-// mustReadUpgrade has a service's upgrade read at a controller, again until it is answered.
+// mustReadUpgrade reads a service's upgrade from a controller, retrying until it is answered.
 func (cl *cluster) mustReadUpgrade(m *controllerHost, service string) upgrade.Upgrade {
 	cl.t.Helper()
 	for range 40 {
-		cx, end := context.WithTimeout(cl.ctx, 3*time.Second)
-		u, err := m.control().Upgrade(cx, service)
-		end()
+		callCtx, cancel := context.WithTimeout(cl.ctx, 3*time.Second)
+		u, err := m.control().Upgrade(callCtx, service)
+		cancel()
 		if err == nil {
 			return u
 		}
 		time.Sleep(250 * time.Millisecond)
 	}
-	cl.t.Fatalf("%s does not tell the upgrade of %s", m.id, service)
+	cl.t.Fatalf("%s does not return the upgrade of %s", m.id, service)
 	return upgrade.Upgrade{}
 }
 
-// Of two orders that are given to two controllers at once one is acknowledged, the other is told that one is under way,
-// and all tell the same of it.
+// Of two concurrent orders at two controllers one is acknowledged, the other is refused because an upgrade is under way,
+// and all controllers return the acknowledged one.
 func TestOneOfTwoOrdersAtOnceIsTaken(t *testing.T) {
 	for seed := range uint64(12) {
 		runCluster(t, 900+seed, smallCluster, func(cl *cluster) {
@@ -39,9 +39,9 @@
 			var both sync.WaitGroup
 			for i, o := range orders {
 				both.Go(func() {
-					cx, end := context.WithTimeout(cl.ctx, 3*time.Second)
-					defer end()
-					errs[i] = nodes[i].control().StartUpgrade(cx, nil, o)
+					callCtx, cancel := context.WithTimeout(cl.ctx, 3*time.Second)
+					defer cancel()
+					errs[i] = nodes[i].control().StartUpgrade(callCtx, nil, o)
 				})
 			}
 			both.Wait()
@@ -54,15 +54,15 @@
 			}
 			for _, m := range cl.controllers {
 				if u := cl.mustReadUpgrade(m, "a"); u.To != orders[won].To || u.Number != 1 {
-					t.Errorf("%s tells %+v, acknowledged was %s", m.id, u, orders[won].To)
+					t.Errorf("%s returns %+v, acknowledged was %s", m.id, u, orders[won].To)
 				}
 			}
 		})
 	}
 }
 
-// An order that was decided by a controller which ended before it showed it is found by the next: it is not lost, and
-// nothing is decided beside it.
+// An order that was decided by a controller which ended before publishing it is found by the next controller: it is not
+// lost, and no other order is decided in addition.
 func TestAStepThatNobodyShowedIsFound(t *testing.T) {
 	for seed := range uint64(6) {
 		runCluster(t, 920+seed, smallCluster, func(cl *cluster) {
@@ -74,21 +74,21 @@
 			}
 			first.kill()
 			time.Sleep(time.Second)
-			cx, end := context.WithTimeout(cl.ctx, 3*time.Second)
-			defer end()
+			callCtx, cancel := context.WithTimeout(cl.ctx, 3*time.Second)
+			defer cancel()
 			other := cl.controllers[1].control()
-			if err := other.StartUpgrade(cx, nil, upgrade.Order{Service: "a", To: "v3", Term: time.Hour}); !errors.Is(err, ErrUpgradeInProgress) {
-				t.Errorf("another order beside it: %v", err)
+			if err := other.StartUpgrade(callCtx, nil, upgrade.Order{Service: "a", To: "v3", Term: time.Hour}); !errors.Is(err, ErrUpgradeInProgress) {
+				t.Errorf("another order in addition: %v", err)
 			}
 			if got := cl.mustReadUpgrade(cl.controllers[2], "a"); got.To != "v2" {
-				t.Errorf("%+v stands", got)
+				t.Errorf("%+v is in force", got)
 			}
 		})
 	}
 }
 
-// An upgrade that two controllers end in two ways at once ends in one, which all tell from then on, also after a loss of
-// everything volatile.
+// When two controllers concurrently end an upgrade in different ways, it ends in one of them. All controllers return that
+// one from then on, also after all processes were lost.
 func TestAnUpgradeEndsInOneWay(t *testing.T) {
 	for seed := range uint64(12) {
 		runCluster(t, 940+seed, smallCluster, func(cl *cluster) {
@@ -123,20 +123,20 @@
 			time.Sleep(5 * time.Second)
 			for _, m := range cl.controllers {
 				if got := cl.mustReadUpgrade(m, "a"); got.Phase != ends[won].Phase || got.Number != 2 {
-					t.Errorf("%s tells %+v, decided was %s", m.id, got, ends[won].Phase)
+					t.Errorf("%s returns %+v, decided was %s", m.id, got, ends[won].Phase)
 				}
 			}
 		})
 	}
 }
 
-// An operator takes an upgrade back; one that has ended stays as it ended.
+// An operator reverts an upgrade; one that has ended keeps its outcome.
 func TestAnOperatorTakesAnUpgradeBack(t *testing.T) {
 	runCluster(t, 960, smallCluster, func(cl *cluster) {
 		cl.mustApply(baseChange(2), cl.controllers)
 		n := cl.controllers[0].control()
 		if err := n.RevertUpgrade(cl.ctx, "a"); !errors.Is(err, ErrNoUpgrade) {
-			t.Errorf("none: %v", err)
+			t.Errorf("revert without an upgrade: %v", err)
 		}
 		if err := n.StartUpgrade(cl.ctx, nil, upgrade.Order{Service: "a", To: "v2", Term: time.Hour}); err != nil {
 			t.Fatal(err)
--- a/internal/control/world_test.go
+++ b/internal/control/world_test.go
@@ -26,10 +26,10 @@
 
 var seeds = flag.Int("control.seeds", defaultSeeds, "how many seeds the random runs of this package take")
 
-// propagationLimit is the time in which what is acknowledged must be known at every gateway.
+// propagationLimit is the time within which every gateway must know what was acknowledged.
 const propagationLimit = 2 * time.Second
 
-// controllerHost is a machine that runs a control node.
+// controllerHost is a machine that runs a control-plane node.
 type controllerHost struct {
 	*host
 	cluster *cluster
@@ -41,8 +41,8 @@
 	node *Node
 }
 
-// gatewayHost is a machine that runs a subscriber. It notes whatever goes back within one
-// life.
+// gatewayHost is a machine that runs a subscriber. It fails the test when an item or run
+// regresses while one process runs.
 type gatewayHost struct {
 	*host
 	cluster *cluster
@@ -56,7 +56,7 @@
 	runs         map[string]target.Run
 }
 
-// cluster is a whole deployment on a virtual clock.
+// cluster is a complete deployment on a virtual clock.
 type cluster struct {
 	t            *testing.T
 	ctx          context.Context
@@ -65,7 +65,7 @@
 	controllers  []*controllerHost
 	gateways     []*gatewayHost
 	tolerance    quorum.Tolerance
-	regions      map[string]string // by zone; nil where the deployment has none
+	regions      map[string]string // by zone; nil if the deployment has none
 	initialStart bool
 
 	mu           sync.Mutex
@@ -74,12 +74,12 @@
 	wg           sync.WaitGroup
 }
 
-// clusterShape says how many of everything a world has.
+// clusterShape is the size and layout of a cluster.
 type clusterShape struct {
 	zones, disks, others, gateways int
 	tolerance                      quorum.Tolerance
-	// layout gives the zone of each disk and regions the region of each zone, where they are not
-	// dealt out in turn.
+	// layout gives the zone of each disk, and regions the region of each zone. Without them,
+	// zones are assigned round-robin.
 	layout  []string
 	regions map[string]string
 }
@@ -87,15 +87,15 @@
 var smallCluster = clusterShape{zones: 3, disks: 3, others: 3, gateways: 6, tolerance: quorum.Tolerance{Machines: 1}}
 var largeCluster = clusterShape{zones: 4, disks: 5, others: 3, gateways: 8, tolerance: quorum.Tolerance{Machines: 2}}
 
-// runCluster runs f in a world in which a core is formed and every gateway is synced.
+// runCluster runs f in a cluster that has formed a core and synced every gateway.
 func runCluster(t *testing.T, seed uint64, s clusterShape, f func(cl *cluster)) {
 	runClusterOn(t, seed, s, func(*cluster) {}, f)
 }
 
-// runClusterOn plays as play does, on disks that prepare has written to.
+// runClusterOn is runCluster on disks that prepare has written to.
 func runClusterOn(t *testing.T, seed uint64, s clusterShape, prepare, f func(cl *cluster)) {
 	synctest.Test(t, func(t *testing.T) {
-		ctx, end := context.WithCancel(t.Context())
+		ctx, cancel := context.WithCancel(t.Context())
 		cl := &cluster{t: t, ctx: ctx, rnd: rand.New(rand.NewPCG(seed, 1)), tolerance: s.tolerance, regions: s.regions, initialStart: true, acknowledged: map[item.Key]item.Item{}}
 		cl.net = newNetwork(seed)
 		defer func() {
@@ -105,8 +105,8 @@
 			for _, x := range cl.gateways {
 				x.kill()
 			}
-			end()
-			// What is still on its way gets there.
+			cancel()
+			// Deliver the messages that are still in flight.
 			time.Sleep(10 * time.Second)
 		}()
 		for i := range s.disks + s.others {
@@ -160,7 +160,7 @@
 	return log.NewWithOptions(io.Discard, log.Options{Level: log.FatalLevel})
 }
 
-// up starts the process of a controller.
+// boot starts the process of a controller.
 func (m *controllerHost) boot() {
 	proc := m.Start(m.cluster.ctx, "")
 	m.inc += 1 + uint64(m.cluster.randN(1000))
@@ -190,7 +190,7 @@
 	return m.node
 }
 
-// up starts the process of a gateway, which knows nothing of its life before.
+// boot starts the process of a gateway, which keeps no state from its previous process.
 func (x *gatewayHost) boot() {
 	proc := x.Start(x.cluster.ctx, "")
 	x.inc++
@@ -246,17 +246,17 @@
 	}
 }
 
-// alive are the controllers whose process runs.
+// alive returns the controllers whose process is running.
 func (cl *cluster) alive() []*controllerHost {
 	return lo.Filter(cl.controllers, func(m *controllerHost, _ int) bool { return m.processContext() != nil })
 }
 
-// withDisk are those of ms that have a disk.
+// withDisk returns the hosts that have a disk.
 func withDisk(ms []*controllerHost) []*controllerHost {
 	return lo.Filter(ms, func(m *controllerHost, _ int) bool { return m.disk != nil })
 }
 
-// randN draws from the seed; targets draw side by side.
+// randN draws from the seeded generator; it is safe for concurrent use.
 func (cl *cluster) randN(n int) int {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
@@ -265,7 +265,7 @@
 
 func pick[T any](cl *cluster, of []T) T { return of[cl.randN(len(of))] }
 
-// shuffled is a copy of a list in an order by chance.
+// shuffled returns a copy of a list in random order.
 func shuffled[T any](cl *cluster, of []T) []T {
 	out := slices.Clone(of)
 	for i := len(out) - 1; i > 0; i-- {
@@ -275,7 +275,7 @@
 	return out
 }
 
-// recordAcknowledged keeps in mind what was acknowledged.
+// recordAcknowledged records acknowledged items, and fails the test if two contents of one version were acknowledged.
 func (cl *cluster) recordAcknowledged(is []item.Item) {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
@@ -290,19 +290,19 @@
 	}
 }
 
-// sent is a change with the items that it holds.
+// itemsOf returns the items of a change.
 func itemsOf(c Change) []item.Item {
 	is, _ := c.items()
 	return is
 }
 
-// mustApply sends a change as an operator does: to some controller of those named, again until
-// it is acknowledged. It tells how long that took.
+// mustApply sends a change as an operator does: to the given controllers in turn, until it is
+// acknowledged. It returns how long that took.
 func (cl *cluster) mustApply(c Change, to []*controllerHost) time.Duration {
 	cl.t.Helper()
-	begun := time.Now()
+	start := time.Now()
 	for try := 0; ; try++ {
-		if time.Since(begun) > 20*time.Second {
+		if time.Since(start) > 20*time.Second {
 			cl.t.Fatalf("change not acknowledged: %+v", c)
 		}
 		m := to[try%len(to)]
@@ -312,21 +312,21 @@
 		}
 		if err == nil {
 			cl.recordAcknowledged(itemsOf(c))
-			return time.Since(begun)
+			return time.Since(start)
 		}
 		time.Sleep(50 * time.Millisecond << min(try, 3))
 	}
 }
 
-// apply sends a change once, over the network as it were: a frozen or dead controller does
-// not answer.
+// apply sends a change once, as if over the network: a frozen or dead controller does not
+// answer.
 func (cl *cluster) apply(m *controllerHost, c Change) ([]route.Problem, error) {
 	run := m.processContext()
 	if run == nil {
 		return nil, errRefused
 	}
-	cx, end := context.WithTimeout(cl.ctx, time.Second)
-	defer end()
+	callCtx, cancel := context.WithTimeout(cl.ctx, time.Second)
+	defer cancel()
 	type back struct {
 		ps  []route.Problem
 		err error
@@ -334,7 +334,7 @@
 	ch := make(chan back, 1)
 	go func() {
 		m.waitWhileFrozen()
-		ps, err := m.control().Apply(cx, c)
+		ps, err := m.control().Apply(callCtx, c)
 		m.waitWhileFrozen()
 		if run.Err() == nil {
 			ch <- back{ps, err}
@@ -343,12 +343,12 @@
 	select {
 	case b := <-ch:
 		return b.ps, b.err
-	case <-cx.Done():
-		return nil, cx.Err()
+	case <-callCtx.Done():
+		return nil, callCtx.Err()
 	}
 }
 
-// expectItems checks, once bound has passed, that what was acknowledged now is at gateways.
+// expectItems checks, after propagationLimit, that the gateways have items that were acknowledged now.
 func (cl *cluster) expectItems(is []item.Item, gateways []*gatewayHost) {
 	at := time.Now()
 	cl.wg.Go(func() {
@@ -375,16 +375,16 @@
 	})
 }
 
-// expectAcknowledged checks that everything acknowledged stands at some controller that answers.
+// expectAcknowledged reads the configuration from some controller that answers, and checks that it has everything acknowledged.
 func (cl *cluster) expectAcknowledged(to []*controllerHost) {
 	cl.t.Helper()
 	var st Configuration
 	var err error
 	cl.await("answer to a read", 15*time.Second, func() bool {
 		m := pick(cl, to)
-		cx, end := context.WithTimeout(cl.ctx, time.Second)
-		defer end()
-		st, err = m.control().Current(cx)
+		callCtx, cancel := context.WithTimeout(cl.ctx, time.Second)
+		defer cancel()
+		st, err = m.control().Current(callCtx)
 		return err == nil
 	})
 	got := map[item.Key]item.Item{}
@@ -412,7 +412,7 @@
 	}
 }
 
-// testService and routeTo are items of a test's configuration.
+// testService and routeTo build items of a test configuration.
 func testService(name string, v uint64) route.Service {
 	return route.Service{Name: name, Version: v, Health: "/health", Source: fmt.Appendf(nil, `{"name":%q,"v":%d}`, name, v)}
 }
@@ -422,7 +422,7 @@
 		Source: fmt.Appendf(nil, `{"name":%q,"v":%d}`, name, v)}
 }
 
-// baseChange is the first configuration.
+// baseChange is the initial configuration, with n routes.
 func baseChange(n int) Change {
 	c := Change{Services: []route.Service{testService("a", 1), testService("b", 1)}, Limits: &route.Limits{Version: 1, BodyBytes: 1 << 20}}
 	for i := range n {
