--- a/internal/upgrade/upgrade_test.go
+++ b/internal/upgrade/upgrade_test.go
@@ -16,17 +16,17 @@
 
 var start = time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 
-func begun(t *testing.T) Upgrade {
+func newUpgrade(t *testing.T) Upgrade {
 	t.Helper()
-	u, v := Order{Service: "a", To: "v2", Term: 15 * time.Second}.Take(Upgrade{}, "v1", start)
-	if v != Begun {
+	u, v := Order{Service: "a", To: "v2", Term: 15 * time.Second}.Apply(Upgrade{}, "v1", start)
+	if v != Started {
 		t.Fatalf("verdict %d", v)
 	}
 	return u
 }
 
 func TestAnItemHoldsAnUpgrade(t *testing.T) {
-	u := begun(t).Step(200).Complete([]string{"v0", "v1"})
+	u := newUpgrade(t).WithShare(200).Complete([]string{"v0", "v1"})
 	got, err := FromItem(u.Item())
 	if err != nil || fmt.Sprint(got) != fmt.Sprint(u) {
 		t.Errorf("%+v, %v; want %+v", got, err, u)
@@ -35,43 +35,43 @@
 		t.Error("another body the second time")
 	}
 	for _, version := range []string{"v0", "v1"} {
-		if !got.Denies(version) {
+		if !got.IsDenied(version) {
 			t.Errorf("%s is not denied after it was replaced", version)
 		}
 	}
-	if got.Denies("v2") {
+	if got.IsDenied("v2") {
 		t.Error("the version in force is denied")
 	}
 }
 
 func TestOrders(t *testing.T) {
-	active := begun(t)
-	reverted, completed := active.Revert("bad"), active.Step(Full).Complete(nil)
+	active := newUpgrade(t)
+	reverted, completed := active.Revert("bad"), active.WithShare(FullShare).Complete(nil)
 	same := Order{Service: "a", To: "v2", Term: 15 * time.Second}
 	for name, c := range map[string]struct {
 		was   Upgrade
 		order Order
 		at    time.Duration
-		want  Verdict
+		want  OrderOutcome
 	}{
 		"the same again":              {active, same, time.Second, Repeated},
-		"another version":             {active, Order{Service: "a", To: "v3", Term: time.Second}, time.Second, Busy},
-		"another term":                {active, Order{Service: "a", To: "v2", Term: time.Second}, time.Second, Busy},
+		"another version":             {active, Order{Service: "a", To: "v3", Term: time.Second}, time.Second, Conflicting},
+		"another term":                {active, Order{Service: "a", To: "v2", Term: time.Second}, time.Second, Conflicting},
 		"the same after it ended":     {completed, same, time.Hour, Repeated},
 		"the same soon after a fault": {reverted, same, 14 * time.Second, Repeated},
-		"anew after a fault":          {reverted, same, 16 * time.Second, Begun},
-		"the next version":            {reverted, Order{Service: "a", To: "v3", Term: time.Second}, time.Second, Begun},
+		"anew after a fault":          {reverted, same, 16 * time.Second, Started},
+		"the next version":            {reverted, Order{Service: "a", To: "v3", Term: time.Second}, time.Second, Started},
 	} {
-		u, v := c.order.Take(c.was, "v1", start.Add(c.at))
+		u, v := c.order.Apply(c.was, "v1", start.Add(c.at))
 		if v != c.want {
 			t.Errorf("%s: verdict %d, want %d", name, v, c.want)
 		}
-		if v == Begun && (u.Number != c.was.Number+1 || u.Denies(c.order.To)) {
+		if v == Started && (u.Number != c.was.Number+1 || u.IsDenied(c.order.To)) {
 			t.Errorf("%s: %+v", name, u)
 		}
 	}
 	for _, o := range []Order{{To: "v2", Term: 1}, {Service: "a", Term: 1}, {Service: "a", To: "v2"}, {Service: "a", To: "v2", Term: -1}} {
-		if o.Check() == nil {
+		if o.Validate() == nil {
 			t.Errorf("%+v is taken", o)
 		}
 	}
@@ -81,11 +81,11 @@
 func TestPhasesNeverGoBack(t *testing.T) {
 	for seed := range uint64(2000) {
 		rnd := rand.New(rand.NewPCG(seed, 1))
-		u := begun(t)
+		u := newUpgrade(t)
 		for range 40 {
-			e := Evidence{Elapsed: time.Duration(rnd.Int64N(int64(16 * time.Second))), Tried: time.Duration(rnd.Int64N(int64(16 * time.Second))), Standing: time.Duration(rnd.Int64N(int64(2 * time.Second))),
-				OldSlots: 10, NewSlots: rnd.IntN(20), Enough: rnd.IntN(3) > 0, Bad: rnd.IntN(30) == 0, Away: rnd.IntN(2) == 0}
-			next, due := u.Plan(e)
+			e := Evidence{Elapsed: time.Duration(rnd.Int64N(int64(16 * time.Second))), SinceFirstAnswer: time.Duration(rnd.Int64N(int64(16 * time.Second))), SinceStep: time.Duration(rnd.Int64N(int64(2 * time.Second))),
+				OldSlots: 10, NewSlots: rnd.IntN(20), EnoughAnswers: rnd.IntN(3) > 0, Degraded: rnd.IntN(30) == 0, OldDrained: rnd.IntN(2) == 0}
+			next, due := u.NextStep(e)
 			if !due {
 				continue
 			}
@@ -94,77 +94,79 @@
 			}
 			u = next
 		}
-		if e := (Evidence{Elapsed: time.Hour, Standing: time.Hour}); u.Active() {
-			if next, due := u.Plan(e); !due || next.Active() {
+		if e := (Evidence{Elapsed: time.Hour, SinceStep: time.Hour}); u.Active() {
+			if next, due := u.NextStep(e); !due || next.Active() {
 				t.Fatalf("seed %d: %+v goes on after its term", seed, u)
 			}
 		}
 	}
 }
 
-// lanes are how a gateway treats three versions.
-func lanes(v *Versions) [3]Lane { return [3]Lane{v.Lane("v1"), v.Lane("v2"), v.Lane("v3")} }
+// trafficClasses are how a gateway treats three versions.
+func trafficClasses(v *VersionRouting) [3]TrafficClass {
+	return [3]TrafficClass{v.Class("v1"), v.Class("v2"), v.Class("v3")}
+}
 
 func TestVersionsGetNothingBeforeTheirUpgradeIsKnown(t *testing.T) {
-	var v Versions
-	want := func(what string, one, two, three Lane) {
+	var v VersionRouting
+	want := func(what string, one, two, three TrafficClass) {
 		t.Helper()
-		if got := lanes(&v); got != [3]Lane{one, two, three} {
+		if got := trafficClasses(&v); got != [3]TrafficClass{one, two, three} {
 			t.Errorf("%s: %v", what, got)
 		}
 	}
-	v.Seen(map[string]int{"v1": 9, "v2": 2}, start)
-	want("at the first sight", Stable, Barred, Barred)
-	v.Prove(start)
-	want("news as old as that", Stable, Barred, Barred)
-	u := begun(t)
-	v.Take(u)
-	want("canary", Stable, Trial, Barred)
-	v.Prove(start.Add(time.Second))
-	want("news newer than the sight", Stable, Trial, Barred)
-	v.Take(u.Step(200))
-	if v.Take(u) || v.Upgrade().Share != 200 {
+	v.Observe(map[string]int{"v1": 9, "v2": 2}, start)
+	want("at the first sight", Stable, Excluded, Excluded)
+	v.Confirm(start)
+	want("news as old as that", Stable, Excluded, Excluded)
+	u := newUpgrade(t)
+	v.ApplyUpgrade(u)
+	want("canary", Stable, Candidate, Excluded)
+	v.Confirm(start.Add(time.Second))
+	want("news newer than the sight", Stable, Candidate, Excluded)
+	v.ApplyUpgrade(u.WithShare(200))
+	if v.ApplyUpgrade(u) || v.Upgrade().Share != 200 {
 		t.Error("an older step was taken")
 	}
-	v.Take(u.Step(200).Step(Full))
-	want("all", Barred, Stable, Barred)
-	v.Trip()
-	want("all, stopped here", Stable, Barred, Barred)
-	v.Take(u.Step(200).Step(Full).Complete(nil))
-	want("completed", Barred, Stable, Barred)
+	v.ApplyUpgrade(u.WithShare(200).WithShare(FullShare))
+	want("all", Excluded, Stable, Excluded)
+	v.StopLocally()
+	want("all, stopped here", Stable, Excluded, Excluded)
+	v.ApplyUpgrade(u.WithShare(200).WithShare(FullShare).Complete(nil))
+	want("completed", Excluded, Stable, Excluded)
 
-	v = Versions{}
-	v.Seen(map[string]int{"v1": 3}, start)
-	v.Seen(map[string]int{"v1": 3, "v3": 1}, start.Add(time.Second))
-	v.Take(u.Revert("bad"))
-	want("reverted, another one unproven", Stable, Barred, Barred)
-	v.Prove(start.Add(2 * time.Second))
-	want("no upgrade to it was acknowledged", Stable, Barred, Stable)
+	v = VersionRouting{}
+	v.Observe(map[string]int{"v1": 3}, start)
+	v.Observe(map[string]int{"v1": 3, "v3": 1}, start.Add(time.Second))
+	v.ApplyUpgrade(u.Revert("bad"))
+	want("reverted, another one unproven", Stable, Excluded, Excluded)
+	v.Confirm(start.Add(2 * time.Second))
+	want("no upgrade to it was acknowledged", Stable, Excluded, Stable)
 }
 
-// play has a judge see answers of two versions, of which a part is bad, and tells after how many of the new one it was
+// simulate has a judge see answers of two versions, of which a part is bad, and tells after how many of the new one it was
 // found bad; 0 is never. fails is 1 where bad answers are failures, and 0 where they are slow.
-func play(rnd *rand.Rand, answers int, old, new func(target int) float64, fails int) int {
-	j := NewJudge()
+func simulate(rnd *rand.Rand, answers int, old, new func(target int) float64, fails int) int {
+	j := NewAnalyzer()
 	for i := range answers {
 		for range 10 {
 			bad := draw(rnd, old(rnd.IntN(100)))
-			j.Old("r", Tally{1, bad, bad * fails})
+			j.AddOld("r", Tally{1, bad, bad * fails})
 		}
 		target := rnd.IntN(12)
 		bad := draw(rnd, new(target))
-		answer(j, target, Tally{1, bad, bad * fails})
-		if _, bad := j.Bad(); bad {
+		addAnswers(j, target, Tally{1, bad, bad * fails})
+		if _, bad := j.DegradedRoute(); bad {
 			return i + 1
 		}
 	}
 	return 0
 }
 
-// answer has a judge see answers of a target of the new version.
-func answer(j *Judge, target int, t Tally) {
-	j.Target(fmt.Sprint(target), t)
-	j.New("r", t)
+// addAnswers has a judge see answers of a target of the new version.
+func addAnswers(j *Analyzer, target int, t Tally) {
+	j.AddTarget(fmt.Sprint(target), t)
+	j.AddNew("r", t)
 }
 
 func draw(rnd *rand.Rand, p float64) int {
@@ -174,10 +176,10 @@
 	return 0
 }
 
-func always(p float64) func(int) float64 { return func(int) float64 { return p } }
+func constant(p float64) func(int) float64 { return func(int) float64 { return p } }
 
-// few gives a part of the targets a share of bad answers.
-func few(targets int, p float64) func(int) float64 {
+// someTargets gives a part of the targets a share of bad answers.
+func someTargets(targets int, p float64) func(int) float64 {
 	return func(target int) float64 {
 		if target < targets {
 			return p
@@ -194,21 +196,21 @@
 		misses   int // in 1,000 plays: a test over 300 answers may be wrong in 300/e^10 of them
 		fails    int
 	}{
-		"a good version":                             {always(0.002), always(0.002), false, 0, 0, 1},
-		"the whole service is sick":                  {always(0.3), always(0.3), false, 0, 10, 1},
-		"answers are spoilt now and then":            {always(0.02), always(0.03), false, 0, 0, 0},
-		"a few more fail than did":                   {always(0.02), always(0.03), false, 0, 14, 1},
-		"half is slow":                               {always(0.01), always(0.5), true, 70, 10, 0},
-		"one of twelve machines is slow":             {few(8, 0.9), few(1, 0.9), false, 0, 0, 1},
-		"a third fails":                              {always(0.002), always(0.35), true, 60, 10, 1},
-		"one in eight fails":                         {always(0.002), always(0.125), true, 150, 10, 1},
-		"half fails":                                 {always(0.002), always(0.5), true, 40, 10, 1},
-		"half fails, and a tenth of the old answers": {always(0.1), always(0.55), true, 60, 10, 1},
+		"a good version":                             {constant(0.002), constant(0.002), false, 0, 0, 1},
+		"the whole service is sick":                  {constant(0.3), constant(0.3), false, 0, 10, 1},
+		"answers are spoilt now and then":            {constant(0.02), constant(0.03), false, 0, 0, 0},
+		"a few more fail than did":                   {constant(0.02), constant(0.03), false, 0, 14, 1},
+		"half is slow":                               {constant(0.01), constant(0.5), true, 70, 10, 0},
+		"one of twelve machines is slow":             {someTargets(8, 0.9), someTargets(1, 0.9), false, 0, 0, 1},
+		"a third fails":                              {constant(0.002), constant(0.35), true, 60, 10, 1},
+		"one in eight fails":                         {constant(0.002), constant(0.125), true, 150, 10, 1},
+		"half fails":                                 {constant(0.002), constant(0.5), true, 40, 10, 1},
+		"half fails, and a tenth of the old answers": {constant(0.1), constant(0.55), true, 60, 10, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			misses := 0
 			for seed := range uint64(1000) {
-				at := play(rand.New(rand.NewPCG(seed, 7)), 300, c.old, c.new, c.fails)
+				at := simulate(rand.New(rand.NewPCG(seed, 7)), 300, c.old, c.new, c.fails)
 				if c.bad && (at == 0 || at > c.within) || !c.bad && at > 0 {
 					misses++
 				}
@@ -225,15 +227,15 @@
 	for fails, within := range []int{130, 80} { // slow answers, failures
 		for seed := range uint64(200) {
 			rnd := rand.New(rand.NewPCG(seed, 3))
-			j := NewJudge()
+			j := NewAnalyzer()
 			for i := 0; ; i++ {
-				j.Old("r", Tally{10, 0, 0})
+				j.AddOld("r", Tally{10, 0, 0})
 				bad := 0
 				if i >= 500 {
 					bad = draw(rnd, 0.4)
 				}
-				answer(j, rnd.IntN(12), Tally{1, bad, bad * fails})
-				if _, found := j.Bad(); found {
+				addAnswers(j, rnd.IntN(12), Tally{1, bad, bad * fails})
+				if _, found := j.DegradedRoute(); found {
 					break
 				}
 				if i > 500+within {
@@ -244,13 +246,13 @@
 	}
 }
 
-// reports is a line that keeps the reports that it is to bring.
-type reports struct {
+// recordingLink is a line that keeps the reports that it is to bring.
+type recordingLink struct {
 	mu   sync.Mutex
 	asks map[string][]ReportAsk
 }
 
-func (r *reports) Call(_ context.Context, addr string, ask any) (any, error) {
+func (r *recordingLink) Call(_ context.Context, addr string, ask any) (any, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.asks[addr] = append(r.asks[addr], ask.(ReportAsk))
@@ -260,18 +262,18 @@
 // A gateway reports to those controllers, and no others, that the controllers themselves take for the first in rank.
 func TestReportsGoToTheFirstInRank(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		line := &reports{asks: map[string][]ReportAsk{}}
+		line := &recordingLink{asks: map[string][]ReportAsk{}}
 		ids := map[string]string{"c1": "a1", "c2": "a2", "c3": "a3", "c4": "a4", "c5": "a5"}
-		r := Reporter{Line: line, Clock: clock.Wall{}, Inc: 7, Controllers: func() map[string]string { return ids },
+		r := Reporter{Link: line, Clock: clock.Wall{}, Incarnation: 7, Controllers: func() map[string]string { return ids },
 			Reports: func() []Report { return []Report{{Service: "a"}} }}
-		ctx, end := context.WithTimeout(t.Context(), 5*reportEvery+reportEvery/2)
+		ctx, end := context.WithTimeout(t.Context(), 5*reportInterval+reportInterval/2)
 		defer end()
 		r.Run(ctx)
 		synctest.Wait()
-		ranked := Rank("a", slices.Collect(maps.Keys(ids)))
+		ranked := RankControllers("a", slices.Collect(maps.Keys(ids)))
 		for i, id := range ranked {
 			got := line.asks[ids[id]]
-			if want := 5 * max(0, min(1, Directors-i)); len(got) != want {
+			if want := 5 * max(0, min(1, CoordinatorsPerService-i)); len(got) != want {
 				t.Errorf("%s, in rank %d, got %d reports, want %d", id, i, len(got), want)
 			}
 			for k, ask := range got {
@@ -300,9 +302,9 @@
 
 // troubledMachinesLookBad plays answers of a good version one in seven of whose targets fails two fifths of its requests.
 func troubledMachinesLookBad(rnd *rand.Rand) bool {
-	j := NewJudge()
+	j := NewAnalyzer()
 	for i := range 1500 {
-		j.Old("r", Tally{3, 0, 0})
+		j.AddOld("r", Tally{3, 0, 0})
 		target := rnd.IntN(12)
 		if i >= 300 {
 			target = rnd.IntN(264)
@@ -311,8 +313,8 @@
 		if target%7 == 3 {
 			bad = draw(rnd, 0.4)
 		}
-		answer(j, target, Tally{1, bad, bad})
-		if _, found := j.Bad(); found {
+		addAnswers(j, target, Tally{1, bad, bad})
+		if _, found := j.DegradedRoute(); found {
 			return true
 		}
 	}
--- a/tools/hollow/shape_test.go
+++ b/tools/hollow/shape_test.go
@@ -17,7 +17,7 @@
 			} else {
 				done[k] = true
 			}
-			b := route.NewBook()
+			b := route.NewValidator()
 			first := change(Order{Count: c.Routes, Services: c.Services, Version: 1})
 			var all []item.Item
 			for _, s := range first.Services {
@@ -32,7 +32,7 @@
 				}
 				all = append(all, r.Item())
 			}
-			if ps := b.Problems(all); len(ps) > 0 {
+			if ps := b.Validate(all); len(ps) > 0 {
 				t.Errorf("%s: %v", c.Name, ps[0])
 			}
 			later := change(Order{Count: c.Changes, Services: c.Services, Version: 2})
