--- a/internal/budget/budget_test.go
+++ b/internal/budget/budget_test.go
@@ -18,7 +18,7 @@
 	slack  = 66
 )
 
-// sendRecorder notes per tick what a service got, over all nodes, and checks the promise.
+// sendRecorder counts per tick the sends that a service got from all nodes, and checks the guarantee.
 type sendRecorder struct{ requests, extraSends []int }
 
 func (w *sendRecorder) add(list *[]int, at time.Duration) {
@@ -29,8 +29,8 @@
 	(*list)[i]++
 }
 
-// worstExcess is by how much the promise, here without the users' third window, is broken in
-// the worst window, below 0 if in none.
+// worstExcess is the number of sends over the guaranteed limit in the worst window, negative if no
+// window exceeds it. The limit here is without the third window that users were promised.
 func (w *sendRecorder) worstExcess(slack float64) float64 {
 	n := max(len(w.requests), len(w.extraSends))
 	sums := func(list []int) []int {
@@ -63,7 +63,7 @@
 	return n
 }
 
-// A check that sees nothing would pass every budget.
+// Guards against a check that detects nothing and so accepts every budget.
 func TestWatchSeesABrokenPromise(t *testing.T) {
 	var w sendRecorder
 	for range 100 {
@@ -73,16 +73,16 @@
 		w.add(&w.extraSends, 10*time.Second)
 	}
 	if got := w.worstExcess(slack); got != 0 {
-		t.Fatalf("a promise just kept is seen as %v", got)
+		t.Fatalf("excess %v at the limit, want 0", got)
 	}
 	w.add(&w.extraSends, 14*time.Second)
 	if got := w.worstExcess(slack); got != 1 {
-		t.Fatalf("a promise broken by one is seen as %v", got)
+		t.Fatalf("excess %v with one send over the limit, want 1", got)
 	}
 }
 
-// load is how many requests a second come to all nodes at a time, and how eager they
-// are to send more.
+// load is the rate of requests to all nodes over time, and the probability that a node asks for
+// an extra send.
 type load struct {
 	name            string
 	rate            func(at time.Duration) float64
@@ -91,7 +91,7 @@
 
 func steady(v float64) func(time.Duration) float64 { return func(time.Duration) float64 { return v } }
 
-// pulses is v for the first part of each period and 0 for the rest.
+// pulses is v for the first part (a ratio) of each period and 0 for the rest.
 func pulses(v float64, period time.Duration, part float64) func(time.Duration) float64 {
 	return func(at time.Duration) float64 {
 		if float64(at%period) < part*float64(period) {
@@ -101,15 +101,15 @@
 	}
 }
 
-// nodeSet plays nodes that share a service: they die, come again as fresh processes, and
-// become twice as many for a while.
+// nodeSet simulates nodes that share a service: they fail, restart as new processes, and
+// double in number for a while.
 type nodeSet struct {
 	rng             *rand.Rand
-	nodes           []*Budget // nil is down
+	nodes           []*Budget // nil if down
 	restartAt       []time.Time
 	recorder        sendRecorder
-	churn           float64 // deaths a node and second
-	missProbability float64 // the chance that a node misses all tellings of a second
+	churn           float64 // failures per node and second
+	missProbability float64 // probability that a node misses all reports in a second
 }
 
 func (f *nodeSet) alive() (n int) {
@@ -121,25 +121,25 @@
 	return n
 }
 
-// delay is how long a request or a sending was on its way, within the grain.
+// delay is a random network delay of a request or a send, within one slot.
 func (f *nodeSet) delay() time.Duration {
 	return time.Duration(f.rng.Float64() * float64(window/slotsPerWindow))
 }
 
 func (f *nodeSet) run(l load, length time.Duration, double bool) {
-	few := len(f.nodes)
+	initial := len(f.nodes)
 	for i := range f.nodes {
 		f.nodes[i] = New(ratio, window, slack, clock.Wall{})
 	}
 	for at := time.Duration(0); at < length; at += tick {
 		if double && at == length/3 {
-			for range few {
+			for range initial {
 				f.nodes = append(f.nodes, New(ratio, window, slack, clock.Wall{}))
 				f.restartAt = append(f.restartAt, time.Time{})
 			}
 		}
 		if double && at == 2*length/3 {
-			f.nodes, f.restartAt = f.nodes[:few], f.restartAt[:few]
+			f.nodes, f.restartAt = f.nodes[:initial], f.restartAt[:initial]
 		}
 		for i, b := range f.nodes {
 			switch {
@@ -200,7 +200,7 @@
 						}
 						f.run(l, 100*time.Second, double)
 						if over := f.recorder.worstExcess(slack); over > 0 {
-							t.Errorf("seed %d: the promise is broken by %v sends", seed, over)
+							t.Errorf("seed %d: limit exceeded by %v sends", seed, over)
 						}
 						if f.recorder.totalExtra() == 0 {
 							t.Errorf("seed %d: nothing was sent", seed)
@@ -212,11 +212,11 @@
 	}
 }
 
-// The bound that looks enough, by the window that ends now, breaks the promise; so the
-// test above is sharp enough to tell them apart.
+// A limit by the window that ends now, which seems sufficient, violates the guarantee. This shows
+// that the test above can detect it.
 func TestBoundByTheOwnWindowAloneIsNotEnough(t *testing.T) {
 	var w sendRecorder
-	var firsts, extra []time.Duration
+	var requests, extraSends []time.Duration
 	in := func(list []time.Duration, at time.Duration) (n int) {
 		for _, a := range list {
 			if a > at-window {
@@ -228,23 +228,23 @@
 	rate := pulses(1000, 15*time.Second, 0.3)
 	for at := time.Duration(0); at < 60*time.Second; at += tick {
 		for range int(rate(at) * tick.Seconds()) {
-			firsts = append(firsts, at)
+			requests = append(requests, at)
 			w.add(&w.requests, at)
 		}
 		if at%(250*time.Millisecond) != 0 {
 			continue
 		}
-		for f := in(firsts, at); float64(in(extra, at)+1) <= ratio*float64(f); {
-			extra = append(extra, at)
+		for f := in(requests, at); float64(in(extraSends, at)+1) <= ratio*float64(f); {
+			extraSends = append(extraSends, at)
 			w.add(&w.extraSends, at)
 		}
 	}
 	if over := w.worstExcess(0); over <= 0 {
-		t.Fatalf("the naive bound keeps the promise (%v)", over)
+		t.Fatalf("the naive limit keeps the guarantee (excess %v)", over)
 	}
 }
 
-// A bound that lets nothing through would keep the promise, too.
+// Guards against a limit that admits no extra sends, which would also keep the guarantee.
 func TestSteadyLoadGetsItsShare(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &nodeSet{rng: rand.New(rand.NewPCG(1, 1)), nodes: make([]*Budget, 13), restartAt: make([]time.Time, 13)}
@@ -253,9 +253,9 @@
 		for _, n := range f.recorder.extraSends[len(f.recorder.extraSends)/2:] {
 			secondHalf += n
 		}
-		perWindow := float64(secondHalf) / 5 // a window
+		perWindow := float64(secondHalf) / 5
 		if want := safetyFactor*ratio*2000 + safetyFactor*slack; perWindow < 0.85*want || perWindow > want {
-			t.Errorf("%v further sends a window, want nearly %v", perWindow, want)
+			t.Errorf("%v extra sends per window, want nearly %v", perWindow, want)
 		}
 	})
 }
@@ -265,7 +265,7 @@
 		b := New(ratio, window, slack, clock.Wall{})
 		a := b.ForService("s")
 		if a.TryExtraSend() {
-			t.Fatal("a fresh node without requests sends more")
+			t.Fatal("a new node without requests got an extra send")
 		}
 		for range 5 {
 			b.SetNodes(1)
@@ -279,7 +279,7 @@
 			n++
 		}
 		if want := int(safetyFactor * ratio / 2 * 500); n != want {
-			t.Errorf("%d further sends, want %d", n, want)
+			t.Errorf("%d extra sends, want %d", n, want)
 		}
 	})
 }
@@ -291,7 +291,7 @@
 	return n
 }
 
-// reportNodes has the number of nodes told each second.
+// reportNodes reports the number of nodes every second.
 func reportNodes(b *Budget, n, seconds int) {
 	for range seconds {
 		b.SetNodes(n)
@@ -320,26 +320,26 @@
 				b := New(ratio, window, slack, clock.Wall{})
 				c.then(b)
 				if n := takeAll(b.ForService("s")); n != c.want {
-					t.Errorf("%d further sends, want %d", n, c.want)
+					t.Errorf("%d extra sends, want %d", n, c.want)
 				}
 				if n := takeAll(b.ForService("other")); n != c.want {
-					t.Errorf("%d further sends for another service, want %d", n, c.want)
+					t.Errorf("%d extra sends for another service, want %d", n, c.want)
 				}
 			})
 		})
 	}
 }
 
-// runManyNodes play far more nodes than the slack has sends, so that they round by lot. Their
-// loads differ: what a node gets of the requests is its weight.
+// runManyNodes simulates far more nodes than the slack has sends, so that they round randomly. With
+// skew the nodes get different shares of the requests, by weight.
 func runManyNodes(seed uint64, n int, rate float64, skew bool, churn float64, length time.Duration) *sendRecorder {
 	const step = 100 * time.Millisecond
 	rng, draws := rand.New(rand.NewPCG(seed, 11)), rand.New(rand.NewPCG(seed, 13))
-	fresh := func() *Budget { return NewWithRandom(ratio, window, slack, clock.Wall{}, draws.Float64) }
+	newNode := func() *Budget { return NewWithRandom(ratio, window, slack, clock.Wall{}, draws.Float64) }
 	nodes, weights := make([]*Budget, n), make([]float64, n)
 	sum := 0.0
 	for i := range nodes {
-		nodes[i] = fresh()
+		nodes[i] = newNode()
 		weights[i] = 1
 		if skew {
 			weights[i] = 0.05 + rng.ExpFloat64()
@@ -350,7 +350,7 @@
 	for at := time.Duration(0); at < length; at += step {
 		for i, b := range nodes {
 			if rng.Float64() < churn*step.Seconds() {
-				nodes[i] = fresh()
+				nodes[i] = newNode()
 				continue
 			}
 			if at%time.Second == 0 {
@@ -372,23 +372,23 @@
 	return &w
 }
 
-// drawSeeds is over how many draws of the lots the nodes are judged.
+// drawSeeds is the number of runs per case, each with its own random numbers.
 const drawSeeds = 12
 
-// Where a node's share is below one further send, the nodes together send nearly their
-// share all the same, and keep the promise in every window.
+// Where a node's limit is below one extra send, the nodes together must still send nearly their
+// share, and keep the guarantee in every window.
 //
-// The promise is to hold in each play. How much is sent is a matter of the lots, and is judged over all plays of a case: a lot
-// stands for eight windows, longer than a play, so the nodes that may round up are drawn once in it. They are a Poisson
-// number nearly: lean x share x ratio x R, which is 19 for the rare service, whose spread of 4.4 is a quarter of
-// what is sent.
+// The guarantee must hold in each run. The number of sends depends on the random numbers, and is checked over all runs of a
+// case: a random number is valid for eight windows, longer than a run, so the nodes that may round up are selected once per
+// run. Their number is nearly Poisson distributed with the mean roundingBias x safetyFactor x ratio x R, which is 19 for the
+// rare service; its standard deviation of 4.4 is a quarter of what is sent.
 func TestManyNodesSendByLot(t *testing.T) {
 	for i, c := range []struct {
 		name        string
 		nodes       int
 		rate, churn float64
 		skew        bool
-		// least is the part of ratio x requests that is sent; none is in the first 17 s of 60.
+		// least is the minimum number of sends relative to ratio x requests; none are sent in the first 17 s of 60.
 		least float64
 	}{
 		{"the mean rate", 680, 333, 0, false, 0.2},
@@ -399,21 +399,21 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			firsts, spent := 0, 0
+			requests, extraSends := 0, 0
 			for k := range uint64(drawSeeds) {
 				seed := uint64(i) + 5*k
 				synctest.Test(t, func(t *testing.T) {
 					w := runManyNodes(seed, c.nodes, c.rate, c.skew, c.churn, 60*time.Second)
 					if over := w.worstExcess(slack); over > 0 {
-						t.Errorf("seed %d: the promise is broken by %v sends", seed, over)
+						t.Errorf("seed %d: limit exceeded by %v sends", seed, over)
 					}
-					firsts += total(w.requests)
-					spent += w.totalExtra()
+					requests += total(w.requests)
+					extraSends += w.totalExtra()
 				})
 			}
-			t.Logf("%d nodes, %d requests, %d further sends", c.nodes, firsts, spent)
-			if want := c.least * ratio * float64(firsts); float64(spent) < want {
-				t.Errorf("%d further sends, want %v at least", spent, want)
+			t.Logf("%d nodes, %d requests, %d extra sends", c.nodes, requests, extraSends)
+			if want := c.least * ratio * float64(requests); float64(extraSends) < want {
+				t.Errorf("%d extra sends, want at least %v", extraSends, want)
 			}
 		})
 	}
@@ -426,23 +426,23 @@
 	return n
 }
 
-// logTail is the chance, as a logarithm, that of n nodes with the chance p each at least k send.
+// logTail is the logarithm of the probability that of n nodes with the probability p each at least k send.
 func logTail(n int, p float64, k int) float64 {
-	lg := func(x int) float64 { v, _ := math.Lgamma(float64(x) + 1); return v }
-	most, sum := math.Inf(-1), 0.0
+	logFactorial := func(x int) float64 { v, _ := math.Lgamma(float64(x) + 1); return v }
+	largest, sum := math.Inf(-1), 0.0
 	var terms []float64
 	for i := k; i <= n; i++ {
-		l := lg(n) - lg(i) - lg(n-i) + float64(i)*math.Log(p) + float64(n-i)*math.Log1p(-p)
-		terms, most = append(terms, l), max(most, l)
+		l := logFactorial(n) - logFactorial(i) - logFactorial(n-i) + float64(i)*math.Log(p) + float64(n-i)*math.Log1p(-p)
+		terms, largest = append(terms, l), max(largest, l)
 	}
 	for _, l := range terms {
-		sum += math.Exp(l - most)
+		sum += math.Exp(l - largest)
 	}
-	return most + math.Log(sum)
+	return largest + math.Log(sum)
 }
 
-// worstLogTail is the largest chance, as a logarithm, that lots break one window, of nodes
-// alike: their number and the fractions of their sums are walked through.
+// worstLogTail is the logarithm of the largest probability that randomized rounding exceeds the limit of
+// one window, over several numbers of identical nodes and fractions of their limits.
 func worstLogTail(bias, margin float64) float64 {
 	worst := math.Inf(-1)
 	for _, n := range []int{60, 100, 300, 680, 2000, 5000} {
@@ -455,63 +455,63 @@
 	return worst
 }
 
-// The exact tails of the sums are as rare as the margin was chosen for, and a rounding
-// that does not lean, which looks fair, is not rare at all.
+// The exact tail probabilities must be as small as the margin was chosen for. Rounding without a bias,
+// which seems fair, exceeds the limit far more often.
 func TestLotsKeepTheMargin(t *testing.T) {
 	for _, slack := range []int{1, 10, 33, 66, 168, 226, 1000} {
 		margin := safetyFactor * float64(slack)
 		if l := worstLogTail(roundingBias(margin), margin); l > -overrunExponent {
-			t.Errorf("slack %d: a window is broken with the chance exp(%v)", slack, l)
+			t.Errorf("slack %d: a window exceeds its limit with probability exp(%v)", slack, l)
 		}
 	}
 	if l := worstLogTail(1, safetyFactor*66); l < -overrunExponent {
-		t.Errorf("rounding that does not lean would do: exp(%v)", l)
+		t.Errorf("rounding without a bias would be sufficient: exp(%v)", l)
 	}
 	if roundingBias(0) != 0 {
-		t.Error("without any slack nobody may round up")
+		t.Error("without any slack no limit may be rounded up")
 	}
 }
 
-// In the first window under a new lot the one before counts too, for both may fall into
-// one window.
+// In the first window under a new random number the previous one counts too, since both may apply
+// within one window.
 func TestLotsChangeOneWindowApart(t *testing.T) {
 	a := New(ratio, window, slack, clock.Wall{}).ForService("s")
 	for at := int64(0); at < 40*drawSlots; at += 7 {
 		l := a.drawAt(at)
 		if early := at%drawSlots < slotsPerWindow+2; early && l > a.previousDraw || l > a.lastDraw || !early && l != a.lastDraw {
-			t.Fatalf("slot %d: lot %v of %v after %v", at, l, a.lastDraw, a.previousDraw)
+			t.Fatalf("slot %d: drawn %v, last %v, previous %v", at, l, a.lastDraw, a.previousDraw)
 		}
 	}
 	old := a.lastDraw
 	if a.drawAt(40 * drawSlots); a.previousDraw != old {
-		t.Errorf("the lot before is %v, want %v", a.previousDraw, old)
+		t.Errorf("previous draw is %v, want %v", a.previousDraw, old)
 	}
 	if a.drawAt(50 * drawSlots); a.previousDraw != 1 {
-		t.Errorf("a lot of long ago, %v, still counts", a.previousDraw)
+		t.Errorf("an expired draw, %v, still counts", a.previousDraw)
 	}
 }
 
-// Nodes that hold the number for large beside nodes that do not give away more than they
-// take.
+// Where only some nodes take the number of nodes for larger than the slack, all together must stay
+// within the limit.
 func TestLotsBesideParts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := int(math.Floor(safetyFactor * slack))
-		all := 0
+		sent := 0
 		for i := range n {
 			b := New(ratio, window, slack, clock.Wall{})
-			told := n
+			reported := n
 			if i%2 > 0 {
-				told = 10 * n
+				reported = 10 * n
 			}
 			for range 18 {
-				b.SetNodes(told)
+				b.SetNodes(reported)
 				b.ForService("s").RecordRequest()
 				time.Sleep(time.Second)
 			}
-			all += takeAll(b.ForService("s"))
+			sent += takeAll(b.ForService("s"))
 		}
-		if all == 0 || float64(all) > safetyFactor*slack+ratio*float64(n)*10 {
-			t.Errorf("%d further sends", all)
+		if sent == 0 || float64(sent) > safetyFactor*slack+ratio*float64(n)*10 {
+			t.Errorf("%d extra sends", sent)
 		}
 	})
 }
@@ -526,10 +526,10 @@
 		over := b.ForService("one more")
 		over.RecordRequest()
 		if over.TryExtraSend() {
-			t.Error("an account beyond the bound sends more")
+			t.Error("an account beyond the limit got an extra send")
 		}
 		if !b.ForService("0").TryExtraSend() {
-			t.Error("an account within it does not")
+			t.Error("an account within the limit got no extra send")
 		}
 		if len(b.accounts) != maxAccounts {
 			t.Errorf("%d accounts", len(b.accounts))
--- a/internal/budget/left_test.go
+++ b/internal/budget/left_test.go
@@ -8,13 +8,13 @@
 	"walkrudder/internal/clock"
 )
 
-// What is left is what can be taken, whatever was asked before; looking takes nothing.
+// Remaining must equal the number of sends that can be taken, also if called repeatedly; it must take none.
 func TestLeftIsWhatCanBeTaken(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := New(ratio, window, slack, clock.Wall{})
 		a := b.ForService("s")
 		if n := a.Remaining(); n != 0 {
-			t.Errorf("%d left of nothing", n)
+			t.Errorf("%d remaining in a new account", n)
 		}
 		anyTaken := false
 		for step := range 300 {
@@ -41,12 +41,12 @@
 			time.Sleep(200 * time.Millisecond)
 		}
 		if !anyTaken {
-			t.Error("nothing was ever left")
+			t.Error("no send was ever available")
 		}
 	})
 }
 
-// Where sums are rounded by lot, what is left is told under the lot that a send would have.
+// Where limits are rounded randomly, Remaining must use the same random number as a send.
 func TestLeftKnowsTheLot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		anyTaken := false
@@ -59,7 +59,7 @@
 				time.Sleep(time.Second)
 				a.TryExtraSend()
 			}
-			for range 12 { // half a send more
+			for range 12 { // half an extra send
 				a.RecordRequest()
 			}
 			left, taken := a.Remaining(), 0
@@ -72,7 +72,7 @@
 			anyTaken = anyTaken || taken > 0
 		}
 		if !anyTaken {
-			t.Error("no lot ever rounded up")
+			t.Error("no limit was ever rounded up")
 		}
 	})
 }
--- a/internal/route/book_test.go
+++ b/internal/route/book_test.go
@@ -39,12 +39,12 @@
 }
 
 func TestBookProblems(t *testing.T) {
-	stands := []item.Item{
+	declared := []item.Item{
 		service("s1", 5), service("s2", 5), service("idle", 5), tombstone(item.Service, "old", 5),
 		routeAt("r1", 5, "a.example", "/x/", "s1"),
 		routeAt("r2", 5, "a.example", "/y/", "s1", "s2"),
 		tombstone(item.Route, "gone", 5),
-		// Two operators gave one place to two routes, and dropped a service that is named.
+		// Left by concurrent changes: two routes with the same host and prefix, and a route of a removed service.
 		routeAt("twin1", 5, "a.example", "/twin/", "s1"), routeAt("twin2", 5, "a.example", "/twin/", "s1"),
 		routeAt("orphan", 5, "a.example", "/orphan/", "old"),
 	}
@@ -86,7 +86,7 @@
 		{"one route twice, the newer first", []item.Item{routeAt("n", 7, "a.example", "/n/", "s1"), routeAt("n", 6, "a.example", "/x/", "s1")}, ""},
 		{"a dropped route comes back", []item.Item{routeAt("gone", 6, "a.example", "/x/", "s1")}, "route/gone/Prefix"},
 		{"an old one changes nothing", []item.Item{routeAt("gone", 4, "a.example", "/x/", "nowhere")}, ""},
-		{"an equal one changes nothing", stands, ""},
+		{"an equal one changes nothing", declared, ""},
 		{"a twin that stays", []item.Item{routeAt("twin1", 6, "a.example", "/twin/", "s2")}, ""},
 		{"a third twin", []item.Item{routeAt("n", 6, "a.example", "/twin/", "s2")}, "route/n/Prefix"},
 		{"malformed", []item.Item{bad, routeAt("n", 6, "a.example", "/x/", "s1")}, "route/bad/Prefix"},
@@ -97,7 +97,7 @@
 		{"limits below 0", []item.Item{Limits{Version: 1, BodyBytes: -1}.Item()}, "limits/limits/BodyBytes"},
 		{"a nameless drop", []item.Item{tombstone(item.Route, "", 1)}, "route//Name"},
 	} {
-		if got := paths(validatorWith(t, stands...).Validate(c.change)); got != c.want {
+		if got := paths(validatorWith(t, declared...).Validate(c.change)); got != c.want {
 			t.Errorf("%s: %q, want %q", c.name, got, c.want)
 		}
 	}
@@ -106,10 +106,10 @@
 func TestBookRemembersDroppedItems(t *testing.T) {
 	b := validatorWith(t, service("s", 1), routeAt("r", 2, "h", "/", "s"), tombstone(item.Route, "r", 4), routeAt("r", 3, "h", "/", "s"))
 	if p := b.Validate([]item.Item{tombstone(item.Service, "s", 2)}); p != nil {
-		t.Errorf("a dropped route came back: %v", p)
+		t.Errorf("a removed route is in effect again: %v", p)
 	}
 	if len(b.routesByKey) != 0 || len(b.serviceRefs) != 0 {
-		t.Errorf("left over: %v %v", b.routesByKey, b.serviceRefs)
+		t.Errorf("index entries remain: %v %v", b.routesByKey, b.serviceRefs)
 	}
 }
 
@@ -117,13 +117,13 @@
 	b := validatorWith(t, service("s", 1), routeAt("r", 2, "h", "/", "s"))
 	later := item.Item{Key: item.Key{Kind: item.Route, Name: "r"}, Version: 3, Body: []byte{99}}
 	if err := b.Apply(later); err == nil {
-		t.Error("no error")
+		t.Error("undecodable item: no error")
 	}
 	if err := b.Apply(routeAt("r", 2, "h", "/", "s")); err != nil {
 		t.Error(err)
 	}
 	if len(b.routesByKey) != 0 || len(b.serviceRefs) != 0 {
-		t.Errorf("an older version came back: %v %v", b.routesByKey, b.serviceRefs)
+		t.Errorf("an older version is in effect again: %v %v", b.routesByKey, b.serviceRefs)
 	}
 }
 
@@ -140,10 +140,10 @@
 	}
 }
 
-// isInvalid decides as the page of rules says, over the whole.
-func isInvalid(stands map[item.Key]item.Item) (bad bool) {
+// isInvalid applies the documented rules to the whole configuration.
+func isInvalid(declared map[item.Key]item.Item) (bad bool) {
 	at := map[routeKey]bool{}
-	for _, it := range stands {
+	for _, it := range declared {
 		if it.Gone || it.Kind != item.Route {
 			continue
 		}
@@ -157,7 +157,7 @@
 		}
 		at[p] = true
 		for _, s := range r.Shares {
-			if it, ok := stands[item.Key{Kind: item.Service, Name: s.Service}]; !ok || it.Gone {
+			if it, ok := declared[item.Key{Kind: item.Service, Name: s.Service}]; !ok || it.Gone {
 				return true
 			}
 		}
@@ -165,12 +165,12 @@
 	return false
 }
 
-// Where what stands is valid, a change is refused exactly if the whole would be invalid.
+// A change of a valid configuration must be refused if and only if the result would be invalid.
 func TestBookDecidesAsTheWholeWould(t *testing.T) {
 	rng := rand.New(rand.NewPCG(5, 6))
 	b := NewValidator()
-	stands := map[item.Key]item.Item{}
-	taken, refused := 0, 0
+	declared := map[item.Key]item.Item{}
+	accepted, refused := 0, 0
 	for step := range 20_000 {
 		var change []item.Item
 		for range 1 + rng.IntN(4) {
@@ -188,7 +188,7 @@
 				change = append(change, routeAt(name, v, host, prefix, fmt.Sprint(rng.IntN(6)), fmt.Sprint(rng.IntN(6))))
 			}
 		}
-		next := maps.Clone(stands)
+		next := maps.Clone(declared)
 		for _, it := range change {
 			if old, ok := next[it.Key]; !ok || it.Compare(old) > 0 {
 				next[it.Key] = it
@@ -202,29 +202,29 @@
 			refused++
 			continue
 		}
-		taken++
-		stands = next
+		accepted++
+		declared = next
 		for _, it := range change {
 			if err := b.Apply(it); err != nil {
 				t.Fatal(err)
 			}
 		}
 	}
-	if taken < 1000 || refused < 1000 {
-		t.Errorf("%d taken, %d refused: the changes try too little", taken, refused)
+	if accepted < 1000 || refused < 1000 {
+		t.Errorf("%d accepted, %d refused: the changes cover too little", accepted, refused)
 	}
 	left := 0
 	for _, n := range b.routesByKey {
 		left += len(n)
 	}
 	routes := 0
-	for it := range maps.Values(stands) {
+	for it := range maps.Values(declared) {
 		if it.Kind == item.Route && !it.Gone {
 			routes++
 		}
 	}
 	if left != routes {
-		t.Errorf("%d places for %d routes", left, routes)
+		t.Errorf("%d route keys for %d routes", left, routes)
 	}
 }
 
--- a/internal/route/code_test.go
+++ b/internal/route/code_test.go
@@ -49,22 +49,22 @@
 	}
 }
 
-// Copies are compared by a digest of the body: equal contents must have equal bytes.
+// Copies are compared by a digest of the body, so equal content must have equal bytes.
 func TestSameContentHasSameBytes(t *testing.T) {
 	a, b := sampleRoute(), sampleRoute()
 	a.Shares[1].Weight, b.Shares[1].Weight = 0, math.Copysign(0, -1)
 	a.Source, b.Source = nil, []byte{}
 	if !bytes.Equal(a.Item().Body, b.Item().Body) {
-		t.Error("zeros of two signs, or empty sources, differ")
+		t.Error("positive and negative zero, or nil and empty sources, have different encodings")
 	}
 	a.Shares[1].Weight = math.NaN()
 	b.Shares[1].Weight = math.Float64frombits(math.Float64bits(math.NaN()) ^ 1)
 	if !bytes.Equal(a.Item().Body, b.Item().Body) {
-		t.Error("numbers that are none differ")
+		t.Error("two NaN values have different encodings")
 	}
 }
 
-// Every field is part of the content.
+// Every field must be part of the encoding.
 func TestEveryFieldIsKept(t *testing.T) {
 	for _, v := range []any{sampleRoute(), Service{Health: "/"}, Limits{}} {
 		for i := range reflect.TypeOf(v).NumField() {
@@ -81,11 +81,11 @@
 			case reflect.Slice:
 				f.Set(reflect.MakeSlice(f.Type(), 5, 5))
 			default:
-				t.Fatalf("field %s of a kind that the test does not know", field)
+				t.Fatalf("field %s: unsupported kind", field)
 			}
 			type kept interface{ Item() item.Item }
 			if reflect.DeepEqual(c.Interface().(kept).Item(), v.(kept).Item()) {
-				t.Errorf("%T: %s is lost", v, field)
+				t.Errorf("%T: %s is not encoded", v, field)
 			}
 		}
 	}
@@ -110,17 +110,17 @@
 			0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 1)},
 	} {
 		if r, err := FromItem(it); err == nil {
-			t.Errorf("%s: read as %+v", name, r)
+			t.Errorf("%s: decoded as %+v", name, r)
 		}
 	}
 	for n := range good.Body {
 		if _, err := FromItem(change(func(it *item.Item) { it.Body = it.Body[:n] })); err == nil {
-			t.Errorf("the first %d bytes are read", n)
+			t.Errorf("a body truncated to %d bytes is accepted", n)
 		}
 	}
 }
 
-// Whatever the bytes, they are refused, or are exactly what their content encodes to.
+// Any body must either be refused or equal the encoding of its content.
 func FuzzFromItem(f *testing.F) {
 	f.Add(sampleRoute().Item().Body)
 	f.Add(Service{Health: "/health", MaxConns: 140}.Item().Body)
--- a/internal/route/entry_test.go
+++ b/internal/route/entry_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-func entryOf(weights ...float64) *Entry {
+func newTestEntry(weights ...float64) *Entry {
 	r := Route{}
 	for i, w := range weights {
 		r.Shares = append(r.Shares, Share{string(rune('a' + i)), w})
@@ -21,7 +21,7 @@
 		{1}, {0}, {90, 10}, {1, 1, 1}, {0, 1}, {1, 0}, {0, 3, 0, 1, 0},
 		{math.MaxFloat64, math.MaxFloat64}, {math.SmallestNonzeroFloat64, math.SmallestNonzeroFloat64},
 	} {
-		e := entryOf(weights...)
+		e := newTestEntry(weights...)
 		count := make([]int, len(weights))
 		for range draws {
 			count[e.Pick(rng.Uint64())-10]++
@@ -40,18 +40,18 @@
 			}
 			dev := 5 * math.Sqrt(draws*p*(1-p))
 			if math.Abs(float64(count[i])-draws*p) > dev {
-				t.Errorf("%v: service %d got %d of %d", weights, i, count[i], draws)
+				t.Errorf("weights %v: service %d was selected %d of %d times", weights, i, count[i], draws)
 			}
 		}
 	}
 }
 
-// A service without weight gets nothing at the ends of the range either.
+// A service with weight 0 must not be selected at the ends of the range either.
 func TestPickAtTheEnds(t *testing.T) {
-	e := entryOf(0, 1, 1, 0)
+	e := newTestEntry(0, 1, 1, 0)
 	for u, want := range map[uint64]int{0: 11, math.MaxUint64: 12, 1<<63 - 1: 11, 1<<63 + 1: 12} {
 		if got := e.Pick(u); got != want {
-			t.Errorf("%x falls to %d, want %d", u, got, want)
+			t.Errorf("%x selects service %d, want %d", u, got, want)
 		}
 	}
 	if e.Services[0] != 10 || len(e.Services) != 4 {
--- a/internal/route/table_test.go
+++ b/internal/route/table_test.go
@@ -22,7 +22,7 @@
 
 func TestMatch(t *testing.T) {
 	var none *Table
-	tab := none.With(
+	table := none.With(
 		service("s", 1),
 		routeAt("root", 1, "a.example", "/", "s"),
 		routeAt("x", 1, "a.example", "/x/", "s"),
@@ -60,118 +60,118 @@
 		{"", "/", ""},
 		{strings.Repeat("A", 300), "/", ""},
 	} {
-		if got := nameOf(tab.Match(c.host, c.path)); got != c.want {
+		if got := nameOf(table.Match(c.host, c.path)); got != c.want {
 			t.Errorf("%s %s: %q, want %q", c.host, c.path, got, c.want)
 		}
-		if got := nameOf(tab.MatchBytes([]byte(c.host), []byte(c.path))); got != c.want {
+		if got := nameOf(table.MatchBytes([]byte(c.host), []byte(c.path))); got != c.want {
 			t.Errorf("%s %s as bytes: %q, want %q", c.host, c.path, got, c.want)
 		}
 	}
 	if none.Match("a.example", "/") != nil || none.MatchBytes(nil, nil) != nil || none.Len() != 0 || none.Route("x") != nil {
-		t.Error("no table has routes")
+		t.Error("a nil table has routes")
 	}
-	if tab.Len() != 7 || nameOf(tab.Route("xy")) != "xy" {
-		t.Errorf("%d routes, %v", tab.Len(), tab.Route("xy"))
+	if table.Len() != 7 || nameOf(table.Route("xy")) != "xy" {
+		t.Errorf("%d routes, %v", table.Len(), table.Route("xy"))
 	}
 }
 
 func TestTwinsShowInTurn(t *testing.T) {
-	var tab *Table
+	var table *Table
 	check := func(want string) {
 		t.Helper()
 		for _, path := range []string{"/x/", "/x/1"} {
-			if got := nameOf(tab.Match("h", path)); got != want {
-				t.Errorf("%s stands at %s, want %s", got, path, want)
+			if got := nameOf(table.Match("h", path)); got != want {
+				t.Errorf("%s is effective at %s, want %s", got, path, want)
 			}
 		}
-		if got := nameOf(tab.Match("h", "/x/in/")); got != "inner" {
-			t.Errorf("%s stands inside", got)
+		if got := nameOf(table.Match("h", "/x/in/")); got != "inner" {
+			t.Errorf("%s is effective at the inner prefix, want inner", got)
 		}
 	}
-	tab = tab.With(routeAt("inner", 1, "h", "/x/in/", "s"), routeAt("b", 4, "h", "/x/", "s"))
+	table = table.With(routeAt("inner", 1, "h", "/x/in/", "s"), routeAt("b", 4, "h", "/x/", "s"))
 	check("b")
-	tab = tab.With(routeAt("c", 4, "H", "/x/", "s"))
+	table = table.With(routeAt("c", 4, "H", "/x/", "s"))
 	check("b")
-	tab = tab.With(routeAt("a", 4, "h", "/x/", "s"))
+	table = table.With(routeAt("a", 4, "h", "/x/", "s"))
 	check("a")
-	tab = tab.With(routeAt("c", 5, "h", "/x/", "s"))
+	table = table.With(routeAt("c", 5, "h", "/x/", "s"))
 	check("c")
-	tab = tab.With(tombstone(item.Route, "c", 6))
+	table = table.With(tombstone(item.Route, "c", 6))
 	check("a")
-	tab = tab.With(routeAt("a", 7, "h", "/y/", "s"))
+	table = table.With(routeAt("a", 7, "h", "/y/", "s"))
 	check("b")
-	tab = tab.With(tombstone(item.Route, "b", 8))
+	table = table.With(tombstone(item.Route, "b", 8))
 	check("")
-	if tab.Len() != 2 {
-		t.Errorf("%d routes", tab.Len())
+	if table.Len() != 2 {
+		t.Errorf("%d routes", table.Len())
 	}
 }
 
 func TestServicesKeepTheirIndex(t *testing.T) {
-	var tab *Table
-	tab = tab.With(routeAt("r", 1, "h", "/", "named", "also"))
-	i, ok := tab.ServiceIndex("named")
-	if !ok || tab.Services()[i].Name != "named" || tab.Services()[i].Declared {
-		t.Fatalf("%d %v %v", i, ok, tab.Services())
+	var table *Table
+	table = table.With(routeAt("r", 1, "h", "/", "named", "also"))
+	i, ok := table.ServiceIndex("named")
+	if !ok || table.Services()[i].Name != "named" || table.Services()[i].Declared {
+		t.Fatalf("%d %v %v", i, ok, table.Services())
 	}
-	before := tab
-	tab = tab.With(service("new", 1), Service{Name: "named", Version: 2, MaxConns: 9}.Item())
-	if s := tab.Services()[i]; !s.Declared || s.MaxConns != 9 {
+	before := table
+	table = table.With(service("new", 1), Service{Name: "named", Version: 2, MaxConns: 9}.Item())
+	if s := table.Services()[i]; !s.Declared || s.MaxConns != 9 {
 		t.Errorf("%+v", s)
 	}
 	if len(before.Services()) != 2 || before.Services()[i].Declared {
 		t.Errorf("an older table changed: %+v", before.Services())
 	}
-	tab = tab.With(tombstone(item.Service, "named", 3), tombstone(item.Service, "never", 3))
-	if s := tab.Services()[i]; s.Declared || s.Name != "named" || s.MaxConns != 0 {
+	table = table.With(tombstone(item.Service, "named", 3), tombstone(item.Service, "never", 3))
+	if s := table.Services()[i]; s.Declared || s.Name != "named" || s.MaxConns != 0 {
 		t.Errorf("%+v", s)
 	}
-	if _, ok := tab.ServiceIndex("never"); ok {
-		t.Error("a service that never was has an index")
+	if _, ok := table.ServiceIndex("never"); ok {
+		t.Error("a service that was never declared has an index")
 	}
-	e := tab.Match("h", "/")
+	e := table.Match("h", "/")
 	if e.Services[0] != i || e.Pick(0) != i {
 		t.Errorf("%v, want %d", e.Services, i)
 	}
-	if j, _ := tab.ServiceIndex("new"); j != 2 {
-		t.Errorf("new has %d", j)
+	if j, _ := table.ServiceIndex("new"); j != 2 {
+		t.Errorf("index of the new service is %d, want 2", j)
 	}
 }
 
 func TestLimitsStand(t *testing.T) {
-	var tab *Table
-	tab = tab.With(Limits{Version: 1, BodyBytes: 7}.Item())
-	if tab.Limits().BodyBytes != 7 {
-		t.Errorf("%+v", tab.Limits())
+	var table *Table
+	table = table.With(Limits{Version: 1, BodyBytes: 7}.Item())
+	if table.Limits().BodyBytes != 7 {
+		t.Errorf("%+v", table.Limits())
 	}
-	tab = tab.With(tombstone(item.Limits, LimitsName, 2))
-	if tab.Limits().BodyBytes != 0 {
-		t.Errorf("%+v", tab.Limits())
+	table = table.With(tombstone(item.Limits, LimitsName, 2))
+	if table.Limits().BodyBytes != 0 {
+		t.Errorf("%+v", table.Limits())
 	}
 }
 
 func TestUnreadItemsLeaveWhatStood(t *testing.T) {
-	var tab *Table
-	tab = tab.With(routeAt("r", 1, "h", "/", "s"))
+	var table *Table
+	table = table.With(routeAt("r", 1, "h", "/", "s"))
 	bad := item.Item{Key: item.Key{Kind: item.Route, Name: "r"}, Version: 2, Body: []byte{99}}
-	tab = tab.With(bad, bad)
-	if e := tab.Match("h", "/"); e == nil || e.Version != 1 || paths(tab.Undecodable()) != "route/r" {
-		t.Errorf("%v, unread %v", e, tab.Undecodable())
+	table = table.With(bad, bad)
+	if e := table.Match("h", "/"); e == nil || e.Version != 1 || paths(table.Undecodable()) != "route/r" {
+		t.Errorf("%v, undecodable %v", e, table.Undecodable())
 	}
 	for i := range 2 * maxUndecodable {
 		bad.Name = fmt.Sprint(i)
-		tab = tab.With(bad)
+		table = table.With(bad)
 	}
-	if len(tab.Undecodable()) != maxUndecodable {
-		t.Errorf("%d unread", len(tab.Undecodable()))
+	if len(table.Undecodable()) != maxUndecodable {
+		t.Errorf("%d undecodable items", len(table.Undecodable()))
 	}
-	tab = tab.With(routeAt("r", 3, "h", "/", "s"))
-	if e := tab.Match("h", "/"); e.Version != 3 || slices.Contains(strings.Fields(paths(tab.Undecodable())), "route/r") {
-		t.Errorf("%v, unread %v", e, tab.Undecodable())
+	table = table.With(routeAt("r", 3, "h", "/", "s"))
+	if e := table.Match("h", "/"); e.Version != 3 || slices.Contains(strings.Fields(paths(table.Undecodable())), "route/r") {
+		t.Errorf("%v, undecodable %v", e, table.Undecodable())
 	}
 }
 
-// linearMatch is Match without any index.
+// linearMatch is Match by a linear search.
 func linearMatch(routes map[string]Route, host, path string) (best string) {
 	host, _, _ = strings.Cut(strings.ToLower(host), ":")
 	list := lo.Filter(lo.Values(routes), func(r Route, _ int) bool {
@@ -185,8 +185,8 @@
 	}).Name
 }
 
-// Whatever the changes, in batches of any size, a table finds what a search through all
-// routes finds, and older tables stay as they were.
+// After any changes, in batches of any size, a table must find the same route as a linear search,
+// and older tables must be unchanged.
 func TestTableFindsWhatASearchFinds(t *testing.T) {
 	rng := rand.New(rand.NewPCG(7, 8))
 	randomPath := func() string {
@@ -199,14 +199,14 @@
 	}
 	host := func() string { return []string{"a.example", "A.Example", "b.example", "c.example"}[rng.IntN(4)] }
 	routes := map[string]Route{}
-	var tab, oldTab *Table
+	var table, oldTable *Table
 	var oldFound []string
-	probes := make([][2]string, 60)
-	for i := range probes {
-		probes[i] = [2]string{host() + []string{"", ":80"}[rng.IntN(2)], randomPath() + randomPath()}
+	requests := make([][2]string, 60)
+	for i := range requests {
+		requests[i] = [2]string{host() + []string{"", ":80"}[rng.IntN(2)], randomPath() + randomPath()}
 	}
 	find := func(t *Table) (found []string) {
-		for _, p := range probes {
+		for _, p := range requests {
 			found = append(found, nameOf(t.Match(p[0], p[1])))
 		}
 		return found
@@ -225,44 +225,44 @@
 			}
 		}
 		if step%50 == 0 {
-			oldTab, oldFound = tab, find(tab)
+			oldTable, oldFound = table, find(table)
 		}
-		tab = tab.With(batch...)
-		if tab.Len() != len(routes) {
-			t.Fatalf("step %d: %d routes, want %d", step, tab.Len(), len(routes))
+		table = table.With(batch...)
+		if table.Len() != len(routes) {
+			t.Fatalf("step %d: %d routes, want %d", step, table.Len(), len(routes))
 		}
-		for i, got := range find(tab) {
-			if want := linearMatch(routes, probes[i][0], probes[i][1]); got != want {
-				t.Fatalf("step %d: %v finds %q, want %q", step, probes[i], got, want)
+		for i, got := range find(table) {
+			if want := linearMatch(routes, requests[i][0], requests[i][1]); got != want {
+				t.Fatalf("step %d: %v finds %q, want %q", step, requests[i], got, want)
 			} else if want != "" {
 				hits++
 			}
 		}
-		if !slices.Equal(find(oldTab), oldFound) {
+		if !slices.Equal(find(oldTable), oldFound) {
 			t.Fatalf("step %d: an older table changed", step)
 		}
 	}
 	if hits < 1000 {
-		t.Errorf("%d hits: the probes try too little", hits)
+		t.Errorf("%d hits: the requests cover too little", hits)
 	}
 	var all []item.Item
 	for name := range routes {
 		all = append(all, tombstone(item.Route, name, 9999))
 	}
-	tab = tab.With(all...)
+	table = table.With(all...)
 	for i := range shardCount {
-		if len(tab.hosts[i])+len(tab.names[i]) > 0 {
-			t.Fatal("something is left of dropped routes")
+		if len(table.hosts[i])+len(table.names[i]) > 0 {
+			t.Fatal("entries of removed routes remain")
 		}
 	}
 }
 
 func TestMatchAllocatesNothing(t *testing.T) {
-	var tab *Table
-	tab = tab.With(manyItems(6600)...)
+	var table *Table
+	table = table.With(manyItems(6600)...)
 	host, path := []byte("HOST17.example:8080"), []byte("/pre50/some/where?q=1")
 	if n := testing.AllocsPerRun(100, func() {
-		if tab.MatchBytes(host, path).Pick(1) < 0 {
+		if table.MatchBytes(host, path).Pick(1) < 0 {
 			t.Error("no service")
 		}
 	}); n != 0 {
@@ -271,14 +271,14 @@
 }
 
 func BenchmarkMatch(b *testing.B) {
-	var tab *Table
-	tab = tab.With(manyItems(6600)...)
+	var table *Table
+	table = table.With(manyItems(6600)...)
 	for name, host := range map[string]string{"lower": "host17.example", "mixed": "Host17.example:8080"} {
 		h, p := []byte(host), []byte("/pre50/some/where")
 		b.Run(name, func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				if tab.MatchBytes(h, p) == nil {
+				if table.MatchBytes(h, p) == nil {
 					b.Fatal("no route")
 				}
 			}
@@ -287,12 +287,12 @@
 }
 
 func BenchmarkWithOneOf6600(b *testing.B) {
-	var tab *Table
-	tab = tab.With(manyItems(6600)...)
+	var table *Table
+	table = table.With(manyItems(6600)...)
 	v := uint64(2)
 	b.ReportAllocs()
 	for b.Loop() {
-		tab = tab.With(routeAt("r-17", v, "host17.example", "/pre0/", "s0"))
+		table = table.With(routeAt("r-17", v, "host17.example", "/pre0/", "s0"))
 		v++
 	}
 }
@@ -301,7 +301,7 @@
 	items := manyItems(6600)
 	b.ReportAllocs()
 	for b.Loop() {
-		var tab *Table
-		tab.With(items...)
+		var table *Table
+		table.With(items...)
 	}
 }
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -20,7 +20,7 @@
 	return item.Item{Key: item.Key{Kind: item.Route, Name: name}, Version: version, Gone: true}
 }
 
-// storedState is a disk of a core of three.
+// storedState is the content of one disk of a core of three.
 func storedState(node string, epoch uint64, items ...item.Item) quorum.StoredState {
 	core := quorum.Core{Epoch: epoch}
 	for _, id := range []string{"a", "b", "c"} {
@@ -71,14 +71,14 @@
 		t.Errorf("%+v, %v", got, err)
 	}
 	if err := Write(path, s); !errors.Is(err, os.ErrExist) {
-		t.Errorf("a file that is there: %v", err)
+		t.Errorf("existing file: %v", err)
 	}
 	if all, _ := os.ReadDir(filepath.Dir(path)); len(all) != 1 {
 		t.Errorf("%d files are left", len(all))
 	}
 }
 
-// Whatever byte is changed, and wherever the file ends, it is refused.
+// A file with any single byte changed, or truncated anywhere, must be refused.
 func TestADamagedFileIsRefused(t *testing.T) {
 	s, err := Merge([]quorum.StoredState{storedState("a", 4, route("r", 2, "two"), tombstone("q", 9)), storedState("b", 4)}, time.Unix(5, 0))
 	if err != nil {
@@ -95,10 +95,10 @@
 			t.Fatalf("byte %d changed: %v", i, err)
 		}
 		if _, err := decode(whole[:i]); !errors.Is(err, ErrDamaged) {
-			t.Fatalf("cut after %d bytes: %v", i, err)
+			t.Fatalf("truncated to %d bytes: %v", i, err)
 		}
 	}
 	if _, err := decode(append(whole, 0)); !errors.Is(err, ErrDamaged) {
-		t.Errorf("a byte more: %v", err)
+		t.Errorf("one extra byte: %v", err)
 	}
 }
--- a/internal/spread/spread_test.go
+++ b/internal/spread/spread_test.go
@@ -15,7 +15,7 @@
 	return list
 }
 
-// rankedNames are the names in order.
+// rankedNames returns the names in rank order.
 func rankedNames(nodeID string, ids []string) []string {
 	var list []string
 	for _, i := range Rank(nodeID, ids) {
@@ -30,7 +30,7 @@
 		slices.Sort(order)
 		for i, at := range order {
 			if at != i {
-				t.Fatalf("of %d targets: %v", n, order)
+				t.Fatalf("%d targets: order %v", n, order)
 			}
 		}
 		if len(order) != n {
@@ -47,7 +47,7 @@
 		t.Errorf("%v, want %v", got, want)
 	}
 	if other := rankedNames("you", ids); slices.Equal(other, want) {
-		t.Error("two nodes have one order")
+		t.Error("two nodes have the same order")
 	}
 }
 
@@ -65,9 +65,9 @@
 	}
 }
 
-// Each place of the order is drawn evenly, for many nodes, by a chi-squared test: with
-// 29 degrees of freedom a value over 66 has a chance of one in ten thousand. Names are
-// alike but for a digit, as they are in life.
+// Each rank must be uniformly distributed over the targets, for many nodes, by a chi-squared test: with
+// 29 degrees of freedom a value over 66 has a probability of one in ten thousand. The names differ
+// in few digits, as in production.
 func TestEveryPlaceIsEven(t *testing.T) {
 	ids := names("10.128.0.", 30)
 	nodes := names("i-7f3a91c", 3000)
@@ -87,13 +87,13 @@
 			chi += (n - want) * (n - want) / want
 		}
 		if chi > 66 {
-			t.Errorf("place %d: chi squared %v", rank, chi)
+			t.Errorf("rank %d: chi squared %v", rank, chi)
 		}
 	}
 }
 
-// With 13 nodes that choose 8 of 26 targets, the load is as even as independent draws
-// make it: the spread of a target's number of nodes is that of 13 draws at 8/26.
+// With 13 nodes that choose 8 of 26 targets, the load must be as even as independent random choices
+// make it: the variance of the number of nodes per target is that of 13 draws with probability 8/26.
 func TestLoadIsAsEvenAsDraws(t *testing.T) {
 	const nodes, choose, targets, rounds = 13, 8, 26, 400
 	p := float64(choose) / targets
--- a/internal/upgrade/lane.go
+++ b/internal/upgrade/lane.go
@@ -108,7 +108,8 @@
 	return Candidate
 }
 
-// StopLocally stops sending to the new version at this gateway until the upgrade ends, and tells whether it was active before.
+// StopLocally stops sending to the new version at this gateway until the upgrade ends. It returns false if the upgrade is not
+// active or this gateway had stopped before.
 func (v *VersionRouting) StopLocally() bool {
 	if !v.upgrade.Active() || v.Stopped() {
 		return false
--- a/internal/upgrade/upgrade_test.go
+++ b/internal/upgrade/upgrade_test.go
@@ -20,7 +20,7 @@
 	t.Helper()
 	u, v := Order{Service: "a", To: "v2", Term: 15 * time.Second}.Apply(Upgrade{}, "v1", start)
 	if v != Started {
-		t.Fatalf("verdict %d", v)
+		t.Fatalf("outcome %d", v)
 	}
 	return u
 }
@@ -32,7 +32,7 @@
 		t.Errorf("%+v, %v; want %+v", got, err, u)
 	}
 	if !u.Item().Same(got.Item()) {
-		t.Error("another body the second time")
+		t.Error("the second encoding differs")
 	}
 	for _, version := range []string{"v0", "v1"} {
 		if !got.IsDenied(version) {
@@ -40,7 +40,7 @@
 		}
 	}
 	if got.IsDenied("v2") {
-		t.Error("the version in force is denied")
+		t.Error("the current version is denied")
 	}
 }
 
@@ -49,10 +49,10 @@
 	reverted, completed := active.Revert("bad"), active.WithShare(FullShare).Complete(nil)
 	same := Order{Service: "a", To: "v2", Term: 15 * time.Second}
 	for name, c := range map[string]struct {
-		was   Upgrade
-		order Order
-		at    time.Duration
-		want  OrderOutcome
+		current Upgrade
+		order   Order
+		at      time.Duration
+		want    OrderOutcome
 	}{
 		"the same again":              {active, same, time.Second, Repeated},
 		"another version":             {active, Order{Service: "a", To: "v3", Term: time.Second}, time.Second, Conflicting},
@@ -62,22 +62,22 @@
 		"anew after a fault":          {reverted, same, 16 * time.Second, Started},
 		"the next version":            {reverted, Order{Service: "a", To: "v3", Term: time.Second}, time.Second, Started},
 	} {
-		u, v := c.order.Apply(c.was, "v1", start.Add(c.at))
+		u, v := c.order.Apply(c.current, "v1", start.Add(c.at))
 		if v != c.want {
-			t.Errorf("%s: verdict %d, want %d", name, v, c.want)
+			t.Errorf("%s: outcome %d, want %d", name, v, c.want)
 		}
-		if v == Started && (u.Number != c.was.Number+1 || u.IsDenied(c.order.To)) {
+		if v == Started && (u.Number != c.current.Number+1 || u.IsDenied(c.order.To)) {
 			t.Errorf("%s: %+v", name, u)
 		}
 	}
 	for _, o := range []Order{{To: "v2", Term: 1}, {Service: "a", Term: 1}, {Service: "a", To: "v2"}, {Service: "a", To: "v2", Term: -1}} {
 		if o.Validate() == nil {
-			t.Errorf("%+v is taken", o)
+			t.Errorf("invalid order %+v is accepted", o)
 		}
 	}
 }
 
-// The state machine has no way back, whatever evidence comes in whatever order.
+// The phase must never go back, for any evidence in any order.
 func TestPhasesNeverGoBack(t *testing.T) {
 	for seed := range uint64(2000) {
 		rnd := rand.New(rand.NewPCG(seed, 1))
@@ -96,13 +96,13 @@
 		}
 		if e := (Evidence{Elapsed: time.Hour, SinceStep: time.Hour}); u.Active() {
 			if next, due := u.NextStep(e); !due || next.Active() {
-				t.Fatalf("seed %d: %+v goes on after its term", seed, u)
+				t.Fatalf("seed %d: %+v is active after its term", seed, u)
 			}
 		}
 	}
 }
 
-// trafficClasses are how a gateway treats three versions.
+// trafficClasses returns the classes of three versions.
 func trafficClasses(v *VersionRouting) [3]TrafficClass {
 	return [3]TrafficClass{v.Class("v1"), v.Class("v2"), v.Class("v3")}
 }
@@ -126,7 +126,7 @@
 	want("news newer than the sight", Stable, Candidate, Excluded)
 	v.ApplyUpgrade(u.WithShare(200))
 	if v.ApplyUpgrade(u) || v.Upgrade().Share != 200 {
-		t.Error("an older step was taken")
+		t.Error("an older step was applied")
 	}
 	v.ApplyUpgrade(u.WithShare(200).WithShare(FullShare))
 	want("all", Excluded, Stable, Excluded)
@@ -144,29 +144,29 @@
 	want("no upgrade to it was acknowledged", Stable, Excluded, Stable)
 }
 
-// simulate has a judge see answers of two versions, of which a part is bad, and tells after how many of the new one it was
-// found bad; 0 is never. fails is 1 where bad answers are failures, and 0 where they are slow.
+// simulate gives an analyzer random answers of two versions with the given probabilities of bad ones per target. It returns after how many answers of the
+// new version a degraded route was found, or 0 if none was. fails is 1 if bad answers are failures, and 0 if they are slow.
 func simulate(rnd *rand.Rand, answers int, old, new func(target int) float64, fails int) int {
-	j := NewAnalyzer()
+	a := NewAnalyzer()
 	for i := range answers {
 		for range 10 {
 			bad := draw(rnd, old(rnd.IntN(100)))
-			j.AddOld("r", Tally{1, bad, bad * fails})
+			a.AddOld("r", Tally{1, bad, bad * fails})
 		}
 		target := rnd.IntN(12)
 		bad := draw(rnd, new(target))
-		addAnswers(j, target, Tally{1, bad, bad * fails})
-		if _, bad := j.DegradedRoute(); bad {
+		addAnswers(a, target, Tally{1, bad, bad * fails})
+		if _, bad := a.DegradedRoute(); bad {
 			return i + 1
 		}
 	}
 	return 0
 }
 
-// addAnswers has a judge see answers of a target of the new version.
-func addAnswers(j *Analyzer, target int, t Tally) {
-	j.AddTarget(fmt.Sprint(target), t)
-	j.AddNew("r", t)
+// addAnswers adds answers of a target of the new version to an analyzer.
+func addAnswers(a *Analyzer, target int, t Tally) {
+	a.AddTarget(fmt.Sprint(target), t)
+	a.AddNew("r", t)
 }
 
 func draw(rnd *rand.Rand, p float64) int {
@@ -178,7 +178,7 @@
 
 func constant(p float64) func(int) float64 { return func(int) float64 { return p } }
 
-// someTargets gives a part of the targets a share of bad answers.
+// someTargets is the probability of a bad answer if the first targets have the probability p.
 func someTargets(targets int, p float64) func(int) float64 {
 	return func(target int) float64 {
 		if target < targets {
@@ -192,8 +192,8 @@
 	for name, c := range map[string]struct {
 		old, new func(int) float64
 		bad      bool
-		within   int // answers, for a bad one
-		misses   int // in 1,000 plays: a test over 300 answers may be wrong in 300/e^10 of them
+		within   int // number of answers in which a bad version must be found
+		misses   int // allowed in 1,000 runs: a test over 300 answers may be wrong in 300/e^10 of them
 		fails    int
 	}{
 		"a good version":                             {constant(0.002), constant(0.002), false, 0, 0, 1},
@@ -216,26 +216,26 @@
 				}
 			}
 			if misses > c.misses {
-				t.Errorf("%d of 1000 plays judged wrongly, at most %d are to be", misses, c.misses)
+				t.Errorf("%d of 1000 runs had the wrong result, want at most %d", misses, c.misses)
 			}
 		})
 	}
 }
 
-// A fault that begins late is found as soon as one from the start: what was good before is not set against it.
+// A fault that begins late must be found as soon as one from the start: earlier good answers must not offset it.
 func TestALateFaultIsFound(t *testing.T) {
 	for fails, within := range []int{130, 80} { // slow answers, failures
 		for seed := range uint64(200) {
 			rnd := rand.New(rand.NewPCG(seed, 3))
-			j := NewAnalyzer()
+			a := NewAnalyzer()
 			for i := 0; ; i++ {
-				j.AddOld("r", Tally{10, 0, 0})
+				a.AddOld("r", Tally{10, 0, 0})
 				bad := 0
 				if i >= 500 {
 					bad = draw(rnd, 0.4)
 				}
-				addAnswers(j, rnd.IntN(12), Tally{1, bad, bad * fails})
-				if _, found := j.DegradedRoute(); found {
+				addAnswers(a, rnd.IntN(12), Tally{1, bad, bad * fails})
+				if _, found := a.DegradedRoute(); found {
 					break
 				}
 				if i > 500+within {
@@ -246,7 +246,7 @@
 	}
 }
 
-// recordingLink is a line that keeps the reports that it is to bring.
+// recordingLink records the reports sent through it.
 type recordingLink struct {
 	mu   sync.Mutex
 	asks map[string][]ReportAsk
@@ -259,7 +259,7 @@
 	return ReportTold{}, nil
 }
 
-// A gateway reports to those controllers, and no others, that the controllers themselves take for the first in rank.
+// A gateway must report exactly to the controllers that the controllers themselves rank first.
 func TestReportsGoToTheFirstInRank(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		line := &recordingLink{asks: map[string][]ReportAsk{}}
@@ -274,7 +274,7 @@
 		for i, id := range ranked {
 			got := line.asks[ids[id]]
 			if want := 5 * max(0, min(1, CoordinatorsPerService-i)); len(got) != want {
-				t.Errorf("%s, in rank %d, got %d reports, want %d", id, i, len(got), want)
+				t.Errorf("%s, at rank %d, got %d reports, want %d", id, i, len(got), want)
 			}
 			for k, ask := range got {
 				if x := ask.Reports[0]; x.Inc != 7 || x.Seq != uint64(k+1) {
@@ -285,26 +285,27 @@
 	})
 }
 
-// Machines in trouble among the targets of a new version seldom make it bad, while few of its targets are tried and when
-// all of them begin to be: at most two in a hundred times.
+// Faulty machines among the targets of a good new version must rarely raise a false alarm, both while few of its targets are
+// used and when all of them start to be: at most 2 in 100 runs.
 func TestMachinesInTroubleAreNotAVersion(t *testing.T) {
-	const plays = 100
-	wrong := 0
-	for seed := range uint64(plays) {
-		if troubledMachinesLookBad(rand.New(rand.NewPCG(seed, 5))) {
-			wrong++
+	const runs = 100
+	falseAlarms := 0
+	for seed := range uint64(runs) {
+		if faultyMachinesRaiseAlarm(rand.New(rand.NewPCG(seed, 5))) {
+			falseAlarms++
 		}
 	}
-	if wrong > plays/50 {
-		t.Errorf("%d of %d good versions found bad", wrong, plays)
+	if falseAlarms > runs/50 {
+		t.Errorf("%d of %d good versions found to be degraded", falseAlarms, runs)
 	}
 }
 
-// troubledMachinesLookBad plays answers of a good version one in seven of whose targets fails two fifths of its requests.
-func troubledMachinesLookBad(rnd *rand.Rand) bool {
-	j := NewAnalyzer()
+// faultyMachinesRaiseAlarm simulates a good version of whose targets one in seven fails two fifths of its requests, and tells
+// whether the version was found to be degraded.
+func faultyMachinesRaiseAlarm(rnd *rand.Rand) bool {
+	a := NewAnalyzer()
 	for i := range 1500 {
-		j.AddOld("r", Tally{3, 0, 0})
+		a.AddOld("r", Tally{3, 0, 0})
 		target := rnd.IntN(12)
 		if i >= 300 {
 			target = rnd.IntN(264)
@@ -313,8 +314,8 @@
 		if target%7 == 3 {
 			bad = draw(rnd, 0.4)
 		}
-		addAnswers(j, target, Tally{1, bad, bad})
-		if _, found := j.DegradedRoute(); found {
+		addAnswers(a, target, Tally{1, bad, bad})
+		if _, found := a.DegradedRoute(); found {
 			return true
 		}
 	}
