--- a/internal/budget/left_test.go
+++ b/internal/budget/remaining_test.go
@@ -8,71 +8,71 @@
 	"walkrudder/internal/clock"
 )
 
-// What is left is what can be taken, whatever was asked before; looking takes nothing.
+// Remaining must equal the number of sends that can be taken, also if called repeatedly; it must take none.
 func TestLeftIsWhatCanBeTaken(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := New(ratio, window, slack, clock.Wall{})
-		a := b.Of("s")
-		if n := a.Left(); n != 0 {
-			t.Errorf("%d left of nothing", n)
+		a := b.ForService("s")
+		if n := a.Remaining(); n != 0 {
+			t.Errorf("%d remaining in a new account", n)
 		}
-		some := false
+		anyTaken := false
 		for step := range 300 {
 			b.SetNodes(3)
 			for range step % 7 {
-				a.First()
+				a.RecordRequest()
 			}
 			if step%40 == 0 {
-				left, taken := a.Left(), 0
-				if again := a.Left(); again != left {
+				left, taken := a.Remaining(), 0
+				if again := a.Remaining(); again != left {
 					t.Fatalf("%d left, then %d", left, again)
 				}
-				for a.Extra() {
+				for a.TryExtraSend() {
 					taken++
 				}
 				if taken != left {
 					t.Errorf("step %d: %d left, %d taken", step, left, taken)
 				}
-				some = some || taken > 0
-				if n := a.Left(); n != 0 {
+				anyTaken = anyTaken || taken > 0
+				if n := a.Remaining(); n != 0 {
 					t.Errorf("%d left after all was taken", n)
 				}
 			}
 			time.Sleep(200 * time.Millisecond)
 		}
-		if !some {
-			t.Error("nothing was ever left")
+		if !anyTaken {
+			t.Error("no send was ever available")
 		}
 	})
 }
 
-// Where sums are rounded by lot, what is left is told under the lot that a send would have.
+// Where limits are rounded randomly, Remaining must use the same random number as a send.
 func TestLeftKnowsTheLot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		some := false
+		anyTaken := false
 		for range 40 {
 			b := New(ratio, window, slack, clock.Wall{})
-			a := b.Of("s")
+			a := b.ForService("s")
 			for range 20 {
 				b.SetNodes(680)
-				a.First()
+				a.RecordRequest()
 				time.Sleep(time.Second)
-				a.Extra()
+				a.TryExtraSend()
 			}
-			for range 12 { // half a send more
-				a.First()
+			for range 12 { // half an extra send
+				a.RecordRequest()
 			}
-			left, taken := a.Left(), 0
-			for a.Extra() {
+			left, taken := a.Remaining(), 0
+			for a.TryExtraSend() {
 				taken++
 			}
 			if taken != left {
 				t.Fatalf("%d left, %d taken", left, taken)
 			}
-			some = some || taken > 0
+			anyTaken = anyTaken || taken > 0
 		}
-		if !some {
-			t.Error("no lot ever rounded up")
+		if !anyTaken {
+			t.Error("no limit was ever rounded up")
 		}
 	})
 }
--- a/internal/control/change.go
+++ b/internal/control/change.go
@@ -79,7 +79,7 @@
 	}
 	for i, d := range c.Drops {
 		if d.Name == "" || d.Kind != item.Route && d.Kind != item.Service {
-			problems = append(problems, route.Problem{Path: fmt.Sprintf("drops/%d", i), Why: "names no route or service"})
+			problems = append(problems, route.Problem{Path: fmt.Sprintf("drops/%d", i), Reason: "names no route or service"})
 		}
 		out = append(out, item.Item{Key: item.Key{Kind: d.Kind, Name: d.Name}, Version: d.Version, Gone: true})
 	}
@@ -210,7 +210,7 @@
 				newer = append(newer, i)
 			}
 		}
-		if result.problems = n.book.Problems(newer); len(result.problems) > 0 {
+		if result.problems = n.book.Validate(newer); len(result.problems) > 0 {
 			return
 		}
 		included := lo.SliceToMap(newer, func(i item.Item) (item.Key, bool) { return i.Key, true })
--- a/internal/control/node.go
+++ b/internal/control/node.go
@@ -89,8 +89,8 @@
 	reconfigurer *quorum.Reconfigurer // nil without a disk
 	teller       *watch.Teller
 	pauses       *liveness.Pauses
-	runWatch     *target.Watch // guarded by the board's lock on its table
-	book         *route.Book   // guarded by the board's lock on its items
+	runWatch     *target.Watch    // guarded by the board's lock on its table
+	book         *route.Validator // guarded by the board's lock on its items
 	durable      durableVersions
 	departures   departureTracker
 	upgrades     upgradeTracker
@@ -117,7 +117,7 @@
 		return nil, steperr.At("settings", "", err)
 	}
 	n := &Node{Parts: p, Desk: link.NewDesk(), Proposer: quorum.NewProposer(p.ID+"."+p.NewDiskID, p.Line, p.Clock), Board: watch.NewBoard(p.Clock),
-		book: route.NewBook(), pauses: liveness.NewPausesEvery(p.Clock, pausePollInterval), changeSlot: make(chan struct{}, 1),
+		book: route.NewValidator(), pauses: liveness.NewPausesEvery(p.Clock, pausePollInterval), changeSlot: make(chan struct{}, 1),
 		querySlots: make(chan struct{}, maxConcurrentQueries), started: p.Clock.Now()}
 	if p.Disk != nil {
 		p.Disk, n.diskMeter = storage.MeterDisk(p.Disk, p.Clock)
--- a/internal/control/upgrade.go
+++ b/internal/control/upgrade.go
@@ -39,7 +39,7 @@
 // force; after any other error the order may still take effect.
 func (n *Node) StartUpgrade(ctx context.Context, caller Caller, o upgrade.Order) (err error) {
 	defer func() { n.calls.orders.record(IsRefusedOrder(err), err) }()
-	if err := o.Check(); err != nil {
+	if err := o.Validate(); err != nil {
 		return InvalidOrderError{err}
 	}
 	o.Exposure = n.Exposure
@@ -57,9 +57,9 @@
 		if err != nil {
 			return err
 		}
-		next, verdict := o.Take(previous, n.mostCommonVersion(o.Service, o.To), time.Now())
+		next, verdict := o.Apply(previous, n.mostCommonVersion(o.Service, o.To), time.Now())
 		switch {
-		case verdict == upgrade.Busy:
+		case verdict == upgrade.Conflicting:
 			return steperr.At("order", o.Service, ErrUpgradeInProgress)
 		case verdict == upgrade.Repeated:
 			return n.ensureDurable(ctx, []item.Item{previous.Item()})
--- a/internal/control/upgradesteps.go
+++ b/internal/control/upgradesteps.go
@@ -41,7 +41,7 @@
 	currentSince   time.Time // when the current step became known here
 	firstNewAnswer time.Time // when the first answer of the new version was reported
 	dueSince       time.Time // when the next step became due; zero if it is not due
-	judge          *upgrade.Judge
+	judge          *upgrade.Analyzer
 	reports        map[string]*gatewayReport // by gateway
 }
 
@@ -70,14 +70,14 @@
 	}
 	d := n.upgrades.byService[u.Service]
 	if d == nil || d.current.Order != u.Order {
-		d = &upgradeState{judge: upgrade.NewJudge(), reports: map[string]*gatewayReport{}}
+		d = &upgradeState{judge: upgrade.NewAnalyzer(), reports: map[string]*gatewayReport{}}
 		n.upgrades.byService[u.Service] = d
 	}
 	d.current, d.currentSince, d.dueSince = u, n.Clock.Now(), time.Time{}
 	if !u.Active() {
 		d.reports = map[string]*gatewayReport{}
 	}
-	n.Log.Info("upgrade", "step", "upgrade", "service", u.Service, "version", u.To, "phase", u.Phase.String(), "share", u.Share, "reason", u.Reason, "answers", d.judge.Answers(), "routes", d.judge.Routes())
+	n.Log.Info("upgrade", "step", "upgrade", "service", u.Service, "version", u.To, "phase", u.Phase.String(), "share", u.Share, "reason", u.Reason, "answers", d.judge.NewAnswers(), "routes", d.judge.Routes())
 }
 
 // registerReportHandler registers the handler of reports from gateways.
@@ -108,23 +108,23 @@
 	h.Report, h.receivedAt = r, now
 	// The old version's answers come first, because those of the new version are judged against them.
 	for _, c := range r.Routes {
-		d.judge.Old(c.Route, unjudged(h.oldTallies, c.Route, c.Old))
+		d.judge.AddOld(c.Route, unjudged(h.oldTallies, c.Route, c.Old))
 	}
 	for _, c := range r.Targets {
-		d.judge.Target(c.Target, unjudged(h.targetTallies, c.Target, c.Tally))
+		d.judge.AddTarget(c.Target, unjudged(h.targetTallies, c.Target, c.Tally))
 	}
 	for _, c := range r.Routes {
 		since := unjudged(h.newTallies, c.Route, c.New)
 		if since.Answers > 0 && d.firstNewAnswer.IsZero() {
 			d.firstNewAnswer = now
 		}
-		d.judge.New(c.Route, since)
+		d.judge.AddNew(c.Route, since)
 	}
 }
 
 // unjudged returns the part of a count that was not judged yet, and marks the whole count as judged.
 func unjudged(judged map[string]upgrade.Tally, name string, count upgrade.Tally) upgrade.Tally {
-	since := count.Since(judged[name])
+	since := count.Sub(judged[name])
 	judged[name] = count
 	return since
 }
@@ -153,13 +153,13 @@
 		return 0, false
 	}
 	ids := lo.Map(n.nearbyControllers(), func(m watch.Member, _ int) string { return m.ID })
-	rank = slices.Index(upgrade.Rank(service, ids), n.ID)
-	return rank, rank >= 0 && rank < upgrade.Directors
+	rank = slices.Index(upgrade.RankControllers(service, ids), n.ID)
+	return rank, rank >= 0 && rank < upgrade.CoordinatorsPerService
 }
 
 // advanceUpgrade decides the next step of an upgrade, if the step has been due for the given time.
 func (n *Node) advanceUpgrade(ctx context.Context, u upgrade.Upgrade, wait time.Duration) {
-	next, due := u.Plan(n.upgradeEvidence(u))
+	next, due := u.NextStep(n.upgradeEvidence(u))
 	if !n.stepDueFor(u, due, wait) {
 		return
 	}
@@ -197,7 +197,7 @@
 			e.NewSlots += r.Slots
 			return
 		}
-		if u.Denies(r.Version) {
+		if u.IsDenied(r.Version) {
 			return
 		}
 		e.OldSlots += r.Slots
@@ -213,15 +213,15 @@
 	if d == nil || d.current.Number != u.Number {
 		return e
 	}
-	e.Standing = now.Sub(d.currentSince)
+	e.SinceStep = now.Sub(d.currentSince)
 	if !d.firstNewAnswer.IsZero() {
-		e.Tried = now.Sub(d.firstNewAnswer)
+		e.SinceFirstAnswer = now.Sub(d.firstNewAnswer)
 	}
-	e.Enough = d.judge.Enough()
-	e.BadRoute, e.Bad = d.judge.Bad()
-	e.Away = len(attached) > 0
+	e.EnoughAnswers = d.judge.EnoughAnswers()
+	e.DegradedRoute, e.Degraded = d.judge.DegradedRoute()
+	e.OldDrained = len(attached) > 0
 	for id := range attached {
-		e.Away = e.Away && d.hasSwitched(id, u.Number, now)
+		e.OldDrained = e.OldDrained && d.hasSwitched(id, u.Number, now)
 	}
 	for _, h := range d.reports {
 		if now.Sub(h.receivedAt) < reportExpiry {
--- a/internal/control/upgradesteps_test.go
+++ b/internal/control/upgradesteps_test.go
@@ -10,7 +10,7 @@
 // Reports hold totals since the order: a late or repeated report counts nothing twice, and the counts of a lost report are
 // included in the next one.
 func TestReportsCountOnce(t *testing.T) {
-	d := &upgradeState{judge: upgrade.NewJudge(), reports: map[string]*gatewayReport{}}
+	d := &upgradeState{judge: upgrade.NewAnalyzer(), reports: map[string]*gatewayReport{}}
 	report := func(inc, seq uint64, answers int) upgrade.Report {
 		count := upgrade.Tally{Answers: answers, Bad: answers / 2, Failed: answers / 4}
 		return upgrade.Report{Gateway: "g", Inc: inc, Seq: seq, Routes: []upgrade.RouteCount{{Route: "r", Old: count, New: count}}, Targets: []upgrade.TargetCount{{Target: "t", Tally: count}}}
--- a/internal/proxy/choice.go
+++ b/internal/proxy/choice.go
@@ -36,12 +36,12 @@
 func (s *service) rebuildSubsets() {
 	var local, remote, canaries []*endpoint
 	for _, e := range s.endpoints {
-		e.lane = s.upgrade.versions.Lane(e.run.Version)
+		e.lane = s.upgrade.versions.Class(e.run.Version)
 		switch {
-		case e.run.State != target.Ready || e.lane == upgrade.Barred:
+		case e.run.State != target.Ready || e.lane == upgrade.Excluded:
 			e.closeIdle()
 			continue
-		case e.lane == upgrade.Trial:
+		case e.lane == upgrade.Candidate:
 			canaries = append(canaries, e)
 			continue
 		}
@@ -68,7 +68,7 @@
 		ids[i] = e.run.ID
 	}
 	subset := make([]*endpoint, 0, min(len(candidates), s.subsetSize))
-	for i, index := range spread.Order(s.node.settings.ID, ids) {
+	for i, index := range spread.Rank(s.node.settings.ID, ids) {
 		if i == s.subsetSize {
 			break
 		}
@@ -84,7 +84,7 @@
 	s.recentPeak = max(loadDecay*s.recentPeak, float64(s.limit.inFlight))
 	slots := 0
 	for _, e := range s.endpoints {
-		if e.available() && e.lane != upgrade.Trial {
+		if e.available() && e.lane != upgrade.Candidate {
 			slots += e.slots()
 		}
 	}
--- a/internal/proxy/choice_test.go
+++ b/internal/proxy/choice_test.go
@@ -26,13 +26,13 @@
 	return target.Run{ID: id, Service: "svc", Addr: "127.0.0.1:1", Zone: zone, Slots: slots, State: target.Ready, Seq: 1}
 }
 
-func testExchange(n *Node, s *service, k route.Repeat) *exchange {
+func testExchange(n *Node, s *service, k route.RetryPolicy) *exchange {
 	now := n.clock.Now()
-	return &exchange{n: n, svc: s, kind: k, atMostOnce: !k.Repeatable(), maxAttempts: 3, receivedAt: now, deadline: now.Add(2 * time.Second), latencyTarget: 400 * time.Millisecond}
+	return &exchange{n: n, svc: s, kind: k, atMostOnce: !k.AllowsRetry(), maxAttempts: 3, receivedAt: now, deadline: now.Add(2 * time.Second), latencyTarget: 400 * time.Millisecond}
 }
 
 // takeAll takes targets for requests until none has capacity, and returns their IDs in order.
-func takeAll(n *Node, s *service, k route.Repeat) (ids []string) {
+func takeAll(n *Node, s *service, k route.RetryPolicy) (ids []string) {
 	for {
 		g := s.tryAcquire(testExchange(n, s, k))
 		if g.e == nil {
@@ -47,8 +47,8 @@
 // downloads fill the own zone first.
 func TestTiers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		for kind, want := range map[route.Repeat][]string{
-			route.Once:       {"a1", "a1", "b1", "b1", "a1", "b1", "c1", "c1", "c1"},
+		for kind, want := range map[route.RetryPolicy][]string{
+			route.AtMostOnce: {"a1", "a1", "b1", "b1", "a1", "b1", "c1", "c1", "c1"},
 			route.Idempotent: {"a1", "a1", "b1", "b1", "a1", "b1", "c1", "c1", "c1", "a1", "b1", "c1"},
 			route.Download:   {"a1", "a1", "a1", "a1", "b1", "b1", "c1", "c1", "b1", "c1", "b1", "c1"},
 		} {
@@ -83,7 +83,7 @@
 		}
 		count := map[string]int{}
 		for range 20 {
-			count[s.tryAcquire(testExchange(n, s, route.Once)).e.run.ID]++
+			count[s.tryAcquire(testExchange(n, s, route.AtMostOnce)).e.run.ID]++
 		}
 		if count["fast"] < 3*count["slow"] || count["slow"] == 0 {
 			t.Errorf("%v", count)
@@ -98,7 +98,7 @@
 		cold := readyRun("cold", "a", 20)
 		cold.Cold = 5 * time.Second
 		n, s := testService(cold, readyRun("warm", "a", 20))
-		if g := s.tryAcquire(testExchange(n, s, route.Once)); g.e.run.ID != "warm" {
+		if g := s.tryAcquire(testExchange(n, s, route.AtMostOnce)); g.e.run.ID != "warm" {
 			t.Error("the cold instance was chosen first")
 		}
 		time.Sleep(6 * time.Second)
@@ -117,7 +117,7 @@
 			n.ApplyRuns([]target.Run{readyRun(fmt.Sprint("r", k), "a", 2)})
 		}
 		s := n.services["svc"]
-		firsts[s.tryAcquire(testExchange(n, s, route.Once)).e.run.ID] = true
+		firsts[s.tryAcquire(testExchange(n, s, route.AtMostOnce)).e.run.ID] = true
 	}
 	if len(firsts) < 5 {
 		t.Errorf("20 nodes start with %d of 9 instances", len(firsts))
@@ -134,7 +134,7 @@
 		n, s := testService(runs...)
 		usedRuns := func() map[string]bool {
 			m := map[string]bool{}
-			for _, id := range takeAll(n, s, route.Once) {
+			for _, id := range takeAll(n, s, route.AtMostOnce) {
 				m[id] = true
 			}
 			for _, e := range s.endpoints {
@@ -246,16 +246,16 @@
 func TestLastRankMayWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n, s := testService(readyRun("a1", "a", 1))
-		takeAll(n, s, route.Once)
+		takeAll(n, s, route.AtMostOnce)
 		now := n.clock.Now()
 		for range 100 {
-			s.queue.push(&waiter{x: testExchange(n, s, route.Once), arrived: now, granted: make(chan grant, 1), index: -1})
+			s.queue.push(&waiter{x: testExchange(n, s, route.AtMostOnce), arrived: now, granted: make(chan grant, 1), index: -1})
 		}
 		began := time.Now()
 		waited := make(chan time.Duration, 5)
 		for range 5 {
 			go func() {
-				x := testExchange(n, s, route.Once)
+				x := testExchange(n, s, route.AtMostOnce)
 				x.priority = 3
 				g, retry := s.acquire(x)
 				if g.e != nil || retry < minRetryAfter {
@@ -284,7 +284,7 @@
 // loaded ones of another zone in the region are used too, except for downloads.
 func TestZoneWithFewRuns(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		for kind, want := range map[route.Repeat]bool{route.Idempotent: true, route.Once: true, route.Download: false} {
+		for kind, want := range map[route.RetryPolicy]bool{route.Idempotent: true, route.AtMostOnce: true, route.Download: false} {
 			n, s := testService(readyRun("a1", "a", 20), readyRun("b1", "b", 20), readyRun("c1", "c", 20))
 			for range 20 {
 				s.endpoints["a1"].recordAnswer(n.clock.Now(), 400*time.Millisecond)
@@ -358,7 +358,7 @@
 		n, s := testService(readyRun("a1", "a", 2), readyRun("a2", "a", 2), readyRun("a3", "a", 2))
 		last := s.subset[2]
 		last.idle = []*conn{{idleSince: n.clock.Now(), idleTimeout: defaultIdleTimeout}}
-		for kind, want := range map[route.Repeat]bool{route.Idempotent: true, route.Once: true} {
+		for kind, want := range map[route.RetryPolicy]bool{route.Idempotent: true, route.AtMostOnce: true} {
 			g := s.tryAcquire(testExchange(n, s, kind))
 			if got := g.e == last; got != want {
 				t.Errorf("%d: the idle connection is used: %v", kind, got)
@@ -366,7 +366,7 @@
 			s.release(g, outcomeNotSent, 0, time.Second)
 		}
 		time.Sleep(maxIdleAtMostOnce)
-		if g := s.tryAcquire(testExchange(n, s, route.Once)); g.e == last {
+		if g := s.tryAcquire(testExchange(n, s, route.AtMostOnce)); g.e == last {
 			t.Error("chosen for an idle connection that may be dead")
 		}
 		if g := s.tryAcquire(testExchange(n, s, route.Idempotent)); g.e != last {
--- a/internal/proxy/endpoint.go
+++ b/internal/proxy/endpoint.go
@@ -44,7 +44,7 @@
 	sameZone   bool    // in this node's zone
 	zoneFactor float64 // cost factor of the distance to its zone
 	rank       float64 // position in this node's own order, 0 to 1
-	lane       upgrade.Lane
+	lane       upgrade.TrafficClass
 
 	coldUntil time.Time
 	inFlight  []time.Time // start times of the requests in flight, ascending
@@ -77,7 +77,7 @@
 
 // available reports whether requests may be sent to the instance at all.
 func (e *endpoint) available() bool {
-	return e.run.State == target.Ready && !e.replaced && e.lane != upgrade.Barred
+	return e.run.State == target.Ready && !e.replaced && e.lane != upgrade.Excluded
 }
 
 // suspicion combines active and passive suspicion; from suspicionThreshold on, the instance is
--- a/internal/proxy/exchange.go
+++ b/internal/proxy/exchange.go
@@ -13,7 +13,7 @@
 type exchange struct {
 	n             *Node
 	svc           *service
-	kind          route.Repeat
+	kind          route.RetryPolicy
 	atMostOnce    bool
 	maxAttempts   int
 	priority      int
@@ -77,7 +77,7 @@
 // payBudget makes sure that one more send is charged to the retry budget.
 func (x *exchange) payBudget() bool {
 	if x.sends > 0 && !x.budgetPaid {
-		if x.budgetPaid = x.svc.budget.Extra(); !x.budgetPaid {
+		if x.budgetPaid = x.svc.budget.TryExtraSend(); !x.budgetPaid {
 			x.n.stats.overBudget.Add(1)
 		}
 	}
--- a/internal/proxy/order_test.go
+++ b/internal/proxy/order_test.go
@@ -40,7 +40,7 @@
 		t.Errorf("a dropped route: %+v", g)
 	}
 	// A delayed older version does not restore the route.
-	l.node.ApplyItems([]item.Item{route.Route{Name: "r/once/", Version: 1, Host: "h", Prefix: "/once/", Repeat: route.Once, Shares: []route.Share{{Service: "svc", Weight: 1}}}.Item()})
+	l.node.ApplyItems([]item.Item{route.Route{Name: "r/once/", Version: 1, Host: "h", Prefix: "/once/", Repeat: route.AtMostOnce, Shares: []route.Share{{Service: "svc", Weight: 1}}}.Item()})
 	if g := l.request("/once/x", "q4", time.Second); g.status != 404 {
 		t.Errorf("a dropped route came back: %+v", g)
 	}
@@ -110,8 +110,8 @@
 		l := newHarness(t, newPipes(), nil)
 		l.node.ApplyItems([]item.Item{
 			route.Service{Name: "svc", Version: 1, MaxConns: 100}.Item(),
-			route.Route{Name: "hi", Version: 1, Host: "h", Prefix: "/hi/", Repeat: route.Once, AimMS: 400, Priority: 0, Shares: []route.Share{{Service: "svc", Weight: 1}}}.Item(),
-			route.Route{Name: "lo", Version: 1, Host: "h", Prefix: "/lo/", Repeat: route.Once, AimMS: 400, Priority: 2, Shares: []route.Share{{Service: "svc", Weight: 1}}}.Item(),
+			route.Route{Name: "hi", Version: 1, Host: "h", Prefix: "/hi/", Repeat: route.AtMostOnce, AimMS: 400, Priority: 0, Shares: []route.Share{{Service: "svc", Weight: 1}}}.Item(),
+			route.Route{Name: "lo", Version: 1, Host: "h", Prefix: "/lo/", Repeat: route.AtMostOnce, AimMS: 400, Priority: 2, Shares: []route.Share{{Service: "svc", Weight: 1}}}.Item(),
 		})
 		l.node.SetSynced(true)
 		// The target accepts two requests but works on one at a time: 50 a second, while 62 of
--- a/internal/proxy/passive_health_test.go
+++ b/internal/proxy/passive_health_test.go
@@ -39,7 +39,7 @@
 }
 
 // usableRuns returns the instances to which requests of a kind may be sent, and how many each.
-func usableRuns(n *Node, s *service, k route.Repeat) map[string]int {
+func usableRuns(n *Node, s *service, k route.RetryPolicy) map[string]int {
 	m := map[string]int{}
 	for _, id := range takeAll(n, s, k) {
 		m[id]++
@@ -60,7 +60,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			n, s := warmService(6)
 			e := s.endpoints["r0"]
-			if got := usableRuns(n, s, route.Once); got["r0"] == 0 {
+			if got := usableRuns(n, s, route.AtMostOnce); got["r0"] == 0 {
 				t.Fatalf("%v usable before any failure", got)
 			}
 			hold := initialEjection
@@ -78,7 +78,7 @@
 					t.Errorf("outcome %d: in use again after less than %v", o, hold)
 				}
 				time.Sleep(4 * time.Millisecond)
-				if got := usableRuns(n, s, route.Once); got["r0"] != 0 {
+				if got := usableRuns(n, s, route.AtMostOnce); got["r0"] != 0 {
 					t.Errorf("outcome %d: on probation with requests that must run at most once: %v", o, got)
 				}
 				for k := range recoverAfter - 1 {
@@ -90,7 +90,7 @@
 				hold = min(2*hold, maxEjection)
 			}
 			finishRequest(n, s, "r0", outcomeAnswered, 100*time.Millisecond)
-			if got := usableRuns(n, s, route.Once); got["r0"] < 4 {
+			if got := usableRuns(n, s, route.AtMostOnce); got["r0"] < 4 {
 				t.Errorf("outcome %d: %v usable after recovery", o, got)
 			}
 		})
@@ -159,7 +159,7 @@
 			if i >= 3 {
 				want = 6
 			}
-			if got := usableRuns(n, s, route.Once); len(got) != want {
+			if got := usableRuns(n, s, route.AtMostOnce); len(got) != want {
 				t.Errorf("%d unhealthy: %v usable", i+1, got)
 			}
 		}
@@ -171,7 +171,7 @@
 			now := n.clock.Now()
 			s.endpoints[fmt.Sprint("r", i)].recordFailure(now, now, initialBackoff)
 		}
-		if got := usableRuns(n, s, route.Once); got["r0"] == 0 || len(got) != 3 {
+		if got := usableRuns(n, s, route.AtMostOnce); got["r0"] == 0 || len(got) != 3 {
 			t.Errorf("three in backoff, one unhealthy: %v usable", got)
 		}
 	})
@@ -202,7 +202,7 @@
 		}
 		// The effect of full targets on the concurrency limit is not tested here.
 		s.limit = concurrencyLimit{}
-		if got := usableRuns(n, s, route.Once); len(got) != 6 {
+		if got := usableRuns(n, s, route.AtMostOnce); len(got) != 6 {
 			t.Errorf("%v usable", got)
 		}
 	})
--- a/internal/proxy/place.go
+++ b/internal/proxy/place.go
@@ -15,7 +15,7 @@
 	if w := n.applyRoute(x); w != nil {
 		return w
 	}
-	x.svc.budget.First()
+	x.svc.budget.RecordRequest()
 	return nil
 }
 
@@ -39,7 +39,7 @@
 		return &rejection{status: 503, reason: "too many services", retryAfter: time.Second, requestID: x.id, keepOpen: true}
 	}
 	x.view, x.entry, x.svc, x.versionDraw = v, e, svc, rand.Float64()
-	x.kind, x.atMostOnce = e.Repeat, !e.Repeat.Repeatable()
+	x.kind, x.atMostOnce = e.Repeat, !e.Repeat.AllowsRetry()
 	x.maxAttempts, x.priority = max(1, e.Attempts), e.Priority
 	x.latencyTarget = time.Duration(e.AimMS) * time.Millisecond
 	wait := x.timeout
--- a/internal/proxy/report.go
+++ b/internal/proxy/report.go
@@ -96,7 +96,7 @@
 		Gateways: n.gateways.Load(), GatewaysNear: n.gatewaysNear.Load(), ProbeMS: n.rhythm.interval().Milliseconds(), Budget: []BudgetLeft{}, UnderWay: n.inFlight(), Counters: n.Stats()}
 	for _, s := range n.allServices() {
 		if s.countRuns(&r.Runs, now) {
-			r.Budget = append(r.Budget, BudgetLeft{s.name, s.budget.Left()})
+			r.Budget = append(r.Budget, BudgetLeft{s.name, s.budget.Remaining()})
 		}
 	}
 	slices.SortFunc(r.Budget, func(a, b BudgetLeft) int {
--- a/internal/proxy/report_test.go
+++ b/internal/proxy/report_test.go
@@ -68,7 +68,7 @@
 				route.Route{Name: "r-" + name, Version: 1, Host: "h", Prefix: "/" + name + "/", Repeat: route.Idempotent, Shares: []route.Share{{Service: name, Weight: 1}}}.Item()})
 			s := n.services[name]
 			for range 100 * (9 - i) {
-				s.budget.First()
+				s.budget.RecordRequest()
 			}
 			if i < 8 {
 				s.acquire(testExchange(n, s, route.Idempotent))
@@ -77,7 +77,7 @@
 		r := n.Report()
 		for i := range r.Budget {
 			name := fmt.Sprintf("s%d", 7-i)
-			want = append(want, BudgetLeft{name, n.services[name].budget.Left()})
+			want = append(want, BudgetLeft{name, n.services[name].budget.Remaining()})
 		}
 		if len(r.Budget) != maxReportedServices || !reflect.DeepEqual(r.Budget, want) || want[0].Sends == 0 || want[0].Sends >= want[4].Sends {
 			t.Errorf("%+v, want %+v", r.Budget, want)
--- a/internal/proxy/service.go
+++ b/internal/proxy/service.go
@@ -58,7 +58,7 @@
 }
 
 func newService(n *Node, name string) *service {
-	return &service{name: name, node: n, budget: n.budget.Of(name), endpoints: map[string]*endpoint{}, queue: waitQueue{capacity: maxQueued}, sizes: newMeanSizes(), subsetSize: maxSubset, recentPeak: maxSubset / subsetPerRequest}
+	return &service{name: name, node: n, budget: n.budget.ForService(name), endpoints: map[string]*endpoint{}, queue: waitQueue{capacity: maxQueued}, sizes: newMeanSizes(), subsetSize: maxSubset, recentPeak: maxSubset / subsetPerRequest}
 }
 
 func (s *service) typicalLatencyLocked() time.Duration { return cmp.Or(s.latency, defaultLatency) }
@@ -116,7 +116,7 @@
 			e.closeIdle()
 		}
 	}
-	s.upgrade.versions.Seen(s.versionCounts(), now)
+	s.upgrade.versions.Observe(s.versionCounts(), now)
 	s.rebuildSubsets()
 	s.dispatch(now)
 }
--- a/internal/proxy/upgrade.go
+++ b/internal/proxy/upgrade.go
@@ -29,8 +29,8 @@
 
 // upgradeState is a service's state of an upgrade. The service's lock guards it.
 type upgradeState struct {
-	versions       upgrade.Versions
-	judge          *upgrade.Judge
+	versions       upgrade.VersionRouting
+	judge          *upgrade.Analyzer
 	routes         map[string]*upgrade.RouteCount
 	targets        map[string]upgrade.Tally // of the new version
 	changedTargets map[string]bool          // targets whose tally changed since the last report
@@ -58,11 +58,11 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	previous := s.upgrade.versions.Upgrade()
-	if !s.upgrade.versions.Take(u) {
+	if !s.upgrade.versions.ApplyUpgrade(u) {
 		return
 	}
 	if u.Order != previous.Order || s.upgrade.judge == nil {
-		s.upgrade.judge, s.upgrade.routes = upgrade.NewJudge(), map[string]*upgrade.RouteCount{}
+		s.upgrade.judge, s.upgrade.routes = upgrade.NewAnalyzer(), map[string]*upgrade.RouteCount{}
 		s.upgrade.targets, s.upgrade.changedTargets = map[string]upgrade.Tally{}, map[string]bool{}
 	}
 	s.node.log.Info("upgrade", "step", "upgrade", "service", s.name, "version", u.To, "phase", u.Phase.String(), "share", u.Share, "reason", u.Reason)
@@ -74,7 +74,7 @@
 func (n *Node) confirmVersions(asOf time.Time) {
 	for _, s := range n.allServices() {
 		s.mu.Lock()
-		if s.upgrade.versions.Prove(asOf) {
+		if s.upgrade.versions.Confirm(asOf) {
 			s.rebuildSubsets()
 			s.dispatch(n.clock.Now())
 		}
@@ -109,7 +109,7 @@
 		slices.SortFunc(es, func(a, b *endpoint) int {
 			return cmp.Or(cmp.Compare(xxhash.Sum64String(a.run.ID), xxhash.Sum64String(b.run.ID)), cmp.Compare(a.run.ID, b.run.ID))
 		})
-		most := max(minCanariesPerZone, int(math.Ceil(float64(len(es)*u.Share)/upgrade.Full)))
+		most := max(minCanariesPerZone, int(math.Ceil(float64(len(es)*u.Share)/upgrade.FullShare)))
 		out = append(out, es[:min(most, len(es))]...)
 	}
 	return out
@@ -179,15 +179,15 @@
 	}
 	if !isNew {
 		count.Old = count.Old.Add(t)
-		m.judge.Old(route, t)
+		m.judge.AddOld(route, t)
 		return
 	}
 	count.New = count.New.Add(t)
 	m.targets[e.run.ID] = m.targets[e.run.ID].Add(t)
 	m.changedTargets[e.run.ID] = true
-	m.judge.Target(e.run.ID, t)
-	m.judge.New(route, t)
-	if worst, isBad := m.judge.Bad(); isBad && m.versions.Trip() {
+	m.judge.AddTarget(e.run.ID, t)
+	m.judge.AddNew(route, t)
+	if worst, isBad := m.judge.DegradedRoute(); isBad && m.versions.StopLocally() {
 		s.node.log.Warn("gateway stopped sending requests to a bad new version", "step", "upgrade", "service", s.name, "version", u.To, "route", worst)
 		s.rebuildSubsets()
 	}
--- a/internal/proxy/upgrade_test.go
+++ b/internal/proxy/upgrade_test.go
@@ -21,12 +21,12 @@
 func serviceInUpgrade(t *testing.T, share int, runs ...target.Run) (*Node, *service) {
 	t.Helper()
 	n, s := testService(runs...)
-	u, verdict := upgrade.Order{Service: "svc", To: "v2", Term: time.Minute}.Take(upgrade.Upgrade{}, "v1", time.Now())
-	if verdict != upgrade.Begun {
+	u, verdict := upgrade.Order{Service: "svc", To: "v2", Term: time.Minute}.Apply(upgrade.Upgrade{}, "v1", time.Now())
+	if verdict != upgrade.Started {
 		t.Fatal(verdict)
 	}
 	if share != u.Share {
-		u = u.Step(share)
+		u = u.WithShare(share)
 	}
 	n.ApplyItems([]item.Item{u.Item()})
 	n.SetAsOf(time.Now().Add(time.Millisecond))
@@ -67,7 +67,7 @@
 				}
 				s.release(g, outcomeAnswered, time.Millisecond, 0)
 			}
-			if got != asked*share/upgrade.Full {
+			if got != asked*share/upgrade.FullShare {
 				t.Errorf("share %d: %d of %d requests", share, got, asked)
 			}
 		}
@@ -81,7 +81,7 @@
 		x := testExchange(n, s, route.Idempotent)
 		x.versionDraw = 0.9
 		old := s.tryAcquire(x)
-		final := s.upgrade.versions.Upgrade().Step(upgrade.Full)
+		final := s.upgrade.versions.Upgrade().WithShare(upgrade.FullShare)
 		n.ApplyItems([]item.Item{final.Item()})
 		if r := n.UpgradeReports(); len(r) != 1 || r[0].OldUnderWay != 1 || r[0].Number != final.Number {
 			t.Errorf("with a request in flight: %+v", r)
--- a/internal/route/code_test.go
+++ b/internal/route/codec_test.go
@@ -9,7 +9,7 @@
 	"walkrudder/internal/item"
 )
 
-func sample() Route {
+func sampleRoute() Route {
 	return Route{
 		Name: "r1", Version: 7, Host: "Ficu.example", Prefix: "/lohu/", Repeat: Idempotent,
 		HoldMS: 1200, AimMS: 500, Priority: 2, Attempts: 3,
@@ -21,7 +21,7 @@
 func TestRouteComesBackAsItWas(t *testing.T) {
 	for _, r := range []Route{
 		{},
-		sample(),
+		sampleRoute(),
 		{Name: "n", Version: math.MaxUint64, HoldMS: -1, AimMS: math.MinInt, Attempts: math.MaxInt,
 			Shares: []Share{{"", math.Inf(-1)}}, Repeat: 255},
 	} {
@@ -49,24 +49,24 @@
 	}
 }
 
-// Copies are compared by a digest of the body: equal contents must have equal bytes.
+// Copies are compared by a digest of the body, so equal content must have equal bytes.
 func TestSameContentHasSameBytes(t *testing.T) {
-	a, b := sample(), sample()
+	a, b := sampleRoute(), sampleRoute()
 	a.Shares[1].Weight, b.Shares[1].Weight = 0, math.Copysign(0, -1)
 	a.Source, b.Source = nil, []byte{}
 	if !bytes.Equal(a.Item().Body, b.Item().Body) {
-		t.Error("zeros of two signs, or empty sources, differ")
+		t.Error("positive and negative zero, or nil and empty sources, have different encodings")
 	}
 	a.Shares[1].Weight = math.NaN()
 	b.Shares[1].Weight = math.Float64frombits(math.Float64bits(math.NaN()) ^ 1)
 	if !bytes.Equal(a.Item().Body, b.Item().Body) {
-		t.Error("numbers that are none differ")
+		t.Error("two NaN values have different encodings")
 	}
 }
 
-// Every field is part of the content.
+// Every field must be part of the encoding.
 func TestEveryFieldIsKept(t *testing.T) {
-	for _, v := range []any{sample(), Service{Health: "/"}, Limits{}} {
+	for _, v := range []any{sampleRoute(), Service{Health: "/"}, Limits{}} {
 		for i := range reflect.TypeOf(v).NumField() {
 			field := reflect.TypeOf(v).Field(i).Name
 			c := reflect.New(reflect.TypeOf(v)).Elem()
@@ -81,18 +81,18 @@
 			case reflect.Slice:
 				f.Set(reflect.MakeSlice(f.Type(), 5, 5))
 			default:
-				t.Fatalf("field %s of a kind that the test does not know", field)
+				t.Fatalf("field %s: unsupported kind", field)
 			}
 			type kept interface{ Item() item.Item }
 			if reflect.DeepEqual(c.Interface().(kept).Item(), v.(kept).Item()) {
-				t.Errorf("%T: %s is lost", v, field)
+				t.Errorf("%T: %s is not encoded", v, field)
 			}
 		}
 	}
 }
 
 func TestUnknownBodiesAreErrors(t *testing.T) {
-	good := sample().Item()
+	good := sampleRoute().Item()
 	change := func(f func(it *item.Item)) item.Item {
 		it := good
 		it.Body = bytes.Clone(good.Body)
@@ -105,27 +105,27 @@
 		"too long":     change(func(it *item.Item) { it.Body = append(it.Body, 0) }),
 		"dropped":      change(func(it *item.Item) { it.Gone = true }),
 		"other kind":   change(func(it *item.Item) { it.Kind = item.Service }),
-		"long number":  change(func(it *item.Item) { it.Body = append([]byte{format, 2, 0x80, 0}, it.Body[3:]...) }),
-		"vast share count": {Key: good.Key, Body: append([]byte{format, 2, 0, 0, 0, 0, 0, 0},
+		"long number":  change(func(it *item.Item) { it.Body = append([]byte{bodyFormat, 2, 0x80, 0}, it.Body[3:]...) }),
+		"vast share count": {Key: good.Key, Body: append([]byte{bodyFormat, 2, 0, 0, 0, 0, 0, 0},
 			0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 1)},
 	} {
 		if r, err := FromItem(it); err == nil {
-			t.Errorf("%s: read as %+v", name, r)
+			t.Errorf("%s: decoded as %+v", name, r)
 		}
 	}
 	for n := range good.Body {
 		if _, err := FromItem(change(func(it *item.Item) { it.Body = it.Body[:n] })); err == nil {
-			t.Errorf("the first %d bytes are read", n)
+			t.Errorf("a body truncated to %d bytes is accepted", n)
 		}
 	}
 }
 
-// Whatever the bytes, they are refused, or are exactly what their content encodes to.
+// Any body must either be refused or equal the encoding of its content.
 func FuzzFromItem(f *testing.F) {
-	f.Add(sample().Item().Body)
+	f.Add(sampleRoute().Item().Body)
 	f.Add(Service{Health: "/health", MaxConns: 140}.Item().Body)
 	f.Add(Limits{HeaderBytes: 16384}.Item().Body)
-	f.Add([]byte{format})
+	f.Add([]byte{bodyFormat})
 	f.Fuzz(func(t *testing.T, body []byte) {
 		it := item.Item{Key: item.Key{Kind: item.Route, Name: "r"}, Version: 1, Body: body}
 		if r, err := FromItem(it); err == nil && !bytes.Equal(r.Item().Body, body) {
@@ -143,7 +143,7 @@
 }
 
 func BenchmarkFromItem(b *testing.B) {
-	it := sample().Item()
+	it := sampleRoute().Item()
 	b.ReportAllocs()
 	for b.Loop() {
 		if _, err := FromItem(it); err != nil {
--- a/internal/spread/spread_test.go
+++ b/internal/spread/spread_test.go
@@ -15,10 +15,10 @@
 	return list
 }
 
-// picked are the names in order.
-func picked(me string, ids []string) []string {
+// rankedNames returns the names in rank order.
+func rankedNames(nodeID string, ids []string) []string {
 	var list []string
-	for _, i := range Order(me, ids) {
+	for _, i := range Rank(nodeID, ids) {
 		list = append(list, ids[i])
 	}
 	return list
@@ -26,11 +26,11 @@
 
 func TestOrderHoldsEveryTargetOnce(t *testing.T) {
 	for _, n := range []int{0, 1, 2, 30} {
-		order := Order("me", names("t", n))
+		order := Rank("me", names("t", n))
 		slices.Sort(order)
 		for i, at := range order {
 			if at != i {
-				t.Fatalf("of %d targets: %v", n, order)
+				t.Fatalf("%d targets: order %v", n, order)
 			}
 		}
 		if len(order) != n {
@@ -41,33 +41,33 @@
 
 func TestOrderDoesNotDependOnTheList(t *testing.T) {
 	ids := names("t", 30)
-	want := picked("me", ids)
+	want := rankedNames("me", ids)
 	slices.Reverse(ids)
-	if got := picked("me", ids); !slices.Equal(got, want) {
+	if got := rankedNames("me", ids); !slices.Equal(got, want) {
 		t.Errorf("%v, want %v", got, want)
 	}
-	if other := picked("you", ids); slices.Equal(other, want) {
-		t.Error("two nodes have one order")
+	if other := rankedNames("you", ids); slices.Equal(other, want) {
+		t.Error("two nodes have the same order")
 	}
 }
 
 func TestOrderKeepsWhenTargetsComeAndGo(t *testing.T) {
 	ids := names("t", 30)
 	for _, me := range names("node", 20) {
-		before := picked(me, ids)
+		before := rankedNames(me, ids)
 		for gone := range ids {
 			rest := slices.Delete(slices.Clone(ids), gone, gone+1)
 			want := slices.DeleteFunc(slices.Clone(before), func(id string) bool { return id == ids[gone] })
-			if got := picked(me, rest); !slices.Equal(got, want) {
+			if got := rankedNames(me, rest); !slices.Equal(got, want) {
 				t.Fatalf("without %s: %v, want %v", ids[gone], got, want)
 			}
 		}
 	}
 }
 
-// Each place of the order is drawn evenly, for many nodes, by a chi-squared test: with
-// 29 degrees of freedom a value over 66 has a chance of one in ten thousand. Names are
-// alike but for a digit, as they are in life.
+// Each rank must be uniformly distributed over the targets, for many nodes, by a chi-squared test: with
+// 29 degrees of freedom a value over 66 has a probability of one in ten thousand. The names differ
+// in few digits, as in production.
 func TestEveryPlaceIsEven(t *testing.T) {
 	ids := names("10.128.0.", 30)
 	nodes := names("i-7f3a91c", 3000)
@@ -76,7 +76,7 @@
 		count[i] = make([]float64, len(ids))
 	}
 	for _, me := range nodes {
-		for rank, i := range Order(me, ids) {
+		for rank, i := range Rank(me, ids) {
 			count[rank][i]++
 		}
 	}
@@ -87,13 +87,13 @@
 			chi += (n - want) * (n - want) / want
 		}
 		if chi > 66 {
-			t.Errorf("place %d: chi squared %v", rank, chi)
+			t.Errorf("rank %d: chi squared %v", rank, chi)
 		}
 	}
 }
 
-// With 13 nodes that choose 8 of 26 targets, the load is as even as independent draws
-// make it: the spread of a target's number of nodes is that of 13 draws at 8/26.
+// With 13 nodes that choose 8 of 26 targets, the load must be as even as independent random choices
+// make it: the variance of the number of nodes per target is that of 13 draws with probability 8/26.
 func TestLoadIsAsEvenAsDraws(t *testing.T) {
 	const nodes, choose, targets, rounds = 13, 8, 26, 400
 	p := float64(choose) / targets
@@ -102,7 +102,7 @@
 		load := make([]float64, targets)
 		ids := names(fmt.Sprintf("r%d-t", round), targets)
 		for _, me := range names("node", nodes) {
-			for _, i := range Order(me, ids)[:choose] {
+			for _, i := range Rank(me, ids)[:choose] {
 				load[i]++
 			}
 		}
@@ -121,6 +121,6 @@
 	ids := names("10.128.0.", 30)
 	b.ReportAllocs()
 	for b.Loop() {
-		Order("node", ids)
+		Rank("node", ids)
 	}
 }
