--- a/cmd/controller/main.go
+++ b/cmd/controller/main.go
@@ -58,7 +58,7 @@
 }
 
 func run(ctx context.Context, lg *log.Logger, s startup.Controller) error {
-	inner, err := shell.Listen("inner", s.Own())
+	inner, err := shell.Listen("inner", s.ListenAddr())
 	if err != nil {
 		return err
 	}
@@ -73,20 +73,20 @@
 	line := link.NewTCP(link.Who{ID: s.ID, Kind: "controller"}, s.Bind, lg)
 	count := metrics.New("controller")
 	bad := make(chan error, 1)
-	m, err := controller.New(controller.Parts{Startup: s, Inc: shell.Incarnation(), Fresh: shell.Fresh(), Line: line, Clock: clock.Wall{}, Disk: disk, Log: lg,
-		OnBad:  func(err error) { bad <- err },
-		WallMS: func() int64 { return time.Now().UnixMilli() }})
+	m, err := controller.New(controller.Config{Startup: s, Incarnation: shell.Incarnation(), NewDiskID: shell.UniqueName(), Transport: line, Clock: clock.Wall{}, Disk: disk, Log: lg,
+		OnDiskFailure: func(err error) { bad <- err },
+		WallMS:        func() int64 { return time.Now().UnixMilli() }})
 	if errors.Is(err, quorum.ErrWrongOwner) {
 		return &shell.StartError{Field: "data", Err: err}
 	}
 	if err != nil {
 		return err
 	}
-	go line.Serve(inner, m.Desk)
+	go line.Serve(inner, m.Mux)
 	life, end := context.WithCancel(context.Background())
 	fin := make(chan struct{})
 	go func() { m.Run(life); close(fin) }()
-	app := m.Door(count.Handler())
+	app := m.HTTPServer(count.Handler())
 	served := shell.Serve(app, door)
 	lg.Info("started", "inner", s.Inner, "door", s.Door, "version", startup.Version, "votes", disk != nil)
 	select {
@@ -96,11 +96,11 @@
 		from := time.Now()
 		m.Stop()
 		lg.Info("stopping", "step", "stop")
-		time.Sleep(shell.Linger / 2)
-		err = app.ShutdownWithTimeout(shell.Whole - time.Since(from) - 200*time.Millisecond)
+		time.Sleep(shell.AcceptAfterStop / 2)
+		err = app.ShutdownWithTimeout(shell.StopDeadline - time.Since(from) - 200*time.Millisecond)
 	}
 	cx, done := context.WithTimeout(context.Background(), 150*time.Millisecond)
-	m.Tenant.Leave(cx)
+	m.Membership.Leave(cx)
 	done()
 	end()
 	line.Close()
--- a/cmd/controller/say.go
+++ b/cmd/controller/say.go
@@ -50,7 +50,7 @@
 		return a.one(join(a.Words), out, errw)
 	}
 	sc := bufio.NewScanner(in)
-	sc.Buffer(nil, statement.MaxSaying+1)
+	sc.Buffer(nil, statement.MaxBytes+1)
 	for n := 1; sc.Scan(); n++ {
 		l := strings.TrimSpace(sc.Text())
 		if l == "" || strings.HasPrefix(l, "#") {
--- a/cmd/controller/show_test.go
+++ b/cmd/controller/show_test.go
@@ -25,7 +25,7 @@
 	l.addr, l.ask = addr, ask
 	if l.told == nil && l.err == nil {
 		<-ctx.Done()
-		return nil, steperr.At("ask", addr, ctx.Err())
+		return nil, steperr.Wrap("ask", addr, ctx.Err())
 	}
 	return l.told, l.err
 }
--- a/cmd/controller/snapshot.go
+++ b/cmd/controller/snapshot.go
@@ -130,23 +130,23 @@
 func readFolder(dir string) (s quorum.StoredState, err error) {
 	raw, err := os.ReadFile(filepath.Join(dir, file))
 	if err != nil {
-		return s, steperr.At("read data", dir, err)
+		return s, steperr.Wrap("read data", dir, err)
 	}
 	scratch, err := os.MkdirTemp("", "snapshot-")
 	if err != nil {
-		return s, steperr.At("read data", dir, err)
+		return s, steperr.Wrap("read data", dir, err)
 	}
 	defer os.RemoveAll(scratch)
 	if err := os.WriteFile(filepath.Join(scratch, file), raw, 0o600); err != nil {
-		return s, steperr.At("read data", dir, err)
+		return s, steperr.Wrap("read data", dir, err)
 	}
 	d, err := storage.OpenBunt(scratch, file)
 	if err != nil {
-		return s, steperr.At("read data", dir, err)
+		return s, steperr.Wrap("read data", dir, err)
 	}
 	values, err := d.Load()
 	if err := errors.Join(err, d.Close()); err != nil {
-		return s, steperr.At("read data", dir, err)
+		return s, steperr.Wrap("read data", dir, err)
 	}
 	return quorum.ReadStoredState(values)
 }
--- a/cmd/gateway/main.go
+++ b/cmd/gateway/main.go
@@ -28,7 +28,7 @@
 }
 
 func run(ctx context.Context, lg *log.Logger, s startup.Gateway) error {
-	inner, err := shell.Listen("inner", s.Own())
+	inner, err := shell.Listen("inner", s.ListenAddr())
 	if err != nil {
 		return err
 	}
@@ -39,13 +39,13 @@
 	line := link.NewTCP(link.Who{ID: s.ID, Kind: "gateway"}, s.Bind, lg)
 	courier := passage.NewHTTP(s.Bind)
 	count := metrics.New("gateway")
-	f := gateway.New(gateway.Parts{Startup: s, Inc: shell.Incarnation(), Line: line, Clock: clock.Wall{}, Courier: courier, Log: lg, Count: count.Add})
-	go line.Serve(inner, f.Desk)
+	f := gateway.New(gateway.Config{Startup: s, Incarnation: shell.Incarnation(), Transport: line, Clock: clock.Wall{}, TargetClient: courier, Log: lg, Count: count.Add})
+	go line.Serve(inner, f.Mux)
 	life, end := context.WithCancel(context.Background())
 	fin := make(chan struct{})
 	go func() { f.Run(life); close(fin) }()
 	go clock.Every(life, clock.Wall{}, time.Second, courier.Sweep)
-	app := f.Door(count.Handler())
+	app := f.HTTPServer(count.Handler())
 	served := shell.Serve(app, door)
 	lg.Info("started", "inner", s.Inner, "door", s.Door, "version", startup.Version)
 	select {
@@ -55,15 +55,15 @@
 		// the platform notices, then finishing all that is inside.
 		from := time.Now()
 		f.Stop()
-		lg.Info("stopping", "step", "stop", "inside", f.Passage.Flying())
-		time.Sleep(shell.Linger)
-		err = app.ShutdownWithTimeout(shell.Whole - time.Since(from) - 200*time.Millisecond)
+		lg.Info("stopping", "step", "stop", "inside", f.Proxy.Flying())
+		time.Sleep(shell.AcceptAfterStop)
+		err = app.ShutdownWithTimeout(shell.StopDeadline - time.Since(from) - 200*time.Millisecond)
 		if err == nil {
 			lg.Info("stopped", "step", "stop", "took", time.Since(from).String())
 		}
 	}
 	cx, done := context.WithTimeout(context.Background(), 300*time.Millisecond)
-	f.Part(cx)
+	f.Deregister(cx)
 	done()
 	end()
 	line.Close()
--- a/internal/claim/claim.go
+++ b/internal/claim/claim.go
@@ -116,7 +116,7 @@
 	before, claim := buckets(c.WallMS())
 	raw, err := c.Prop.Read(ctx, item(before, a.Key))
 	if err != nil && !quorum.IsNeverWritten(err) {
-		return TakeTold{}, steperr.At("claim", "", err)
+		return TakeTold{}, steperr.Wrap("claim", "", err)
 	}
 	if s := read(raw); s.State != Free && s.Call != a.Call {
 		return TakeTold{State: s}, nil
@@ -140,7 +140,7 @@
 			return TakeTold{State: read(raw)}, nil
 		}
 		if err != nil {
-			return TakeTold{}, steperr.At("claim", "", err)
+			return TakeTold{}, steperr.Wrap("claim", "", err)
 		}
 	}
 	return TakeTold{OK: true, State: read(mine)}, nil
--- a/internal/commands/beat.go
+++ b/internal/commands/beat.go
@@ -12,52 +12,52 @@
 	"walkrudder/internal/steperr"
 )
 
-// Beater hands beats on to the homes of their service.
-type Beater struct {
-	House   *registry.House
-	Tenant  *membership.Tenant
-	Line    link.Line
-	Me      string
-	Drainer *Drainer
+// HeartbeatReceiver forwards heartbeats to the home controllers of their service.
+type HeartbeatReceiver struct {
+	Registry   *registry.House
+	Membership *membership.Tenant
+	Transport  link.Line
+	NodeID     string
+	Drainer    *Drainer
 }
 
-// Take hands a beat to the service's home in every zone; where none answers, to
-// this controller's own house. A leaving beat returns only once no gateway elects the
-// target.
-func (b *Beater) Take(ctx context.Context, t httpapi.Beat) (registry.BeatTold, error) {
+// Receive forwards a heartbeat to the service's home controller in every zone. If no home
+// answers, it is recorded in this controller's own registry. A heartbeat that announces
+// leaving returns only once no gateway selects the target any more.
+func (h *HeartbeatReceiver) Receive(ctx context.Context, beat httpapi.Beat) (registry.BeatTold, error) {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
-	var told registry.BeatTold
-	take := func(r registry.BeatTold, err error) {
+	var response registry.BeatTold
+	merge := func(r registry.BeatTold, err error) {
 		mu.Lock()
 		defer mu.Unlock()
 		if err == nil && r.OK {
-			told.OK, told.Seq, told.Gone = true, max(told.Seq, r.Seq), told.Gone || r.Gone
+			response.OK, response.Seq, response.Gone = true, max(response.Seq, r.Seq), response.Gone || r.Gone
 		}
 	}
-	for _, m := range registry.Homes(t.Service, b.Tenant.Members()) {
+	for _, m := range registry.Homes(beat.Service, h.Membership.Members()) {
 		wg.Go(func() {
-			if m.ID == b.Me {
-				take(b.House.Take(ctx, t))
+			if m.ID == h.NodeID {
+				merge(h.Registry.Take(ctx, beat))
 				return
 			}
 			cx, end := context.WithTimeout(ctx, 500*time.Millisecond)
 			defer end()
-			take(link.Ask[registry.BeatTold](cx, b.Line, m.Inner, registry.BeatAsk{Beat: t}))
+			merge(link.Ask[registry.BeatTold](cx, h.Transport, m.Inner, registry.BeatAsk{Beat: beat}))
 		})
 	}
-	if t.Leaving {
-		if err := b.Drainer.Leave(ctx, t); err != nil {
-			// Some homes may still be answering into told.
-			return registry.BeatTold{}, steperr.At("leaving", t.ID, err)
+	if beat.Leaving {
+		if err := h.Drainer.MarkLeaving(ctx, beat); err != nil {
+			// Requests to homes may still be running and write to response.
+			return registry.BeatTold{}, steperr.Wrap("leaving", beat.ID, err)
 		}
 	}
 	wg.Wait()
-	if !told.OK {
+	if !response.OK {
 		var err error
-		if told, err = b.House.Take(ctx, t); err != nil {
-			return told, steperr.At("take beat", t.ID, err)
+		if response, err = h.Registry.Take(ctx, beat); err != nil {
+			return response, steperr.Wrap("take beat", beat.ID, err)
 		}
 	}
-	return told, nil
+	return response, nil
 }
--- a/internal/commands/change.go
+++ b/internal/commands/change.go
@@ -1,5 +1,5 @@
-// Package commands holds what changes the shared state; the queries have their
-// own package (design 2.2).
+// Package commands implements the operations that change the shared state; queries are
+// in a package of their own (design 2.2).
 package commands
 
 import (
@@ -17,116 +17,116 @@
 	"walkrudder/internal/steperr"
 )
 
-// Order is an operator's wish to change the sheet.
-type Order struct {
-	// Base is the version the operator looked at; 0 does not controller.
+// ChangeRequest is an operator's request to change the route sheet.
+type ChangeRequest struct {
+	// Base is the version that the operator's edits are based on; nil skips the check.
 	Base *uint64 `json:"base,omitempty"`
-	// Token names the order, so that sending it again does not do it again.
-	Token string      `json:"token,omitempty" validate:"max=128"`
-	By    string      `json:"by,omitempty" validate:"max=64"`
-	Note  string      `json:"note,omitempty" validate:"max=256"`
-	Edits []spec.Edit `json:"edits" validate:"max=2048"`
-	// Dry checks and changes nothing.
-	Dry bool `json:"dry,omitempty"`
+	// Token identifies the request, so that a retry is not applied twice.
+	Token    string      `json:"token,omitempty" validate:"max=128"`
+	Operator string      `json:"by,omitempty" validate:"max=64"`
+	Note     string      `json:"note,omitempty" validate:"max=256"`
+	Edits    []spec.Edit `json:"edits" validate:"max=2048"`
+	// DryRun validates the request without applying it.
+	DryRun bool `json:"dry,omitempty"`
 }
 
-// The outcomes of an order.
+// The outcomes of a change request.
 const (
-	InForce  = "in force"
-	Valid    = "valid"
-	Invalid  = "invalid"
-	Conflict = "conflict"
-	Unknown  = "outcome unknown"
-	NoCore   = "no majority"
+	InForce        = "in force"
+	Valid          = "valid"
+	Invalid        = "invalid"
+	Conflict       = "conflict"
+	OutcomeUnknown = "outcome unknown"
+	NoMajority     = "no majority"
 )
 
-// tablePause is how soon the table of members is looked for again.
-const tablePause = 50 * time.Millisecond
+// membersRetryDelay is the delay before the member table is read again.
+const membersRetryDelay = 50 * time.Millisecond
 
-// Result tells what became of an order.
+// Result is the outcome of a change request.
 type Result struct {
-	Outcome  string         `json:"outcome"`
-	Version  uint64         `json:"version"`
-	Again    bool           `json:"again,omitempty"` // the token was known already
-	Problems []spec.Problem `json:"problems,omitempty"`
-	Why      string         `json:"why,omitempty"`
+	Outcome   string         `json:"outcome"`
+	Version   uint64         `json:"version"`
+	Duplicate bool           `json:"again,omitempty"` // the token was known already
+	Problems  []spec.Problem `json:"problems,omitempty"`
+	Reason    string         `json:"why,omitempty"`
 }
 
-// Changer carries orders out.
+// Changer executes change requests.
 type Changer struct {
-	Book       *ledger.Book
-	Roller     *rollout.Roller
+	Ledger     *ledger.Ledger
+	Rollout    *rollout.Roller
 	Clock      clock.Clock
 	Controller string
 }
 
-// Change decides an order and brings it into force (design 8.1). "in force" is
-// said only when every gateway has it or has lost its lease.
-func (c *Changer) Change(ctx context.Context, o Order) Result {
+// Apply decides a change and brings it into force (design 8.1). The outcome is "in force"
+// only when every gateway has the change or has lost its lease.
+func (c *Changer) Apply(ctx context.Context, o ChangeRequest) Result {
 	for try := 0; ; try++ {
-		f, err := c.Book.Refresh(ctx)
+		f, err := c.Ledger.Refresh(ctx)
 		if err != nil {
-			return undone(err, false)
+			return failure(err, false)
 		}
 		if n, ok := f.Token(o.Token); ok && o.Token != "" {
-			r := c.settle(ctx, n)
-			r.Again = true
+			r := c.waitInForce(ctx, n)
+			r.Duplicate = true
 			return r
 		}
-		if o.Base != nil && *o.Base != f.N {
-			return Result{Outcome: Conflict, Version: f.N, Why: fmt.Sprintf("the order was made for version %d, now is %d", *o.Base, f.N)}
+		if o.Base != nil && *o.Base != f.Version {
+			return Result{Outcome: Conflict, Version: f.Version, Reason: fmt.Sprintf("the order was made for version %d, now is %d", *o.Base, f.Version)}
 		}
 		s, bad := f.Sheet.Apply(o.Edits)
 		if len(bad) > 0 {
-			return Result{Outcome: Invalid, Version: f.N, Problems: bad}
+			return Result{Outcome: Invalid, Version: f.Version, Problems: bad}
 		}
-		if o.Dry {
-			return Result{Outcome: Valid, Version: f.N}
+		if o.DryRun {
+			return Result{Outcome: Valid, Version: f.Version}
 		}
-		ch := ledger.Change{N: f.N + 1, Token: o.Token, By: o.By, Note: o.Note, Controller: c.Controller, At: c.Book.WallMS(), Edits: o.Edits}
-		if ch.N%ledger.Whole == 0 {
+		ch := ledger.Change{Version: f.Version + 1, Token: o.Token, Operator: o.Operator, Note: o.Note, Controller: c.Controller, AtMS: c.Ledger.WallMS(), Edits: o.Edits}
+		if ch.Version%ledger.FullSheetInterval == 0 {
 			ch.Sheet = &s
 		}
 		if len(ledger.Encode(ch)) > quorum.MaxValueBytes {
-			return Result{Outcome: Invalid, Version: f.N, Problems: []spec.Problem{{Path: "edits", Why: "too large in all"}}}
+			return Result{Outcome: Invalid, Version: f.Version, Problems: []spec.Problem{{Path: "edits", Reason: "too large in all"}}}
 		}
-		// What is decided closes every gateway that confirms until it is in force. While
-		// the gateways to bring it to are not known, as for a second after the core's
-		// return, it waits.
-		if _, err := c.Roller.Tenant.Table(ctx); err != nil {
-			if c.Clock.Sleep(ctx, tablePause) != nil {
-				return undone(err, false)
+		// A decided change closes every gateway that confirms it until it is in force.
+		// Wait before deciding while the gateways to roll it out to are not known,
+		// as for a second after the core becomes available again.
+		if _, err := c.Rollout.Tenant.Table(ctx); err != nil {
+			if c.Clock.Sleep(ctx, membersRetryDelay) != nil {
+				return failure(err, false)
 			}
 			continue
 		}
-		err = c.Book.Decide(ctx, ch)
+		err = c.Ledger.Append(ctx, ch)
 		switch {
 		case err == nil:
-			return c.settle(ctx, ch.N)
-		case errors.Is(err, ledger.ErrTaken):
-			// Another change won; this one is looked at again on top of it.
+			return c.waitInForce(ctx, ch.Version)
+		case errors.Is(err, ledger.ErrNumberTaken):
+			// Another change was decided at this number; retry on top of it.
 			if c.Clock.Sleep(ctx, time.Duration(rand.IntN(5*min(try+1, 10))+1)*time.Millisecond) != nil {
-				return undone(ctx.Err(), false)
+				return failure(ctx.Err(), false)
 			}
 		default:
-			return undone(err, true)
+			return failure(err, true)
 		}
 	}
 }
 
-// undone is the result when the core did not answer; loose says that the change
-// may be decided all the same.
-func undone(err error, loose bool) Result {
-	step, _ := steperr.Of(err)
-	if loose {
-		return Result{Outcome: Unknown, Why: fmt.Sprintf("%s: %v; send it again with the same token", step, err)}
+// failure returns the result for an error of the core. mayBeDecided means that the change
+// may have been decided nevertheless.
+func failure(err error, mayBeDecided bool) Result {
+	step, _ := steperr.Innermost(err)
+	if mayBeDecided {
+		return Result{Outcome: OutcomeUnknown, Reason: fmt.Sprintf("%s: %v; send it again with the same token", step, err)}
 	}
-	return Result{Outcome: NoCore, Why: err.Error()}
+	return Result{Outcome: NoMajority, Reason: err.Error()}
 }
 
-func (c *Changer) settle(ctx context.Context, n uint64) Result {
-	if _, err := c.Roller.Settle(ctx, n); err != nil {
-		return Result{Outcome: Unknown, Version: n, Why: fmt.Sprintf("decided, not yet known to be in force everywhere: %v", err)}
+func (c *Changer) waitInForce(ctx context.Context, n uint64) Result {
+	if _, err := c.Rollout.Settle(ctx, n); err != nil {
+		return Result{Outcome: OutcomeUnknown, Version: n, Reason: fmt.Sprintf("decided, not yet known to be in force everywhere: %v", err)}
 	}
 	return Result{Outcome: InForce, Version: n}
 }
--- a/internal/commands/drain.go
+++ b/internal/commands/drain.go
@@ -15,49 +15,49 @@
 	"walkrudder/internal/rollout"
 )
 
-// Drainer stops new work to target runs that are leaving or let go.
+// Drainer stops new requests to target runs that are leaving or have been removed.
 type Drainer struct {
-	Book   *ledger.Book
-	Tenant *membership.Tenant
-	Line   link.Line
-	Clock  clock.Clock
-	Faults *fault.Set
+	Ledger     *ledger.Ledger
+	Membership *membership.Tenant
+	Transport  link.Line
+	Clock      clock.Clock
+	Faults     *fault.Set
 
-	mu   sync.Mutex
-	done map[string]time.Time // by key: when every gateway held it
+	mu        sync.Mutex
+	completed map[string]time.Time // time at which every gateway had acknowledged, by key
 }
 
-// maxDone bounds what is remembered of finished drains; a forgotten one is only
-// done again.
-const maxDone = 20000
+// maxCompleted bounds the number of completed drains remembered. A forgotten drain is
+// merely repeated.
+const maxCompleted = 20000
 
-// Leave records that a target run is leaving and returns once no gateway elects it
-// any more: each holds the word, or has lost its lease and learns it with its
-// next confirmation (design 12.3).
-func (d *Drainer) Leave(ctx context.Context, b httpapi.Beat) error {
-	t := ledger.Target{ID: b.ID, Service: b.Service, Inc: b.Inc}
-	return d.run(ctx, ledger.LeavePrefix, t, ledger.Note{Kind: ledger.NoteLeave, Target: &t, Seq: b.Seq})
+// MarkLeaving records that a target run is leaving. It returns once no gateway selects
+// the run any more: each gateway has acknowledged the drain, or has lost its lease and
+// learns of the drain with its next confirmation (design 12.3).
+func (d *Drainer) MarkLeaving(ctx context.Context, b httpapi.Beat) error {
+	t := ledger.Target{ID: b.ID, Service: b.Service, Incarnation: b.Inc}
+	return d.record(ctx, ledger.LeavePrefix, t, ledger.Note{Kind: ledger.NoteLeave, Target: &t, HeartbeatSeq: b.Seq})
 }
 
-// Gone records that a target run is let go, and tells every gateway.
-func (d *Drainer) Gone(ctx context.Context, t ledger.Target, w float64, why string) error {
-	return d.run(ctx, ledger.GonePrefix, t, ledger.Note{Kind: ledger.NoteGone, Target: &t, W: w, Why: why})
+// MarkGone records that a target run is removed, and tells every gateway.
+func (d *Drainer) MarkGone(ctx context.Context, t ledger.Target, w float64, why string) error {
+	return d.record(ctx, ledger.GonePrefix, t, ledger.Note{Kind: ledger.NoteGone, Target: &t, Suspicion: w, Reason: why})
 }
 
-func (d *Drainer) run(ctx context.Context, prefix string, t ledger.Target, n ledger.Note) error {
-	key := ledger.TargetKey(prefix, d.Book.WallMS(), t)
+func (d *Drainer) record(ctx context.Context, prefix string, t ledger.Target, note ledger.Note) error {
+	key := ledger.TargetKey(prefix, d.Ledger.WallMS(), t)
 	d.mu.Lock()
-	_, ok := d.done[key]
+	_, ok := d.completed[key]
 	d.mu.Unlock()
 	if ok {
 		return nil
 	}
-	if _, err := d.Book.Once(ctx, key, n); err != nil {
+	if _, err := d.Ledger.WriteOnce(ctx, key, note); err != nil {
 		return err
 	}
 	d.Faults.At(fault.AfterLeaveNoted)
-	_, err := rollout.Everyone(ctx, d.Tenant, d.Clock, nil, func(cx context.Context, m membership.Member) bool {
-		r, err := link.Ask[registry.DrainTold](cx, d.Line, m.Inner, registry.DrainAsk{Service: t.Service, ID: t.ID, Inc: t.Inc, Gone: prefix == ledger.GonePrefix})
+	_, err := rollout.Everyone(ctx, d.Membership, d.Clock, nil, func(cx context.Context, m membership.Member) bool {
+		r, err := link.Ask[registry.DrainTold](cx, d.Transport, m.Inner, registry.DrainAsk{Service: t.Service, ID: t.ID, Inc: t.Incarnation, Gone: prefix == ledger.GonePrefix})
 		return err == nil && r.OK
 	})
 	if err != nil {
@@ -66,24 +66,24 @@
 	d.Faults.At(fault.BeforeLeaveAck)
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.done == nil || len(d.done) > maxDone {
-		d.done = map[string]time.Time{}
+	if d.completed == nil || len(d.completed) > maxCompleted {
+		d.completed = map[string]time.Time{}
 	}
-	d.done[key] = d.Clock.Now()
+	d.completed[key] = d.Clock.Now()
 	return nil
 }
 
-// Leaves lists the target runs that may get no new work, by a majority.
-func (d *Drainer) Leaves(ctx context.Context) ([]rollout.Leave, error) {
+// DrainedTargets reads from a majority the target runs that must not get new requests.
+func (d *Drainer) DrainedTargets(ctx context.Context) ([]rollout.Leave, error) {
 	var out []rollout.Leave
 	for _, p := range []string{ledger.LeavePrefix, ledger.GonePrefix} {
-		ns, err := d.Book.Notes(ctx, p)
+		ns, err := d.Ledger.Notes(ctx, p)
 		if err != nil {
 			return nil, err
 		}
 		for _, n := range ns {
 			if n.Target != nil {
-				out = append(out, rollout.Leave{Service: n.Target.Service, ID: n.Target.ID, Inc: n.Target.Inc, Gone: n.Kind == ledger.NoteGone})
+				out = append(out, rollout.Leave{Service: n.Target.Service, ID: n.Target.ID, Inc: n.Target.Incarnation, Gone: n.Kind == ledger.NoteGone})
 			}
 		}
 	}
--- a/internal/commands/trim.go
+++ b/internal/commands/trim.go
@@ -15,50 +15,50 @@
 	"walkrudder/internal/registry"
 )
 
-// Trimmer lets decisions go that are older than Keep, so that memory and disks
-// stay bounded (design 6.5).
+// Trimmer deletes decisions older than Retention, so that memory and disk usage stay
+// bounded (design 6.5).
 type Trimmer struct {
-	Book    *ledger.Book
-	Prop    *quorum.Proposer
-	Tenant  *membership.Tenant
-	Line    link.Line
-	Drainer *Drainer
-	Keep    time.Duration
+	Ledger     *ledger.Ledger
+	Proposer   *quorum.Proposer
+	Membership *membership.Tenant
+	Transport  link.Line
+	Drainer    *Drainer
+	Retention  time.Duration
 }
 
-// Trim drops what is old: changes below the last one before the limit that carries
-// the whole sheet, notes by their time, leavings and lettings go by the day.
+// Trim deletes old decisions: changes before the last one that precedes the cutoff and
+// carries the full sheet, notes by their time, and leave and gone notes by the day.
 func (t *Trimmer) Trim(ctx context.Context) error {
-	f, err := t.Book.Refresh(ctx)
+	f, err := t.Ledger.Refresh(ctx)
 	if err != nil {
 		return err
 	}
-	limit := t.Book.WallMS() - t.Keep.Milliseconds()
-	if n := f.WholeBefore(limit); n > 0 {
-		err = errors.Join(t.Prop.DropBelow(ctx, ledger.ChangePrefix, ledger.ChangeKey(n)), t.Prop.DropBelow(ctx, ledger.FlipPrefix, ledger.FlipKey(n)))
+	cutoff := t.Ledger.WallMS() - t.Retention.Milliseconds()
+	if n := f.FullSheetBefore(cutoff); n > 0 {
+		err = errors.Join(t.Proposer.DropBelow(ctx, ledger.ChangePrefix, ledger.ChangeKey(n)), t.Proposer.DropBelow(ctx, ledger.ActivationPrefix, ledger.ActivationNoteKey(n)))
 	}
-	if limit <= 0 {
+	if cutoff <= 0 {
 		return err
 	}
-	// A run that is still there stays drained: it is noted anew.
-	old := ledger.DayKey(ledger.LeavePrefix, limit-ledger.DayMS)
-	ns, e := t.Book.Notes(ctx, ledger.LeavePrefix)
+	// A drained run that still exists must stay drained, so its note is written again.
+	oldestDay := ledger.DayPrefix(ledger.LeavePrefix, cutoff-ledger.DayMS)
+	ns, e := t.Ledger.Notes(ctx, ledger.LeavePrefix)
 	if err = errors.Join(err, e); err != nil {
 		return err
 	}
-	seen := lo.SliceToMap(registry.Collect(ctx, t.Line, t.Tenant.Members()), func(s registry.Seen) (ledger.Target, bool) {
-		return ledger.Target{ID: s.Beat.ID, Service: s.Beat.Service, Inc: s.Beat.Inc}, !s.Gone
+	seen := lo.SliceToMap(registry.Collect(ctx, t.Transport, t.Membership.Members()), func(s registry.Seen) (ledger.Target, bool) {
+		return ledger.Target{ID: s.Beat.ID, Service: s.Beat.Service, Incarnation: s.Beat.Inc}, !s.Gone
 	})
 	for _, n := range ns {
-		if n.Target != nil && seen[*n.Target] && ledger.DayKey(ledger.LeavePrefix, n.At) < old {
-			if e := t.Drainer.run(ctx, ledger.LeavePrefix, *n.Target, ledger.Note{Kind: ledger.NoteLeave, Target: n.Target, Seq: n.Seq, Why: "still there"}); e != nil {
+		if n.Target != nil && seen[*n.Target] && ledger.DayPrefix(ledger.LeavePrefix, n.AtMS) < oldestDay {
+			if e := t.Drainer.record(ctx, ledger.LeavePrefix, *n.Target, ledger.Note{Kind: ledger.NoteLeave, Target: n.Target, HeartbeatSeq: n.HeartbeatSeq, Reason: "still there"}); e != nil {
 				return e
 			}
 		}
 	}
-	for p, k := range map[string]string{ledger.LeavePrefix: old, ledger.GonePrefix: ledger.DayKey(ledger.GonePrefix, limit-ledger.DayMS),
-		ledger.NotePrefix: fmt.Sprintf("%s%013d", ledger.NotePrefix, limit)} {
-		err = errors.Join(err, t.Prop.DropBelow(ctx, p, k))
+	for p, k := range map[string]string{ledger.LeavePrefix: oldestDay, ledger.GonePrefix: ledger.DayPrefix(ledger.GonePrefix, cutoff-ledger.DayMS),
+		ledger.NotePrefix: fmt.Sprintf("%s%013d", ledger.NotePrefix, cutoff)} {
+		err = errors.Join(err, t.Proposer.DropBelow(ctx, p, k))
 	}
 	return err
 }
--- a/internal/commands/warden.go
+++ b/internal/commands/warden.go
@@ -21,252 +21,252 @@
 )
 
 const (
-	wardenEvery = 500 * time.Millisecond
-	// suspectAt is the suspicion from which a target is noted as suspected.
-	suspectAt = registry.SuspectAt
-	// goneAt is the suspicion, and goneQuiet the silence, that all judges must see
-	// before a target run is let go.
-	goneAt    = 0.9999
-	goneQuiet = 20 * time.Second
-	// together is the share of a service's targets that may stand suspected at
-	// once; beyond it the fault is taken to be on this side (design 10.5).
-	together = 0.5
-	// missing is how long a voter's lease must be lapsed before its seat goes to
-	// one that stands by.
-	missing = 6 * time.Second
+	supervisorInterval = 500 * time.Millisecond
+	// suspectThreshold is the suspicion level from which a target is recorded as suspected.
+	suspectThreshold = registry.SuspectAt
+	// goneThreshold and goneSilence are the suspicion level and the time without a heartbeat
+	// that the homes must observe before a target run is removed.
+	goneThreshold = 0.9999
+	goneSilence   = 20 * time.Second
+	// maxSuspectedShare is the share of a service's targets that may be suspected at once.
+	// Above it, the fault is assumed to be on the control plane's side (design 10.5).
+	maxSuspectedShare = 0.5
+	// seatReplaceDelay is how long a voter's lease must have been expired before its seat
+	// is given to a standby disk node.
+	seatReplaceDelay = 6 * time.Second
 )
 
-// Warden does the duties that one controller does at a time: it notes suspicions, lets
-// silent targets go, and keeps the core's seats filled. It acts only while it
-// holds the duty's lease; every step is safe should two overlap.
-type Warden struct {
-	House   *registry.House
-	Book    *ledger.Book
-	Tenant  *membership.Tenant
-	Drainer *Drainer
-	Prop    *quorum.Proposer
-	Line    link.Line
-	Clock   clock.Clock
-	Faults  *fault.Set
-	Log     *log.Logger
+// Supervisor performs the duties that one controller has at a time: it records suspicions,
+// removes silent targets and fills vacant seats of the core. It acts only while it holds
+// the lease of the duty. Every step is safe if two supervisors overlap.
+type Supervisor struct {
+	Registry   *registry.House
+	Ledger     *ledger.Ledger
+	Membership *membership.Tenant
+	Drainer    *Drainer
+	Proposer   *quorum.Proposer
+	Transport  link.Line
+	Clock      clock.Clock
+	Faults     *fault.Set
+	Log        *log.Logger
 
-	// suspect holds what the ledger says is suspected; nil while another may write to
-	// it.
-	suspect map[ledger.Target]bool
-	absent  map[string]time.Time // by disk
+	// suspected is the set of suspected targets according to the ledger. It is nil while
+	// another supervisor may be writing to the ledger.
+	suspected    map[ledger.Target]bool
+	missingSince map[string]time.Time // by disk ID
 }
 
-// Duty is the name of the warden's lease.
-const Duty = "warden"
+// SupervisorDuty is the name of the supervisor's lease.
+const SupervisorDuty = "warden"
 
-// Run works until ctx ends.
-func (w *Warden) Run(ctx context.Context) {
-	w.Tenant.Seek(Duty)
-	w.absent = map[string]time.Time{}
-	for w.Clock.Sleep(ctx, wardenEvery) == nil {
-		_ = w.House.Sweep(ctx)
-		if !w.Tenant.Holds(Duty) {
-			// What another warden does meanwhile is not followed here.
-			w.suspect, w.absent = nil, map[string]time.Time{}
+// Run runs the supervisor until ctx ends.
+func (w *Supervisor) Run(ctx context.Context) {
+	w.Membership.Seek(SupervisorDuty)
+	w.missingSince = map[string]time.Time{}
+	for w.Clock.Sleep(ctx, supervisorInterval) == nil {
+		_ = w.Registry.Sweep(ctx)
+		if !w.Membership.Holds(SupervisorDuty) {
+			// The decisions of another supervisor are not tracked here.
+			w.suspected, w.missingSince = nil, map[string]time.Time{}
 			continue
 		}
 		cx, end := context.WithTimeout(ctx, 5*time.Second)
-		err := errors.Join(w.judge(cx), w.seats(cx))
+		err := errors.Join(w.checkTargets(cx), w.fillSeats(cx))
 		end()
 		if err != nil && ctx.Err() == nil {
-			w.Log.Warn("warden's round not finished", "step", "warden", "err", err)
+			w.Log.Warn("supervisor round did not complete", "step", "warden", "err", err)
 		}
 	}
 }
 
-// judge looks at every target once.
-func (w *Warden) judge(ctx context.Context) error {
-	if w.suspect == nil {
-		m, err := w.Book.Suspected(ctx)
+// checkTargets evaluates every target once.
+func (w *Supervisor) checkTargets(ctx context.Context) error {
+	if w.suspected == nil {
+		m, err := w.Ledger.Suspected(ctx)
 		if err != nil {
 			return err
 		}
-		w.suspect = m
+		w.suspected = m
 	}
-	all := registry.Collect(ctx, w.Line, w.Tenant.Members())
-	total, bad := map[string]int{}, map[string]int{}
+	all := registry.Collect(ctx, w.Transport, w.Membership.Members())
+	total, suspected := map[string]int{}, map[string]int{}
 	for _, x := range all {
 		if x.Gone {
 			continue
 		}
 		total[x.Beat.Service]++
-		if x.W >= suspectAt {
-			bad[x.Beat.Service]++
+		if x.W >= suspectThreshold {
+			suspected[x.Beat.Service]++
 		}
 	}
-	// Beats may fail to reach those that are asked here. A target that answers the
-	// gateways' own probes is not silent (design 10.7).
+	// Heartbeats may fail to reach the controllers asked here. A target that answers
+	// the gateways' own probes is not silent (design 10.7).
 	var views map[ledger.Target]registry.Watched
 	for _, x := range all {
-		t := ledger.Target{ID: x.Beat.ID, Service: x.Beat.Service, Inc: x.Beat.Inc}
+		t := ledger.Target{ID: x.Beat.ID, Service: x.Beat.Service, Incarnation: x.Beat.Inc}
 		if x.Gone {
-			delete(w.suspect, t)
+			delete(w.suspected, t)
 			continue
 		}
-		if x.W >= suspectAt {
+		if x.W >= suspectThreshold {
 			if views == nil {
-				views = registry.Views(ctx, w.Line, w.Tenant.Members())
+				views = registry.Views(ctx, w.Transport, w.Membership.Members())
 			}
 			if views[t].Vouched() {
 				continue
 			}
 		}
-		over := float64(bad[t.Service]) > together*float64(total[t.Service])
+		tooMany := float64(suspected[t.Service]) > maxSuspectedShare*float64(total[t.Service])
 		switch {
-		case x.W >= suspectAt && !w.suspect[t] && !over:
-			if err := w.Book.Note(ctx, ledger.Note{Kind: ledger.NoteSuspect, Target: &t, Seq: x.Beat.Seq, W: x.W,
-				Why: fmt.Sprintf("silent for %s, fitted alpha %.3f s beta %.2f", x.Quiet.Round(time.Millisecond), x.Fit.Alpha, x.Fit.Beta)}); err != nil {
+		case x.W >= suspectThreshold && !w.suspected[t] && !tooMany:
+			if err := w.Ledger.AddNote(ctx, ledger.Note{Kind: ledger.NoteSuspect, Target: &t, HeartbeatSeq: x.Beat.Seq, Suspicion: x.W,
+				Reason: fmt.Sprintf("silent for %s, fitted alpha %.3f s beta %.2f", x.Quiet.Round(time.Millisecond), x.Fit.Alpha, x.Fit.Beta)}); err != nil {
 				return err
 			}
-			w.suspect[t] = true
-			w.mark(ctx, t, true, false)
-		case x.W < suspectAt && w.suspect[t]:
-			if err := w.Book.Note(ctx, ledger.Note{Kind: ledger.NoteTrust, Target: &t, Seq: x.Beat.Seq, W: x.W, Why: "beats again"}); err != nil {
+			w.suspected[t] = true
+			w.broadcastMark(ctx, t, true, false)
+		case x.W < suspectThreshold && w.suspected[t]:
+			if err := w.Ledger.AddNote(ctx, ledger.Note{Kind: ledger.NoteTrust, Target: &t, HeartbeatSeq: x.Beat.Seq, Suspicion: x.W, Reason: "beats again"}); err != nil {
 				return err
 			}
-			delete(w.suspect, t)
+			delete(w.suspected, t)
 		}
-		if x.W >= goneAt && x.Quiet > goneQuiet && !over && w.agreed(ctx, t) && w.Tenant.Holds(Duty) {
-			if err := w.Drainer.Gone(ctx, t, x.W, fmt.Sprintf("silent for %s, a majority of its homes agree", x.Quiet.Round(time.Second))); err != nil {
+		if x.W >= goneThreshold && x.Quiet > goneSilence && !tooMany && w.homesAgree(ctx, t) && w.Membership.Holds(SupervisorDuty) {
+			if err := w.Drainer.MarkGone(ctx, t, x.W, fmt.Sprintf("silent for %s, a majority of its homes agree", x.Quiet.Round(time.Second))); err != nil {
 				return err
 			}
-			w.Log.Info("target let go", "step", "let go", "mate", t.Service+"/"+t.ID)
-			w.mark(ctx, t, true, true)
+			w.Log.Info("target run removed", "step", "let go", "mate", t.Service+"/"+t.ID)
+			w.broadcastMark(ctx, t, true, true)
 		}
 	}
 	return nil
 }
 
-// mark tells every controller's house; one that misses it shows the target a while
-// longer, and gateways know better.
-func (w *Warden) mark(ctx context.Context, t ledger.Target, suspect, gone bool) {
+// broadcastMark tells every controller's registry. A controller that misses the message
+// shows the old state for a while longer; gateways are told by other means.
+func (w *Supervisor) broadcastMark(ctx context.Context, t ledger.Target, suspect, gone bool) {
 	cx, end := context.WithTimeout(ctx, 300*time.Millisecond)
 	defer end()
 	var wg sync.WaitGroup
-	for _, m := range w.Tenant.Kind("controller") {
+	for _, m := range w.Membership.Kind("controller") {
 		wg.Go(func() {
-			_, _ = link.Ask[registry.MarkTold](cx, w.Line, m.Inner, registry.MarkAsk{Service: t.Service, ID: t.ID, Inc: t.Inc, Suspect: suspect, Gone: gone})
+			_, _ = link.Ask[registry.MarkTold](cx, w.Transport, m.Inner, registry.MarkAsk{Service: t.Service, ID: t.ID, Inc: t.Incarnation, Suspect: suspect, Gone: gone})
 		})
 	}
 	wg.Wait()
 }
 
-// agreed asks the homes of the service, which all hear its beats: a majority of
-// them must suspect the run, and none may have heard of it lately.
-func (w *Warden) agreed(ctx context.Context, t ledger.Target) bool {
-	hs := registry.Homes(t.Service, w.Tenant.Members())
+// homesAgree asks the home controllers of the service, all of which receive its heartbeats.
+// A majority of them must suspect the run, and none may have heard from it recently.
+func (w *Supervisor) homesAgree(ctx context.Context, t ledger.Target) bool {
+	homes := registry.Homes(t.Service, w.Membership.Members())
 	yes := 0
-	for _, m := range hs {
+	for _, m := range homes {
 		cx, end := context.WithTimeout(ctx, 500*time.Millisecond)
-		r, err := link.Ask[registry.JudgeTold](cx, w.Line, m.Inner, registry.JudgeAsk{Service: t.Service, ID: t.ID, Inc: t.Inc})
+		r, err := link.Ask[registry.JudgeTold](cx, w.Transport, m.Inner, registry.JudgeAsk{Service: t.Service, ID: t.ID, Inc: t.Incarnation})
 		end()
 		if err != nil {
 			continue
 		}
-		if r.Known && (r.W < goneAt || time.Duration(r.Quiet) < goneQuiet) {
+		if r.Known && (r.W < goneThreshold || time.Duration(r.Quiet) < goneSilence) {
 			return false
 		}
 		if r.Known {
 			yes++
 		}
 	}
-	return yes > len(hs)/2
+	return yes > len(homes)/2
 }
 
-// seats fills a seat whose disk is gone: by its own node's new disk, or by a disk
-// node that stands by once the voter has been missing for long. One at a time:
-// the swap before must be finished first (design 4.4).
-func (w *Warden) seats(ctx context.Context) error {
-	core := w.Prop.Core()
-	if done, err := w.finish(ctx, core); err != nil || !done {
+// fillSeats fills a seat whose disk is missing: with the new disk of the same node, or with
+// a standby disk node once the voter has been missing for seatReplaceDelay. It makes one swap
+// at a time; the previous one must be finished first (design 4.4).
+func (w *Supervisor) fillSeats(ctx context.Context) error {
+	core := w.Proposer.Core()
+	if done, err := w.finishSwap(ctx, core); err != nil || !done {
 		return err
 	}
 	disks := map[string]membership.Member{}
-	var spare []quorum.Seat
-	for _, m := range w.Tenant.Kind("controller") {
+	var standby []quorum.Seat
+	for _, m := range w.Membership.Kind("controller") {
 		if m.Disk.Disk == "" {
 			continue
 		}
 		disks[m.Disk.Disk] = m
 		if _, in := core.Seat(m.ID); !in {
-			spare = append(spare, m.Disk)
+			standby = append(standby, m.Disk)
 		}
 	}
 	now := w.Clock.Now()
 	for _, s := range core.Seats {
 		if _, ok := disks[s.Disk]; ok {
-			delete(w.absent, s.Disk)
+			delete(w.missingSince, s.Disk)
 			continue
 		}
-		if _, ok := w.absent[s.Disk]; !ok {
-			w.absent[s.Disk] = now
+		if _, ok := w.missingSince[s.Disk]; !ok {
+			w.missingSince[s.Disk] = now
 		}
-		// The same node with an emptied disk takes its own seat at once.
+		// If the same node has come back with an empty disk, it gets its seat back at once.
 		for _, m := range disks {
 			if m.ID == s.ID {
 				return w.swap(ctx, core, s, m.Disk)
 			}
 		}
-		if now.Sub(w.absent[s.Disk]) <= missing {
+		if now.Sub(w.missingSince[s.Disk]) <= seatReplaceDelay {
 			continue
 		}
-		if in, ok := (quorum.Tolerance{}).Replacement(core.Seats, s, spare); ok {
+		if in, ok := (quorum.Tolerance{}).Replacement(core.Seats, s, standby); ok {
 			return w.swap(ctx, core, s, in)
 		}
 	}
-	return w.wished(ctx, core, disks)
+	return w.executeRequestedSwap(ctx, core, disks)
 }
 
-// wish is a swap that an operator asked for.
-type wish struct{ Out, In string }
+// swapRequest is a swap requested by an operator. It is stored by its field names.
+type swapRequest struct{ Out, In string }
 
-// Wish notes that a voter is to give its seat to a disk node that stands by; the
-// warden's holder sees to it (design 4.4).
-func (w *Warden) Wish(ctx context.Context, out, in string) error {
-	core := w.Prop.Core()
+// RequestSwap records that a voter is to give its seat to a standby disk node. The
+// controller that holds the supervisor's duty carries it out (design 4.4).
+func (w *Supervisor) RequestSwap(ctx context.Context, out, in string) error {
+	core := w.Proposer.Core()
 	if _, ok := core.Seat(out); !ok {
 		return steperr.New("swap", out, "has no seat")
 	}
 	if _, ok := core.Seat(in); ok {
 		return steperr.New("swap", in, "has a seat already")
 	}
-	if !slices.ContainsFunc(w.Tenant.Kind("controller"), func(m membership.Member) bool { return m.ID == in && m.Disk.Disk != "" }) {
+	if !slices.ContainsFunc(w.Membership.Kind("controller"), func(m membership.Member) bool { return m.ID == in && m.Disk.Disk != "" }) {
 		return steperr.New("swap", in, "no such disk node has a lease now")
 	}
-	raw := ledger.Encode(wish{out, in})
-	_, err := w.Prop.Change(ctx, ledger.WishItem, func([]byte) ([]byte, error) { return raw, nil })
+	raw := ledger.Encode(swapRequest{out, in})
+	_, err := w.Proposer.Change(ctx, ledger.SwapRequestKey, func([]byte) ([]byte, error) { return raw, nil })
 	return err
 }
 
-// wished carries out what an operator asked for, while it still makes sense.
-func (w *Warden) wished(ctx context.Context, core quorum.Core, disks map[string]membership.Member) error {
-	raw, err := w.Prop.Read(ctx, ledger.WishItem)
+// executeRequestedSwap carries out the swap an operator requested, if it still applies.
+func (w *Supervisor) executeRequestedSwap(ctx context.Context, core quorum.Core, disks map[string]membership.Member) error {
+	raw, err := w.Proposer.Read(ctx, ledger.SwapRequestKey)
 	if quorum.IsNeverWritten(err) || err == nil && raw == nil {
 		return nil
 	}
 	if err != nil {
-		return steperr.At("read wish", "", err)
+		return steperr.Wrap("read wish", "", err)
 	}
-	x, err := ledger.Decode[wish](raw)
+	x, err := ledger.Decode[swapRequest](raw)
 	if err != nil {
-		return steperr.At("read wish", "", err)
+		return steperr.Wrap("read wish", "", err)
 	}
-	out, has := core.Seat(x.Out)
-	if _, in := core.Seat(x.In); !has || in {
+	out, hasSeat := core.Seat(x.Out)
+	if _, in := core.Seat(x.In); !hasSeat || in {
 		if x.Out == "" {
 			return nil
 		}
-		// Done, or overtaken by events: a wish is carried out once.
-		_, err := w.Prop.Change(ctx, ledger.WishItem, func(old []byte) ([]byte, error) {
+		// The swap is done or no longer applies. Clear the request: it is carried out once.
+		_, err := w.Proposer.Change(ctx, ledger.SwapRequestKey, func(old []byte) ([]byte, error) {
 			if string(old) != string(raw) {
 				return old, nil
 			}
-			return ledger.Encode(wish{}), nil
+			return ledger.Encode(swapRequest{}), nil
 		})
 		return err
 	}
@@ -278,9 +278,9 @@
 	return nil
 }
 
-// swap decides the next core and carries it out.
-func (w *Warden) swap(ctx context.Context, core quorum.Core, out, in quorum.Seat) error {
-	if !w.Tenant.Holds(Duty) {
+// swap decides the next core and carries out the swap.
+func (w *Supervisor) swap(ctx context.Context, core quorum.Core, out, in quorum.Seat) error {
+	if !w.Membership.Holds(SupervisorDuty) {
 		return nil
 	}
 	next := quorum.Core{Epoch: core.Epoch + 1}
@@ -291,89 +291,89 @@
 		next.Seats = append(next.Seats, s)
 	}
 	raw := ledger.Encode(next)
-	_, err := w.Prop.Change(ctx, ledger.CoreItem, func(old []byte) ([]byte, error) {
+	_, err := w.Proposer.Change(ctx, ledger.CoreKey, func(old []byte) ([]byte, error) {
 		if old != nil {
 			o, err := ledger.Decode[quorum.Core](old)
 			if err != nil {
 				return nil, err
 			}
 			if o.Epoch > core.Epoch {
-				// A swap is decided already: that one is finished first.
+				// Another swap is already decided and must be finished first.
 				return old, nil
 			}
 		}
 		return raw, nil
 	})
 	if err != nil {
-		return steperr.At("decide swap", in.ID, err)
+		return steperr.Wrap("decide swap", in.ID, err)
 	}
 	w.Log.Info("seat passes on", "step", "swap", "mate", in.ID, "out", out.ID, "epoch", next.Epoch)
-	_, err = w.finish(ctx, core)
+	_, err = w.finishSwap(ctx, core)
 	return err
 }
 
-// finish carries a decided swap out; done says that none is left over.
-func (w *Warden) finish(ctx context.Context, core quorum.Core) (done bool, err error) {
-	raw, err := w.Prop.Read(ctx, ledger.CoreItem)
+// finishSwap carries out a decided swap; done reports that none is pending.
+func (w *Supervisor) finishSwap(ctx context.Context, core quorum.Core) (done bool, err error) {
+	raw, err := w.Proposer.Read(ctx, ledger.CoreKey)
 	if quorum.IsNeverWritten(err) || err == nil && raw == nil {
 		return true, nil
 	}
 	if err != nil {
-		return false, steperr.At("read core", "", err)
+		return false, steperr.Wrap("read core", "", err)
 	}
 	next, err := ledger.Decode[quorum.Core](raw)
 	if err != nil {
-		return false, steperr.At("read core", "", err)
+		return false, steperr.Wrap("read core", "", err)
 	}
 	if next.Epoch < core.Epoch {
 		return true, nil
 	}
-	var from, out []quorum.Seat
-	for _, s := range w.former(core, next) {
+	var sealed, joining []quorum.Seat
+	for _, s := range w.sourceSeats(core, next) {
 		cx, end := context.WithTimeout(ctx, time.Second)
-		r, err := link.Ask[quorum.SealTold](cx, w.Line, s.Addr, quorum.SealAsk{Next: next})
+		r, err := link.Ask[quorum.SealTold](cx, w.Transport, s.Addr, quorum.SealAsk{Next: next})
 		end()
 		if err == nil && r.OK && r.Disk == s.Disk {
-			from = append(from, s)
+			sealed = append(sealed, s)
 		}
 	}
 	w.Faults.At(fault.AfterSeal)
 	need := core.BlockingSize()
 	if next.Epoch == core.Epoch {
-		// Sealed before; only a joiner may still be missing. The continuing seats
-		// together hold what any former majority accepted.
+		// This epoch was sealed before, and only a joining voter may be missing.
+		// The continuing seats together hold what any former majority accepted.
 		need = core.QuorumSize()
 	}
-	if len(from) < need {
-		return false, steperr.New("seal", "", "%d of %d former voters sealed", len(from), need)
+	if len(sealed) < need {
+		return false, steperr.New("seal", "", "%d of %d former voters sealed", len(sealed), need)
 	}
 	for _, s := range next.Seats {
-		if !slices.Contains(from, s) {
-			out = append(out, s)
+		if !slices.Contains(sealed, s) {
+			joining = append(joining, s)
 		}
 	}
-	votes := len(next.Seats) - len(out)
-	for _, s := range out {
+	votes := len(next.Seats) - len(joining)
+	for _, s := range joining {
 		cx, end := context.WithTimeout(ctx, 3*time.Second)
-		r, err := link.Ask[quorum.JoinTold](cx, w.Line, s.Addr, quorum.JoinAsk{Next: next, From: from})
+		r, err := link.Ask[quorum.JoinTold](cx, w.Transport, s.Addr, quorum.JoinAsk{Next: next, From: sealed})
 		end()
 		if err != nil || !r.OK {
-			w.Log.Debug("seat not yet joined", "step", "join", "mate", s.ID, "err", err)
+			w.Log.Debug("new voter has not joined yet", "step", "join", "mate", s.ID, "err", err)
 			continue
 		}
 		votes++
 		if r.Items > 0 {
-			_ = w.Book.Note(ctx, ledger.Note{Kind: ledger.NoteSwap, N: next.Epoch, Why: fmt.Sprintf("%s votes on disk %s with %d items", s.ID, s.Disk, r.Items)})
+			_ = w.Ledger.AddNote(ctx, ledger.Note{Kind: ledger.NoteSwap, Version: next.Epoch, Reason: fmt.Sprintf("%s votes on disk %s with %d items", s.ID, s.Disk, r.Items)})
 		}
 	}
-	w.Prop.Learn(next)
-	// A majority that votes in the newest epoch can be sealed for the one after:
-	// a seat that never joins does not stand in the way of its own replacement.
+	w.Proposer.Learn(next)
+	// Once a majority votes in the newest epoch, that epoch can be sealed for the next one,
+	// so a seat that never joins does not prevent its own replacement.
 	return votes >= next.QuorumSize(), nil
 }
 
-// former lists the voters that a joiner may pull from.
-func (w *Warden) former(core, next quorum.Core) []quorum.Seat {
+// sourceSeats lists the voters that a joining voter may copy items from.
+func (w *Supervisor) sourceSeats(core, next quorum.Core) []quorum.Seat {
 	if next.Epoch > core.Epoch {
 		return core.Seats
 	}
--- a/internal/control/beat.go
+++ b/internal/control/beat.go
@@ -37,7 +37,7 @@
 		return news
 	})
 	if !known {
-		return steperr.At("beat", b.ID, errFull)
+		return steperr.Wrap("beat", b.ID, errFull)
 	}
 	if !b.Draining {
 		return nil
--- a/internal/control/change.go
+++ b/internal/control/change.go
@@ -116,7 +116,7 @@
 		return ps, nil
 	}
 	if n.stale(caller) {
-		return nil, steperr.At("apply", "", ErrStale)
+		return nil, steperr.Wrap("apply", "", ErrStale)
 	}
 	// One after the other, so that two changes taken here can't be valid each by
 	// itself only.
@@ -124,7 +124,7 @@
 	case n.busy <- struct{}{}:
 		defer func() { <-n.busy }()
 	case <-ctx.Done():
-		return nil, steperr.At("apply", "", ctx.Err())
+		return nil, steperr.Wrap("apply", "", ctx.Err())
 	}
 	if err := n.Mesh.Sync(ctx); err != nil {
 		return nil, err
@@ -136,7 +136,7 @@
 	case w.stands:
 		return nil, nil
 	case n.stale(caller):
-		return nil, steperr.At("apply", "", ErrStale)
+		return nil, steperr.Wrap("apply", "", ErrStale)
 	}
 	decided, err := n.Prop.Decide(ctx, all)
 	if err != nil {
@@ -170,7 +170,7 @@
 	case err != nil:
 		return nil, err
 	case found:
-		return nil, steperr.At("apply", "", quorum.ErrPartialConflict)
+		return nil, steperr.Wrap("apply", "", quorum.ErrPartialConflict)
 	}
 	return ps, nil
 }
@@ -265,7 +265,7 @@
 		}
 	}
 	if err != nil {
-		return State{}, steperr.At("current", "", err)
+		return State{}, steperr.Wrap("current", "", err)
 	}
 	slices.SortFunc(st.Routes, func(a, b route.Route) int { return cmp.Compare(a.Name, b.Name) })
 	slices.SortFunc(st.Services, func(a, b route.Service) int { return cmp.Compare(a.Name, b.Name) })
--- a/internal/control/departure.go
+++ b/internal/control/departure.go
@@ -104,7 +104,7 @@
 	ctx, end := context.WithTimeout(ctx, departTime)
 	defer end()
 	if err := n.Prop.Merge(ctx, []item.Item{departureOf(r)}); err != nil {
-		return steperr.At("hold", r.ID, err)
+		return steperr.Wrap("hold", r.ID, err)
 	}
 	n.departures.note([]target.Run{r}, true, n.Clock.Now())
 	return nil
--- a/internal/control/node.go
+++ b/internal/control/node.go
@@ -114,7 +114,7 @@
 // New puts a node together; Run starts it.
 func New(p Parts) (*Node, error) {
 	if err := check.Struct(p.Settings); err != nil {
-		return nil, steperr.At("settings", "", err)
+		return nil, steperr.Wrap("settings", "", err)
 	}
 	n := &Node{Parts: p, Desk: link.NewDesk(), Prop: quorum.NewProposer(p.ID+"."+p.Fresh, p.Line, p.Clock), Board: watch.NewBoard(p.Clock),
 		book: route.NewBook(), pause: liveness.NewPausesEvery(p.Clock, pauseTick), busy: make(chan struct{}, 1),
--- a/internal/control/query.go
+++ b/internal/control/query.go
@@ -46,14 +46,14 @@
 	link.On(n.Desk, func(ctx context.Context, _ link.Who, a A) (r R, err error) {
 		if err := check.Struct(a); err != nil {
 			n.counts.queries.note(true, nil)
-			return r, steperr.At("query", n.ID, err)
+			return r, steperr.Wrap("query", n.ID, err)
 		}
 		defer func() { n.counts.queries.note(false, err) }()
 		select {
 		case n.asked <- struct{}{}:
 			defer func() { <-n.asked }()
 		case <-ctx.Done():
-			return r, steperr.At("query", n.ID, ctx.Err())
+			return r, steperr.Wrap("query", n.ID, ctx.Err())
 		}
 		return f(ctx, a)
 	})
--- a/internal/control/queryitems.go
+++ b/internal/control/queryitems.go
@@ -66,7 +66,7 @@
 	p := newPage[item.Item](a.Page)
 	for from, more := uint64(0), true; more; {
 		if ctx.Err() != nil {
-			return r, steperr.At("items", n.ID, ctx.Err())
+			return r, steperr.Wrap("items", n.ID, ctx.Err())
 		}
 		var got []item.Item
 		n.Board.Items(func(s *item.Set) { got, from, more = s.Since(from, chunk, 0) })
--- a/internal/control/queryruns.go
+++ b/internal/control/queryruns.go
@@ -50,7 +50,7 @@
 	p := newPage[target.Run](a.Page)
 	for from, more := uint64(0), true; more; {
 		if ctx.Err() != nil {
-			return r, steperr.At("runs", n.ID, ctx.Err())
+			return r, steperr.Wrap("runs", n.ID, ctx.Err())
 		}
 		var got []target.Run
 		n.Board.Table(func(t *target.Table, now time.Time) bool {
--- a/internal/control/upgrade.go
+++ b/internal/control/upgrade.go
@@ -45,14 +45,14 @@
 	}
 	o.Exposure = n.Exposure
 	if n.stale(caller) {
-		return steperr.At("order", o.Service, ErrStale)
+		return steperr.Wrap("order", o.Service, ErrStale)
 	}
 	for {
 		if err := n.Mesh.Sync(ctx); err != nil {
 			return err
 		}
 		if !n.hasService(o.Service) {
-			return steperr.At("order", o.Service, ErrUnknownService)
+			return steperr.Wrap("order", o.Service, ErrUnknownService)
 		}
 		was, err := n.upgradeOf(o.Service)
 		if err != nil {
@@ -61,11 +61,11 @@
 		next, verdict := o.Take(was, n.commonVersion(o.Service, o.To), time.Now())
 		switch {
 		case verdict == upgrade.Busy:
-			return steperr.At("order", o.Service, ErrUnderWay)
+			return steperr.Wrap("order", o.Service, ErrUnderWay)
 		case verdict == upgrade.Repeated:
 			return n.secure(ctx, []item.Item{was.Item()})
 		case n.stale(caller):
-			return steperr.At("order", o.Service, ErrStale)
+			return steperr.Wrap("order", o.Service, ErrStale)
 		}
 		if err := n.decideUpgrade(ctx, next); !errors.Is(err, errOvertaken) {
 			return err
@@ -91,7 +91,7 @@
 	case err != nil:
 		return u, err
 	case u.Phase == 0:
-		return u, steperr.At("read upgrade", service, ErrNoUpgrade)
+		return u, steperr.Wrap("read upgrade", service, ErrNoUpgrade)
 	}
 	return u, n.secure(ctx, []item.Item{u.Item()})
 }
@@ -116,7 +116,7 @@
 		return err
 	}
 	if !stands[0].Same(step) {
-		return steperr.At("decide upgrade", u.Service, errOvertaken)
+		return steperr.Wrap("decide upgrade", u.Service, errOvertaken)
 	}
 	return nil
 }
@@ -174,7 +174,7 @@
 		case u.Phase == upgrade.Reverted:
 			return nil
 		case !u.Active():
-			return steperr.At("revert", service, fmt.Errorf("the upgrade to %s is %s", u.To, u.Phase))
+			return steperr.Wrap("revert", service, fmt.Errorf("the upgrade to %s is %s", u.To, u.Phase))
 		}
 		if err := n.decideUpgrade(ctx, u.Revert("an operator's order")); !errors.Is(err, errOvertaken) {
 			return err
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -1,4 +1,4 @@
-// Package controller puts the control plane together (design 2.1).
+// Package controller assembles a control-plane node (design 2.1).
 package controller
 
 import (
@@ -28,56 +28,56 @@
 	"walkrudder/internal/storage"
 )
 
-// Parts is what a controller stands on.
-type Parts struct {
-	Startup startup.Controller
-	Inc     uint64
-	// Fresh is the incarnation that an empty disk takes.
-	Fresh  string
-	Line   link.Line
-	Clock  clock.Clock
-	Disk   storage.Disk // nil for a controller that does not vote
-	Log    *log.Logger
-	Faults *fault.Set
-	// OnBad is told when the disk fails: the process is to end.
-	OnBad  func(error)
-	WallMS func() int64
-	// Keep is how long decisions are kept; 0 for a week.
-	Keep time.Duration
+// Config holds a controller's settings and dependencies.
+type Config struct {
+	Startup     startup.Controller
+	Incarnation uint64
+	// NewDiskID is the ID that an empty disk takes; it must be unique to this run.
+	NewDiskID string
+	Transport link.Line
+	Clock     clock.Clock
+	Disk      storage.Disk // nil for a controller that does not vote
+	Log       *log.Logger
+	Faults    *fault.Set
+	// OnDiskFailure is called when the disk fails; the process must then end.
+	OnDiskFailure func(error)
+	WallMS        func() int64
+	// Retention is how long decisions are kept; 0 means a week.
+	Retention time.Duration
 }
 
-// Controller is one control-plane node.
+// Controller is a control-plane node.
 type Controller struct {
-	Parts
-	Desk    *link.Desk
-	Voter   *quorum.Voter
-	Prop    *quorum.Proposer
-	Tenant  *membership.Tenant
-	Book    *ledger.Book
-	Roller  *rollout.Roller
-	House   *registry.House
-	Changer *commands.Changer
-	Beater  *commands.Beater
-	Drainer *commands.Drainer
-	Warden  *commands.Warden
-	Speaker *statement.Speaker
-	Clerk   *claim.Clerk
+	Config
+	Mux        *link.Desk
+	Voter      *quorum.Voter
+	Proposer   *quorum.Proposer
+	Membership *membership.Tenant
+	Ledger     *ledger.Ledger
+	Rollout    *rollout.Roller
+	Registry   *registry.House
+	Changer    *commands.Changer
+	Heartbeats *commands.HeartbeatReceiver
+	Drainer    *commands.Drainer
+	Supervisor *commands.Supervisor
+	Statements *statement.Executor
+	Claims     *claim.Clerk
 
-	trim     *commands.Trimmer
+	trimmer  *commands.Trimmer
 	start    func(context.Context)
 	stopping atomic.Bool
-	resting  atomic.Bool // drained by hand
+	drained  atomic.Bool // drained by an operator
 	wg       sync.WaitGroup
 }
 
-// New puts a controller together; Run starts it.
-func New(p Parts) (*Controller, error) {
+// New assembles a controller; Run starts it.
+func New(p Config) (*Controller, error) {
 	i := do.New()
 	me := quorum.Seat{ID: p.Startup.ID, Addr: p.Startup.Inner, Zone: p.Startup.Zone}
 	var v *quorum.Voter
 	if p.Disk != nil {
 		var err error
-		if v, err = quorum.NewVoter(me, p.Disk, p.Fresh, p.Line, p.Faults, p.OnBad); err != nil {
+		if v, err = quorum.NewVoter(me, p.Disk, p.NewDiskID, p.Transport, p.Faults, p.OnDiskFailure); err != nil {
 			return nil, err
 		}
 	}
@@ -85,126 +85,129 @@
 	do.ProvideValue(i, link.NewDesk())
 	do.Provide(i, func(do.Injector) (*liveness.Pauses, error) { return liveness.NewPauses(p.Clock), nil })
 	do.Provide(i, func(do.Injector) (*quorum.Proposer, error) {
-		return quorum.NewProposer(p.Startup.ID+"."+p.Fresh, p.Line, p.Clock), nil
+		return quorum.NewProposer(p.Startup.ID+"."+p.NewDiskID, p.Transport, p.Clock), nil
 	})
 	do.Provide(i, func(i do.Injector) (*quorum.Bootstrapper, error) {
-		return &quorum.Bootstrapper{Seeds: p.Startup.Seeds, Self: p.Startup.Inner, Size: p.Startup.Core, Transport: p.Line, Clock: p.Clock,
+		return &quorum.Bootstrapper{Seeds: p.Startup.Seeds, Self: p.Startup.Inner, Size: p.Startup.Core, Transport: p.Transport, Clock: p.Clock,
 			Proposer: do.MustInvoke[*quorum.Proposer](i), Voter: v}, nil
 	})
 	do.Provide(i, func(i do.Injector) (*membership.Tenant, error) {
-		return &membership.Tenant{Line: p.Line, Clock: p.Clock, Core: do.MustInvoke[*quorum.Proposer](i)}, nil
+		return &membership.Tenant{Line: p.Transport, Clock: p.Clock, Core: do.MustInvoke[*quorum.Proposer](i)}, nil
 	})
-	do.Provide(i, func(i do.Injector) (*ledger.Book, error) {
-		return &ledger.Book{Prop: do.MustInvoke[*quorum.Proposer](i), Clock: p.Clock, Controller: p.Startup.ID, WallMS: p.WallMS}, nil
+	do.Provide(i, func(i do.Injector) (*ledger.Ledger, error) {
+		return &ledger.Ledger{Proposer: do.MustInvoke[*quorum.Proposer](i), Clock: p.Clock, Controller: p.Startup.ID, WallMS: p.WallMS}, nil
 	})
 	do.Provide(i, func(i do.Injector) (*rollout.Roller, error) {
-		return &rollout.Roller{Book: do.MustInvoke[*ledger.Book](i), Tenant: do.MustInvoke[*membership.Tenant](i), Line: p.Line, Clock: p.Clock, Faults: p.Faults, Log: p.Log}, nil
+		return &rollout.Roller{Book: do.MustInvoke[*ledger.Ledger](i), Tenant: do.MustInvoke[*membership.Tenant](i), Line: p.Transport, Clock: p.Clock, Faults: p.Faults, Log: p.Log}, nil
 	})
 	do.Provide(i, func(i do.Injector) (*registry.House, error) {
-		h := &registry.House{Clock: p.Clock, Pause: do.MustInvoke[*liveness.Pauses](i), Run: p.Inc}
+		h := &registry.House{Clock: p.Clock, Pause: do.MustInvoke[*liveness.Pauses](i), Run: p.Incarnation}
 		h.Init()
 		return h, nil
 	})
 	do.Provide(i, func(i do.Injector) (*commands.Drainer, error) {
-		return &commands.Drainer{Book: do.MustInvoke[*ledger.Book](i), Tenant: do.MustInvoke[*membership.Tenant](i), Line: p.Line, Clock: p.Clock, Faults: p.Faults}, nil
+		return &commands.Drainer{Ledger: do.MustInvoke[*ledger.Ledger](i), Membership: do.MustInvoke[*membership.Tenant](i), Transport: p.Transport, Clock: p.Clock, Faults: p.Faults}, nil
 	})
-	do.Provide(i, func(i do.Injector) (*commands.Beater, error) {
-		return &commands.Beater{House: do.MustInvoke[*registry.House](i), Tenant: do.MustInvoke[*membership.Tenant](i), Line: p.Line, Me: p.Startup.ID,
+	do.Provide(i, func(i do.Injector) (*commands.HeartbeatReceiver, error) {
+		return &commands.HeartbeatReceiver{Registry: do.MustInvoke[*registry.House](i), Membership: do.MustInvoke[*membership.Tenant](i), Transport: p.Transport, NodeID: p.Startup.ID,
 			Drainer: do.MustInvoke[*commands.Drainer](i)}, nil
 	})
 	do.Provide(i, func(i do.Injector) (*commands.Changer, error) {
-		return &commands.Changer{Book: do.MustInvoke[*ledger.Book](i), Roller: do.MustInvoke[*rollout.Roller](i), Clock: p.Clock, Controller: p.Startup.ID}, nil
+		return &commands.Changer{Ledger: do.MustInvoke[*ledger.Ledger](i), Rollout: do.MustInvoke[*rollout.Roller](i), Clock: p.Clock, Controller: p.Startup.ID}, nil
 	})
-	do.Provide(i, func(i do.Injector) (*commands.Warden, error) {
-		return &commands.Warden{House: do.MustInvoke[*registry.House](i), Book: do.MustInvoke[*ledger.Book](i), Tenant: do.MustInvoke[*membership.Tenant](i),
-			Drainer: do.MustInvoke[*commands.Drainer](i), Prop: do.MustInvoke[*quorum.Proposer](i), Line: p.Line, Clock: p.Clock, Faults: p.Faults, Log: p.Log}, nil
+	do.Provide(i, func(i do.Injector) (*commands.Supervisor, error) {
+		return &commands.Supervisor{Registry: do.MustInvoke[*registry.House](i), Ledger: do.MustInvoke[*ledger.Ledger](i), Membership: do.MustInvoke[*membership.Tenant](i),
+			Drainer: do.MustInvoke[*commands.Drainer](i), Proposer: do.MustInvoke[*quorum.Proposer](i), Transport: p.Transport, Clock: p.Clock, Faults: p.Faults, Log: p.Log}, nil
 	})
-	m := &Controller{Parts: p, Voter: v, Desk: do.MustInvoke[*link.Desk](i), Prop: do.MustInvoke[*quorum.Proposer](i), Tenant: do.MustInvoke[*membership.Tenant](i),
-		Book: do.MustInvoke[*ledger.Book](i), Roller: do.MustInvoke[*rollout.Roller](i), House: do.MustInvoke[*registry.House](i),
-		Changer: do.MustInvoke[*commands.Changer](i), Beater: do.MustInvoke[*commands.Beater](i), Drainer: do.MustInvoke[*commands.Drainer](i),
-		Warden: do.MustInvoke[*commands.Warden](i)}
-	m.Speaker = &statement.Speaker{Changer: m.Changer, Drainer: m.Drainer, Warden: m.Warden, Book: m.Book, Settle: m.Roller.Settle,
-		Asker: &queries.Asker{Book: m.Book, House: m.House, Tenant: m.Tenant, Prop: m.Prop, Line: p.Line}}
+	ctl := &Controller{Config: p, Voter: v, Mux: do.MustInvoke[*link.Desk](i), Proposer: do.MustInvoke[*quorum.Proposer](i), Membership: do.MustInvoke[*membership.Tenant](i),
+		Ledger: do.MustInvoke[*ledger.Ledger](i), Rollout: do.MustInvoke[*rollout.Roller](i), Registry: do.MustInvoke[*registry.House](i),
+		Changer: do.MustInvoke[*commands.Changer](i), Heartbeats: do.MustInvoke[*commands.HeartbeatReceiver](i), Drainer: do.MustInvoke[*commands.Drainer](i),
+		Supervisor: do.MustInvoke[*commands.Supervisor](i)}
+	ctl.Statements = &statement.Executor{Changer: ctl.Changer, Drainer: ctl.Drainer, Supervisor: ctl.Supervisor, Ledger: ctl.Ledger, WaitInForce: ctl.Rollout.Settle,
+		Queries: &queries.Reader{Ledger: ctl.Ledger, Registry: ctl.Registry, Membership: ctl.Membership, Proposer: ctl.Proposer, Transport: p.Transport}}
 	since := p.WallMS()
-	m.Tenant.Me = func() membership.Member {
-		x := membership.Member{ID: p.Startup.ID, Inc: p.Inc, Kind: "controller", Inner: p.Startup.Inner, Door: p.Startup.Door, Zone: p.Startup.Zone, Since: since, Rest: m.resting.Load()}
+	ctl.Membership.Me = func() membership.Member {
+		x := membership.Member{ID: p.Startup.ID, Inc: p.Incarnation, Kind: "controller", Inner: p.Startup.Inner, Door: p.Startup.Door, Zone: p.Startup.Zone, Since: since, Rest: ctl.drained.Load()}
 		if v != nil {
 			x.Disk = v.Seat()
 		}
 		return x
 	}
-	fm := do.MustInvoke[*quorum.Bootstrapper](i)
-	fm.Serve(m.Desk)
-	m.Roller.Serve(m.Desk, m.Drainer.Leaves)
-	m.House.Serve(m.Desk)
-	m.Clerk = &claim.Clerk{Prop: m.Prop, WallMS: p.WallMS}
-	m.Clerk.Serve(m.Desk)
-	m.trim = &commands.Trimmer{Book: m.Book, Prop: m.Prop, Tenant: m.Tenant, Line: p.Line, Drainer: m.Drainer, Keep: cmp.Or(p.Keep, keepDecisions)}
-	circle := &claim.Circle{Me: p.Startup.ID, Line: p.Line, Clock: p.Clock, Log: p.Log, Keep: m.Clerk, Held: m.Tenant.Held,
+	bootstrapper := do.MustInvoke[*quorum.Bootstrapper](i)
+	bootstrapper.Serve(ctl.Mux)
+	ctl.Rollout.Serve(ctl.Mux, ctl.Drainer.DrainedTargets)
+	ctl.Registry.Serve(ctl.Mux)
+	ctl.Claims = &claim.Clerk{Prop: ctl.Proposer, WallMS: p.WallMS}
+	ctl.Claims.Serve(ctl.Mux)
+	ctl.trimmer = &commands.Trimmer{Ledger: ctl.Ledger, Proposer: ctl.Proposer, Membership: ctl.Membership, Transport: p.Transport, Drainer: ctl.Drainer, Retention: cmp.Or(p.Retention, defaultRetention)}
+	claims := &claim.Circle{Me: p.Startup.ID, Line: p.Transport, Clock: p.Clock, Log: p.Log, Keep: ctl.Claims, Held: ctl.Membership.Held,
 		Alone: func() bool { return false }, Gateways: func() ([]string, bool) { return nil, false },
-		Members: func() []string { return m.Tenant.Others(p.Startup.ID) }, Mates: func() []string { return m.Tenant.Others(p.Startup.ID) }}
-	circle.Init()
-	circle.Serve(m.Desk)
-	membership.ServeRest(m.Desk, &m.resting)
-	runs := []func(context.Context){fm.Run, m.Tenant.Run, m.House.Start, m.Roller.Watch, m.Warden.Run, m.sweep, circle.Run, do.MustInvoke[*liveness.Pauses](i).Run}
+		Members: func() []string { return ctl.Membership.Others(p.Startup.ID) }, Mates: func() []string { return ctl.Membership.Others(p.Startup.ID) }}
+	claims.Init()
+	claims.Serve(ctl.Mux)
+	membership.ServeRest(ctl.Mux, &ctl.drained)
+	runs := []func(context.Context){bootstrapper.Run, ctl.Membership.Run, ctl.Registry.Start, ctl.Rollout.Watch, ctl.Supervisor.Run, ctl.sweep, claims.Run, do.MustInvoke[*liveness.Pauses](i).Run}
 	if v != nil {
-		v.Serve(m.Desk)
-		membership.NewCourt(v, p.Clock).Serve(m.Desk)
+		v.Serve(ctl.Mux)
+		membership.NewCourt(v, p.Clock).Serve(ctl.Mux)
 		runs = append(runs, v.Run)
 	}
-	m.start = func(ctx context.Context) {
+	ctl.start = func(ctx context.Context) {
 		for _, run := range runs {
-			m.wg.Go(func() { run(ctx) })
+			ctl.wg.Go(func() { run(ctx) })
 		}
 	}
-	return m, nil
+	return ctl, nil
 }
 
-// Run works until ctx ends, then waits for its parts.
-func (m *Controller) Run(ctx context.Context) {
-	m.start(ctx)
-	m.wg.Wait()
+// Run runs the controller until ctx ends, then waits for its components.
+func (ctl *Controller) Run(ctx context.Context) {
+	ctl.start(ctx)
+	ctl.wg.Wait()
 }
 
-// Ready is what the platform is told: this controller is a member.
-func (m *Controller) Ready() bool { return m.Tenant.Held() && !m.stopping.Load() && !m.resting.Load() }
+// Ready is the readiness reported to the platform: the controller is a member of the cluster
+// and is neither stopping nor drained.
+func (ctl *Controller) Ready() bool {
+	return ctl.Membership.Held() && !ctl.stopping.Load() && !ctl.drained.Load()
+}
 
-// Stop makes the node tell the platform that it is not ready.
-func (m *Controller) Stop() { m.stopping.Store(true) }
+// Stop makes the node report to the platform that it is not ready.
+func (ctl *Controller) Stop() { ctl.stopping.Store(true) }
 
-// keepDecisions is how long decisions are kept, and trimEvery how often older ones
-// are looked for.
+// defaultRetention is how long decisions are kept, and trimInterval is the interval at
+// which older ones are deleted.
 const (
-	keepDecisions = 7 * 24 * time.Hour
-	trimEvery     = 100 * sweepEvery
+	defaultRetention = 7 * 24 * time.Hour
+	trimInterval     = 100 * sweepInterval
 )
 
-// sweepEvery is how often copies that no read has mended are looked for.
-const sweepEvery = 15 * time.Second
+// sweepInterval is the interval at which outdated copies not repaired by a read are looked for.
+const sweepInterval = 15 * time.Second
 
-// sweep reads every item now and then, which mends old copies (design 4.3). The
-// duty says which controller does it.
-func (m *Controller) sweep(ctx context.Context) {
-	m.Tenant.Seek("sweep")
+// sweep periodically reads every item, which repairs outdated copies (design 4.3). It runs on
+// the controller that holds the duty.
+func (ctl *Controller) sweep(ctx context.Context) {
+	ctl.Membership.Seek("sweep")
 	var trimmed time.Time
-	for m.Clock.Sleep(ctx, sweepEvery) == nil {
-		if !m.Tenant.Holds("sweep") {
+	for ctl.Clock.Sleep(ctx, sweepInterval) == nil {
+		if !ctl.Membership.Holds("sweep") {
 			continue
 		}
-		cx, end := context.WithTimeout(ctx, sweepEvery)
-		if err := m.Clerk.Sweep(cx); err != nil && ctx.Err() == nil {
-			m.Log.Warn("old claims not dropped", "step", "sweep", "err", err)
+		cx, end := context.WithTimeout(ctx, sweepInterval)
+		if err := ctl.Claims.Sweep(cx); err != nil && ctx.Err() == nil {
+			ctl.Log.Warn("cannot delete expired claims", "step", "sweep", "err", err)
 		}
-		if now := m.Clock.Now(); trimmed.IsZero() || now.Sub(trimmed) > min(trimEvery, m.trim.Keep) {
+		if now := ctl.Clock.Now(); trimmed.IsZero() || now.Sub(trimmed) > min(trimInterval, ctl.trimmer.Retention) {
 			trimmed = now
-			if err := m.trim.Trim(cx); err != nil && ctx.Err() == nil {
-				m.Log.Warn("old decisions not dropped", "step", "sweep", "err", err)
+			if err := ctl.trimmer.Trim(cx); err != nil && ctx.Err() == nil {
+				ctl.Log.Warn("cannot delete expired decisions", "step", "sweep", "err", err)
 			}
 		}
-		if n, err := m.Prop.RepairCopies(cx); err != nil && ctx.Err() == nil {
-			m.Log.Warn("sweep not finished", "step", "sweep", "err", err)
+		if n, err := ctl.Proposer.RepairCopies(cx); err != nil && ctx.Err() == nil {
+			ctl.Log.Warn("sweep did not complete", "step", "sweep", "err", err)
 		} else if n > 0 {
-			m.Log.Info("sweep mended copies", "step", "sweep", "items", n)
+			ctl.Log.Info("sweep repaired outdated copies", "step", "sweep", "items", n)
 		}
 		end()
 	}
--- a/internal/controller/door.go
+++ b/internal/controller/door.go
@@ -18,27 +18,28 @@
 )
 
 const (
-	// maxBody bounds an order.
+	// maxBody bounds the body of a request, in bytes.
 	maxBody = 2 << 20
-	// orderTime bounds the wait for a change to be in force.
-	orderTime = 10 * time.Second
-	// beatTime bounds the handling of a beat; a leaving one waits for gateways.
-	beatTime = 4 * time.Second
+	// changeTimeout bounds the wait for a change to come into force.
+	changeTimeout = 10 * time.Second
+	// heartbeatTimeout bounds the handling of a heartbeat; one that announces leaving waits
+	// for the gateways.
+	heartbeatTimeout = 4 * time.Second
 )
 
-// Door makes the HTTP server for targets, operators and the platform.
-func (m *Controller) Door(metrics fiber.Handler) *fiber.App {
+// HTTPServer returns the HTTP server for targets, operators and the platform.
+func (ctl *Controller) HTTPServer(metrics fiber.Handler) *fiber.App {
 	app := fiber.New(fiber.Config{DisableStartupMessage: true, BodyLimit: maxBody, ReadTimeout: 15 * time.Second, IdleTimeout: time.Minute,
 		ErrorHandler: func(c *fiber.Ctx, err error) error {
 			code := 500
 			if e, ok := err.(*fiber.Error); ok {
 				code = e.Code
 			}
-			return refuse(c, code, err.Error())
+			return writeError(c, code, err.Error())
 		}})
 	app.Use(recover.New())
 	app.Get(httpapi.ReadyPath, func(c *fiber.Ctx) error {
-		if !m.Ready() {
+		if !ctl.Ready() {
 			return c.Status(503).SendString("not ready\n")
 		}
 		return c.SendString("ready\n")
@@ -46,70 +47,70 @@
 	if metrics != nil {
 		app.Get(httpapi.MetricsPath, metrics)
 	}
-	app.Post(httpapi.BeatPath, m.beat)
-	app.Post("/v1/changes", m.change)
-	app.Post("/v1/say", m.say)
-	app.Get("/v1/picture", func(c *fiber.Ctx) error { return m.speak(c, "show picture") })
+	app.Post(httpapi.BeatPath, ctl.postHeartbeat)
+	app.Post("/v1/changes", ctl.postChange)
+	app.Post("/v1/say", ctl.postStatement)
+	app.Get("/v1/picture", func(c *fiber.Ctx) error { return ctl.execute(c, "show picture") })
 	return app
 }
 
-// say takes one saying as plain text.
-func (m *Controller) say(c *fiber.Ctx) error { return m.speak(c, string(c.Body())) }
+// postStatement executes a statement sent as plain text.
+func (ctl *Controller) postStatement(c *fiber.Ctx) error { return ctl.execute(c, string(c.Body())) }
 
-func (m *Controller) speak(c *fiber.Ctx, text string) error {
-	ctx, end := context.WithTimeout(context.Background(), orderTime)
+func (ctl *Controller) execute(c *fiber.Ctx, text string) error {
+	ctx, end := context.WithTimeout(context.Background(), changeTimeout)
 	defer end()
-	r, err := m.Speaker.Say(ctx, text)
+	r, err := ctl.Statements.Execute(ctx, text)
 	switch {
-	case errors.Is(err, statement.ErrSaid):
-		return refuse(c, 400, strings.TrimPrefix(err.Error(), statement.ErrSaid.Error()+"\n"))
+	case errors.Is(err, statement.ErrInvalid):
+		return writeError(c, 400, strings.TrimPrefix(err.Error(), statement.ErrInvalid.Error()+"\n"))
 	case errors.Is(err, quorum.ErrNoQuorum), errors.Is(err, quorum.ErrNoCore):
 		c.Set("Retry-After", "1")
-		return refuse(c, 503, err.Error())
+		return writeError(c, 503, err.Error())
 	case err != nil:
-		return refuse(c, 404, err.Error())
+		return writeError(c, 404, err.Error())
 	}
 	if x, ok := r.Data.(commands.Result); ok {
 		c.Status(statusOf[x.Outcome])
-		m.Log.Info("order", "step", "say", "outcome", x.Outcome, "version", x.Version)
+		ctl.Log.Info("change request handled", "step", "say", "outcome", x.Outcome, "version", x.Version)
 	}
 	return c.JSON(r)
 }
 
-func refuse(c *fiber.Ctx, code int, why string) error {
+func writeError(c *fiber.Ctx, code int, why string) error {
 	return c.Status(code).JSON(struct {
 		Error string `json:"error"`
 	}{why})
 }
 
-func (m *Controller) beat(c *fiber.Ctx) error {
-	b, err := httpapi.ReadBeat(c.Body())
+func (ctl *Controller) postHeartbeat(c *fiber.Ctx) error {
+	b, err := httpapi.ParseBeat(c.Body())
 	if err != nil {
-		return refuse(c, 400, err.Error())
+		return writeError(c, 400, err.Error())
 	}
-	ctx, end := context.WithTimeout(context.Background(), beatTime)
+	ctx, end := context.WithTimeout(context.Background(), heartbeatTimeout)
 	defer end()
-	r, err := m.Beater.Take(ctx, b)
+	r, err := ctl.Heartbeats.Receive(ctx, b)
 	if err != nil {
 		c.Set("Retry-After", "1")
-		return refuse(c, 503, err.Error())
+		return writeError(c, 503, err.Error())
 	}
-	return c.JSON(httpapi.BeatAnswer{OK: true, Seq: r.Seq, Leaving: b.Leaving, Gone: r.Gone})
+	return c.JSON(httpapi.BeatResponse{OK: true, Seq: r.Seq, Leaving: b.Leaving, Gone: r.Gone})
 }
 
-// statusOf is the HTTP status of an order's outcome.
-var statusOf = map[string]int{commands.InForce: 200, commands.Valid: 200, commands.Invalid: 422, commands.Conflict: 409, commands.Unknown: 504, commands.NoCore: 503}
+// statusOf maps the outcome of a change request to an HTTP status.
+var statusOf = map[string]int{commands.InForce: 200, commands.Valid: 200, commands.Invalid: 422, commands.Conflict: 409, commands.OutcomeUnknown: 504, commands.NoMajority: 503}
 
-func (m *Controller) change(c *fiber.Ctx) error {
-	var o commands.Order
+func (ctl *Controller) postChange(c *fiber.Ctx) error {
+	var o commands.ChangeRequest
 	d := json.NewDecoder(bytes.NewReader(c.Body()))
 	d.DisallowUnknownFields()
 	if err := d.Decode(&o); err != nil {
-		return refuse(c, 400, "order: "+err.Error())
+		return writeError(c, 400, "order: "+err.Error())
 	}
-	ctx, end := context.WithTimeout(context.Background(), orderTime)
+	ctx, end := context.WithTimeout(context.Background(), changeTimeout)
 	defer end()
-	r := m.Changer.Change(ctx, o)
-	m.Log.Info("order", "step", "change", "outcome", r.Outcome, "version", r.Version, "token", o.Token, "by", o.By)
+	r := ctl.Changer.Apply(ctx, o)
+	ctl.Log.Info("change request handled", "step", "change", "outcome", r.Outcome, "version", r.Version, "token", o.Token, "by", o.Operator)
 	return c.Status(statusOf[r.Outcome]).JSON(r)
 }
--- a/internal/gateway/door.go
+++ b/internal/gateway/door.go
@@ -14,25 +14,25 @@
 )
 
 const (
-	// maxBody bounds any caller's body; bindings bound theirs below it.
+	// maxBody bounds the body of any request; bindings have lower limits.
 	maxBody = 16 << 20
-	// readTime bounds the reading of one request.
-	readTime = 15 * time.Second
-	// idleTime is how long a caller's link may lie idle.
-	idleTime = 60 * time.Second
+	// readTimeout bounds the reading of one request.
+	readTimeout = 15 * time.Second
+	// idleTimeout is how long a client connection may be idle.
+	idleTimeout = 60 * time.Second
 )
 
-// middleware is a closure around the handling of a call.
+// middleware wraps a handler of calls.
 type middleware func(fiber.Handler) fiber.Handler
 
-// Door makes the HTTP server for callers and the platform.
-func (f *Gateway) Door(metrics fiber.Handler) *fiber.App {
-	app := fiber.New(fiber.Config{DisableStartupMessage: true, BodyLimit: maxBody, ReadTimeout: readTime, IdleTimeout: idleTime,
+// HTTPServer returns the HTTP server for callers and the platform.
+func (g *Gateway) HTTPServer(metrics fiber.Handler) *fiber.App {
+	app := fiber.New(fiber.Config{DisableStartupMessage: true, BodyLimit: maxBody, ReadTimeout: readTimeout, IdleTimeout: idleTimeout,
 		ReadBufferSize: 16 << 10, DisableDefaultContentType: true, UnescapePath: false, CaseSensitive: true, StrictRouting: true,
-		ErrorHandler: f.defect})
+		ErrorHandler: g.handleError})
 	app.Use(recover.New())
 	app.Get(httpapi.ReadyPath, func(c *fiber.Ctx) error {
-		if !f.Ready() {
+		if !g.Ready() {
 			c.Set("Retry-After", "1")
 			return c.Status(503).SendString("not ready\n")
 		}
@@ -41,54 +41,55 @@
 	if metrics != nil {
 		app.Get(httpapi.MetricsPath, metrics)
 	}
-	h := f.call
-	for _, m := range []middleware{f.parting} {
+	h := g.handleCall
+	for _, m := range []middleware{g.closeWhenStopping} {
 		h = m(h)
 	}
 	app.Use(h)
 	return app
 }
 
-// parting tells callers' kept links to go elsewhere once this node is stopping.
-func (f *Gateway) parting(next fiber.Handler) fiber.Handler {
+// closeWhenStopping closes keep-alive connections once this node is stopping, so that
+// clients connect to another one.
+func (g *Gateway) closeWhenStopping(next fiber.Handler) fiber.Handler {
 	return func(c *fiber.Ctx) error {
 		err := next(c)
-		if f.Stopping() {
+		if g.Stopping() {
 			c.Context().SetConnectionClose()
 		}
 		return err
 	}
 }
 
-// defect answers what fiber itself refuses.
-func (f *Gateway) defect(c *fiber.Ctx, err error) error {
+// handleError answers requests that fiber itself rejects.
+func (g *Gateway) handleError(c *fiber.Ctx, err error) error {
 	code := 500
 	if e, ok := err.(*fiber.Error); ok {
 		code = e.Code
 	}
-	v := httpapi.Verdict{Status: code, Code: httpapi.Malformed}
+	v := httpapi.ErrorResponse{Status: code, Code: httpapi.Malformed}
 	if code == 413 {
 		v.Code = httpapi.TooLarge
 	}
-	return f.verdict(c, v, "")
+	return g.writeError(c, v, "")
 }
 
-// call leads one call through the passage.
-func (f *Gateway) call(c *fiber.Ctx) error {
+// handleCall passes one call to the proxy and writes its answer.
+func (g *Gateway) handleCall(c *fiber.Ctx) error {
 	r := copyRequest(c)
 	if r.URI == "" || r.URI[0] != '/' {
-		return f.verdict(c, httpapi.Verdict{Status: 400, Code: httpapi.Malformed}, "")
+		return g.writeError(c, httpapi.ErrorResponse{Status: 400, Code: httpapi.Malformed}, "")
 	}
-	client := c.Get(httpapi.ClientField)
-	t := f.Passage.Enter(context.Background(), client, c.Get(httpapi.KeyField), r)
+	client := c.Get(httpapi.ClientHeader)
+	t := g.Proxy.Enter(context.Background(), client, c.Get(httpapi.KeyHeader), r)
 	if t.Out != nil {
-		return f.verdict(c, *t.Out, t.Call)
+		return g.writeError(c, *t.Out, t.Call)
 	}
 	c.Status(t.Answer.Status)
 	for _, h := range t.Answer.Header {
 		c.Context().Response.Header.Add(h[0], h[1])
 	}
-	c.Set(httpapi.CallField, t.Call)
+	c.Set(httpapi.CallHeader, t.Call)
 	if r.Method == fiber.MethodHead {
 		c.Context().Response.SkipBody = true
 		return nil
@@ -96,30 +97,29 @@
 	return c.Send(t.Answer.Body)
 }
 
-func (f *Gateway) verdict(c *fiber.Ctx, v httpapi.Verdict, call string) error {
-	if v.Retry > 0 {
+func (g *Gateway) writeError(c *fiber.Ctx, v httpapi.ErrorResponse, call string) error {
+	if v.RetryDelay > 0 {
 		c.Set("Retry-After", v.RetryAfter())
 	}
 	for _, a := range v.Allow {
 		c.Append("Allow", a)
 	}
 	if call != "" {
-		c.Set(httpapi.CallField, call)
+		c.Set(httpapi.CallHeader, call)
 	}
 	c.Set("Content-Type", "application/json")
-	f.count(v.Code)
+	g.countError(v.Code)
 	return c.Status(v.Status).Send(v.Body(call))
 }
 
-func (f *Gateway) count(code string) {
-	if f.Count != nil {
-		f.Count(code, "")
+func (g *Gateway) countError(code string) {
+	if g.Count != nil {
+		g.Count(code, "")
 	}
 }
 
-// copyRequest takes a request out of the server's buffers, which are used again
-// while a sending may still be under way. Fields that end at this connection,
-// also those that Connection names, stay behind.
+// copyRequest copies a request out of the server's buffers, which are reused while a send
+// may still be running. It omits hop-by-hop header fields and those that Connection names.
 func copyRequest(c *fiber.Ctx) *passage.Request {
 	q := c.Request()
 	r := &passage.Request{Method: string(q.Header.Method()), URI: string(q.Header.RequestURI()), Host: string(q.Header.Host()),
@@ -133,10 +133,10 @@
 	for k, v := range q.Header.All() {
 		n := string(k)
 		switch n {
-		case "Host", "Content-Length", httpapi.RequestField, httpapi.TargetField, "Expect":
+		case "Host", "Content-Length", httpapi.RequestHeader, httpapi.TargetHeader, "Expect":
 			continue
 		}
-		if !httpapi.Hop(n) && !named[n] {
+		if !httpapi.IsHopByHop(n) && !named[n] {
 			r.Header = append(r.Header, [2]string{n, string(v)})
 		}
 	}
--- a/internal/gateway/door_test.go
+++ b/internal/gateway/door_test.go
@@ -24,37 +24,37 @@
 	"walkrudder/internal/spec"
 )
 
-// open is a gate that is always open.
-type open struct{ t *spec.Table }
+// openGate is a gate that is always open.
+type openGate struct{ table *spec.Table }
 
-func (o open) Gate() (*spec.Table, bool)                { return o.t, true }
-func (o open) Wait(context.Context) (*spec.Table, bool) { return o.t, true }
+func (o openGate) Gate() (*spec.Table, bool)                { return o.table, true }
+func (o openGate) Wait(context.Context) (*spec.Table, bool) { return o.table, true }
 
-// stand is one real target behind a real door.
-type stand struct {
-	door string
-	ran  atomic.Int64
+// testTarget is a target behind a gateway's HTTP server.
+type testTarget struct {
+	addr     string
+	requests atomic.Int64
 }
 
-// stamp writes the stamp that the target owes to r.
-func stamp(w http.ResponseWriter, r *http.Request, length int) {
-	w.Header().Set(httpapi.StampField, httpapi.Stamp{ID: "a", Service: "svc", Inc: 1, Request: r.Header.Get(httpapi.RequestField), Length: length}.String())
+// setStamp sets the stamp header that a target must send with its answer to r.
+func setStamp(w http.ResponseWriter, r *http.Request, length int) {
+	w.Header().Set(httpapi.StampHeader, httpapi.Stamp{ID: "a", Service: "svc", Inc: 1, Request: r.Header.Get(httpapi.RequestHeader), Length: length}.String())
 }
 
-func newStand(t *testing.T, serve http.HandlerFunc) *stand {
+func newTarget(t *testing.T, serve http.HandlerFunc) *testTarget {
 	t.Helper()
-	s := &stand{}
+	s := &testTarget{}
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		s.ran.Add(1)
+		s.requests.Add(1)
 		serve(w, r)
 	}))
 	t.Cleanup(srv.Close)
-	s.raise(t, srv.Listener.Addr().String())
+	s.startGateway(t, srv.Listener.Addr().String())
 	return s
 }
 
-// raise opens a door whose only target stands at addr.
-func (s *stand) raise(t *testing.T, addr string) {
+// startGateway starts a gateway whose only target is at addr.
+func (s *testTarget) startGateway(t *testing.T, addr string) {
 	t.Helper()
 	tab := spec.NewTable(1, spec.Sheet{Services: []spec.Service{{Name: "svc"}}, Bindings: []spec.Binding{
 		{Name: "once", Service: "svc", Methods: []string{"POST"}, Path: "/once/*", ExpiryMS: 1500, MaxBody: 6 << 20},
@@ -67,26 +67,26 @@
 	if err := r.Learn(ctx, "svc", []registry.Entry{{Beat: httpapi.Beat{ID: "a", Service: "svc", Addr: addr, Capacity: 4, Seq: 1, Inc: 1}}}); err != nil {
 		t.Fatal(err)
 	}
-	// The test lasts longer than a proof does.
+	// The test takes longer than the result of a probe is valid.
 	r.Proved(r.Of("svc")[0], time.Now().Add(time.Hour))
-	p := &passage.Passage{Clock: clock.Wall{}, Rack: open{tab}, Roster: r, Courier: passage.NewHTTP(""), ID: "f", Inc: 1, Gateways: func() int { return 1 }}
+	p := &passage.Passage{Clock: clock.Wall{}, Rack: openGate{tab}, Roster: r, Courier: passage.NewHTTP(""), ID: "f", Inc: 1, Gateways: func() int { return 1 }}
 	p.Init()
 	done := make(chan struct{})
 	go func() { p.Run(ctx); close(done) }()
-	f := &Gateway{Passage: p}
+	f := &Gateway{Proxy: p}
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	app := f.Door(nil)
+	app := f.HTTPServer(nil)
 	go func() { _ = app.Listener(ln) }()
 	t.Cleanup(func() { _ = app.Shutdown(); end(); <-done })
-	s.door = ln.Addr().String()
+	s.addr = ln.Addr().String()
 }
 
-func (s *stand) call(t *testing.T, method, path string, body io.Reader, head ...string) (*http.Response, string) {
+func (s *testTarget) call(t *testing.T, method, path string, body io.Reader, head ...string) (*http.Response, string) {
 	t.Helper()
-	q, err := http.NewRequest(method, "http://"+s.door+path, body)
+	q, err := http.NewRequest(method, "http://"+s.addr+path, body)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -108,10 +108,10 @@
 func TestDoorPassesOnWhatItShould(t *testing.T) {
 	var got *http.Request
 	var in string
-	s := newStand(t, func(w http.ResponseWriter, r *http.Request) {
+	s := newTarget(t, func(w http.ResponseWriter, r *http.Request) {
 		b, _ := io.ReadAll(r.Body)
 		got, in = r.Clone(context.Background()), string(b)
-		stamp(w, r, 5)
+		setStamp(w, r, 5)
 		w.Header().Set("X-Mine", "yes")
 		w.Header().Add("Set-Cookie", "a=1")
 		w.Header().Add("Set-Cookie", "b=2")
@@ -123,10 +123,10 @@
 	if r.StatusCode != 201 || b != "hello" || r.Header.Get("X-Mine") != "yes" || len(r.Header.Values("Set-Cookie")) != 2 || r.Header.Get("Content-Type") != "text/x-thing" {
 		t.Errorf("answer: %d %q %v", r.StatusCode, b, r.Header)
 	}
-	if got.RequestURI != "/once/a%2Fb?x=1&y=%20z" || in != "body" || got.Header.Get("X-Theirs") != "1" || got.Header.Get("Cookie") != "c=3" || got.Host != s.door {
+	if got.RequestURI != "/once/a%2Fb?x=1&y=%20z" || in != "body" || got.Header.Get("X-Theirs") != "1" || got.Header.Get("Cookie") != "c=3" || got.Host != s.addr {
 		t.Errorf("request: %s %q %v %s", got.RequestURI, in, got.Header, got.Host)
 	}
-	if got.Header.Get("X-Local") != "" || got.Header.Get("Te") != "" || got.Header.Get(httpapi.TargetField) != "a;svc;1" {
+	if got.Header.Get("X-Local") != "" || got.Header.Get("Te") != "" || got.Header.Get(httpapi.TargetHeader) != "a;svc;1" {
 		t.Errorf("fields of one link were passed on: %v", got.Header)
 	}
 	if r, _ := s.call(t, "GET", "/nowhere", nil); r.StatusCode != 404 {
@@ -138,10 +138,10 @@
 	if r, _ := s.call(t, "PUT", "/again/x", bytes.NewReader(make([]byte, 1<<20+1))); r.StatusCode != 413 {
 		t.Errorf("body over the limit: %d", r.StatusCode)
 	}
-	if s.ran.Load() != 1 {
-		t.Errorf("%d requests reached the target, want 1", s.ran.Load())
+	if s.requests.Load() != 1 {
+		t.Errorf("%d requests reached the target, want 1", s.requests.Load())
 	}
-	c, err := net.Dial("tcp", s.door)
+	c, err := net.Dial("tcp", s.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -154,23 +154,23 @@
 
 func TestDoorBodiesOfEveryKind(t *testing.T) {
 	big := bytes.Repeat([]byte("0123456789abcdef"), 5<<16)
-	s := newStand(t, func(w http.ResponseWriter, r *http.Request) {
+	s := newTarget(t, func(w http.ResponseWriter, r *http.Request) {
 		b, _ := io.ReadAll(r.Body)
 		switch r.URL.Path {
 		case "/once/echo":
-			stamp(w, r, len(b))
+			setStamp(w, r, len(b))
 			_, _ = w.Write(b)
 		case "/again/none":
-			stamp(w, r, 0)
+			setStamp(w, r, 0)
 			w.WriteHeader(204)
 		case "/again/chunks":
-			stamp(w, r, -1)
+			setStamp(w, r, -1)
 			for range 3 {
 				_, _ = w.Write([]byte("part"))
 				w.(http.Flusher).Flush()
 			}
 		default:
-			stamp(w, r, 7)
+			setStamp(w, r, 7)
 			w.Header().Set("Content-Length", "7")
 			if r.Method != "HEAD" {
 				_, _ = w.Write([]byte("seven__"))
@@ -191,10 +191,10 @@
 	}
 }
 
-// raw is a target that writes bytes of its own making.
-func raw(t *testing.T, answer func(c net.Conn, number string)) *stand {
+// newRawTarget starts a target whose answer is written as raw bytes.
+func newRawTarget(t *testing.T, answer func(c net.Conn, number string)) *testTarget {
 	t.Helper()
-	s := &stand{}
+	s := &testTarget{}
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -213,52 +213,54 @@
 					return
 				}
 				_, _ = io.Copy(io.Discard, q.Body)
-				s.ran.Add(1)
-				answer(c, q.Header.Get(httpapi.RequestField))
+				s.requests.Add(1)
+				answer(c, q.Header.Get(httpapi.RequestHeader))
 			}()
 		}
 	}()
-	s.raise(t, ln.Addr().String())
+	s.startGateway(t, ln.Addr().String())
 	return s
 }
 
-func line(number, id string, inc, length int) string {
-	return httpapi.StampField + ": " + id + ";svc;" + strconv.Itoa(inc) + ";" + number + ";" + strconv.Itoa(length) + "\r\n"
+func stampLine(number, id string, inc, length int) string {
+	return httpapi.StampHeader + ": " + id + ";svc;" + strconv.Itoa(inc) + ";" + number + ";" + strconv.Itoa(length) + "\r\n"
 }
 
-// What is no proper answer is never a success; a request that may not be repeated
-// is sent once, and its outcome told as unknown.
+// An improper answer must never be reported as a success. A request that may not be repeated
+// must be sent once, and its outcome reported as unknown.
 func TestDoorImproperAnswers(t *testing.T) {
 	for name, answer := range map[string]func(net.Conn, string){
 		"closed":   func(net.Conn, string) {},
 		"garbage":  func(c net.Conn, _ string) { _, _ = c.Write([]byte("zonk zonk\r\n\r\n")) },
 		"no stamp": func(c net.Conn, _ string) { _, _ = c.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi")) },
 		"cut short": func(c net.Conn, n string) {
-			_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%sContent-Length: 9\r\n\r\nhi", line(n, "a", 1, 9))
+			_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%sContent-Length: 9\r\n\r\nhi", stampLine(n, "a", 1, 9))
 		},
 		"cut in chunks": func(c net.Conn, n string) {
-			_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%sTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n", line(n, "a", 1, -1))
+			_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%sTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n", stampLine(n, "a", 1, -1))
+		},
+		"no end known": func(c net.Conn, n string) {
+			_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%s\r\nhi", stampLine(n, "a", 1, 2))
 		},
-		"no end known": func(c net.Conn, n string) { _, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%s\r\nhi", line(n, "a", 1, 2)) },
 		"other length": func(c net.Conn, n string) {
-			_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%sContent-Length: 2\r\n\r\nhi", line(n, "a", 1, 3))
+			_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%sContent-Length: 2\r\n\r\nhi", stampLine(n, "a", 1, 3))
 		},
 		"other target": func(c net.Conn, n string) {
-			_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%sContent-Length: 2\r\n\r\nhi", line(n, "b", 1, 2))
+			_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%sContent-Length: 2\r\n\r\nhi", stampLine(n, "b", 1, 2))
 		},
 		"other run": func(c net.Conn, n string) {
-			_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%sContent-Length: 2\r\n\r\nhi", line(n, "a", 2, 2))
+			_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%sContent-Length: 2\r\n\r\nhi", stampLine(n, "a", 2, 2))
 		},
 		"other request": func(c net.Conn, n string) {
-			_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%sContent-Length: 2\r\n\r\nhi", line(n+"1", "a", 1, 2))
+			_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%sContent-Length: 2\r\n\r\nhi", stampLine(n+"1", "a", 1, 2))
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			s := raw(t, answer)
+			s := newRawTarget(t, answer)
 			r, b := s.call(t, "POST", "/once/x", strings.NewReader("order"))
-			if r.StatusCode != 502 || !strings.Contains(b, httpapi.Unknown) || s.ran.Load() != 1 {
-				t.Errorf("POST: %d %s after %d sends", r.StatusCode, b, s.ran.Load())
+			if r.StatusCode != 502 || !strings.Contains(b, httpapi.OutcomeUnknown) || s.requests.Load() != 1 {
+				t.Errorf("POST: %d %s after %d sends", r.StatusCode, b, s.requests.Load())
 			}
 			if r, b := s.call(t, "GET", "/again/x", nil); r.StatusCode != 502 || strings.Contains(b, httpapi.BusyNotRun) {
 				t.Errorf("GET: %d %s", r.StatusCode, b)
@@ -268,43 +270,43 @@
 }
 
 func TestDoorSaysNotRunOnlyWhenTrue(t *testing.T) {
-	busy := newStand(t, func(w http.ResponseWriter, r *http.Request) {
-		stamp(w, r, 0)
-		w.Header().Set(httpapi.NotRunField, "1")
+	busy := newTarget(t, func(w http.ResponseWriter, r *http.Request) {
+		setStamp(w, r, 0)
+		w.Header().Set(httpapi.NotRunHeader, "1")
 		w.WriteHeader(503)
 	})
-	gone := &stand{}
+	gone := &testTarget{}
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	addr := ln.Addr().String()
 	_ = ln.Close()
-	gone.raise(t, addr)
-	for name, s := range map[string]*stand{"target says not run": busy, "nobody listens": gone} {
+	gone.startGateway(t, addr)
+	for name, s := range map[string]*testTarget{"target says not run": busy, "nobody listens": gone} {
 		r, b := s.call(t, "POST", "/once/x", strings.NewReader("order"))
 		if r.StatusCode != 503 || !strings.Contains(b, httpapi.BusyNotRun) || r.Header.Get("Retry-After") == "" {
 			t.Errorf("%s: %d %s %v", name, r.StatusCode, b, r.Header)
 		}
 	}
-	// A target that takes the request and stays silent: nobody knows.
+	// If a target takes the request and does not answer, the outcome is unknown.
 	ends := make(chan struct{})
 	defer close(ends)
-	silent := newStand(t, func(_ http.ResponseWriter, r *http.Request) { <-ends })
+	silent := newTarget(t, func(_ http.ResponseWriter, r *http.Request) { <-ends })
 	r, b := silent.call(t, "POST", "/once/x", strings.NewReader("order"))
-	if r.StatusCode != 502 || !strings.Contains(b, httpapi.Unknown) || silent.ran.Load() != 1 {
-		t.Errorf("silent target: %d %s after %d sends", r.StatusCode, b, silent.ran.Load())
+	if r.StatusCode != 502 || !strings.Contains(b, httpapi.OutcomeUnknown) || silent.requests.Load() != 1 {
+		t.Errorf("silent target: %d %s after %d sends", r.StatusCode, b, silent.requests.Load())
 	}
 }
 
 func TestDoorLimitsOnlyTheClientThatHammers(t *testing.T) {
-	s := newStand(t, func(w http.ResponseWriter, r *http.Request) { stamp(w, r, 0) })
+	s := newTarget(t, func(w http.ResponseWriter, r *http.Request) { setStamp(w, r, 0) })
 	var wg sync.WaitGroup
 	var limited, served atomic.Int64
 	for range 10 {
 		wg.Go(func() {
 			for range 80 {
-				r, _ := s.call(t, "GET", "/again/x", nil, httpapi.ClientField, "hammer")
+				r, _ := s.call(t, "GET", "/again/x", nil, httpapi.ClientHeader, "hammer")
 				switch {
 				case r.StatusCode == 429 && r.Header.Get("Retry-After") != "":
 					limited.Add(1)
@@ -318,7 +320,7 @@
 	}
 	wg.Wait()
 	for range 20 {
-		if r, _ := s.call(t, "GET", "/again/x", nil, httpapi.ClientField, "proper"); r.StatusCode != 200 {
+		if r, _ := s.call(t, "GET", "/again/x", nil, httpapi.ClientHeader, "proper"); r.StatusCode != 200 {
 			t.Fatalf("a proper client got %d beside one that hammers", r.StatusCode)
 		}
 	}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,4 +1,4 @@
-// Package gateway puts the data plane together (design 2.1).
+// Package gateway assembles a data-plane node (design 2.1).
 package gateway
 
 import (
@@ -28,102 +28,102 @@
 )
 
 const (
-	// probeEvery is the interval of probes to each target.
-	probeEvery = 400 * time.Millisecond
-	// probeTime bounds one probe.
-	probeTime = 600 * time.Millisecond
+	// probeInterval is the interval between probes of a target.
+	probeInterval = 400 * time.Millisecond
+	// probeTimeout bounds one probe.
+	probeTimeout = 600 * time.Millisecond
 )
 
-// Parts is what a gateway stands on: the real things in a daemon, the simulator's in
-// a simulated run.
-type Parts struct {
-	Startup startup.Gateway
-	Inc     uint64
-	Line    link.Line
-	Clock   clock.Clock
-	Courier passage.Courier
-	Log     *log.Logger
-	Faults  *fault.Set
-	Count   func(what, service string)
+// Config holds a gateway's settings and dependencies: real ones in a daemon, simulated ones
+// in a simulation.
+type Config struct {
+	Startup      startup.Gateway
+	Incarnation  uint64
+	Transport    link.Line
+	Clock        clock.Clock
+	TargetClient passage.Courier
+	Log          *log.Logger
+	Faults       *fault.Set
+	Count        func(what, service string)
 }
 
-// Gateway is one data-plane node.
+// Gateway is a data-plane node.
 type Gateway struct {
-	Parts
-	Desk    *link.Desk
-	Tenant  *membership.Tenant
-	Rack    *rollout.Rack
-	Roster  *registry.Roster
-	Passage *passage.Passage
-	Pauses  *liveness.Pauses
+	Config
+	Mux        *link.Desk
+	Membership *membership.Tenant
+	Routes     *rollout.Rack
+	Targets    *registry.Roster
+	Proxy      *passage.Passage
+	Pauses     *liveness.Pauses
 
 	start    func(context.Context)
 	stopping atomic.Bool
-	resting  atomic.Bool // drained by hand
+	drained  atomic.Bool // drained by an operator
 	warm     atomic.Bool
-	opened   atomic.Int64 // when the gate was last seen open, since born
-	born     time.Time
+	lastOpen atomic.Int64 // when the gate was last seen open, in ns since created, plus 1; 0 is never
+	created  time.Time
 	wg       sync.WaitGroup
 }
 
-// New puts a gateway together; Run starts it.
-func New(p Parts) *Gateway {
+// New assembles a gateway; Run starts it.
+func New(p Config) *Gateway {
 	i := do.New()
 	do.ProvideValue(i, p)
 	do.Provide(i, func(do.Injector) (*quorum.Proposer, error) {
-		return quorum.NewProposer(p.Startup.ID, p.Line, p.Clock), nil
+		return quorum.NewProposer(p.Startup.ID, p.Transport, p.Clock), nil
 	})
 	do.Provide(i, func(i do.Injector) (*quorum.Bootstrapper, error) {
-		return &quorum.Bootstrapper{Seeds: p.Startup.Seeds, Self: p.Startup.Inner, Transport: p.Line, Clock: p.Clock,
+		return &quorum.Bootstrapper{Seeds: p.Startup.Seeds, Self: p.Startup.Inner, Transport: p.Transport, Clock: p.Clock,
 			Proposer: do.MustInvoke[*quorum.Proposer](i)}, nil
 	})
 	do.Provide(i, func(do.Injector) (*liveness.Pauses, error) { return liveness.NewPauses(p.Clock), nil })
 	do.Provide(i, func(i do.Injector) (*membership.Tenant, error) {
-		return &membership.Tenant{Line: p.Line, Clock: p.Clock, Core: do.MustInvoke[*quorum.Proposer](i)}, nil
+		return &membership.Tenant{Line: p.Transport, Clock: p.Clock, Core: do.MustInvoke[*quorum.Proposer](i)}, nil
 	})
-	do.Provide(i, newRoster)
-	do.Provide(i, newRack)
-	do.Provide(i, newCircle)
-	do.Provide(i, newPassage)
-	f := &Gateway{Parts: p, born: p.Clock.Now(), Desk: link.NewDesk(), Tenant: do.MustInvoke[*membership.Tenant](i), Pauses: do.MustInvoke[*liveness.Pauses](i),
-		Rack: do.MustInvoke[*rollout.Rack](i), Roster: do.MustInvoke[*registry.Roster](i), Passage: do.MustInvoke[*passage.Passage](i)}
+	do.Provide(i, newTargets)
+	do.Provide(i, newRoutes)
+	do.Provide(i, newClaims)
+	do.Provide(i, newProxy)
+	g := &Gateway{Config: p, created: p.Clock.Now(), Mux: link.NewDesk(), Membership: do.MustInvoke[*membership.Tenant](i), Pauses: do.MustInvoke[*liveness.Pauses](i),
+		Routes: do.MustInvoke[*rollout.Rack](i), Targets: do.MustInvoke[*registry.Roster](i), Proxy: do.MustInvoke[*passage.Passage](i)}
 	since := time.Now().UnixMilli()
-	f.Tenant.Me = func() membership.Member {
-		return membership.Member{ID: p.Startup.ID, Inc: p.Inc, Kind: "gateway", Inner: p.Startup.Inner, Door: p.Startup.Door,
-			Zone: p.Startup.Zone, Spec: f.Rack.N(), Since: since, Rest: f.resting.Load()}
+	g.Membership.Me = func() membership.Member {
+		return membership.Member{ID: p.Startup.ID, Inc: p.Incarnation, Kind: "gateway", Inner: p.Startup.Inner, Door: p.Startup.Door,
+			Zone: p.Startup.Zone, Spec: g.Routes.N(), Since: since, Rest: g.drained.Load()}
 	}
-	f.Roster.OnStand = f.watch
-	f.Rack.Serve(f.Desk)
-	f.Roster.Serve(f.Desk)
-	circle := do.MustInvoke[*claim.Circle](i)
-	circle.Serve(f.Desk)
-	f.Passage.Serve(f.Desk)
-	membership.ServeRest(f.Desk, &f.resting)
-	fm := do.MustInvoke[*quorum.Bootstrapper](i)
-	fm.Serve(f.Desk)
-	f.start = func(ctx context.Context) {
-		f.wg.Go(func() {
-			clock.Every(ctx, p.Clock, closedTime/8, func() { f.Ready() })
+	g.Targets.OnStand = g.probeTarget
+	g.Routes.Serve(g.Mux)
+	g.Targets.Serve(g.Mux)
+	claims := do.MustInvoke[*claim.Circle](i)
+	claims.Serve(g.Mux)
+	g.Proxy.Serve(g.Mux)
+	membership.ServeRest(g.Mux, &g.drained)
+	bootstrapper := do.MustInvoke[*quorum.Bootstrapper](i)
+	bootstrapper.Serve(g.Mux)
+	g.start = func(ctx context.Context) {
+		g.wg.Go(func() {
+			clock.Every(ctx, p.Clock, maxGateClosed/8, func() { g.Ready() })
 		})
-		for _, run := range []func(context.Context){fm.Run, f.Tenant.Run, f.Rack.Run, f.Roster.Run, f.Passage.Run, f.Pauses.Run, circle.Run} {
-			f.wg.Go(func() { run(ctx) })
+		for _, run := range []func(context.Context){bootstrapper.Run, g.Membership.Run, g.Routes.Run, g.Targets.Run, g.Proxy.Run, g.Pauses.Run, claims.Run} {
+			g.wg.Go(func() { run(ctx) })
 		}
 	}
-	return f
+	return g
 }
 
-func newRoster(i do.Injector) (*registry.Roster, error) {
-	p, t := do.MustInvoke[Parts](i), do.MustInvoke[*membership.Tenant](i)
-	r := &registry.Roster{Line: p.Line, Clock: p.Clock, Pause: do.MustInvoke[*liveness.Pauses](i), Me: p.Startup.ID, Zone: p.Startup.Zone,
-		Controllers: func() []membership.Member { return t.Kind("controller") }, Every: probeEvery}
+func newTargets(i do.Injector) (*registry.Roster, error) {
+	p, t := do.MustInvoke[Config](i), do.MustInvoke[*membership.Tenant](i)
+	r := &registry.Roster{Line: p.Transport, Clock: p.Clock, Pause: do.MustInvoke[*liveness.Pauses](i), Me: p.Startup.ID, Zone: p.Startup.Zone,
+		Controllers: func() []membership.Member { return t.Kind("controller") }, Every: probeInterval}
 	r.Init()
 	return r, nil
 }
 
-func newRack(i do.Injector) (*rollout.Rack, error) {
-	p, t, r := do.MustInvoke[Parts](i), do.MustInvoke[*membership.Tenant](i), do.MustInvoke[*registry.Roster](i)
-	k := &rollout.Rack{Tenant: t, Line: p.Line, Clock: p.Clock, ID: p.Startup.ID, Log: p.Log,
-		Controllers: func() []string { return nearest(t.Kind("controller"), p.Startup) },
+func newRoutes(i do.Injector) (*rollout.Rack, error) {
+	p, t, r := do.MustInvoke[Config](i), do.MustInvoke[*membership.Tenant](i), do.MustInvoke[*registry.Roster](i)
+	k := &rollout.Rack{Tenant: t, Line: p.Transport, Clock: p.Clock, ID: p.Startup.ID, Log: p.Log,
+		Controllers: func() []string { return controllersByDistance(t.Kind("controller"), p.Startup) },
 		Mates: func() []string {
 			return lo.Union(t.Others(p.Startup.ID), lo.Without(p.Startup.Seeds, p.Startup.Inner))
 		},
@@ -140,9 +140,10 @@
 	return k, nil
 }
 
-// nearest lists controllers to ask: the own zone first, then the rest, each gateway from
-// another start; before any member is known, the seeds.
-func nearest(ms []membership.Member, s startup.Gateway) []string {
+// controllersByDistance lists the controllers to ask, those of the gateway's own zone first.
+// Each gateway starts at another one, to spread the load. Before any member is known, it
+// returns the seeds.
+func controllersByDistance(ms []membership.Member, s startup.Gateway) []string {
 	if len(ms) == 0 {
 		return s.Seeds
 	}
@@ -151,22 +152,22 @@
 	for _, c := range []byte(s.ID) {
 		n = n*31 + int(c)
 	}
-	turn := func(l []membership.Member) []membership.Member {
+	rotate := func(l []membership.Member) []membership.Member {
 		if len(l) == 0 {
 			return l
 		}
 		k := (n%len(l) + len(l)) % len(l)
 		return append(append([]membership.Member(nil), l[k:]...), l[:k]...)
 	}
-	return lo.Map(append(turn(near), turn(far)...), func(m membership.Member, _ int) string { return m.Inner })
+	return lo.Map(append(rotate(near), rotate(far)...), func(m membership.Member, _ int) string { return m.Inner })
 }
 
-func newPassage(i do.Injector) (*passage.Passage, error) {
-	p, t := do.MustInvoke[Parts](i), do.MustInvoke[*membership.Tenant](i)
+func newProxy(i do.Injector) (*passage.Passage, error) {
+	p, t := do.MustInvoke[Config](i), do.MustInvoke[*membership.Tenant](i)
 	g := &passage.Passage{Clock: p.Clock, Rack: do.MustInvoke[*rollout.Rack](i), Roster: do.MustInvoke[*registry.Roster](i),
-		Courier: p.Courier, Zone: p.Startup.Zone, Chart: p.Startup.Chart, ID: p.Startup.ID, Inc: p.Inc, Faults: p.Faults, Log: p.Log, Count: p.Count,
+		Courier: p.TargetClient, Zone: p.Startup.Zone, Chart: p.Startup.Chart, ID: p.Startup.ID, Inc: p.Incarnation, Faults: p.Faults, Log: p.Log, Count: p.Count,
 		Gateways: func() int {
-			// Read at every choice: counted, not listed.
+			// Called for every choice of a target, so the members are counted without building a list.
 			return lo.CountBy(t.Members(), func(m membership.Member) bool { return m.Kind == "gateway" }) + 1
 		},
 		Claims: do.MustInvoke[*claim.Circle](i)}
@@ -174,42 +175,42 @@
 	return g, nil
 }
 
-func newCircle(i do.Injector) (*claim.Circle, error) {
-	p, t, k := do.MustInvoke[Parts](i), do.MustInvoke[*membership.Tenant](i), do.MustInvoke[*rollout.Rack](i)
-	c := &claim.Circle{Me: p.Startup.ID, Line: p.Line, Clock: p.Clock, Log: p.Log, Mates: k.Mates, Held: t.Held, Alone: k.Stranded, Gateways: k.Counts,
+func newClaims(i do.Injector) (*claim.Circle, error) {
+	p, t, k := do.MustInvoke[Config](i), do.MustInvoke[*membership.Tenant](i), do.MustInvoke[*rollout.Rack](i)
+	c := &claim.Circle{Me: p.Startup.ID, Line: p.Transport, Clock: p.Clock, Log: p.Log, Mates: k.Mates, Held: t.Held, Alone: k.Stranded, Gateways: k.Counts,
 		Members: func() []string { return t.Others(p.Startup.ID) },
-		Keep:    &claims{line: p.Line, clock: p.Clock, controllers: func() []string { return nearest(t.Kind("controller"), p.Startup) }}}
+		Keep:    &claimClient{transport: p.Transport, clock: p.Clock, controllers: func() []string { return controllersByDistance(t.Kind("controller"), p.Startup) }}}
 	c.Init()
 	return c, nil
 }
 
-// claims takes claims through whichever controller answers.
-type claims struct {
-	line        link.Line
+// claimClient makes idempotency-key claims through any controller that answers.
+type claimClient struct {
+	transport   link.Line
 	clock       clock.Clock
 	controllers func() []string
 }
 
-// claimTime bounds the wait for one controller.
-const claimTime = 700 * time.Millisecond
+// claimTimeout bounds the wait for the answer of one controller.
+const claimTimeout = 700 * time.Millisecond
 
-func (c *claims) Take(ctx context.Context, a claim.TakeAsk) (claim.TakeTold, error) {
-	return each[claim.TakeTold](ctx, c, a)
+func (c *claimClient) Take(ctx context.Context, a claim.TakeAsk) (claim.TakeTold, error) {
+	return askAny[claim.TakeTold](ctx, c, a)
 }
 
-func (c *claims) End(ctx context.Context, a claim.EndAsk) error {
-	_, err := each[claim.EndTold](ctx, c, a)
+func (c *claimClient) End(ctx context.Context, a claim.EndAsk) error {
+	_, err := askAny[claim.EndTold](ctx, c, a)
 	return err
 }
 
-// each asks one controller after the other until one answers or ctx ends; asks of both
-// kinds may be repeated.
-func each[R any](ctx context.Context, c *claims, ask any) (r R, err error) {
+// askAny asks one controller after another until one answers or ctx ends. Requests of both
+// kinds are idempotent and may be repeated.
+func askAny[R any](ctx context.Context, c *claimClient, ask any) (r R, err error) {
 	err = errors.New("no controller known")
 	for {
 		for _, a := range c.controllers() {
-			cx, end := context.WithTimeout(ctx, claimTime)
-			r, err = link.Ask[R](cx, c.line, a, ask)
+			cx, end := context.WithTimeout(ctx, claimTimeout)
+			r, err = link.Ask[R](cx, c.transport, a, ask)
 			end()
 			if err == nil {
 				return r, nil
@@ -224,108 +225,109 @@
 	}
 }
 
-// Run works until ctx ends, then waits for its parts.
-func (f *Gateway) Run(ctx context.Context) {
-	f.start(ctx)
-	f.wg.Wait()
+// Run runs the gateway until ctx ends, then waits for its components.
+func (g *Gateway) Run(ctx context.Context) {
+	g.start(ctx)
+	g.wg.Wait()
 }
 
-// warmTime is how long after its start a gateway may still be getting to know the
-// targets; after that it is ready without.
-const warmTime = 4 * time.Second
+// maxWarmup bounds how long a started gateway may wait to learn the state of the targets
+// before it reports ready. After that it is ready in any case.
+const maxWarmup = 4 * time.Second
 
-// closedTime is how long the gate may be closed before this node is not ready. A hold
-// in whose middle the core is lost closes it on all gateways alike until their leases have
-// lapsed and they have found each other, or until the core is back and its courts have
-// waited a lease's length: calls wait at the gate, and with all gateways not ready they
-// could not even do that. Who alone is cut off knows much sooner.
-const closedTime = 2*membership.Lease + 200*time.Millisecond
+// maxGateClosed is how long the gate may be closed before this node reports not ready. If the
+// core is lost in the middle of a hold, the gate closes on all gateways at once until their
+// leases have expired and they have found each other, or until the core is back and its
+// lease tables have waited for the length of a lease. Calls wait at the gate during that time,
+// which they could not if all gateways were not ready. A gateway that is cut off alone detects
+// that much sooner.
+const maxGateClosed = 2*membership.Lease + 200*time.Millisecond
 
-// Ready is what the platform is told: this node serves, and is not stopping.
-func (f *Gateway) Ready() bool {
-	now := f.Clock.Now()
-	if _, open := f.Rack.Gate(); open {
-		f.opened.Store(int64(now.Sub(f.born)) + 1)
+// Ready is the readiness reported to the platform: the node serves calls and is not stopping.
+func (g *Gateway) Ready() bool {
+	now := g.Clock.Now()
+	if _, open := g.Routes.Gate(); open {
+		g.lastOpen.Store(int64(now.Sub(g.created)) + 1)
 	}
-	// A hold closes the gate for a moment, on all gateways at once: that alone must
-	// not take them all out of the platform's choice.
-	// Who is cut off says so before its lease ends: the platform takes a second to
-	// notice.
-	if f.Rack.Lone() || f.resting.Load() {
+	// A hold closes the gate for a moment on all gateways at once. That alone must not make
+	// all of them not ready.
+	// A gateway that is cut off reports so before its lease ends, because the platform takes
+	// a second to notice.
+	if g.Routes.Lone() || g.drained.Load() {
 		return false
 	}
-	if o := f.opened.Load(); o == 0 || now.Sub(f.born)-time.Duration(o) > closedTime || f.stopping.Load() {
+	if o := g.lastOpen.Load(); o == 0 || now.Sub(g.created)-time.Duration(o) > maxGateClosed || g.stopping.Load() {
 		return false
 	}
-	if f.Rack.N() == 0 {
-		// Nothing is bound yet: there are no targets to get to know.
+	if g.Routes.N() == 0 {
+		// No binding is in force yet, so there are no targets to learn about.
 		return true
 	}
-	if !f.warm.Load() && (f.Roster.Warm(now) || now.Sub(f.born) > warmTime) {
-		f.warm.Store(true)
+	if !g.warm.Load() && (g.Targets.Warm(now) || now.Sub(g.created) > maxWarmup) {
+		g.warm.Store(true)
 	}
-	return f.warm.Load()
+	return g.warm.Load()
 }
 
-// Stop makes the node tell the platform that it is not ready.
-func (f *Gateway) Stop() { f.stopping.Store(true) }
+// Stop makes the node report to the platform that it is not ready.
+func (g *Gateway) Stop() { g.stopping.Store(true) }
 
-// Part takes leave of the others: this node serves no more, nobody need wait for
-// it, and it counts no longer among the gateways.
-func (f *Gateway) Part(ctx context.Context) {
-	f.Tenant.Leave(ctx)
-	for _, a := range f.Rack.Controllers() {
-		if r, err := link.Ask[rollout.PartTold](ctx, f.Line, a, rollout.PartAsk{ID: f.Startup.ID}); err == nil && r.OK {
+// Deregister removes this node from the cluster: it serves no more calls, nobody needs to
+// wait for it, and it no longer counts among the gateways.
+func (g *Gateway) Deregister(ctx context.Context) {
+	g.Membership.Leave(ctx)
+	for _, a := range g.Routes.Controllers() {
+		if r, err := link.Ask[rollout.PartTold](ctx, g.Transport, a, rollout.PartAsk{ID: g.Startup.ID}); err == nil && r.OK {
 			return
 		}
 	}
 }
 
-// Stopping tells whether a planned stop is under way.
-func (f *Gateway) Stopping() bool { return f.stopping.Load() }
+// Stopping reports whether a planned stop is under way.
+func (g *Gateway) Stopping() bool { return g.stopping.Load() }
 
-// watch probes one target run until ctx ends. Probes carry this gateway's own
-// numbers; an answer that names another run proves nothing (design 10.2).
-func (f *Gateway) watch(ctx context.Context, s *registry.Stand) {
+// probeTarget probes a target run until ctx ends. Probes carry this gateway's own sequence
+// numbers. An answer that names another run is no evidence (design 10.2).
+func (g *Gateway) probeTarget(ctx context.Context, s *registry.Stand) {
 	var seq uint64
 	first := true
 	for {
 		if !s.Near() {
-			if f.Clock.Sleep(ctx, probeEvery/8) != nil {
+			if g.Clock.Sleep(ctx, probeInterval/8) != nil {
 				return
 			}
 			continue
 		}
 		seq++
-		go f.probe(ctx, s, seq)
-		d := probeEvery
+		go g.probe(ctx, s, seq)
+		d := probeInterval
 		if first {
-			// A new target is worth knowing soon.
-			first, d = false, probeEvery/4
+			// Probe a new target again soon, to learn its state quickly.
+			first, d = false, probeInterval/4
 		}
-		if f.Clock.Sleep(ctx, d) != nil {
+		if g.Clock.Sleep(ctx, d) != nil {
 			return
 		}
 	}
 }
 
-func (f *Gateway) probe(ctx context.Context, s *registry.Stand, seq uint64) {
-	sent := f.Clock.Now()
-	cx, end := context.WithTimeout(ctx, probeTime)
+func (g *Gateway) probe(ctx context.Context, s *registry.Stand, seq uint64) {
+	sent := g.Clock.Now()
+	cx, end := context.WithTimeout(ctx, probeTimeout)
 	defer end()
 	name := httpapi.TargetName(s.ID, s.Service, s.Inc)
-	a, _, err := f.Courier.Carry(cx, &passage.Sending{Addr: s.Addr, Target: "probe:" + name, Number: httpapi.ProbeNumber(seq), Expiry: sent.Add(probeTime),
+	a, _, err := g.TargetClient.Carry(cx, &passage.Sending{Addr: s.Addr, Target: "probe:" + name, Number: httpapi.ProbeNumber(seq), Expiry: sent.Add(probeTimeout),
 		Req: &passage.Request{Method: "GET", URI: httpapi.ProbeURI(seq), Host: s.Addr}})
 	if err != nil || a.Status != 200 || !a.Whole {
 		return
 	}
-	p, err := httpapi.ReadProbe(a.Body)
+	p, err := httpapi.ParseProbe(a.Body)
 	if err != nil || p.Seq != seq || p.ID != s.ID || p.Service != s.Service || p.Inc != s.Inc {
 		return
 	}
-	f.Roster.Proved(s, sent)
-	s.Det.Arrive(seq, f.Clock.Now())
+	g.Targets.Proved(s, sent)
+	s.Det.Arrive(seq, g.Clock.Now())
 	if p.Leaving {
-		_ = f.Roster.Drain(ctx, s.Service, s.ID, s.Inc, false)
+		_ = g.Targets.Drain(ctx, s.Service, s.ID, s.Inc, false)
 	}
 }
--- a/internal/httpapi/beat.go
+++ b/internal/httpapi/beat.go
@@ -1,5 +1,5 @@
-// Package httpapi holds every format that callers, targets and the platform see,
-// so that another dialect of them is a change in one place (design 11).
+// Package httpapi defines the formats exchanged with callers, targets and the platform. They
+// are kept in one place, so that another protocol variant changes only this package (design 11).
 package httpapi
 
 import (
@@ -11,8 +11,8 @@
 	"strconv"
 )
 
-// Beat is what a target announces every few seconds, as JSON by POST to any
-// controller's BeatPath.
+// Beat is the heartbeat that a target sends every few seconds as JSON, by POST to BeatPath of
+// any controller.
 type Beat struct {
 	ID       string `json:"id"`
 	Service  string `json:"service"`
@@ -20,40 +20,40 @@
 	Addr     string `json:"addr"`
 	Capacity int    `json:"capacity"`
 	Leaving  bool   `json:"leaving"`
-	// Seq numbers the beats of one run.
+	// Seq numbers the heartbeats of one run.
 	Seq uint64 `json:"call_seq"`
-	// Inc is the run: larger for a later one.
+	// Inc is the incarnation of the run; a later run has a larger one.
 	Inc uint64 `json:"incarnation"`
-	// EveryMS is the target's own interval.
+	// EveryMS is the target's heartbeat interval.
 	EveryMS int `json:"heartbeat_ms"`
 }
 
-// The paths of the controllers and gateways.
+// The HTTP paths of controllers, gateways and targets.
 const (
 	BeatPath    = "/v1/beats"
 	ReadyPath   = "/_walkrudder/ready"
 	MetricsPath = "/_walkrudder/metrics"
 	ProbePath   = "/_walkrudder/probe"
-	// MaxBeat bounds a beat in bytes.
-	MaxBeat = 4 << 10
+	// MaxBeatBytes bounds the size of a heartbeat in bytes.
+	MaxBeatBytes = 4 << 10
 )
 
-var name = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$`)
+var namePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$`)
 
-// ReadBeat reads and checks a beat.
-func ReadBeat(b []byte) (t Beat, err error) {
-	if len(b) > MaxBeat {
+// ParseBeat parses and validates a heartbeat and sets its defaults.
+func ParseBeat(b []byte) (t Beat, err error) {
+	if len(b) > MaxBeatBytes {
 		return t, errors.New("beat too large")
 	}
 	if err := json.Unmarshal(b, &t); err != nil {
 		return t, fmt.Errorf("beat is no JSON object of the expected form: %w", err)
 	}
 	switch {
-	case !name.MatchString(t.ID):
+	case !namePattern.MatchString(t.ID):
 		return t, fmt.Errorf("id: %q is no name", t.ID)
-	case !name.MatchString(t.Service):
+	case !namePattern.MatchString(t.Service):
 		return t, fmt.Errorf("service: %q is no name", t.Service)
-	case t.Zone != "" && !name.MatchString(t.Zone):
+	case t.Zone != "" && !namePattern.MatchString(t.Zone):
 		return t, fmt.Errorf("zone: %q is no name", t.Zone)
 	case t.Seq == 0:
 		return t, errors.New("call_seq: starts at 1")
@@ -78,33 +78,33 @@
 	return t, nil
 }
 
-// ProbeAnswer is what a target says to a probe.
-type ProbeAnswer struct {
+// ProbeResponse is a target's response to a probe.
+type ProbeResponse struct {
 	ID      string `json:"id"`
 	Service string `json:"service"`
 	Inc     uint64 `json:"incarnation"`
-	Seq     uint64 `json:"seq"` // the probe's own number, repeated
+	Seq     uint64 `json:"seq"` // the probe's sequence number
 	Leaving bool   `json:"leaving"`
 }
 
-// ReadProbe reads a probe's answer.
-func ReadProbe(b []byte) (p ProbeAnswer, err error) {
-	if len(b) > MaxBeat {
+// ParseProbe parses the response to a probe.
+func ParseProbe(b []byte) (p ProbeResponse, err error) {
+	if len(b) > MaxBeatBytes {
 		return p, errors.New("probe answer too large")
 	}
 	err = json.Unmarshal(b, &p)
 	return p, err
 }
 
-// ProbeURI is the path and query of probe number n.
+// ProbeURI returns the path and query of probe number n.
 func ProbeURI(n uint64) string { return ProbePath + "?seq=" + strconv.FormatUint(n, 10) }
 
-// ProbeNumber is the number of a probe's sending.
+// ProbeNumber returns the request number of probe number n.
 func ProbeNumber(n uint64) string { return "p" + strconv.FormatUint(n, 10) }
 
-// BeatAnswer is what a controller answers to a beat. Leaving repeats that no new work
-// is sent any more; Gone tells a run that it was let go and must start anew.
-type BeatAnswer struct {
+// BeatResponse is a controller's response to a heartbeat. Leaving confirms that no new requests
+// are sent to the target. Gone tells a run that it was removed and must restart.
+type BeatResponse struct {
 	OK      bool   `json:"ok"`
 	Seq     uint64 `json:"call_seq"`
 	Leaving bool   `json:"leaving"`
--- a/internal/httpapi/beat_test.go
+++ b/internal/httpapi/beat_test.go
@@ -15,11 +15,11 @@
 		"heartbeat_ms": `{"id":"a","service":"a","addr":"127.0.0.1:1","call_seq":1,"heartbeat_ms":-1}`,
 		"JSON":         `{"id":7}`,
 	} {
-		if _, err := ReadBeat([]byte(s)); err == nil || !strings.Contains(err.Error(), want) {
+		if _, err := ParseBeat([]byte(s)); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: %v, want %q named", s, err, want)
 		}
 	}
-	b, err := ReadBeat([]byte(`{"id":"a","service":"s","addr":"127.0.0.1:1","call_seq":1}`))
+	b, err := ParseBeat([]byte(`{"id":"a","service":"s","addr":"127.0.0.1:1","call_seq":1}`))
 	if err != nil || b.EveryMS != 2000 || b.Capacity != 1 {
 		t.Errorf("%+v %v", b, err)
 	}
@@ -28,11 +28,11 @@
 func FuzzRead(f *testing.F) {
 	f.Add([]byte(`{"id":"a","service":"s","addr":"127.0.0.1:1","call_seq":1}`), "a;s;1;r;5")
 	f.Fuzz(func(t *testing.T, b []byte, s string) {
-		if x, err := ReadBeat(b); err == nil && (x.ID == "" || x.Seq == 0) {
+		if x, err := ParseBeat(b); err == nil && (x.ID == "" || x.Seq == 0) {
 			t.Fatalf("taken: %+v", x)
 		}
-		if st, err := ReadStamp(s); err == nil {
-			if again, err := ReadStamp(st.String()); err != nil || again != st {
+		if st, err := ParseStamp(s); err == nil {
+			if again, err := ParseStamp(st.String()); err != nil || again != st {
 				t.Fatalf("%q does not come back: %v", s, err)
 			}
 		}
--- a/internal/httpapi/stamp.go
+++ b/internal/httpapi/stamp.go
@@ -6,48 +6,48 @@
 	"strings"
 )
 
-// The header fields between gateways and targets, and towards callers.
+// The header fields used between gateways and targets, and towards callers.
 const (
-	// RequestField carries the number of this sending of the request; the target
+	// RequestHeader carries the number of this attempt to send the request. The target
 	// repeats it in its stamp.
-	RequestField = "Walk-Request"
-	// TargetField names the target run that the request is meant for.
-	TargetField = "Walk-Target"
-	// StampField is the target's stamp on an answer.
-	StampField = "Walk-Stamp"
-	// NotRunField, on a stamped 503, says that the request was not run and will
+	RequestHeader = "Walk-Request"
+	// TargetHeader names the target run that the request is addressed to.
+	TargetHeader = "Walk-Target"
+	// StampHeader carries the target's stamp on an answer.
+	StampHeader = "Walk-Stamp"
+	// NotRunHeader, on a stamped 503, tells that the request was not run and will
 	// not be.
-	NotRunField = "Walk-Not-Run"
-	// KeyField is the caller's own name for a request that he may repeat.
-	KeyField = "Idempotency-Key"
-	// CallField tells the caller the number under which logs know his call.
-	CallField = "Walk-Call"
-	// ClientField names the client where calls come through the platform's one
-	// address.
-	ClientField = "Walk-Client"
+	NotRunHeader = "Walk-Not-Run"
+	// KeyHeader carries the caller's idempotency key for a request that it may repeat.
+	KeyHeader = "Idempotency-Key"
+	// CallHeader tells the caller the ID of its call in the logs.
+	CallHeader = "Walk-Call"
+	// ClientHeader names the client, where all calls come from the one address of the
+	// platform.
+	ClientHeader = "Walk-Client"
 )
 
-// Stamp is a target's word that an answer is its own, to this sending.
+// Stamp identifies the target run that made an answer and the request that it answers.
 type Stamp struct {
 	ID      string
 	Service string
 	Inc     uint64
 	Request string
-	Length  int // of the body in bytes; -1 where the target does not tell
+	Length  int // of the body in bytes; -1 if the target does not give it
 }
 
-// String writes the stamp as the field's value.
+// String formats the stamp as a header value.
 func (s Stamp) String() string {
 	return fmt.Sprintf("%s;%s;%d;%s;%d", s.ID, s.Service, s.Inc, s.Request, s.Length)
 }
 
-// TargetName writes a target run as the TargetField's value.
+// TargetName formats a target run as the value of TargetHeader.
 func TargetName(id, service string, inc uint64) string {
 	return id + ";" + service + ";" + strconv.FormatUint(inc, 10)
 }
 
-// ReadStamp reads the field's value.
-func ReadStamp(v string) (s Stamp, err error) {
+// ParseStamp parses the value of StampHeader.
+func ParseStamp(v string) (s Stamp, err error) {
 	p := strings.Split(v, ";")
 	if len(p) != 5 {
 		return s, fmt.Errorf("stamp %q has %d parts, want 5", v, len(p))
--- a/internal/ledger/book.go
+++ b/internal/ledger/book.go
@@ -16,190 +16,194 @@
 	"walkrudder/internal/steperr"
 )
 
-// Fold is the state that the changes up to N give. It is never changed.
-type Fold struct {
-	N      uint64
-	Sheet  spec.Sheet
-	tokens map[string]uint64
-	wholes []whole
+// State is the route sheet after applying all changes up to Version. It is immutable.
+type State struct {
+	Version    uint64
+	Sheet      spec.Sheet
+	tokens     map[string]uint64
+	fullSheets []fullSheet
 }
 
-// whole is a change that carries the whole sheet.
-type whole struct {
-	n  uint64
-	ms int64
+// fullSheet records a change that carries the full route sheet.
+type fullSheet struct {
+	version uint64
+	atMS    int64
 }
 
-// WholeBefore is the last change before ms that carries the whole sheet, 0 if none:
-// a fold may begin there.
-func (f *Fold) WholeBefore(ms int64) (n uint64) {
-	for _, w := range f.wholes {
-		if w.ms < ms {
-			n = w.n
+// FullSheetBefore returns the version of the last change made before the time ms that
+// carries the full sheet, or 0 if there is none. Replay can start at that change.
+func (st *State) FullSheetBefore(ms int64) (n uint64) {
+	for _, w := range st.fullSheets {
+		if w.atMS < ms {
+			n = w.version
 		}
 	}
 	return n
 }
 
-// Token finds the change that carried a token.
-func (f *Fold) Token(t string) (uint64, bool) {
-	n, ok := f.tokens[t]
+// Token returns the version of the change that was made with idempotency token t.
+func (st *State) Token(t string) (uint64, bool) {
+	n, ok := st.tokens[t]
 	return n, ok
 }
 
-// maxTokens bounds how many tokens a fold remembers; a resend must come within
-// as many changes (design 6.4).
+// maxTokens bounds the number of idempotency tokens kept in a State. A retry is
+// recognized only within that many later changes (design 6.4).
 const maxTokens = 20000
 
-// Book is one controller's view of the ledger.
-type Book struct {
-	Prop       *quorum.Proposer
+// Ledger is one controller's view of the replicated ledger.
+type Ledger struct {
+	Proposer   *quorum.Proposer
 	Clock      clock.Clock
 	Controller string
-	// WallMS is the wall clock for people, in milliseconds.
+	// WallMS returns the wall-clock time in Unix milliseconds, for timestamps that people read.
 	WallMS func() int64
 
-	// one refresh at a time; a channel, for it is held while others are asked
-	once sync.Once
-	busy chan struct{}
-	fold atomic.Pointer[Fold]
-	seq  atomic.Uint64
+	// refreshSlot admits one refresh at a time. It is a channel instead of a mutex
+	// because it is held during remote calls and waiting for it must be cancellable.
+	initOnce    sync.Once
+	refreshSlot chan struct{}
+	state       atomic.Pointer[State]
+	noteSeq     atomic.Uint64
 }
 
-// Fold is the last fold made here.
-func (b *Book) Fold() *Fold {
-	if f := b.fold.Load(); f != nil {
+// State returns the most recent state computed on this controller.
+func (l *Ledger) State() *State {
+	if f := l.state.Load(); f != nil {
 		return f
 	}
-	return &Fold{}
+	return &State{}
 }
 
-// Refresh folds every change that was decided before the call.
-func (b *Book) Refresh(ctx context.Context) (*Fold, error) {
-	key, _, err := b.Prop.Last(ctx, ChangePrefix)
+// Refresh applies every change that was decided before the call and returns the new state.
+func (l *Ledger) Refresh(ctx context.Context) (*State, error) {
+	key, _, err := l.Proposer.Last(ctx, ChangePrefix)
 	if quorum.IsNeverWritten(err) {
-		// The last number was promised or half written and is now free again:
-		// what comes before it is settled by the listing.
+		// The last number was promised or partly written and is now free again.
+		// The listing below determines all changes before it.
 		err = nil
 	}
 	if err != nil {
-		return nil, steperr.At("refresh", "", err)
+		return nil, steperr.Wrap("refresh", "", err)
 	}
-	f := b.Fold()
-	if key == "" || key <= ChangeKey(f.N) {
+	f := l.State()
+	if key == "" || key <= ChangeKey(f.Version) {
 		return f, nil
 	}
-	b.once.Do(func() { b.busy = make(chan struct{}, 1) })
+	l.initOnce.Do(func() { l.refreshSlot = make(chan struct{}, 1) })
 	select {
-	case b.busy <- struct{}{}:
+	case l.refreshSlot <- struct{}{}:
 	case <-ctx.Done():
-		return nil, steperr.At("refresh", "", ctx.Err())
+		return nil, steperr.Wrap("refresh", "", ctx.Err())
 	}
-	defer func() { <-b.busy }()
-	f = b.Fold()
-	if key <= ChangeKey(f.N) {
+	defer func() { <-l.refreshSlot }()
+	f = l.State()
+	if key <= ChangeKey(f.Version) {
 		return f, nil
 	}
 	after := ""
-	if f.N > 0 {
-		after = ChangeKey(f.N)
+	if f.Version > 0 {
+		after = ChangeKey(f.Version)
 	}
-	n := &Fold{N: f.N, Sheet: f.Sheet, tokens: map[string]uint64{}, wholes: slices.Clone(f.wholes)}
+	next := &State{Version: f.Version, Sheet: f.Sheet, tokens: map[string]uint64{}, fullSheets: slices.Clone(f.fullSheets)}
 	for t, k := range f.tokens {
-		n.tokens[t] = k
+		next.tokens[t] = k
 	}
-	err = b.Prop.List(ctx, ChangePrefix, after, func(k string, v []byte) error {
+	err = l.Proposer.List(ctx, ChangePrefix, after, func(k string, v []byte) error {
 		c, err := Decode[Change](v)
 		if err != nil {
-			return steperr.At("fold "+k, "", err)
+			return steperr.Wrap("fold "+k, "", err)
 		}
-		return n.take(c)
+		return next.apply(c)
 	})
 	if err != nil {
 		return nil, err
 	}
-	b.fold.Store(n)
-	return n, nil
+	l.state.Store(next)
+	return next, nil
 }
 
-// take folds one change in.
-func (f *Fold) take(c Change) error {
+// apply applies one change to the state.
+func (st *State) apply(c Change) error {
 	switch {
-	case f.N == 0 && c.Sheet != nil:
-		f.Sheet = *c.Sheet
-	case c.N != f.N+1:
-		return fmt.Errorf("change %d after %d: the ledger has a gap", c.N, f.N)
+	case st.Version == 0 && c.Sheet != nil:
+		st.Sheet = *c.Sheet
+	case c.Version != st.Version+1:
+		return fmt.Errorf("change %d after %d: the ledger has a gap", c.Version, st.Version)
 	default:
-		s, bad := f.Sheet.Apply(c.Edits)
+		s, bad := st.Sheet.Apply(c.Edits)
 		if len(bad) > 0 {
-			return fmt.Errorf("change %d does not apply: %v", c.N, bad)
+			return fmt.Errorf("change %d does not apply: %v", c.Version, bad)
 		}
-		f.Sheet = s
+		st.Sheet = s
 	}
-	f.N = c.N
+	st.Version = c.Version
 	if c.Sheet != nil {
-		f.wholes = append(f.wholes, whole{c.N, c.At})
+		st.fullSheets = append(st.fullSheets, fullSheet{c.Version, c.AtMS})
 	}
 	if c.Token != "" {
-		f.tokens[c.Token] = c.N
+		st.tokens[c.Token] = c.Version
 	}
-	if len(f.tokens) > maxTokens {
-		for t, k := range f.tokens {
-			if k+maxTokens/2 < c.N {
-				delete(f.tokens, t)
+	if len(st.tokens) > maxTokens {
+		for t, k := range st.tokens {
+			if k+maxTokens/2 < c.Version {
+				delete(st.tokens, t)
 			}
 		}
 	}
 	return nil
 }
 
-// ErrTaken says that another change took the number first.
-var ErrTaken = errors.New("another change came first")
+// ErrNumberTaken means that another change was decided at this number first.
+var ErrNumberTaken = errors.New("another change came first")
 
-// Decide creates change c at its number, or tells that the number was taken.
-func (b *Book) Decide(ctx context.Context, c Change) error {
+// Append writes change c at its number. It returns ErrNumberTaken if another change
+// has that number.
+func (l *Ledger) Append(ctx context.Context, c Change) error {
 	raw := Encode(c)
-	_, err := b.Prop.Change(ctx, ChangeKey(c.N), func(old []byte) ([]byte, error) {
+	_, err := l.Proposer.Change(ctx, ChangeKey(c.Version), func(old []byte) ([]byte, error) {
 		if old == nil || string(old) == string(raw) {
 			return raw, nil
 		}
-		return nil, ErrTaken
+		return nil, ErrNumberTaken
 	})
 	return err
 }
 
-// Force is what is in force: the version decided, the version that more than half
-// of the gateways that count were told of and that may show, and the gateways that count
-// (design 8.4). Round numbers their list.
-type Force struct {
-	N        uint64   `json:"version"`
+// Activation is the record of which version is in force: Version is the version decided
+// to be in force, Open is the version that may be shown because more than half of the
+// counted gateways were told of it, and Gateways lists the gateways that count (design 8.4).
+// Round is the revision of that list.
+type Activation struct {
+	Version  uint64   `json:"version"`
 	Open     uint64   `json:"open"`
 	Gateways []string `json:"gateways"`
 	Round    uint64   `json:"round"`
 }
 
-// More tells whether ids hold more than half of the gateways that count.
-func (f Force) More(ids []string) bool {
-	return len(f.Gateways) == 0 || 2*len(lo.Intersect(f.Gateways, ids)) > len(f.Gateways)
+// HasMajority reports whether ids contain more than half of the gateways that count.
+func (a Activation) HasMajority(ids []string) bool {
+	return len(a.Gateways) == 0 || 2*len(lo.Intersect(a.Gateways, ids)) > len(a.Gateways)
 }
 
-// Flipped tells what is in force, by a majority.
-func (b *Book) Flipped(ctx context.Context) (f Force, err error) {
-	v, err := b.Prop.Read(ctx, Flip)
+// Activation reads the activation record from a majority of the voters.
+func (l *Ledger) Activation(ctx context.Context) (f Activation, err error) {
+	v, err := l.Proposer.Read(ctx, ActivationKey)
 	if quorum.IsNeverWritten(err) || err == nil && v == nil {
 		return f, nil
 	}
 	if err != nil {
-		return f, steperr.At("read flip", "", err)
+		return f, steperr.Wrap("read flip", "", err)
 	}
-	return Decode[Force](v)
+	return Decode[Activation](v)
 }
 
-// SetFlipped records that n comes into force; the version never goes back. Gateways
-// are those that count where none did. It returns what then stands.
-func (b *Book) SetFlipped(ctx context.Context, n uint64, gateways []string) (Force, error) {
-	return b.force(ctx, func(o Force) Force {
-		o.N = max(o.N, n)
+// Activate records that version n comes into force; the version never decreases.
+// If the list of gateways that count is empty, it is set to gateways. Activate returns
+// the resulting record.
+func (l *Ledger) Activate(ctx context.Context, n uint64, gateways []string) (Activation, error) {
+	return l.updateActivation(ctx, func(o Activation) Activation {
+		o.Version = max(o.Version, n)
 		if len(o.Gateways) == 0 {
 			o.Gateways, o.Round = gateways, o.Round+1
 		}
@@ -207,18 +211,18 @@
 	})
 }
 
-// SetOpened records that version n may show.
-func (b *Book) SetOpened(ctx context.Context, n uint64) error {
-	_, err := b.force(ctx, func(o Force) Force {
-		o.Open = max(o.Open, min(n, o.N))
+// SetOpen records that version n may be shown.
+func (l *Ledger) SetOpen(ctx context.Context, n uint64) error {
+	_, err := l.updateActivation(ctx, func(o Activation) Activation {
+		o.Open = max(o.Open, min(n, o.Version))
 		return o
 	})
 	return err
 }
 
-// Recount makes gateways those that count, if the list is still that of round.
-func (b *Book) Recount(ctx context.Context, round uint64, gateways []string) (Force, error) {
-	return b.force(ctx, func(o Force) Force {
+// SetGateways replaces the list of gateways that count if its revision is still round.
+func (l *Ledger) SetGateways(ctx context.Context, round uint64, gateways []string) (Activation, error) {
+	return l.updateActivation(ctx, func(o Activation) Activation {
 		if o.Round == round {
 			o.Gateways, o.Round = gateways, round+1
 		}
@@ -226,9 +230,9 @@
 	})
 }
 
-// Part takes a gateway that stopped as planned off those that count.
-func (b *Book) Part(ctx context.Context, id string) error {
-	_, err := b.force(ctx, func(o Force) Force {
+// RemoveGateway removes a gateway that was stopped as planned from those that count.
+func (l *Ledger) RemoveGateway(ctx context.Context, id string) error {
+	_, err := l.updateActivation(ctx, func(o Activation) Activation {
 		if n := lo.Without(o.Gateways, id); len(n) < len(o.Gateways) {
 			o.Gateways, o.Round = n, o.Round+1
 		}
@@ -237,55 +241,55 @@
 	return err
 }
 
-func (b *Book) force(ctx context.Context, f func(Force) Force) (out Force, err error) {
-	_, err = b.Prop.Change(ctx, Flip, func(old []byte) ([]byte, error) {
-		var o Force
+func (l *Ledger) updateActivation(ctx context.Context, f func(Activation) Activation) (out Activation, err error) {
+	_, err = l.Proposer.Change(ctx, ActivationKey, func(old []byte) ([]byte, error) {
+		var o Activation
 		if old != nil {
 			var err error
-			if o, err = Decode[Force](old); err != nil {
+			if o, err = Decode[Activation](old); err != nil {
 				return nil, err
 			}
 		}
 		out = f(o)
 		return Encode(out), nil
 	})
-	return out, steperr.At("flip", "", err)
+	return out, steperr.Wrap("flip", "", err)
 }
 
-// Once writes an immutable item; an item already there stays, and counts.
-func (b *Book) Once(ctx context.Context, key string, n Note) (Note, error) {
-	n.Controller = b.Controller
-	if n.At == 0 {
-		n.At = b.WallMS()
+// WriteOnce writes an immutable item. If the item exists, it is kept and returned.
+func (l *Ledger) WriteOnce(ctx context.Context, key string, n Note) (Note, error) {
+	n.Controller = l.Controller
+	if n.AtMS == 0 {
+		n.AtMS = l.WallMS()
 	}
-	raw, err := b.Prop.Change(ctx, key, func(old []byte) ([]byte, error) {
+	raw, err := l.Proposer.Change(ctx, key, func(old []byte) ([]byte, error) {
 		if old != nil {
 			return old, nil
 		}
 		return Encode(n), nil
 	})
 	if err != nil {
-		return n, steperr.At("note "+n.Kind, "", err)
+		return n, steperr.Wrap("note "+n.Kind, "", err)
 	}
 	return Decode[Note](raw)
 }
 
-// Note writes a decision under a key of its own.
-func (b *Book) Note(ctx context.Context, n Note) error {
-	at := b.WallMS()
-	n.At = at
-	key := fmt.Sprintf("%s%013d-%s-%d", NotePrefix, at, b.Controller, b.seq.Add(1))
-	_, err := b.Once(ctx, key, n)
+// AddNote writes a decision under a new unique key.
+func (l *Ledger) AddNote(ctx context.Context, n Note) error {
+	at := l.WallMS()
+	n.AtMS = at
+	key := fmt.Sprintf("%s%013d-%s-%d", NotePrefix, at, l.Controller, l.noteSeq.Add(1))
+	_, err := l.WriteOnce(ctx, key, n)
 	return err
 }
 
-// Notes lists the decisions under prefix, oldest first where keys are by time.
-func (b *Book) Notes(ctx context.Context, prefix string) ([]Note, error) {
+// Notes lists the decisions under prefix, oldest first if the keys are ordered by time.
+func (l *Ledger) Notes(ctx context.Context, prefix string) ([]Note, error) {
 	var out []Note
-	err := b.Prop.List(ctx, prefix, "", func(k string, v []byte) error {
+	err := l.Proposer.List(ctx, prefix, "", func(k string, v []byte) error {
 		n, err := Decode[Note](v)
 		if err != nil {
-			return steperr.At("read "+k, "", err)
+			return steperr.Wrap("read "+k, "", err)
 		}
 		out = append(out, n)
 		return nil
@@ -293,10 +297,10 @@
 	return out, err
 }
 
-// Suspected folds the notes of suspicion and trust: the target runs that stand
-// suspected.
-func (b *Book) Suspected(ctx context.Context) (map[Target]bool, error) {
-	ns, err := b.Notes(ctx, NotePrefix)
+// Suspected replays the suspect and trust notes and returns the target runs that are
+// currently suspected.
+func (l *Ledger) Suspected(ctx context.Context) (map[Target]bool, error) {
+	ns, err := l.Notes(ctx, NotePrefix)
 	if err != nil {
 		return nil, err
 	}
@@ -314,12 +318,12 @@
 }
 
 // Changes lists all changes, oldest first.
-func (b *Book) Changes(ctx context.Context) ([]Change, error) {
+func (l *Ledger) Changes(ctx context.Context) ([]Change, error) {
 	var out []Change
-	err := b.Prop.List(ctx, ChangePrefix, "", func(k string, v []byte) error {
+	err := l.Proposer.List(ctx, ChangePrefix, "", func(k string, v []byte) error {
 		c, err := Decode[Change](v)
 		if err != nil {
-			return steperr.At("read "+k, "", err)
+			return steperr.Wrap("read "+k, "", err)
 		}
 		out = append(out, c)
 		return nil
@@ -327,22 +331,22 @@
 	return out, err
 }
 
-// At folds the sheet as it was at version n.
-func (b *Book) At(ctx context.Context, n uint64) (spec.Sheet, error) {
-	cs, err := b.Changes(ctx)
+// SheetAt returns the route sheet as of version n.
+func (l *Ledger) SheetAt(ctx context.Context, n uint64) (spec.Sheet, error) {
+	cs, err := l.Changes(ctx)
 	if err != nil {
 		return spec.Sheet{}, err
 	}
-	f := &Fold{tokens: map[string]uint64{}}
+	f := &State{tokens: map[string]uint64{}}
 	for _, c := range cs {
-		if c.N > n {
+		if c.Version > n {
 			break
 		}
-		if err := f.take(c); err != nil {
+		if err := f.apply(c); err != nil {
 			return spec.Sheet{}, err
 		}
 	}
-	if f.N != n {
+	if f.Version != n {
 		return spec.Sheet{}, steperr.New("sheet at version", "", "no version %d", n)
 	}
 	return f.Sheet, nil
--- a/internal/ledger/book_test.go
+++ b/internal/ledger/book_test.go
@@ -8,50 +8,50 @@
 )
 
 func put(n uint64, name string) Change {
-	return Change{N: n, Token: fmt.Sprint("t", n), Edits: []spec.Edit{{Op: spec.PutService, Service: &spec.Service{Name: name}}}}
+	return Change{Version: n, Token: fmt.Sprint("t", n), Edits: []spec.Edit{{Op: spec.PutService, Service: &spec.Service{Name: name}}}}
 }
 
 func TestFoldTakesChangesInOrderOnly(t *testing.T) {
-	f := &Fold{tokens: map[string]uint64{}}
+	f := &State{tokens: map[string]uint64{}}
 	for i := range 3 {
-		if err := f.take(put(uint64(i+1), fmt.Sprint("s", i))); err != nil {
+		if err := f.apply(put(uint64(i+1), fmt.Sprint("s", i))); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if f.N != 3 || len(f.Sheet.Services) != 3 {
+	if f.Version != 3 || len(f.Sheet.Services) != 3 {
 		t.Fatalf("%+v", f)
 	}
 	if n, ok := f.Token("t2"); !ok || n != 2 {
 		t.Errorf("token t2 is at %d, %v", n, ok)
 	}
-	if f.take(put(5, "gap")) == nil {
+	if f.apply(put(5, "gap")) == nil {
 		t.Error("a gap was folded over")
 	}
 	bad := put(4, "x")
 	bad.Edits[0].Service.Name = "Not A Name"
-	if f.take(bad) == nil || f.N != 3 {
+	if f.apply(bad) == nil || f.Version != 3 {
 		t.Error("a change that does not apply was folded in")
 	}
-	// A start may begin at a change that carries the whole sheet, and only there.
+	// Replay can start only at the first change or at one that carries the full sheet.
 	whole := put(64, "y")
 	whole.Sheet = &spec.Sheet{Services: []spec.Service{{Name: "y"}}}
-	g := &Fold{tokens: map[string]uint64{}}
-	if g.take(put(64, "y")) == nil {
+	g := &State{tokens: map[string]uint64{}}
+	if g.apply(put(64, "y")) == nil {
 		t.Error("a fold began in the middle without a whole sheet")
 	}
-	if err := g.take(whole); err != nil || g.N != 64 || len(g.Sheet.Services) != 1 {
+	if err := g.apply(whole); err != nil || g.Version != 64 || len(g.Sheet.Services) != 1 {
 		t.Errorf("%+v %v", g, err)
 	}
 }
 
 func TestForceNeedsMoreThanHalf(t *testing.T) {
-	f := Force{Gateways: []string{"a", "b", "c", "d"}}
+	f := Activation{Gateways: []string{"a", "b", "c", "d"}}
 	for want, ids := range map[bool][]string{false: {"a", "b", "x", "y"}, true: {"a", "b", "c"}} {
-		if f.More(ids) != want {
+		if f.HasMajority(ids) != want {
 			t.Errorf("%v of %v: %v", ids, f.Gateways, !want)
 		}
 	}
-	if !(Force{}).More(nil) {
+	if !(Activation{}).HasMajority(nil) {
 		t.Error("with no gateway that counts, none is needed")
 	}
 }
--- a/internal/ledger/types.go
+++ b/internal/ledger/types.go
@@ -1,6 +1,6 @@
-// Package ledger holds the decisions: each is an immutable item at a majority
-// of the disks before anybody is told of it, and the picture of what stands is
-// folded from them (design 6).
+// Package ledger stores the control plane's decisions. Each decision is an immutable
+// item on a majority of the voters' disks before anyone is told of it. The current
+// state is computed by replaying the decisions (design 6).
 package ledger
 
 import (
@@ -10,97 +10,101 @@
 	"walkrudder/internal/spec"
 )
 
-// The prefixes of the items' keys. Three items change: Flip holds the version that
-// is in force, CoreItem the voters, WishItem the swap that an operator asked for.
+// The keys and key prefixes of the items. Three items are mutable: ActivationKey holds
+// the version in force, CoreKey the voters, SwapRequestKey the voter swap requested by
+// an operator.
 const (
-	ChangePrefix = "change/"
-	LeavePrefix  = "leave/"
-	GonePrefix   = "gone/"
-	NotePrefix   = "note/"
-	FlipPrefix   = "inforce/"
-	Flip         = "flip"
-	CoreItem     = "core"
-	WishItem     = "wish"
+	ChangePrefix     = "change/"
+	LeavePrefix      = "leave/"
+	GonePrefix       = "gone/"
+	NotePrefix       = "note/"
+	ActivationPrefix = "inforce/"
+	ActivationKey    = "flip"
+	CoreKey          = "core"
+	SwapRequestKey   = "wish"
 )
 
-// NotePrefixes are those under which notes are kept.
-var NotePrefixes = []string{LeavePrefix, GonePrefix, NotePrefix, FlipPrefix}
+// NotePrefixes lists the key prefixes of notes.
+var NotePrefixes = []string{LeavePrefix, GonePrefix, NotePrefix, ActivationPrefix}
 
-// Change is a decided change of the route sheet. Its number is its place: the
-// item at the next free number is created by exactly one proposer.
+// Change is a decided change of the route sheet. Its version is its position: exactly
+// one proposer creates the item at the next free number.
 type Change struct {
-	N          uint64      `json:"version"`
+	Version    uint64      `json:"version"`
 	Token      string      `json:"token,omitempty"`
-	By         string      `json:"by,omitempty"` // the operator, as named by himself
+	Operator   string      `json:"by,omitempty"` // the operator, as named by himself
 	Controller string      `json:"controller"`
-	At         int64       `json:"at_ms"`
+	AtMS       int64       `json:"at_ms"`
 	Edits      []spec.Edit `json:"edits"`
 	Note       string      `json:"note,omitempty"`
-	// Sheet is the whole sheet after this change, at every Whole-th change, so
-	// that a start need not fold from the first.
+	// Sheet is the full sheet after this change. Every FullSheetInterval-th change
+	// has it, so that a starting controller need not replay all changes.
 	Sheet *spec.Sheet `json:"sheet,omitempty"`
 }
 
-// Whole is how often a change carries the whole sheet.
-const Whole = 64
+// FullSheetInterval is the number of changes between two that carry the full sheet.
+const FullSheetInterval = 64
 
-// Target names one run of one target.
+// Target identifies one run of a target.
 type Target struct {
-	ID      string `json:"id"`
-	Service string `json:"service"`
-	Inc     uint64 `json:"incarnation"`
+	ID          string `json:"id"`
+	Service     string `json:"service"`
+	Incarnation uint64 `json:"incarnation"`
 }
 
-// The kinds of note.
+// The kinds of notes.
 const (
 	NoteSuspect = "suspect"
 	NoteTrust   = "trust"
 	NoteLeave   = "leave"
 	NoteGone    = "gone"
-	NoteFlip    = "in-force"
+	NoteInForce = "in-force"
 	NoteSwap    = "swap"
 )
 
-// Note is any other decision.
+// Note is a decision other than a change of the route sheet.
 type Note struct {
-	Kind       string  `json:"kind"`
-	At         int64   `json:"at_ms"`
-	Controller string  `json:"controller"`
-	Target     *Target `json:"target,omitempty"`
-	Seq        uint64  `json:"call_seq,omitempty"`
-	W          float64 `json:"suspicion,omitempty"`
-	N          uint64  `json:"version,omitempty"`
-	Why        string  `json:"why,omitempty"`
+	Kind         string  `json:"kind"`
+	AtMS         int64   `json:"at_ms"`
+	Controller   string  `json:"controller"`
+	Target       *Target `json:"target,omitempty"`
+	HeartbeatSeq uint64  `json:"call_seq,omitempty"`
+	Suspicion    float64 `json:"suspicion,omitempty"`
+	Version      uint64  `json:"version,omitempty"`
+	Reason       string  `json:"why,omitempty"`
 }
 
-// ChangeKey is the key of change n.
+// ChangeKey returns the key of change n.
 func ChangeKey(n uint64) string { return fmt.Sprintf("%s%012d", ChangePrefix, n) }
 
-// FlipKey is the key of the note that version n came into force.
-func FlipKey(n uint64) string { return fmt.Sprintf("%s%012d", FlipPrefix, n) }
+// ActivationNoteKey returns the key of the note that version n came into force.
+func ActivationNoteKey(n uint64) string { return fmt.Sprintf("%s%012d", ActivationPrefix, n) }
 
-// DayMS is the span of time by which decisions about targets are dropped.
+// DayMS is the length of a day in milliseconds, the granularity at which decisions about
+// targets are deleted.
 const DayMS = 24 * 3600 * 1000
 
-// DayKey begins the keys of the decisions about targets made on a day.
-func DayKey(prefix string, ms int64) string { return fmt.Sprintf("%s%06d/", prefix, max(ms, 0)/DayMS) }
+// DayPrefix returns the key prefix of the decisions about targets made on the day of ms.
+func DayPrefix(prefix string, ms int64) string {
+	return fmt.Sprintf("%s%06d/", prefix, max(ms, 0)/DayMS)
+}
 
-// TargetKey is the key of a decision, made at ms, about one run of a target.
+// TargetKey returns the key of a decision made at time ms about one run of a target.
 func TargetKey(prefix string, ms int64, t Target) string {
-	return fmt.Sprintf("%s%s/%s/%020d", DayKey(prefix, ms), t.Service, t.ID, t.Inc)
+	return fmt.Sprintf("%s%s/%s/%020d", DayPrefix(prefix, ms), t.Service, t.ID, t.Incarnation)
 }
 
-// Encode and Decode are how items are written: JSON, so that a disk can be read
-// without this program.
+// Encode serializes an item as JSON, so that a disk can be inspected without this
+// program.
 func Encode(x any) []byte {
 	b, err := json.Marshal(x)
 	if err != nil {
-		panic(err) // only our own fixed types come here
+		panic(err) // only types of this module are encoded, and these always marshal
 	}
 	return b
 }
 
-// Decode reads what Encode wrote.
+// Decode parses the output of Encode.
 func Decode[T any](b []byte) (T, error) {
 	var x T
 	err := json.Unmarshal(b, &x)
--- a/internal/link/link.go
+++ b/internal/link/link.go
@@ -63,7 +63,7 @@
 	}
 	r, ok := v.(R)
 	if !ok {
-		return z, steperr.At("ask", addr, fmt.Errorf("answer of type %T, want %T", v, z))
+		return z, steperr.Wrap("ask", addr, fmt.Errorf("answer of type %T, want %T", v, z))
 	}
 	return r, nil
 }
--- a/internal/link/tcp.go
+++ b/internal/link/tcp.go
@@ -95,7 +95,7 @@
 func (t *TCP) Call(ctx context.Context, addr string, ask any) (any, error) {
 	l, err := t.link(ctx, addr)
 	if err != nil {
-		return nil, steperr.At("link", addr, err)
+		return nil, steperr.Wrap("link", addr, err)
 	}
 	ch := make(chan envelope, 1)
 	l.mu.Lock()
@@ -119,7 +119,7 @@
 	begun, read := time.Now(), l.read.Load()
 	if err := l.write(&e); err != nil {
 		t.drop(l)
-		return nil, steperr.At("ask", addr, err)
+		return nil, steperr.Wrap("ask", addr, err)
 	}
 	select {
 	case <-ctx.Done():
@@ -129,13 +129,13 @@
 		if errors.Is(ctx.Err(), context.DeadlineExceeded) && l.read.Load() == read && time.Since(begun) >= muteTime {
 			t.drop(l)
 		}
-		return nil, steperr.At("ask", addr, ctx.Err())
+		return nil, steperr.Wrap("ask", addr, ctx.Err())
 	case e, ok := <-ch:
 		if !ok {
 			return nil, steperr.New("ask", addr, "link closed before the answer")
 		}
 		if e.Err != "" {
-			return nil, steperr.At("answer", addr, errors.New(e.Err))
+			return nil, steperr.Wrap("answer", addr, errors.New(e.Err))
 		}
 		return e.Body, nil
 	}
--- a/internal/membership/tenant.go
+++ b/internal/membership/tenant.go
@@ -291,5 +291,5 @@
 			return out, nil
 		}
 	}
-	return nil, steperr.At("lease table", "", quorum.ErrNoQuorum)
+	return nil, steperr.Wrap("lease table", "", quorum.ErrNoQuorum)
 }
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,4 +1,4 @@
-// Package metrics counts for the metrics endpoint, through the Prometheus library.
+// Package metrics collects the metrics of a process with the Prometheus library.
 package metrics
 
 import (
@@ -9,31 +9,31 @@
 	"github.com/valyala/fasthttp/fasthttpadaptor"
 )
 
-// Tally is one process's metrics.
-type Tally struct {
-	reg *prometheus.Registry
-	ev  *prometheus.CounterVec
+// Registry holds the metrics of one process.
+type Registry struct {
+	registry *prometheus.Registry
+	events   *prometheus.CounterVec
 }
 
-// New makes the metrics of a program.
-func New(program string) *Tally {
-	t := &Tally{reg: prometheus.NewRegistry(), ev: prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: "walkrudder", Subsystem: program,
+// New creates the metrics of a program.
+func New(program string) *Registry {
+	r := &Registry{registry: prometheus.NewRegistry(), events: prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: "walkrudder", Subsystem: program,
 		Name: "events_total", Help: "What happened, by kind and service."}, []string{"what", "service"})}
-	t.reg.MustRegister(t.ev, collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
-	return t
+	r.registry.MustRegister(r.events, collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
+	return r
 }
 
 // Add counts one event.
-func (t *Tally) Add(what, service string) { t.ev.WithLabelValues(what, service).Inc() }
+func (r *Registry) Add(what, service string) { r.events.WithLabelValues(what, service).Inc() }
 
-// Gauge shows f's value under name.
-func (t *Tally) Gauge(name, help string, f func() float64) {
-	t.reg.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Namespace: "walkrudder", Name: name, Help: help}, f))
+// Gauge registers a gauge whose value is f's result.
+func (r *Registry) Gauge(name, help string, f func() float64) {
+	r.registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Namespace: "walkrudder", Name: name, Help: help}, f))
 }
 
-// Handler serves the metrics.
-func (t *Tally) Handler() fiber.Handler {
-	h := fasthttpadaptor.NewFastHTTPHandler(promhttp.HandlerFor(t.reg, promhttp.HandlerOpts{}))
+// Handler returns the handler of the metrics endpoint.
+func (r *Registry) Handler() fiber.Handler {
+	h := fasthttpadaptor.NewFastHTTPHandler(promhttp.HandlerFor(r.registry, promhttp.HandlerOpts{}))
 	return func(c *fiber.Ctx) error {
 		h(c.Context())
 		return nil
--- a/internal/passage/claims.go
+++ b/internal/passage/claims.go
@@ -42,7 +42,7 @@
 // earlier call under it (design 17).
 func (p *Passage) doClaim(t *Trip) {
 	if len(t.Key) > claim.MaxKey {
-		p.verdict(t, httpapi.Verdict{Status: 400, Code: httpapi.Malformed, Why: fmt.Sprintf("%s is longer than %d", httpapi.KeyField, claim.MaxKey)})
+		p.verdict(t, httpapi.ErrorResponse{Status: 400, Code: httpapi.Malformed, Reason: fmt.Sprintf("%s is longer than %d", httpapi.KeyHeader, claim.MaxKey)})
 		return
 	}
 	t.Claim = t.Client + "\x00" + t.Key
@@ -71,30 +71,30 @@
 // notRun is the verdict on a call that was not and will not be sent. Under a key
 // whose claim is not this call's, an earlier call may have run: then "not run"
 // would be a lie about the request.
-func (p *Passage) notRun(t *Trip, why string) *httpapi.Verdict {
+func (p *Passage) notRun(t *Trip, why string) *httpapi.ErrorResponse {
 	v := busy(why, cmp.Or(t.Retry, time.Second))
 	if p.Claims != nil && t.Key != "" && !t.free && !t.owned.Load() {
-		v.Code, v.Why = httpapi.Unknown, why+"; whether an earlier call under this key ran is not known"
+		v.Code, v.Reason = httpapi.OutcomeUnknown, why+"; whether an earlier call under this key ran is not known"
 	}
 	return v
 }
 
 // verdict ends a trip that was never sent.
-func (p *Passage) verdict(t *Trip, v httpapi.Verdict) {
+func (p *Passage) verdict(t *Trip, v httpapi.ErrorResponse) {
 	if t.drop() {
 		t.finish(nil, &v)
 	}
 }
 
 // earlier is the answer to a call whose key another call has.
-func earlier(s claim.State, print string) httpapi.Verdict {
+func earlier(s claim.State, print string) httpapi.ErrorResponse {
 	switch {
 	case s.Print != print:
-		return httpapi.Verdict{Status: 422, Code: httpapi.KeyReused, Why: "this key was used for another request, call " + s.Call}
+		return httpapi.ErrorResponse{Status: 422, Code: httpapi.KeyReused, Reason: "this key was used for another request, call " + s.Call}
 	case s.State == claim.Ended:
-		return httpapi.Verdict{Status: 409, Code: httpapi.AlreadyRun, Why: fmt.Sprintf("call %s under this key ran and was answered with status %d", s.Call, s.Status)}
+		return httpapi.ErrorResponse{Status: 409, Code: httpapi.AlreadyRun, Reason: fmt.Sprintf("call %s under this key ran and was answered with status %d", s.Call, s.Status)}
 	}
-	return httpapi.Verdict{Status: 409, Code: httpapi.Unknown, Why: "call " + s.Call + " under this key is under way, or its outcome is unknown", Retry: 2 * time.Second}
+	return httpapi.ErrorResponse{Status: 409, Code: httpapi.OutcomeUnknown, Reason: "call " + s.Call + " under this key is under way, or its outcome is unknown", RetryDelay: 2 * time.Second}
 }
 
 // closeClaim tells the controllers how a claimed call ended: given back where nothing
--- a/internal/passage/courier.go
+++ b/internal/passage/courier.go
@@ -228,8 +228,8 @@
 	for _, f := range s.Req.Header {
 		req.Header.Add(f[0], f[1])
 	}
-	req.Header.Set(httpapi.RequestField, s.Number)
-	req.Header.Set(httpapi.TargetField, s.Target)
+	req.Header.Set(httpapi.RequestHeader, s.Number)
+	req.Header.Set(httpapi.TargetHeader, s.Target)
 	req.SetBodyRaw(s.Req.Body)
 }
 
@@ -262,9 +262,9 @@
 	for k, v := range h.All() {
 		f := string(k)
 		switch f {
-		case httpapi.StampField:
+		case httpapi.StampHeader:
 			a.Stamp = string(v)
-		case httpapi.NotRunField:
+		case httpapi.NotRunHeader:
 			a.NotRun = string(v) == "1"
 		case "Content-Length":
 			// Written anew by the server, but for HEAD, where it tells of a body
@@ -273,7 +273,7 @@
 				continue
 			}
 		}
-		if !httpapi.Hop(f) {
+		if !httpapi.IsHopByHop(f) {
 			a.Header = append(a.Header, [2]string{f, string(v)})
 		}
 	}
--- a/internal/passage/elect.go
+++ b/internal/passage/elect.go
@@ -82,7 +82,7 @@
 func (p *Passage) load(s *registry.Stand) float64 {
 	l := (float64(s.Flying.Load()) + 1) / float64(max(1, s.Capacity.Load()))
 	if s.Zone != p.Zone {
-		l *= farther * p.Chart.Far(p.Zone, s.Zone)
+		l *= farther * p.Chart.RelativeDistance(p.Zone, s.Zone)
 	}
 	return l
 }
--- a/internal/passage/elect_test.go
+++ b/internal/passage/elect_test.go
@@ -113,7 +113,7 @@
 		defer end()
 		p, ss := crowd(ctx, t, 8)
 		var err error
-		if p.Chart, err = topology.Dot([]byte(`graph { here -- near [ms=1]; here -- far [ms=9] }`)); err != nil {
+		if p.Chart, err = topology.ParseDot([]byte(`graph { here -- near [ms=1]; here -- far [ms=9] }`)); err != nil {
 			t.Fatal(err)
 		}
 		p.Zone = "here"
--- a/internal/passage/passage.go
+++ b/internal/passage/passage.go
@@ -64,7 +64,7 @@
 	Courier  Courier
 	Claims   Claims
 	Zone     string
-	Chart    *topology.Chart // nil where no map is given
+	Chart    *topology.Distances // nil where no map is given
 	ID       string
 	Inc      uint64
 	Gateways func() int
@@ -173,7 +173,7 @@
 			cut = true
 			t.over.Store(true)
 			// A stage may still hold the trip; the caller gets one of his own.
-			return &Trip{Call: t.Call, Out: &httpapi.Verdict{Status: 502, Code: httpapi.Unknown, Why: "this node was ended", Sent: true}}
+			return &Trip{Call: t.Call, Out: &httpapi.ErrorResponse{Status: 502, Code: httpapi.OutcomeUnknown, Reason: "this node was ended", Sent: true}}
 		}
 		if t.drop() {
 			t.finish(nil, p.notRun(t, "no target could take it before its expiry"))
@@ -193,15 +193,15 @@
 	return len(uri)
 }
 
-func missing(m spec.Match, t *spec.Table, r *Request) *httpapi.Verdict {
+func missing(m spec.Match, t *spec.Table, r *Request) *httpapi.ErrorResponse {
 	if m == spec.NoMethod {
-		return &httpapi.Verdict{Status: 405, Code: httpapi.BadMethod, Allow: t.Allows(r.URI[:pathEnd(r.URI)])}
+		return &httpapi.ErrorResponse{Status: 405, Code: httpapi.BadMethod, Allow: t.AllowedMethods(r.URI[:pathEnd(r.URI)])}
 	}
-	return &httpapi.Verdict{Status: 404, Code: httpapi.NoBinding}
+	return &httpapi.ErrorResponse{Status: 404, Code: httpapi.NoBinding}
 }
 
-func busy(why string, retry time.Duration) *httpapi.Verdict {
-	return &httpapi.Verdict{Status: 503, Code: httpapi.BusyNotRun, Why: why, Retry: retry}
+func busy(why string, retry time.Duration) *httpapi.ErrorResponse {
+	return &httpapi.ErrorResponse{Status: 503, Code: httpapi.BusyNotRun, Reason: why, RetryDelay: retry}
 }
 
 // refuse ends a trip that has not run, unless a sending is still under way: then
@@ -220,9 +220,9 @@
 	}
 	switch {
 	case loose > 0 && !t.Bound.Repeatable:
-		t.finish(nil, &httpapi.Verdict{Status: 502, Code: httpapi.Unknown, Why: why, Sent: true})
+		t.finish(nil, &httpapi.ErrorResponse{Status: 502, Code: httpapi.OutcomeUnknown, Reason: why, Sent: true})
 	case loose > 0:
-		t.finish(nil, &httpapi.Verdict{Status: 502, Code: httpapi.BadAnswer, Why: why, Retry: time.Second, Sent: true})
+		t.finish(nil, &httpapi.ErrorResponse{Status: 502, Code: httpapi.BadAnswer, Reason: why, RetryDelay: time.Second, Sent: true})
 	case t.drop() || t.state.Load() == sent:
 		// Sent without a byte that left, or answered "not run" by the target.
 		t.finish(nil, p.notRun(t, why))
@@ -252,12 +252,12 @@
 	}
 	if len(t.Req.Body) > b.MaxBody {
 		if t.drop() {
-			t.finish(nil, &httpapi.Verdict{Status: 413, Code: httpapi.TooLarge, Why: fmt.Sprintf("the limit here is %d bytes", b.MaxBody)})
+			t.finish(nil, &httpapi.ErrorResponse{Status: 413, Code: httpapi.TooLarge, Reason: fmt.Sprintf("the limit here is %d bytes", b.MaxBody)})
 		}
 		return
 	}
 	t.Table, t.Bound = tab, b
-	p.step(t, "grant", "", fmt.Sprintf("binding %s of version %d", b.Name, tab.N))
+	p.step(t, "grant", "", fmt.Sprintf("binding %s of version %d", b.Name, tab.Version))
 	// Never longer than the caller was promised on arrival.
 	if e := t.Came.Add(b.Expiry); e.Before(t.Expiry) {
 		t.Expiry = e
@@ -311,7 +311,7 @@
 		// that is waited for.
 		x.Stand = nil
 	}
-	if full || x.Stand != nil && !lane.enter(t.Bound.Name, rooms, t.Table.Kinds(t.Bound.Service)) {
+	if full || x.Stand != nil && !lane.enter(t.Bound.Name, rooms, t.Table.BindingCount(t.Bound.Service)) {
 		if t.Waits < roomWaits && !more && lane.wait(rooms) {
 			p.wait(t, no, lane)
 			return
@@ -548,7 +548,7 @@
 	t, s, a := x.Trip, x.Stand, x.Answer
 	svc := s.Service
 	bad := ""
-	st, err := httpapi.ReadStamp(a.Stamp)
+	st, err := httpapi.ParseStamp(a.Stamp)
 	switch {
 	case a.Stamp == "":
 		bad = "no stamp"
--- a/internal/passage/passage_test.go
+++ b/internal/passage/passage_test.go
@@ -72,9 +72,9 @@
 				switch {
 				case x.Out == nil && path == "/u" && took < 10*time.Millisecond:
 					served++
-				case path == "/s" && x.Out.Code == httpapi.BusyNotRun && x.Out.Retry > 0 && took < roomWaits*waitTime+10*time.Millisecond:
+				case path == "/s" && x.Out.Code == httpapi.BusyNotRun && x.Out.RetryDelay > 0 && took < roomWaits*waitTime+10*time.Millisecond:
 					atOnce++
-				case path == "/s" && x.Out.Code == httpapi.Unknown:
+				case path == "/s" && x.Out.Code == httpapi.OutcomeUnknown:
 					hung++
 				default:
 					t.Errorf("%s: %+v after %s", path, x.Out, took)
@@ -107,7 +107,7 @@
 				switch {
 				case x.Out == nil && took <= roomWaits*waitTime:
 					crowded++
-				case x.Out != nil && x.Out.Code == httpapi.BusyNotRun && x.Out.Retry > 0 && took <= roomWaits*waitTime:
+				case x.Out != nil && x.Out.Code == httpapi.BusyNotRun && x.Out.RetryDelay > 0 && took <= roomWaits*waitTime:
 					turnedAway++
 				default:
 					t.Errorf("one of a crowd: %+v after %s", x.Out, took)
--- a/internal/passage/story.go
+++ b/internal/passage/story.go
@@ -113,7 +113,7 @@
 	switch {
 	case t.Out != nil:
 		x.Status, x.Code = t.Out.Status, t.Out.Code
-		x.Steps = append(x.Steps, Step{p.Clock.Now().Sub(t.Came).Milliseconds(), "answer", "", t.Out.Code + ": " + t.Out.Why})
+		x.Steps = append(x.Steps, Step{p.Clock.Now().Sub(t.Came).Milliseconds(), "answer", "", t.Out.Code + ": " + t.Out.Reason})
 	case t.Answer != nil:
 		x.Status = t.Answer.Status
 	}
--- a/internal/passage/trip.go
+++ b/internal/passage/trip.go
@@ -33,7 +33,7 @@
 	Came   time.Time
 	Expiry time.Time
 	Table  *spec.Table
-	Bound  *spec.Bound
+	Bound  *spec.CompiledBinding
 
 	// mu guards what several sendings under way share.
 	mu       sync.Mutex
@@ -65,13 +65,13 @@
 	steps  []Step
 	state  atomic.Int32
 	Answer *Answer
-	Out    *httpapi.Verdict
+	Out    *httpapi.ErrorResponse
 	done   chan struct{}
 	over   atomic.Bool
 }
 
 // finish ends the trip with an answer or a verdict; only the first counts.
-func (t *Trip) finish(a *Answer, v *httpapi.Verdict) {
+func (t *Trip) finish(a *Answer, v *httpapi.ErrorResponse) {
 	if t.over.CompareAndSwap(false, true) {
 		t.Answer, t.Out = a, v
 		close(t.done)
--- a/internal/passage/try.go
+++ b/internal/passage/try.go
@@ -14,7 +14,7 @@
 	Stand  *registry.Stand
 	No     int // of the trip's tries, from 1
 	Table  *spec.Table
-	Bound  *spec.Bound
+	Bound  *spec.CompiledBinding
 	Answer *Answer
 	Sent   time.Time
 
--- a/internal/passage/try_test.go
+++ b/internal/passage/try_test.go
@@ -116,7 +116,7 @@
 	})
 	retry(t, 6, 1, true, func(call func(string) (*Trip, time.Duration, int)) {
 		x, took, sends := call("POST")
-		if x.Out == nil || x.Out.Code != httpapi.Unknown || sends != 1 || took < 3900*time.Millisecond {
+		if x.Out == nil || x.Out.Code != httpapi.OutcomeUnknown || sends != 1 || took < 3900*time.Millisecond {
 			t.Errorf("one that may not be repeated: %+v after %s, %d sendings", x.Out, took, sends)
 		}
 	})
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -1,4 +1,4 @@
-// Package peer looks at the other side of a connection without reading from it.
+// Package peer examines the remote end of a connection without reading from the connection.
 package peer
 
 import (
@@ -7,14 +7,14 @@
 	"syscall"
 )
 
-// closeTeller is a connection without a descriptor that knows whether its peer closed it.
-type closeTeller interface{ Gone() bool }
+// closeReporter is a connection without a file descriptor that can report a close by its peer.
+type closeReporter interface{ Gone() bool }
 
-// Closed tells, without reading and without waiting, whether the other side has closed or
-// reset a connection. It does not see an end behind bytes that were not read yet.
+// Closed reports, without reading or blocking, whether the remote end has closed or reset the
+// connection. It does not detect a close that comes after unread bytes.
 func Closed(nc net.Conn) bool {
-	if t, ok := nc.(closeTeller); ok {
-		return t.Gone()
+	if reporter, ok := nc.(closeReporter); ok {
+		return reporter.Gone()
 	}
 	s, ok := nc.(syscall.Conn)
 	if !ok {
@@ -25,7 +25,7 @@
 		return false
 	}
 	closed := false
-	// Control, for Read would wait for a reader that is under way.
+	// Use Control, because Read would wait for a read that is in progress.
 	err = raw.Control(func(fd uintptr) {
 		got, err := Peek(fd)
 		closed = err == nil && got == 0 || errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE) || errors.Is(err, syscall.ETIMEDOUT)
@@ -33,7 +33,7 @@
 	return err == nil && closed
 }
 
-// Peek tells how many bytes of one could be read now; 0 without an error is the end.
+// Peek returns how many bytes, at most one, can be read now; 0 without an error means end of file.
 func Peek(fd uintptr) (int, error) {
 	var b [1]byte
 	got, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
--- a/internal/proxy/pool.go
+++ b/internal/proxy/pool.go
@@ -156,13 +156,13 @@
 	nc, err := n.connectTo(run.Addr, limit)
 	if err != nil {
 		n.stats.dialsFailed.Add(1)
-		return nil, steperr.At("connect", run.ID, err)
+		return nil, steperr.Wrap("connect", run.ID, err)
 	}
 	n.noteConnect(n.clock.Now().Sub(begun))
 	c := newConn(nc)
 	if err := c.begin(hard); err != nil {
 		c.drop()
-		return nil, steperr.At("connect", run.ID, err)
+		return nil, steperr.Wrap("connect", run.ID, err)
 	}
 	return c, nil
 }
--- a/internal/proxy/serve.go
+++ b/internal/proxy/serve.go
@@ -37,14 +37,14 @@
 			case n.ended.Load():
 				return nil
 			case errors.Is(err, net.ErrClosed):
-				return steperr.At("accept", "", err)
+				return steperr.Wrap("accept", "", err)
 			case errors.As(err, &ne):
 				if err := n.clock.Sleep(context.Background(), acceptPause); err != nil {
-					return steperr.At("accept", "", err)
+					return steperr.Wrap("accept", "", err)
 				}
 				continue
 			}
-			return steperr.At("accept", "", err)
+			return steperr.Wrap("accept", "", err)
 		}
 		n.admit(nc)
 	}
@@ -88,7 +88,7 @@
 	n.log.Info("a planned stop begins", "step", "stop", "under_way", n.underWay())
 	n.downs.stop(end)
 	if err := n.clock.Sleep(ctx, min(n.set.Linger, n.set.Grace/2)); err != nil {
-		return steperr.At("stop", "", err)
+		return steperr.Wrap("stop", "", err)
 	}
 	n.closeDoors()
 	n.log.Info("no more callers are taken", "step", "stop", "under_way", n.underWay())
@@ -106,7 +106,7 @@
 		return nil
 	}
 	if err := ctx.Err(); err != nil {
-		return steperr.At("stop", "", err)
+		return steperr.Wrap("stop", "", err)
 	}
 	n.logUnfinished()
 	return steperr.New("stop", "", "%d requests were not answered in the grace", n.stats.inside.Load())
--- a/internal/proxy/settings.go
+++ b/internal/proxy/settings.go
@@ -65,7 +65,7 @@
 
 // Check tells what is wrong with the settings.
 func (s Settings) Check() error {
-	return steperr.At("settings", "", validator.New(validator.WithRequiredStructEnabled()).Struct(s))
+	return steperr.Wrap("settings", "", validator.New(validator.WithRequiredStructEnabled()).Struct(s))
 }
 
 // filled puts defaults where nothing was given.
--- a/internal/queries/queries.go
+++ b/internal/queries/queries.go
@@ -1,5 +1,5 @@
-// Package queries holds what reads the shared state and changes nothing (design
-// 2.2).
+// Package queries implements the operations that read the shared state and change nothing
+// (design 2.2).
 package queries
 
 import (
@@ -24,16 +24,16 @@
 	"walkrudder/internal/steperr"
 )
 
-// Asker answers queries at one controller.
-type Asker struct {
-	Book   *ledger.Book
-	House  *registry.House
-	Tenant *membership.Tenant
-	Prop   *quorum.Proposer
-	Line   link.Line
+// Reader answers queries on one controller.
+type Reader struct {
+	Ledger     *ledger.Ledger
+	Registry   *registry.House
+	Membership *membership.Tenant
+	Proposer   *quorum.Proposer
+	Transport  link.Line
 }
 
-// NodeRow is one member.
+// NodeRow describes one member of the cluster.
 type NodeRow struct {
 	ID      string `json:"id"`
 	Kind    string `json:"kind"`
@@ -47,45 +47,46 @@
 	UpSince string `json:"up_since"`
 }
 
-// Nodes lists the members by a majority's lease tables.
-func (a *Asker) Nodes(ctx context.Context) ([]NodeRow, error) {
-	ms, err := a.Tenant.Table(ctx)
+// Nodes lists the members according to the lease tables of a majority.
+func (a *Reader) Nodes(ctx context.Context) ([]NodeRow, error) {
+	ms, err := a.Membership.Table(ctx)
 	if err != nil {
 		return nil, err
 	}
-	c := a.Prop.Core()
+	c := a.Proposer.Core()
 	return lo.Map(ms, func(m membership.Member, _ int) NodeRow {
 		s, in := c.Seat(m.ID)
 		return NodeRow{ID: m.ID, Kind: m.Kind, Zone: m.Zone, Inner: m.Inner, Door: m.Door, Votes: in && s.Disk == m.Disk.Disk,
-			Standby: !in && m.Disk.Disk != "", Drained: m.Rest, Version: m.Spec, UpSince: stamp(m.Since)}
+			Standby: !in && m.Disk.Disk != "", Drained: m.Rest, Version: m.Spec, UpSince: formatTime(m.Since)}
 	}), nil
 }
 
-func stamp(ms int64) string { return time.UnixMilli(ms).UTC().Format("2006-01-02T15:04:05.000Z") }
+func formatTime(ms int64) string { return time.UnixMilli(ms).UTC().Format("2006-01-02T15:04:05.000Z") }
 
-// TargetRow is one target as its homes see it.
+// TargetRow describes one target as its home controllers see it.
 type TargetRow struct {
-	Service   string  `json:"service"`
-	ID        string  `json:"id"`
-	Zone      string  `json:"zone"`
-	Addr      string  `json:"addr"`
-	Inc       uint64  `json:"incarnation"`
-	Capacity  int     `json:"capacity"`
-	State     string  `json:"state"`
-	Suspicion float64 `json:"suspicion"`
-	QuietMS   int64   `json:"quiet_ms"`
-	Alpha     float64 `json:"alpha_s"`
-	Beta      float64 `json:"beta"`
-	// Gateways probe the target themselves; Trusting of them find it well.
+	Service     string  `json:"service"`
+	ID          string  `json:"id"`
+	Zone        string  `json:"zone"`
+	Addr        string  `json:"addr"`
+	Incarnation uint64  `json:"incarnation"`
+	Capacity    int     `json:"capacity"`
+	State       string  `json:"state"`
+	Suspicion   float64 `json:"suspicion"`
+	QuietMS     int64   `json:"quiet_ms"`
+	Alpha       float64 `json:"alpha_s"`
+	Beta        float64 `json:"beta"`
+	// Gateways is the number of gateways that probe the target themselves, and Trusting
+	// the number of those that find it healthy.
 	Gateways int `json:"gateways"`
 	Trusting int `json:"gateways_trusting"`
 }
 
-// Targets lists the targets, of one service or of all.
-func (a *Asker) Targets(ctx context.Context, service string) ([]TargetRow, error) {
-	views := registry.Views(ctx, a.Line, a.Tenant.Members())
-	return lo.FilterMap(registry.Collect(ctx, a.Line, a.Tenant.Members()), func(s registry.Seen, _ int) (TargetRow, bool) {
-		v := views[ledger.Target{ID: s.Beat.ID, Service: s.Beat.Service, Inc: s.Beat.Inc}]
+// Targets lists the targets of one service, or of all services if service is empty.
+func (a *Reader) Targets(ctx context.Context, service string) ([]TargetRow, error) {
+	views := registry.Views(ctx, a.Transport, a.Membership.Members())
+	return lo.FilterMap(registry.Collect(ctx, a.Transport, a.Membership.Members()), func(s registry.Seen, _ int) (TargetRow, bool) {
+		v := views[ledger.Target{ID: s.Beat.ID, Service: s.Beat.Service, Incarnation: s.Beat.Inc}]
 		state := "serving"
 		switch {
 		case s.Gone:
@@ -97,112 +98,112 @@
 		case s.W >= registry.SuspectAt:
 			state = "suspected"
 		}
-		return TargetRow{Service: s.Beat.Service, ID: s.Beat.ID, Zone: s.Beat.Zone, Addr: s.Beat.Addr, Inc: s.Beat.Inc, Capacity: s.Beat.Capacity, State: state,
+		return TargetRow{Service: s.Beat.Service, ID: s.Beat.ID, Zone: s.Beat.Zone, Addr: s.Beat.Addr, Incarnation: s.Beat.Inc, Capacity: s.Beat.Capacity, State: state,
 			Suspicion: s.W, QuietMS: s.Quiet.Milliseconds(), Alpha: s.Fit.Alpha, Beta: s.Fit.Beta,
 			Gateways: v.Gateways, Trusting: v.Trusting}, service == "" || s.Beat.Service == service
 	}), nil
 }
 
-// SheetNow is the sheet decided last, and what is in force.
-type SheetNow struct {
+// SheetStatus is the latest decided sheet and the version in force.
+type SheetStatus struct {
 	Version uint64     `json:"version"`
 	InForce uint64     `json:"in_force"`
 	Sheet   spec.Sheet `json:"sheet"`
 }
 
-// Sheet reads the last sheet by a majority, or the one of an earlier version.
-func (a *Asker) Sheet(ctx context.Context, n uint64) (SheetNow, error) {
-	f, err := a.Book.Refresh(ctx)
+// Sheet reads the latest sheet from a majority, or the sheet of an earlier version.
+func (a *Reader) Sheet(ctx context.Context, n uint64) (SheetStatus, error) {
+	f, err := a.Ledger.Refresh(ctx)
 	if err != nil {
-		return SheetNow{}, err
+		return SheetStatus{}, err
 	}
-	fo, err := a.Book.Flipped(ctx)
+	fo, err := a.Ledger.Activation(ctx)
 	if err != nil {
-		return SheetNow{}, err
+		return SheetStatus{}, err
 	}
-	s := SheetNow{Version: f.N, InForce: fo.N, Sheet: f.Sheet}
-	if n != 0 && n != f.N {
+	s := SheetStatus{Version: f.Version, InForce: fo.Version, Sheet: f.Sheet}
+	if n != 0 && n != f.Version {
 		s.Version = n
-		s.Sheet, err = a.Book.At(ctx, n)
+		s.Sheet, err = a.Ledger.SheetAt(ctx, n)
 	}
 	return s, err
 }
 
-// Status is the state of a change.
-type Status struct {
+// ChangeStatus is a change and its state.
+type ChangeStatus struct {
 	Change ledger.Change `json:"change"`
 	State  string        `json:"state"`
 }
 
-// Change tells the state of one change, found by version or token.
-func (a *Asker) Change(ctx context.Context, n uint64, token string) (Status, error) {
-	cs, err := a.Book.Changes(ctx)
+// Change returns the state of a change, found by version or token.
+func (a *Reader) Change(ctx context.Context, n uint64, token string) (ChangeStatus, error) {
+	cs, err := a.Ledger.Changes(ctx)
 	if err != nil {
-		return Status{}, err
+		return ChangeStatus{}, err
 	}
-	c, ok := lo.Find(cs, func(c ledger.Change) bool { return n != 0 && c.N == n || token != "" && c.Token == token })
+	c, ok := lo.Find(cs, func(c ledger.Change) bool { return n != 0 && c.Version == n || token != "" && c.Token == token })
 	if !ok {
-		return Status{}, steperr.New("find change", "", "no such change")
+		return ChangeStatus{}, steperr.New("find change", "", "no such change")
 	}
-	fo, err := a.Book.Flipped(ctx)
+	fo, err := a.Ledger.Activation(ctx)
 	if err != nil {
-		return Status{}, err
+		return ChangeStatus{}, err
 	}
-	return Status{c, lo.Ternary(c.N <= fo.N, "in force", "decided")}, nil
+	return ChangeStatus{c, lo.Ternary(c.Version <= fo.Version, "in force", "decided")}, nil
 }
 
-// Item is one decision, as people read it.
-type Item struct {
+// Decision is one decision in human-readable form.
+type Decision struct {
 	At         string `json:"at"`
 	Controller string `json:"controller"`
 	Kind       string `json:"kind"`
 	About      string `json:"about"`
-	Why        string `json:"why,omitempty"`
-	ms         int64
+	Reason     string `json:"why,omitempty"`
+	atMS       int64
 }
 
-// notes lists the decisions of every kind but changes, oldest first.
-func (a *Asker) notes(ctx context.Context) (out []ledger.Note, err error) {
+// notes lists all decisions other than changes, oldest first.
+func (a *Reader) notes(ctx context.Context) (out []ledger.Note, err error) {
 	for _, p := range ledger.NotePrefixes {
-		ns, err := a.Book.Notes(ctx, p)
+		ns, err := a.Ledger.Notes(ctx, p)
 		if err != nil {
 			return nil, err
 		}
 		out = append(out, ns...)
 	}
-	slices.SortStableFunc(out, func(a, b ledger.Note) int { return cmp.Compare(a.At, b.At) })
+	slices.SortStableFunc(out, func(a, b ledger.Note) int { return cmp.Compare(a.AtMS, b.AtMS) })
 	return out, nil
 }
 
-// Ledger lists all decisions, oldest first; last limits them where above 0.
-func (a *Asker) Ledger(ctx context.Context, last int) ([]Item, error) {
-	var out []Item
-	cs, err := a.Book.Changes(ctx)
+// Decisions lists all decisions, oldest first; only the last ones if last is above 0.
+func (a *Reader) Decisions(ctx context.Context, last int) ([]Decision, error) {
+	var out []Decision
+	cs, err := a.Ledger.Changes(ctx)
 	if err != nil {
 		return nil, err
 	}
 	for _, c := range cs {
-		out = append(out, Item{stamp(c.At), c.Controller, "change", fmt.Sprintf("version %d", c.N), fmt.Sprintf("by %q: %s %s", c.By, edits(c.Edits), c.Note), c.At})
+		out = append(out, Decision{formatTime(c.AtMS), c.Controller, "change", fmt.Sprintf("version %d", c.Version), fmt.Sprintf("by %q: %s %s", c.Operator, formatEdits(c.Edits), c.Note), c.AtMS})
 	}
 	ns, err := a.notes(ctx)
 	if err != nil {
 		return nil, err
 	}
 	for _, n := range ns {
-		about := fmt.Sprintf("version %d", n.N)
+		about := fmt.Sprintf("version %d", n.Version)
 		if n.Target != nil {
-			about = fmt.Sprintf("%s/%s run %d", n.Target.Service, n.Target.ID, n.Target.Inc)
+			about = fmt.Sprintf("%s/%s run %d", n.Target.Service, n.Target.ID, n.Target.Incarnation)
 		}
-		out = append(out, Item{stamp(n.At), n.Controller, n.Kind, about, n.Why, n.At})
+		out = append(out, Decision{formatTime(n.AtMS), n.Controller, n.Kind, about, n.Reason, n.AtMS})
 	}
-	slices.SortStableFunc(out, func(a, b Item) int { return cmp.Compare(a.ms, b.ms) })
+	slices.SortStableFunc(out, func(a, b Decision) int { return cmp.Compare(a.atMS, b.atMS) })
 	if last > 0 && len(out) > last {
 		out = out[len(out)-last:]
 	}
 	return out, nil
 }
 
-func edits(es []spec.Edit) string {
+func formatEdits(es []spec.Edit) string {
 	s := ""
 	for i, e := range es {
 		if i > 0 {
@@ -223,8 +224,8 @@
 	return s
 }
 
-// WhyTarget tells what is known and was decided of one target.
-func (a *Asker) WhyTarget(ctx context.Context, service, id string) (any, error) {
+// ExplainTarget returns what is known about a target and the decisions made about it.
+func (a *Reader) ExplainTarget(ctx context.Context, service, id string) (any, error) {
 	ts, err := a.Targets(ctx, service)
 	if err != nil {
 		return nil, err
@@ -250,24 +251,24 @@
 	}{seen, now, notes}, nil
 }
 
-// WhyCall asks the gateway that a call came to what became of it.
-func (a *Asker) WhyCall(ctx context.Context, call string) (passage.Story, error) {
+// ExplainCall asks the gateway that received a call what happened to it.
+func (a *Reader) ExplainCall(ctx context.Context, call string) (passage.Story, error) {
 	run := strings.LastIndexByte(call, '-')
 	id := strings.LastIndexByte(call[:max(run, 0)], '-')
 	if id <= 0 {
 		return passage.Story{}, steperr.New("find call", "", "%q is no call: FLOW-RUN-NUMBER", call)
 	}
 	gateway, inc := call[:id], call[id+1:run]
-	m, ok := lo.Find(a.Tenant.Members(), func(m membership.Member) bool { return m.ID == gateway })
+	m, ok := lo.Find(a.Membership.Members(), func(m membership.Member) bool { return m.ID == gateway })
 	if !ok {
 		return passage.Story{}, steperr.New("find call", gateway, "that gateway has no lease now; its log has what it gave up")
 	}
 	if strconv.FormatUint(m.Inc, 36) != inc {
 		return passage.Story{}, steperr.New("find call", gateway, "that run of the gateway has ended; its log has what it gave up")
 	}
-	r, err := link.Ask[passage.StoryTold](ctx, a.Line, m.Inner, passage.StoryAsk{Call: call})
+	r, err := link.Ask[passage.StoryTold](ctx, a.Transport, m.Inner, passage.StoryAsk{Call: call})
 	if err != nil {
-		return passage.Story{}, steperr.At("find call", gateway, err)
+		return passage.Story{}, steperr.Wrap("find call", gateway, err)
 	}
 	if !r.Known {
 		return passage.Story{}, steperr.New("find call", gateway, "not among the calls remembered; its log has what it gave up")
@@ -277,15 +278,15 @@
 
 // HistoryRow is one version of a binding.
 type HistoryRow struct {
-	Version uint64        `json:"version"`
-	At      string        `json:"at"`
-	By      string        `json:"by"`
-	Binding *spec.Binding `json:"binding"` // nil: removed
+	Version  uint64        `json:"version"`
+	At       string        `json:"at"`
+	Operator string        `json:"by"`
+	Binding  *spec.Binding `json:"binding"` // nil: removed
 }
 
-// History tells how a binding came to be as it is.
-func (a *Asker) History(ctx context.Context, name string) ([]HistoryRow, error) {
-	cs, err := a.Book.Changes(ctx)
+// History lists the versions of a binding.
+func (a *Reader) History(ctx context.Context, name string) ([]HistoryRow, error) {
+	cs, err := a.Ledger.Changes(ctx)
 	if err != nil {
 		return nil, err
 	}
@@ -303,7 +304,7 @@
 			is = &b
 		}
 		if !reflect.DeepEqual(was, is) {
-			out = append(out, HistoryRow{c.N, stamp(c.At), c.By, is})
+			out = append(out, HistoryRow{c.Version, formatTime(c.AtMS), c.Operator, is})
 		}
 		was = is
 	}
@@ -313,7 +314,7 @@
 	return out, nil
 }
 
-// DiffRow is one thing in which two versions differ.
+// DiffRow is one difference between two versions of the sheet.
 type DiffRow struct {
 	What string `json:"what"`
 	Name string `json:"name"`
@@ -321,8 +322,8 @@
 	To   any    `json:"to"`
 }
 
-// Diff tells in what versions x and y differ.
-func (a *Asker) Diff(ctx context.Context, x, y uint64) ([]DiffRow, error) {
+// Diff lists the differences between versions x and y.
+func (a *Reader) Diff(ctx context.Context, x, y uint64) ([]DiffRow, error) {
 	sx, err := a.Sheet(ctx, x)
 	if err != nil {
 		return nil, err
@@ -351,10 +352,10 @@
 	})
 }
 
-// Picture is everything, as it is read back at the end of the day.
-type Picture struct {
+// FullState is the complete shared state. It is read back at the end of the day.
+type FullState struct {
 	Controller string          `json:"controller"`
-	Sheet      SheetNow        `json:"route_sheet"`
+	Sheet      SheetStatus     `json:"route_sheet"`
 	Core       quorum.Core     `json:"core"`
 	Nodes      []NodeRow       `json:"nodes"`
 	Targets    []TargetRow     `json:"targets"`
@@ -362,13 +363,13 @@
 	Decisions  []ledger.Note   `json:"decisions"`
 }
 
-// Picture reads the whole.
-func (a *Asker) Picture(ctx context.Context) (p Picture, err error) {
-	p.Controller, p.Core = a.Book.Controller, a.Prop.Core()
+// FullState reads the complete shared state.
+func (a *Reader) FullState(ctx context.Context) (p FullState, err error) {
+	p.Controller, p.Core = a.Ledger.Controller, a.Proposer.Core()
 	if p.Sheet, err = a.Sheet(ctx, 0); err != nil {
 		return p, err
 	}
-	if p.Changes, err = a.Book.Changes(ctx); err != nil {
+	if p.Changes, err = a.Ledger.Changes(ctx); err != nil {
 		return p, err
 	}
 	if p.Decisions, err = a.notes(ctx); err != nil {
@@ -377,8 +378,8 @@
 	if p.Targets, err = a.Targets(ctx, ""); err != nil {
 		return p, err
 	}
-	// Who is a member does not belong to the decisions: a table that is not to be
-	// had for a moment after a restart does not spoil the picture.
+	// The member list is not part of the decisions. If the member table is unavailable
+	// for a moment after a restart, the rest of the state is still returned.
 	if p.Nodes, err = a.Nodes(ctx); err != nil {
 		err = nil
 	}
--- a/internal/quorum/proposer.go
+++ b/internal/quorum/proposer.go
@@ -83,7 +83,7 @@
 func (p *Proposer) ChangeIn(ctx context.Context, core Core, key string, f func([]byte) ([]byte, error)) (Item, error) {
 	return p.change(ctx, key, f, func() (Core, error) {
 		if p.Core().Epoch != core.Epoch {
-			return Core{}, steperr.At("change "+key, "", ErrSuperseded)
+			return Core{}, steperr.Wrap("change "+key, "", ErrSuperseded)
 		}
 		return core, nil
 	})
@@ -102,11 +102,11 @@
 			return it, err
 		}
 		if ctx.Err() != nil {
-			return Item{}, steperr.At("change "+key, "", errors.Join(ErrNoQuorum, ctx.Err()))
+			return Item{}, steperr.Wrap("change "+key, "", errors.Join(ErrNoQuorum, ctx.Err()))
 		}
 		pause := time.Duration(1+rand.IntN(4<<min(try, 5))) * time.Millisecond
 		if p.Clock.Sleep(ctx, pause) != nil {
-			return Item{}, steperr.At("change "+key, "", errors.Join(ErrNoQuorum, ctx.Err()))
+			return Item{}, steperr.Wrap("change "+key, "", errors.Join(ErrNoQuorum, ctx.Err()))
 		}
 	}
 }
--- a/internal/quorum/proposerdecide.go
+++ b/internal/quorum/proposerdecide.go
@@ -64,7 +64,7 @@
 		}
 		pause := time.Duration(5+rand.IntN(10<<min(try, 5))) * time.Millisecond
 		if ctx.Err() != nil || p.Clock.Sleep(ctx, pause) != nil {
-			return nil, steperr.At("decide", "", errors.Join(ErrNoQuorum, cause, ctx.Err()))
+			return nil, steperr.Wrap("decide", "", errors.Join(ErrNoQuorum, cause, ctx.Err()))
 		}
 	}
 }
@@ -181,7 +181,7 @@
 	}
 	replies := gather(ctx, p, core.Seats, func(Seat) any { return ask }, func(t TraceTold) Told { return t.Told }, atLeast[TraceTold](core.QuorumSize()))
 	if len(replies) < core.QuorumSize() {
-		return false, steperr.At("trace", "", ErrNoQuorum)
+		return false, steperr.Wrap("trace", "", ErrNoQuorum)
 	}
 	return lo.SomeBy(replies, func(h voterReply[TraceTold]) bool { return h.Reply.Found }), nil
 }
--- a/internal/quorum/proposerlist.go
+++ b/internal/quorum/proposerlist.go
@@ -18,7 +18,7 @@
 	replies := gather(ctx, p, core.Seats, func(Seat) any { return ListAsk{Mark: Mark{Epoch: core.Epoch}, Prefix: prefix, Last: true} },
 		func(r ListTold) Told { return r.Told }, atLeast[ListTold](core.QuorumSize()))
 	if len(replies) < core.QuorumSize() {
-		return "", nil, steperr.At("last "+prefix, "", ErrNoQuorum)
+		return "", nil, steperr.Wrap("last "+prefix, "", ErrNoQuorum)
 	}
 	var newest Entry
 	n := 0
@@ -51,7 +51,7 @@
 			return ListAsk{Mark: Mark{Epoch: core.Epoch}, Prefix: prefix, After: after, Max: 2000}
 		}, func(r ListTold) Told { return r.Told }, atLeast[ListTold](core.QuorumSize()))
 		if len(replies) < core.QuorumSize() {
-			return steperr.At("list "+prefix, "", ErrNoQuorum)
+			return steperr.Wrap("list "+prefix, "", ErrNoQuorum)
 		}
 		upTo, more := completeUpTo(replies)
 		type held struct {
@@ -122,7 +122,7 @@
 	replies := gather(ctx, p, core.Seats, func(Seat) any { return LiftAsk{Mark{Epoch: core.Epoch}, prefix, floor} },
 		func(r LiftTold) Told { return r.Told }, atLeast[LiftTold](len(core.Seats)))
 	if len(replies) < core.QuorumSize() {
-		return steperr.At("lift "+prefix, "", fmt.Errorf("%w: %d of %d", ErrNoQuorum, len(replies), len(core.Seats)))
+		return steperr.Wrap("lift "+prefix, "", fmt.Errorf("%w: %d of %d", ErrNoQuorum, len(replies), len(core.Seats)))
 	}
 	return nil
 }
--- a/internal/quorum/proposermerge.go
+++ b/internal/quorum/proposermerge.go
@@ -64,7 +64,7 @@
 		}
 		pause := time.Duration(5+rand.IntN(10<<min(try, 5))) * time.Millisecond
 		if ctx.Err() != nil || p.Clock.Sleep(ctx, pause) != nil {
-			return nil, steperr.At("merge", "", errors.Join(ErrNoQuorum, cause, ctx.Err()))
+			return nil, steperr.Wrap("merge", "", errors.Join(ErrNoQuorum, cause, ctx.Err()))
 		}
 	}
 }
--- a/internal/quorum/reconfigurer.go
+++ b/internal/quorum/reconfigurer.go
@@ -161,12 +161,12 @@
 	defer cancel()
 	held, err := rc.Proposer.ReadIn(readCtx, v.core, coreRegister)
 	if err != nil && !IsNeverWritten(err) {
-		return steperr.At("read core", "", err)
+		return steperr.Wrap("read core", "", err)
 	}
 	if len(held.Value) > 0 {
 		next, err := chosenCore(held)
 		if err != nil {
-			return steperr.At("read core", "", err)
+			return steperr.Wrap("read core", "", err)
 		}
 		if next.Succeeds(v.core.Epoch) {
 			return rc.applyCore(ctx, v, next)
@@ -187,10 +187,10 @@
 	defer cancel()
 	held, err := rc.Proposer.ChangeIn(decideCtx, v.core, coreRegister, func(old []byte) ([]byte, error) { return rc.nextRegisterValue(v, old, next) })
 	if err != nil {
-		return steperr.At("decide swap", joins, err)
+		return steperr.Wrap("decide swap", joins, err)
 	}
 	if next, err = chosenCore(held); err != nil {
-		return steperr.At("decide swap", joins, err)
+		return steperr.Wrap("decide swap", joins, err)
 	}
 	if rc.Log != nil {
 		rc.Log.Info("seat passes on", "step", "swap", "peer", joins, "out", leaves, "epoch", next.Epoch, "seats", len(next.Seats))
--- a/internal/quorum/stored.go
+++ b/internal/quorum/stored.go
@@ -28,7 +28,7 @@
 	s := StoredState{Owner: string(values[ownerKey]), Disk: string(values[diskKey])}
 	if raw, known := values[coreKey]; known {
 		if err := decodeGob(raw, &s.Core); err != nil {
-			return s, steperr.At("read core", s.Owner, err)
+			return s, steperr.Wrap("read core", s.Owner, err)
 		}
 	}
 	for key, value := range values {
@@ -37,7 +37,7 @@
 		}
 		it, err := decodeMergeItem(key, value)
 		if err != nil {
-			return s, steperr.At("read item "+key, s.Owner, err)
+			return s, steperr.Wrap("read item "+key, s.Owner, err)
 		}
 		s.Items = append(s.Items, it)
 	}
@@ -55,10 +55,10 @@
 func StoreItems(d storage.Disk, items []item.Item) error {
 	held, err := d.Load()
 	if err != nil {
-		return steperr.At("store", "", err)
+		return steperr.Wrap("store", "", err)
 	}
 	if len(held) > 0 {
-		return steperr.At("store", string(held[ownerKey]), ErrNotEmpty)
+		return steperr.Wrap("store", string(held[ownerKey]), ErrNotEmpty)
 	}
 	for len(items) > 0 {
 		n := min(len(items), maxStoreBatch)
@@ -70,7 +70,7 @@
 			puts = append(puts, storage.Put{Key: mergeDiskKey(it.Key), Value: encodeMergeItem(it)})
 		}
 		if err := d.Commit(puts); err != nil {
-			return steperr.At("store", "", err)
+			return steperr.Wrap("store", "", err)
 		}
 		items = items[n:]
 	}
--- a/internal/quorum/voter.go
+++ b/internal/quorum/voter.go
@@ -96,18 +96,18 @@
 		commands: make(chan *command, 4*maxBatch), joinToken: make(chan struct{}, 1), registers: map[string]Item{}, floors: map[string]string{}, mergeItems: map[item.Key]item.Item{}, records: map[item.Key]record{}}
 	values, err := d.Load()
 	if err != nil {
-		return nil, steperr.At("load voter", "", err)
+		return nil, steperr.Wrap("load voter", "", err)
 	}
 	// A disk belongs to one node: under another node's ID its votes would count twice, or count
 	// for a seat that other nodes reach at another address.
 	if owner := string(values[ownerKey]); owner != "" && owner != self.ID {
-		return nil, steperr.At("load voter", owner, ErrWrongOwner)
+		return nil, steperr.Wrap("load voter", owner, ErrWrongOwner)
 	}
 	v.self.Disk = string(values[diskKey])
 	if v.self.Disk == "" || values[ownerKey] == nil {
 		v.self.Disk = cmp.Or(v.self.Disk, newIncarnation)
 		if err := d.Commit([]storage.Put{{Key: diskKey, Value: []byte(v.self.Disk)}, {Key: ownerKey, Value: []byte(self.ID)}}); err != nil {
-			return nil, steperr.At("new incarnation", "", err)
+			return nil, steperr.Wrap("new incarnation", "", err)
 		}
 	}
 	for k, b := range values {
@@ -130,7 +130,7 @@
 			err = v.loadRecord(k, b)
 		}
 		if err != nil {
-			return nil, steperr.At("load item "+k, "", err)
+			return nil, steperr.Wrap("load item "+k, "", err)
 		}
 	}
 	if err := v.completeRecords(); err != nil {
@@ -221,13 +221,13 @@
 	select {
 	case v.commands <- c:
 	case <-ctx.Done():
-		return steperr.At("voter queue", v.self.ID, ctx.Err())
+		return steperr.Wrap("voter queue", v.self.ID, ctx.Err())
 	}
 	select {
 	case <-c.done:
 		return c.err
 	case <-ctx.Done():
-		return steperr.At("voter", v.self.ID, ctx.Err())
+		return steperr.Wrap("voter", v.self.ID, ctx.Err())
 	}
 }
 
--- a/internal/quorum/voterjoin.go
+++ b/internal/quorum/voterjoin.go
@@ -59,7 +59,7 @@
 	case v.joinToken <- struct{}{}:
 		defer func() { <-v.joinToken }()
 	case <-ctx.Done():
-		return r, steperr.At("join", v.self.ID, ctx.Err())
+		return r, steperr.Wrap("join", v.self.ID, ctx.Err())
 	}
 	pulled, err := v.pullAll(ctx, req)
 	if err != nil {
--- a/internal/quorum/votertransfer.go
+++ b/internal/quorum/votertransfer.go
@@ -41,7 +41,7 @@
 		}
 		for _, pull := range []func(context.Context, Seat, *pullPosition) error{v.pullRegisters, v.pullRecords, v.pullMergeItems} {
 			if err := pull(ctx, source, pos); err != nil {
-				return nil, steperr.At("pull", source.ID, err)
+				return nil, steperr.Wrap("pull", source.ID, err)
 			}
 		}
 	}
--- a/internal/registry/views.go
+++ b/internal/registry/views.go
@@ -49,7 +49,7 @@
 			mu.Lock()
 			defer mu.Unlock()
 			for _, v := range r.Views {
-				t := ledger.Target{ID: v.ID, Service: v.Service, Inc: v.Inc}
+				t := ledger.Target{ID: v.ID, Service: v.Service, Incarnation: v.Inc}
 				x := out[t]
 				if x.Gateways++; v.Proved && v.W < SuspectAt {
 					x.Trusting++
--- a/internal/rollout/rack.go
+++ b/internal/rollout/rack.go
@@ -146,7 +146,7 @@
 func (k *Rack) Lone() bool { return k.lone.Load() }
 
 // N is the version in force here.
-func (k *Rack) N() uint64 { return k.cur.Load().table.N }
+func (k *Rack) N() uint64 { return k.cur.Load().table.Version }
 
 // Stranded tells whether the last sheet is served without a lease.
 func (k *Rack) Stranded() bool {
@@ -161,18 +161,18 @@
 	n.wake = make(chan struct{})
 	f(&n)
 	for by, v := range k.held {
-		if v <= n.table.N {
+		if v <= n.table.Version {
 			delete(k.held, by)
 		}
 	}
-	if len(k.held) > 0 || k.isShut(n.table.N) {
+	if len(k.held) > 0 || k.isShut(n.table.Version) {
 		n.open = false
 	}
 	k.cur.Store(&n)
 	close(old.wake)
 	if n.table != old.table {
 		for v := range k.staged {
-			if v <= n.table.N {
+			if v <= n.table.Version {
 				delete(k.staged, v)
 			}
 		}
@@ -305,7 +305,7 @@
 		}
 		_ = k.own.Do(ctx, func() {
 			t := k.cur.Load().table
-			if r.N > t.N {
+			if r.N > t.Version {
 				if r.Sheet == nil {
 					return
 				}
@@ -423,11 +423,11 @@
 			}
 		}
 		t := k.cur.Load().table
-		if best != nil && best.N >= t.N {
+		if best != nil && best.N >= t.Version {
 			switch {
-			case best.N > t.N && best.Sheet == nil:
+			case best.N > t.Version && best.Sheet == nil:
 				return false
-			case best.N > t.N:
+			case best.N > t.Version:
 				t = spec.NewTable(best.N, *best.Sheet)
 				k.shut = lo.Ternary(best.Shut, best.N, 0)
 			}
