--- a/internal/rollout/roller.go
+++ b/internal/rollout/roller.go
@@ -33,7 +33,7 @@
 // Roller brings decided changes into force. Any controller may run one, and several
 // at once do no harm: every step is safe to repeat (design 8.2).
 type Roller struct {
-	Book   *ledger.Book
+	Book   *ledger.Ledger
 	Tenant *membership.Tenant
 	Line   link.Line
 	Clock  clock.Clock
@@ -94,33 +94,33 @@
 	if err != nil {
 		return 0, err
 	}
-	was, err := r.Book.Flipped(ctx)
+	was, err := r.Book.Activation(ctx)
 	if err != nil {
 		return 0, err
 	}
-	if f.N == 0 {
+	if f.Version == 0 {
 		return 0, nil
 	}
 	r.Faults.At(fault.AfterDecided)
 	now := was
-	if was.N < f.N {
+	if was.Version < f.Version {
 		ids, err := r.held(ctx, f, was)
 		if err != nil {
 			return 0, err
 		}
 		r.Faults.At(fault.AfterHeld)
 		slices.Sort(ids)
-		if now, err = r.Book.SetFlipped(ctx, f.N, ids); err != nil {
+		if now, err = r.Book.Activate(ctx, f.Version, ids); err != nil {
 			return 0, err
 		}
 		r.Faults.At(fault.AfterFlipped)
 	}
-	if now.Open < f.N {
+	if now.Open < f.Version {
 		// Gateways that are cut off with more than half of those that count may serve on
 		// under the old sheet as long as none of them knows of the flip. So nobody
 		// shows the new one before more than half know; the others, held, are not
 		// waited for.
-		if _, err := r.most(ctx, "flip", now, FlipAsk{f.N, false, now.Round, now.Gateways}, now.More); err != nil {
+		if _, err := r.most(ctx, "flip", now, FlipAsk{f.Version, false, now.Round, now.Gateways}, now.HasMajority); err != nil {
 			return 0, err
 		}
 		r.Faults.At(fault.AfterTold)
@@ -128,29 +128,29 @@
 	// Told again even where it was found open: who opened it may not have come so
 	// far.
 	note := make(chan error, 1)
-	go func() { note <- r.opened(ctx, now, f.N) }()
-	_, err = r.all(ctx, "open", FlipAsk{f.N, true, now.Round, now.Gateways}, nil)
+	go func() { note <- r.opened(ctx, now, f.Version) }()
+	_, err = r.all(ctx, "open", FlipAsk{f.Version, true, now.Round, now.Gateways}, nil)
 	if err = errors.Join(err, <-note); err != nil {
 		return 0, err
 	}
 	r.Faults.At(fault.BeforeAck)
-	return f.N, nil
+	return f.Version, nil
 }
 
 // held stages the sheet at every leased gateway and then holds them all; it names them.
 // Whom the hold does not reach at once is gone or about to be: the others are let go
 // on until that one's lease has lapsed, and then held again.
-func (r *Roller) held(ctx context.Context, f *ledger.Fold, was ledger.Force) ([]string, error) {
+func (r *Roller) held(ctx context.Context, f *ledger.State, was ledger.Activation) ([]string, error) {
 	for {
 		// More than half of the gateways that count must take part: gateways that are cut off
 		// with as many may go on under the old sheet (design 8.4).
-		if _, err := r.most(ctx, "stage", was, StageAsk{f.N, f.Sheet}, nil); err != nil {
+		if _, err := r.most(ctx, "stage", was, StageAsk{f.Version, f.Sheet}, nil); err != nil {
 			return nil, err
 		}
 		r.Faults.At(fault.AfterStaged)
 		// A hold of its own each time: only who holds lets go, so that none of two
 		// roll-outs undoes the other's.
-		a := HoldAsk{N: f.N, By: fmt.Sprintf("%s-%d", r.Book.Controller, r.holds.Add(1))}
+		a := HoldAsk{N: f.Version, By: fmt.Sprintf("%s-%d", r.Book.Controller, r.holds.Add(1))}
 		cx, end := context.WithTimeout(ctx, holdTime)
 		ids, err := r.most(cx, "hold", was, a, nil)
 		end()
@@ -169,14 +169,14 @@
 }
 
 // opened writes down that version n may show.
-func (r *Roller) opened(ctx context.Context, now ledger.Force, n uint64) error {
+func (r *Roller) opened(ctx context.Context, now ledger.Activation, n uint64) error {
 	if now.Open >= n {
 		return nil
 	}
-	if err := r.Book.SetOpened(ctx, n); err != nil {
+	if err := r.Book.SetOpen(ctx, n); err != nil {
 		return err
 	}
-	_, err := r.Book.Once(ctx, ledger.FlipKey(n), ledger.Note{Kind: ledger.NoteFlip, N: n, At: r.Book.WallMS()})
+	_, err := r.Book.WriteOnce(ctx, ledger.ActivationNoteKey(n), ledger.Note{Kind: ledger.NoteInForce, Version: n, AtMS: r.Book.WallMS()})
 	return err
 }
 
@@ -224,15 +224,15 @@
 // recount brings the list of gateways that count up to date. More than half of those
 // that count by the old list must know the new one before it is decided: so no
 // group that may serve without a lease can be without a member that knows it.
-func (r *Roller) recount(ctx context.Context, fo ledger.Force) {
-	if fo.N == 0 {
+func (r *Roller) recount(ctx context.Context, fo ledger.Activation) {
+	if fo.Version == 0 {
 		return
 	}
 	all, err := r.wanted(ctx, fo.Gateways)
 	if err == nil && !slices.Equal(all, fo.Gateways) {
 		var ids []string
-		if ids, err = r.all(ctx, "count", CountAsk{Round: fo.Round + 1, Gateways: all}, nil); err == nil && fo.More(ids) {
-			fo, err = r.Book.Recount(ctx, fo.Round, all)
+		if ids, err = r.all(ctx, "count", CountAsk{Round: fo.Round + 1, Gateways: all}, nil); err == nil && fo.HasMajority(ids) {
+			fo, err = r.Book.SetGateways(ctx, fo.Round, all)
 		}
 	}
 	if err == nil && r.told != fo.Round {
@@ -246,13 +246,13 @@
 }
 
 // most is all, repeated until more than half of the gateways that count agreed.
-func (r *Roller) most(ctx context.Context, step string, was ledger.Force, ask any, enough func([]string) bool) ([]string, error) {
+func (r *Roller) most(ctx context.Context, step string, was ledger.Activation, ask any, enough func([]string) bool) ([]string, error) {
 	for {
 		ids, err := r.all(ctx, step, ask, enough)
 		if err != nil {
 			return nil, err
 		}
-		if was.More(ids) {
+		if was.HasMajority(ids) {
 			return ids, nil
 		}
 		if r.Clock.Sleep(ctx, 5*retry) != nil {
@@ -272,7 +272,7 @@
 		}
 		return err == nil && t.OK
 	})
-	return ids, steperr.At(step, "", err)
+	return ids, steperr.Wrap(step, "", err)
 }
 
 // Everyone runs f for every gateway that holds a lease until f agreed for it, or its
@@ -342,30 +342,30 @@
 		}
 		// Read after the changes: a flip seen here is of a change seen above, or
 		// of a later one, and then this is not settled.
-		fo, err := r.Book.Flipped(ctx)
+		fo, err := r.Book.Activation(ctx)
 		if err != nil {
 			return t, err
 		}
-		n := fo.N
+		n := fo.Version
 		t.Gateways, t.Round = fo.Gateways, fo.Round
 		if t.Leaves, err = leaves(ctx); err != nil {
 			return t, err
 		}
 		t.OK, t.N, t.Open = true, n, fo.Open >= n
-		t.Settled = t.Open && n == f.N
-		if !t.Settled && n <= f.N {
+		t.Settled = t.Open && n == f.Version
+		if !t.Settled && n <= f.Version {
 			go func() {
 				cx, end := context.WithTimeout(context.WithoutCancel(ctx), 5*time.Second)
 				defer end()
-				_, _ = r.Settle(cx, f.N)
+				_, _ = r.Settle(cx, f.Version)
 			}()
 		}
-		if n > f.N {
+		if n > f.Version {
 			t.OK = false
 		} else if n != a.Have {
 			s := f.Sheet
-			if n != f.N {
-				if s, err = r.Book.At(ctx, n); err != nil {
+			if n != f.Version {
+				if s, err = r.Book.SheetAt(ctx, n); err != nil {
 					return t, err
 				}
 			}
@@ -374,7 +374,7 @@
 		return t, nil
 	})
 	link.On(d, func(ctx context.Context, _ link.Who, a PartAsk) (PartTold, error) {
-		err := r.Book.Part(ctx, a.ID)
+		err := r.Book.RemoveGateway(ctx, a.ID)
 		return PartTold{OK: err == nil}, err
 	})
 	link.On(d, func(context.Context, link.Who, LastAsk) (LastTold, error) {
@@ -393,16 +393,16 @@
 		}
 		cx, end := context.WithTimeout(ctx, 4*time.Second)
 		f, err := r.Book.Refresh(cx)
-		if err == nil && f.N > 0 {
-			if fo, err := r.Book.Flipped(cx); err == nil {
+		if err == nil && f.Version > 0 {
+			if fo, err := r.Book.Activation(cx); err == nil {
 				r.note(fo.Gateways)
 				r.recount(cx, fo)
 			}
 			r.mu.Lock()
-			behind := r.done < f.N
+			behind := r.done < f.Version
 			r.mu.Unlock()
 			if behind {
-				_, err = r.Settle(cx, f.N)
+				_, err = r.Settle(cx, f.Version)
 			}
 		}
 		end()
--- a/internal/shell/memory.go
+++ b/internal/shell/memory.go
@@ -9,56 +9,58 @@
 )
 
 const (
-	// smallPercent and usualPercent are by how much a small and any other heap may grow
-	// until it is collected again. A small one holds little and makes little garbage: at the
-	// usual percentage a third of its memory is garbage that nobody has got round to. A large
-	// one is large because much comes in, and collecting it as often takes the time that the
-	// work needs: seven controllers before 680 gateways did not get through their start so.
-	smallPercent, usualPercent = 40, 100
-	// smallBelow and largeFrom are when a heap begins to be small, and large.
-	smallBelow, largeFrom = 8 << 20, 16 << 20
-	// softPart is the part of a machine's memory from which on it is collected harder.
-	softPart = 0.6
+	// smallHeapGCPercent and defaultGCPercent are the GC percentages for small and other heaps.
+	// A small heap holds little and produces little garbage: at the default percentage, a third
+	// of its memory is uncollected garbage. A large heap is large because many requests come in,
+	// and collecting it as often takes the CPU time that they need: with the low percentage,
+	// seven controllers with 680 gateways did not complete their start.
+	smallHeapGCPercent, defaultGCPercent = 40, 100
+	// smallHeapBelow and largeHeapFrom bound small and large heaps, in bytes of live data.
+	smallHeapBelow, largeHeapFrom = 8 << 20, 16 << 20
+	// softLimitShare is the share of the machine's memory used as the soft memory limit, above
+	// which garbage is collected more often.
+	softLimitShare = 0.6
 )
 
-// Memory sets garbage collection for a process on a machine with so many MB; 0 is not known.
-func Memory(mb int) {
-	percent.Store(smallPercent)
-	debug.SetGCPercent(smallPercent)
+// TuneGC configures garbage collection for a machine with mb MB of memory; 0 means unknown.
+func TuneGC(mb int) {
+	gcPercent.Store(smallHeapGCPercent)
+	debug.SetGCPercent(smallHeapGCPercent)
 	if mb > 0 {
-		debug.SetMemoryLimit(int64(softPart * float64(int64(mb)<<20)))
+		debug.SetMemoryLimit(int64(softLimitShare * float64(int64(mb)<<20)))
 	}
-	watch.Do(watchHeap)
+	watchOnce.Do(watchHeap)
 }
 
 var (
-	percent atomic.Int64
-	watch   sync.Once
+	gcPercent atomic.Int64
+	watchOnce sync.Once
 )
 
-// percentFor is the percentage for a heap that held so much when it was collected last.
-func percentFor(live uint64, is int64) int64 {
+// gcPercentFor returns the GC percentage for a heap with live bytes after its last collection.
+// Between the two bounds the current percentage is kept.
+func gcPercentFor(live uint64, current int64) int64 {
 	switch {
-	case live >= largeFrom:
-		return usualPercent
-	case live < smallBelow:
-		return smallPercent
+	case live >= largeHeapFrom:
+		return defaultGCPercent
+	case live < smallHeapBelow:
+		return smallHeapGCPercent
 	}
-	return is
+	return current
 }
 
-// sentinel is garbage at once, so that its finalizer runs after each collection. Its pointer
-// keeps it out of the blocks that tiny objects share, which are freed together.
+// sentinel is allocated as garbage, so that its finalizer runs after each collection. It has a
+// pointer field to keep it out of the tiny allocator, which frees its objects in blocks.
 type sentinel struct{ _ *sentinel }
 
-// watchHeap looks at the heap after each collection, and costs nothing between them.
+// watchHeap adjusts the GC percentage after each collection. It costs nothing between them.
 func watchHeap() {
 	runtime.SetFinalizer(&sentinel{}, func(*sentinel) {
 		s := []metrics.Sample{{Name: "/gc/heap/live:bytes"}}
 		metrics.Read(s)
-		is := percent.Load()
-		if want := percentFor(s[0].Value.Uint64(), is); want != is {
-			percent.Store(want)
+		is := gcPercent.Load()
+		if want := gcPercentFor(s[0].Value.Uint64(), is); want != is {
+			gcPercent.Store(want)
 			debug.SetGCPercent(int(want))
 		}
 		watchHeap()
--- a/internal/shell/shell.go
+++ b/internal/shell/shell.go
@@ -1,5 +1,5 @@
-// Package shell is what both programs do around their node: exit codes, signals,
-// listeners, the planned stop (design 14).
+// Package shell contains what both programs do around their node: exit codes, signals,
+// listeners and the planned stop (design 14).
 package shell
 
 import (
@@ -20,67 +20,67 @@
 	"walkrudder/internal/startup"
 )
 
-// Exit codes: 2 for what the operator can mend before a start, 1 for a failure
-// while running.
+// Exit codes: ExitStartup for errors that the operator can fix before a start, ExitRunning
+// for failures at run time.
 const (
 	ExitOK      = 0
 	ExitRunning = 1
 	ExitStartup = 2
 )
 
-// Stop times of a planned stop; the platform kills about 6 s after its warning.
+// Timing of a planned stop. The platform kills the process about 6 s after its warning.
 const (
-	// Linger is how long calls are still taken in after the warning.
-	Linger = 1500 * time.Millisecond
-	// Whole is when the process has ended at the latest.
-	Whole = 5700 * time.Millisecond
+	// AcceptAfterStop is how long calls are still accepted after the warning.
+	AcceptAfterStop = 1500 * time.Millisecond
+	// StopDeadline is the time after the warning by which the process has ended.
+	StopDeadline = 5700 * time.Millisecond
 )
 
-// Main reads startup settings into dest, runs the program and returns its exit
-// code. No panic reaches a user.
+// Main reads the settings into dest, runs the program and returns its exit code. Panics are
+// logged and not propagated.
 func Main(dest any, name string, args []string, out, errw io.Writer, run func(context.Context, *log.Logger) error) (code int) {
 	defer func() {
 		if p := recover(); p != nil {
-			lg := log.NewWithOptions(errw, log.Options{Formatter: log.JSONFormatter})
-			lg.Error("internal defect", "program", name, "panic", fmt.Sprint(p), "stack", string(debug.Stack()))
+			logger := log.NewWithOptions(errw, log.Options{Formatter: log.JSONFormatter})
+			logger.Error("panic", "program", name, "panic", fmt.Sprint(p), "stack", string(debug.Stack()))
 			code = ExitRunning
 		}
 	}()
 	if err := startup.Read(dest, name, args, out); err != nil {
-		if errors.Is(err, startup.ErrShown) {
+		if errors.Is(err, startup.ErrHelpShown) {
 			return ExitOK
 		}
 		_, _ = fmt.Fprintf(errw, "%s: %v\n", name, err)
 		return ExitStartup
 	}
-	lg := startup.Logger(errw, *startup.NodeOf(dest), name)
+	logger := startup.Logger(errw, *startup.NodeOf(dest), name)
 	ctx, end := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer end()
-	if err := run(ctx, lg); err != nil {
+	if err := run(ctx, logger); err != nil {
 		var s *StartError
 		if errors.As(err, &s) {
 			_, _ = fmt.Fprintf(errw, "%s: %v\n", name, err)
 			return ExitStartup
 		}
-		lg.Error("ended", "err", err)
+		logger.Error("ended", "err", err)
 		return ExitRunning
 	}
 	return ExitOK
 }
 
-// StartError is a defect that the operator can mend before a start.
+// StartError is an error that the operator can fix before a start.
 type StartError struct {
 	Field string
 	Err   error
 }
 
-// Error names the field.
+// Error names the field and the cause.
 func (e *StartError) Error() string { return e.Field + ": " + e.Err.Error() }
 
-// Unwrap yields the cause.
+// Unwrap returns the cause.
 func (e *StartError) Unwrap() error { return e.Err }
 
-// Listen binds addr, or tells which field to mend.
+// Listen listens on addr. Its error names the settings field to fix.
 func Listen(field, addr string) (net.Listener, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -89,16 +89,16 @@
 	return ln, nil
 }
 
-// Serve runs app on ln and tells its end.
+// Serve runs app on ln and returns a channel that receives the error with which it ends.
 func Serve(app *fiber.App, ln net.Listener) <-chan error {
 	ch := make(chan error, 1)
 	go func() { ch <- app.Listener(ln) }()
 	return ch
 }
 
-// Incarnation is this run's number: later runs of a node have larger ones, as long
-// as the machine's date does not go back between them.
+// Incarnation returns the number of this run. Later runs of a node have larger numbers, provided
+// that the machine's clock is not set back between them.
 func Incarnation() uint64 { return uint64(time.Now().UnixMilli()) }
 
-// Fresh is a name that no other run has.
-func Fresh() string { return fmt.Sprintf("%x-%x", time.Now().UnixNano(), os.Getpid()) }
+// UniqueName returns a name that no other run has.
+func UniqueName() string { return fmt.Sprintf("%x-%x", time.Now().UnixNano(), os.Getpid()) }
--- a/internal/sim/chaos.go
+++ b/internal/sim/chaos.go
@@ -449,7 +449,7 @@
 	for i := range n {
 		a := stand.Asked{Edits: []spec.Edit{{Op: spec.PutService, Service: &spec.Service{Name: fmt.Sprintf("s%d", w.Rand(2))}}}}
 		if i%5 == 4 {
-			a.Bad, a.Edits = true, append(a.Edits, spec.Edit{Op: spec.DropBinding, Name: "none"})
+			a.Bad, a.Edits = true, append(a.Edits, spec.Edit{Op: spec.RemoveBinding, Name: "none"})
 		}
 		var base *uint64
 		if i%4 == 3 {
@@ -628,12 +628,12 @@
 		switch w.Draw("mover", 6) {
 		case 0:
 			a.Bad = true
-			a.Edits = append([]spec.Edit{{Op: spec.DropBinding, Name: "orders"}}, put(2, "nowhere")...)
+			a.Edits = append([]spec.Edit{{Op: spec.RemoveBinding, Name: "orders"}}, put(2, "nowhere")...)
 		case 1, 2:
 			// Bound or not, also where the other operator has rolled it back meanwhile:
 			// an order to unbind what is not bound is refused.
 			if gone = !gone; gone {
-				a.Edits = append(put(4, "records"), spec.Edit{Op: spec.DropBinding, Name: "notice"})
+				a.Edits = append(put(4, "records"), spec.Edit{Op: spec.RemoveBinding, Name: "notice"})
 			} else {
 				a.Edits = put(4, "records")
 			}
@@ -655,8 +655,8 @@
 			continue
 		}
 		n := w.controllerAny()
-		p, ok := speak(ctx, n, func(cx context.Context, m *controller.Controller) *queries.Picture {
-			p, err := m.Speaker.Asker.Picture(cx)
+		p, ok := speak(ctx, n, func(cx context.Context, m *controller.Controller) *queries.FullState {
+			p, err := m.Statements.Queries.FullState(cx)
 			return lo.Ternary(err == nil, &p, nil)
 		})
 		if !ok || p == nil {
@@ -686,7 +686,7 @@
 	if m == nil {
 		return []string{n.ID + " does not run"}
 	}
-	p, err := m.Speaker.Asker.Picture(ctx)
+	p, err := m.Statements.Queries.FullState(ctx)
 	if err != nil {
 		return []string{n.ID + ": " + err.Error()}
 	}
--- a/internal/sim/history_test.go
+++ b/internal/sim/history_test.go
@@ -88,7 +88,7 @@
 				o := op{key: fmt.Sprintf("test/%d", rnd.IntN(3)), cas: rnd.IntN(3) > 0}
 				o.from, o.to = seen[o.key], fmt.Sprintf("%d-%d", c, i)
 				call := time.Since(start)
-				r := attempt(up, m.Prop, o)
+				r := attempt(up, m.Proposer, o)
 				n.awake()
 				if up.Err() != nil {
 					r = res{unknown: true}
--- a/internal/sim/keys_test.go
+++ b/internal/sim/keys_test.go
@@ -38,7 +38,7 @@
 			defer losing(stand.Good)
 			for i := range 20 {
 				o := name + string(rune('a'+i))
-				if r := w.through("f1", o); r.Code == httpapi.Unknown && r.SentOn {
+				if r := w.through("f1", o); r.Code == httpapi.OutcomeUnknown && r.SentOn {
 					return o
 				}
 			}
@@ -68,7 +68,7 @@
 		all((*Node).Start)
 		for range 100 {
 			time.Sleep(20 * time.Millisecond)
-			if f := w.Node("f2").Gateway(); f.Tenant.Held() && f.Ready() {
+			if f := w.Node("f2").Gateway(); f.Membership.Held() && f.Ready() {
 				break
 			}
 		}
--- a/internal/sim/orders_test.go
+++ b/internal/sim/orders_test.go
@@ -53,7 +53,7 @@
 		back := make(chan commands.Result, 2)
 		for i, m := range []*Node{m1, m2} {
 			go func() {
-				r, _ := w.Order(ctx, m, commands.Order{Base: &one, Token: string('a' + rune(i)), Edits: service("s" + string('a'+rune(i)))})
+				r, _ := w.Order(ctx, m, commands.ChangeRequest{Base: &one, Token: string('a' + rune(i)), Edits: service("s" + string('a'+rune(i)))})
 				back <- r
 			}()
 		}
@@ -67,7 +67,7 @@
 		// Without a base both go through, one after the other.
 		for i, m := range []*Node{m1, m2} {
 			go func() {
-				r, _ := w.Order(ctx, m, commands.Order{Edits: service("t" + string('a'+rune(i)))})
+				r, _ := w.Order(ctx, m, commands.ChangeRequest{Edits: service("t" + string('a'+rune(i)))})
 				back <- r
 			}()
 		}
@@ -75,21 +75,21 @@
 			t.Errorf("%+v %+v", x, y)
 		}
 		// The same order again, through a controller that never saw it.
-		o := commands.Order{Token: "again", Edits: service("u")}
+		o := commands.ChangeRequest{Token: "again", Edits: service("u")}
 		first, _ := w.Order(ctx, m1, o)
 		again, _ := w.Order(ctx, m4, o)
-		if first.Version != 5 || again.Version != 5 || !again.Again || first.Again {
+		if first.Version != 5 || again.Version != 5 || !again.Duplicate || first.Duplicate {
 			t.Errorf("%+v, then %+v", first, again)
 		}
 		// Invalid and dry orders leave no trace.
-		bad, _ := w.Order(ctx, m2, commands.Order{Edits: append(service("v"), spec.Edit{Op: spec.DropBinding, Name: "none"})})
-		dry, _ := w.Order(ctx, m2, commands.Order{Dry: true, Edits: service("v")})
+		bad, _ := w.Order(ctx, m2, commands.ChangeRequest{Edits: append(service("v"), spec.Edit{Op: spec.RemoveBinding, Name: "none"})})
+		dry, _ := w.Order(ctx, m2, commands.ChangeRequest{DryRun: true, Edits: service("v")})
 		if bad.Outcome != commands.Invalid || len(bad.Problems) != 1 || dry.Outcome != commands.Valid {
 			t.Errorf("%+v %+v", bad, dry)
 		}
-		f, err := m4.Controller().Book.Refresh(ctx)
-		if err != nil || f.N != 5 {
-			t.Errorf("version %d, %v", f.N, err)
+		f, err := m4.Controller().Ledger.Refresh(ctx)
+		if err != nil || f.Version != 5 {
+			t.Errorf("version %d, %v", f.Version, err)
 		}
 		for _, s := range f.Sheet.Services {
 			if s.Name == "v" {
@@ -97,8 +97,8 @@
 			}
 		}
 		for _, n := range w.Of("gateway") {
-			if n.Gateway().Rack.N() != 5 {
-				t.Errorf("%s serves version %d", n.ID, n.Gateway().Rack.N())
+			if n.Gateway().Routes.N() != 5 {
+				t.Errorf("%s serves version %d", n.ID, n.Gateway().Routes.N())
 			}
 		}
 	})
@@ -117,12 +117,12 @@
 		m4 := w.Node("m4").Controller()
 		cx, end := context.WithTimeout(ctx, 4*time.Second)
 		defer end()
-		if r := m4.Changer.Change(cx, commands.Order{Edits: service("s")}); r.Outcome != commands.Unknown || !strings.Contains(r.Why, "waiting for f2") {
+		if r := m4.Changer.Apply(cx, commands.ChangeRequest{Edits: service("s")}); r.Outcome != commands.OutcomeUnknown || !strings.Contains(r.Reason, "waiting for f2") {
 			t.Errorf("%+v", r)
 		}
 		cx, end = context.WithTimeout(ctx, 2*time.Second)
 		defer end()
-		if _, err := m4.Speaker.Say(cx, "wait for 9"); err == nil {
+		if _, err := m4.Statements.Execute(cx, "wait for 9"); err == nil {
 			t.Error("a version that nobody decided is in force")
 		}
 	})
@@ -134,18 +134,18 @@
 	raised(t, func(ctx context.Context, w *World) {
 		f := w.Node("f2")
 		f.Kill()
-		if r, _ := w.Order(ctx, w.Node("m1"), commands.Order{Edits: service("late")}); r.Outcome != commands.InForce {
+		if r, _ := w.Order(ctx, w.Node("m1"), commands.ChangeRequest{Edits: service("late")}); r.Outcome != commands.InForce {
 			t.Fatalf("%+v", r)
 		}
 		f.Start()
 		for range 200 {
 			time.Sleep(10 * time.Millisecond)
-			if _, open := f.Gateway().Rack.Gate(); open {
+			if _, open := f.Gateway().Routes.Gate(); open {
 				break
 			}
 		}
-		if tab, open := f.Gateway().Rack.Gate(); !open || tab.N != 2 {
-			t.Errorf("two seconds after its restart: version %d, open %v", tab.N, open)
+		if tab, open := f.Gateway().Routes.Gate(); !open || tab.Version != 2 {
+			t.Errorf("two seconds after its restart: version %d, open %v", tab.Version, open)
 		}
 		time.Sleep(2 * time.Second) // it gets to know its targets
 		// With the core gone all gateways serve on; a gateway alone does not.
@@ -154,8 +154,8 @@
 		}
 		time.Sleep(3 * time.Second)
 		for _, n := range w.Of("gateway") {
-			if !n.Gateway().Ready() || !n.Gateway().Rack.Stranded() {
-				t.Errorf("%s: ready %v, stranded %v without the core", n.ID, n.Gateway().Ready(), n.Gateway().Rack.Stranded())
+			if !n.Gateway().Ready() || !n.Gateway().Routes.Stranded() {
+				t.Errorf("%s: ready %v, stranded %v without the core", n.ID, n.Gateway().Ready(), n.Gateway().Routes.Stranded())
 			}
 		}
 		for _, n := range w.Of("gateway") {
@@ -216,7 +216,7 @@
 			o = w.through("f3", fmt.Sprint("lost", i))
 		}
 		say := func(s string) string {
-			r, err := w.Node("m4").Controller().Speaker.Say(ctx, s)
+			r, err := w.Node("m4").Controller().Statements.Execute(ctx, s)
 			b, _ := json.Marshal(r)
 			return fmt.Sprint(string(b), err)
 		}
@@ -238,11 +238,11 @@
 	t.Parallel()
 	raisedAs(t, Shape{Zones: 4, Disks: 4, Controllers: 4, Gateways: 3, Targets: map[string]int{"orders": 2, "records": 2}}, func(ctx context.Context, w *World) {
 		say := func(s string) error {
-			_, err := w.Node("m2").Controller().Speaker.Say(ctx, s)
+			_, err := w.Node("m2").Controller().Statements.Execute(ctx, s)
 			return err
 		}
 		seat := func(id string) bool {
-			_, ok := w.Node("m2").Controller().Prop.Core().Seat(id)
+			_, ok := w.Node("m2").Controller().Proposer.Core().Seat(id)
 			return ok
 		}
 		var out, in string
@@ -266,17 +266,17 @@
 		}
 		time.Sleep(8 * time.Second)
 		if seat(out) || !seat(in) {
-			t.Errorf("%s still has its seat, or %s has none: %+v", out, in, w.Node("m2").Controller().Prop.Core())
+			t.Errorf("%s still has its seat, or %s has none: %+v", out, in, w.Node("m2").Controller().Proposer.Core())
 		}
 		w.Node(out).Kill()
-		if r, _ := w.Order(ctx, w.Node("m2"), commands.Order{Edits: service("after")}); r.Outcome != commands.InForce {
+		if r, _ := w.Order(ctx, w.Node("m2"), commands.ChangeRequest{Edits: service("after")}); r.Outcome != commands.InForce {
 			t.Errorf("without the machine that was swapped out: %+v", r)
 		}
 		// The machine comes back and stands by; the wish does not turn things round.
 		w.Node(out).Start()
 		time.Sleep(5 * time.Second)
 		if seat(out) || !seat(in) {
-			t.Errorf("the seat went back: %+v", w.Node("m2").Controller().Prop.Core())
+			t.Errorf("the seat went back: %+v", w.Node("m2").Controller().Proposer.Core())
 		}
 		f := w.Node("f2").Gateway()
 		if err := say("drain node f2"); err != nil || f.Ready() {
@@ -296,8 +296,8 @@
 		// core is the newest that a controller knows.
 		core := func() (core quorum.Core) {
 			for _, n := range w.Disks() {
-				if m := n.Controller(); m != nil && m.Prop.Core().Epoch > core.Epoch {
-					core = m.Prop.Core()
+				if m := n.Controller(); m != nil && m.Proposer.Core().Epoch > core.Epoch {
+					core = m.Proposer.Core()
 				}
 			}
 			return core
@@ -335,7 +335,7 @@
 		n := uint64(1)
 		order := func(k int) {
 			for range k {
-				r, _ := w.Order(ctx, w.Node("m1"), commands.Order{Edits: service(fmt.Sprint("s", n%5))})
+				r, _ := w.Order(ctx, w.Node("m1"), commands.ChangeRequest{Edits: service(fmt.Sprint("s", n%5))})
 				if n++; r.Outcome != commands.InForce || r.Version != n {
 					t.Fatalf("%+v, want version %d", r, n)
 				}
@@ -345,12 +345,12 @@
 		time.Sleep(30 * time.Second)
 		order(20)
 		time.Sleep(30 * time.Second)
-		cs, err := w.Node("m2").Controller().Book.Changes(ctx)
-		if err != nil || len(cs) == 0 || cs[0].N != 128 || cs[len(cs)-1].N != n {
-			t.Fatalf("%d changes, first %+v, %v", len(cs), cs[0].N, err)
+		cs, err := w.Node("m2").Controller().Ledger.Changes(ctx)
+		if err != nil || len(cs) == 0 || cs[0].Version != 128 || cs[len(cs)-1].Version != n {
+			t.Fatalf("%d changes, first %+v, %v", len(cs), cs[0].Version, err)
 		}
-		ns, err := w.Node("m2").Controller().Book.Notes(ctx, ledger.FlipPrefix)
-		if err != nil || len(ns) == 0 || ns[0].N < 128 {
+		ns, err := w.Node("m2").Controller().Ledger.Notes(ctx, ledger.ActivationPrefix)
+		if err != nil || len(ns) == 0 || ns[0].Version < 128 {
 			t.Errorf("%d notes of versions in force, %v", len(ns), err)
 		}
 		for _, m := range w.Of("controller") {
@@ -359,9 +359,9 @@
 		}
 		time.Sleep(3 * time.Second)
 		order(3)
-		f, err := w.Node("m3").Controller().Book.Refresh(ctx)
-		if err != nil || f.N != n || len(f.Sheet.Services) != 7 || len(f.Sheet.Bindings) != len(kinds) {
-			t.Errorf("folded anew: version %d with %d services, %v", f.N, len(f.Sheet.Services), err)
+		f, err := w.Node("m3").Controller().Ledger.Refresh(ctx)
+		if err != nil || f.Version != n || len(f.Sheet.Services) != 7 || len(f.Sheet.Bindings) != len(kinds) {
+			t.Errorf("folded anew: version %d with %d services, %v", f.Version, len(f.Sheet.Services), err)
 		}
 	})
 }
--- a/internal/sim/target.go
+++ b/internal/sim/target.go
@@ -158,7 +158,7 @@
 		n.awake()
 		cx, end := context.WithTimeout(up, 4*time.Second)
 		defer end()
-		x, err := m.Beater.Take(cx, b)
+		x, err := m.Heartbeats.Receive(cx, b)
 		n.awake()
 		if up.Err() == nil && t.w.Net.passes(n.ID, t.ID) {
 			ch <- back{x, err == nil}
--- a/internal/sim/world.go
+++ b/internal/sim/world.go
@@ -265,9 +265,9 @@
 	lg := n.w.log.With("node", n.ID)
 	var run func(context.Context)
 	if n.Kind == "controller" {
-		p := controller.Parts{Startup: startup.Controller{Node: s, Core: min(3, n.w.Shape.Disks)}, Inc: n.inc, Fresh: fmt.Sprintf("%s-%d", n.ID, n.inc),
-			Keep: n.w.Shape.Keep, Line: l, Clock: clock{n.Host}, Log: lg, Faults: n.Faults, WallMS: func() int64 { return time.Now().UnixMilli() },
-			OnBad: func(error) {
+		p := controller.Config{Startup: startup.Controller{Node: s, Core: min(3, n.w.Shape.Disks)}, Incarnation: n.inc, NewDiskID: fmt.Sprintf("%s-%d", n.ID, n.inc),
+			Retention: n.w.Shape.Keep, Transport: l, Clock: clock{n.Host}, Log: lg, Faults: n.Faults, WallMS: func() int64 { return time.Now().UnixMilli() },
+			OnDiskFailure: func(error) {
 				if ctx.Err() != nil {
 					return // it was killed: its disk was cut off with it
 				}
@@ -286,14 +286,14 @@
 		d.calm = false
 		n.controller, run = m, m.Run
 		n.Host.mu.Lock()
-		n.desk = m.Desk
+		n.desk = m.Mux
 		n.Host.mu.Unlock()
 	} else {
-		f := gateway.New(gateway.Parts{Startup: startup.Gateway{Node: s}, Inc: n.inc, Line: l, Clock: clock{n.Host}, Log: lg, Faults: n.Faults,
-			Courier: &courier{w: n.w, h: n.Host, run: ctx}})
+		f := gateway.New(gateway.Config{Startup: startup.Gateway{Node: s}, Incarnation: n.inc, Transport: l, Clock: clock{n.Host}, Log: lg, Faults: n.Faults,
+			TargetClient: &courier{w: n.w, h: n.Host, run: ctx}})
 		n.gateway, run = f, f.Run
 		n.Host.mu.Lock()
-		n.desk = f.Desk
+		n.desk = f.Mux
 		n.Host.mu.Unlock()
 	}
 	done := make(chan struct{})
@@ -347,8 +347,8 @@
 
 // linger and whole are the times of a planned stop, as the programs keep them.
 const (
-	linger = shell.Linger
-	whole  = shell.Whole
+	linger = shell.AcceptAfterStop
+	whole  = shell.StopDeadline
 )
 
 // Retire stops the process as planned; the platform kills it 6 s after its
@@ -363,17 +363,17 @@
 	case f != nil:
 		f.Stop()
 		time.Sleep(linger)
-		for f.Passage.Flying() > 0 && time.Since(from) < whole-200*time.Millisecond {
+		for f.Proxy.Flying() > 0 && time.Since(from) < whole-200*time.Millisecond {
 			time.Sleep(10 * time.Millisecond)
 		}
 		cx, end := context.WithTimeout(up, 300*time.Millisecond)
-		f.Part(cx)
+		f.Deregister(cx)
 		end()
 	case m != nil:
 		m.Stop()
 		time.Sleep(linger / 2)
 		cx, end := context.WithTimeout(up, 150*time.Millisecond)
-		m.Tenant.Leave(cx)
+		m.Membership.Leave(cx)
 		end()
 	}
 	n.awake()
@@ -420,8 +420,8 @@
 
 // Order sends an order to a controller, as an operator would over HTTP; ok is false
 // when no answer came.
-func (w *World) Order(ctx context.Context, n *Node, o commands.Order) (commands.Result, bool) {
-	return speak(ctx, n, func(cx context.Context, m *controller.Controller) commands.Result { return m.Changer.Change(cx, o) })
+func (w *World) Order(ctx context.Context, n *Node, o commands.ChangeRequest) (commands.Result, bool) {
+	return speak(ctx, n, func(cx context.Context, m *controller.Controller) commands.Result { return m.Changer.Apply(cx, o) })
 }
 
 // insist sends an order to any controller until it has a final result, and notes it.
@@ -434,12 +434,12 @@
 		ms := w.Of("controller")
 		n := ms[w.Draw(who, len(ms))]
 		if a.Back == 0 {
-			return w.Order(ctx, n, commands.Order{Token: a.Token, Base: base, Edits: a.Edits})
+			return w.Order(ctx, n, commands.ChangeRequest{Token: a.Token, Base: base, Edits: a.Edits})
 		}
 		return speak(ctx, n, func(cx context.Context, m *controller.Controller) commands.Result {
-			x, err := m.Speaker.Say(cx, fmt.Sprintf("roll back to %d token %s", a.Back, a.Token))
+			x, err := m.Statements.Execute(cx, fmt.Sprintf("roll back to %d token %s", a.Back, a.Token))
 			if err != nil {
-				return commands.Result{Outcome: commands.NoCore, Why: err.Error()}
+				return commands.Result{Outcome: commands.NoMajority, Reason: err.Error()}
 			}
 			return x.Data.(commands.Result)
 		})
@@ -449,7 +449,7 @@
 		w.tell("version %d in force: %s", r.Version, a.Token)
 		if w.Draw(who, 4) == 0 {
 			// An acknowledgement that never arrived: the same order once more.
-			if x, ok := send(); ok && x.Outcome == commands.InForce && !x.Again {
+			if x, ok := send(); ok && x.Outcome == commands.InForce && !x.Duplicate {
 				w.tell("order %s done twice", a.Token)
 				w.twice++
 			}
@@ -575,7 +575,7 @@
 		if up.Err() != nil {
 			return
 		}
-		t := f.Passage.Enter(up, client, key, &passage.Request{Method: k.Method, URI: k.Path, Host: "x", Header: [][2]string{{stand.OrderField, order}}})
+		t := f.Proxy.Enter(up, client, key, &passage.Request{Method: k.Method, URI: k.Path, Host: "x", Header: [][2]string{{stand.OrderField, order}}})
 		n.awake()
 		if up.Err() == nil {
 			ch <- t
@@ -593,8 +593,8 @@
 	}
 	if t.Out != nil {
 		o.Call = t.Call
-		o.Status, o.Code, o.Why, o.SentOn = t.Out.Status, t.Out.Code, t.Out.Why, t.Out.Sent
-		if t.Out.Retry > 0 {
+		o.Status, o.Code, o.Why, o.SentOn = t.Out.Status, t.Out.Code, t.Out.Reason, t.Out.Sent
+		if t.Out.RetryDelay > 0 {
 			o.Retry = t.Out.RetryAfter()
 		}
 		return o
--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -60,7 +60,7 @@
 		}
 	}
 	if newest.Epoch == 0 {
-		return s, steperr.At("join disks", "", ErrNoDisk)
+		return s, steperr.Wrap("join disks", "", ErrNoDisk)
 	}
 	s.Epoch, s.Need = newest.Epoch, newest.BlockingSize()
 	all := item.NewSet()
@@ -86,7 +86,7 @@
 	var b bytes.Buffer
 	b.WriteString(header)
 	if err := gob.NewEncoder(&b).Encode(s); err != nil {
-		return nil, steperr.At("encode snapshot", "", err)
+		return nil, steperr.Wrap("encode snapshot", "", err)
 	}
 	sum := sha256.Sum256(b.Bytes())
 	return append(b.Bytes(), sum[:]...), nil
@@ -114,11 +114,11 @@
 		return err
 	}
 	if _, err := os.Lstat(path); err == nil {
-		return steperr.At("write snapshot", path, os.ErrExist)
+		return steperr.Wrap("write snapshot", path, os.ErrExist)
 	}
 	f, err := os.CreateTemp(filepath.Dir(path), ".snapshot-*")
 	if err != nil {
-		return steperr.At("write snapshot", path, err)
+		return steperr.Wrap("write snapshot", path, err)
 	}
 	defer os.Remove(f.Name())
 	_, err = f.Write(b)
@@ -127,7 +127,7 @@
 		err = os.Link(f.Name(), path) // fails where another made the file meanwhile
 	}
 	if err != nil {
-		return steperr.At("write snapshot", path, err)
+		return steperr.Wrap("write snapshot", path, err)
 	}
 	return syncFolder(filepath.Dir(path))
 }
@@ -135,7 +135,7 @@
 func syncFolder(dir string) error {
 	d, err := os.Open(dir)
 	if err != nil {
-		return steperr.At("sync folder", dir, err)
+		return steperr.Wrap("sync folder", dir, err)
 	}
 	return errors.Join(d.Sync(), d.Close())
 }
@@ -144,11 +144,11 @@
 func Read(path string) (Snapshot, error) {
 	b, err := os.ReadFile(path)
 	if err != nil {
-		return Snapshot{}, steperr.At("read snapshot", path, err)
+		return Snapshot{}, steperr.Wrap("read snapshot", path, err)
 	}
 	s, err := decode(b)
 	if err != nil {
-		return s, steperr.At("read snapshot", path, err)
+		return s, steperr.Wrap("read snapshot", path, err)
 	}
 	return s, nil
 }
--- a/internal/spec/edit.go
+++ b/internal/spec/edit.go
@@ -5,16 +5,16 @@
 	"slices"
 )
 
-// The kinds of edit.
+// The operations of an edit.
 const (
-	PutService  = "put-service"
-	DropService = "remove-service"
-	PutBinding  = "put-binding"
-	DropBinding = "remove-binding"
-	Replace     = "replace"
+	PutService    = "put-service"
+	RemoveService = "remove-service"
+	PutBinding    = "put-binding"
+	RemoveBinding = "remove-binding"
+	Replace       = "replace"
 )
 
-// Edit is one part of a change to the sheet.
+// Edit is one edit of the sheet.
 type Edit struct {
 	Op      string   `json:"op"`
 	Name    string   `json:"name,omitempty"`
@@ -23,8 +23,8 @@
 	Sheet   *Sheet   `json:"sheet,omitempty"`
 }
 
-// Apply makes the sheet that edits turn s into, or lists why it may not be: the
-// change is taken whole or not at all (design 8.1).
+// Apply returns the sheet that results from applying edits to s, or the problems that prevent
+// it. A change is applied as a whole or not at all (design 8.1).
 func (s Sheet) Apply(edits []Edit) (Sheet, []Problem) {
 	out := s.Sorted()
 	var bad []Problem
@@ -40,12 +40,12 @@
 		case e.Op == PutBinding && e.Binding != nil:
 			out.Bindings = slices.DeleteFunc(out.Bindings, func(x Binding) bool { return x.Name == e.Binding.Name })
 			out.Bindings = append(out.Bindings, *e.Binding)
-		case e.Op == DropService:
+		case e.Op == RemoveService:
 			n := len(out.Services)
 			if out.Services = slices.DeleteFunc(out.Services, func(x Service) bool { return x.Name == e.Name }); len(out.Services) == n {
 				bad = append(bad, Problem{at + ".name", fmt.Sprintf("no service %q", e.Name)})
 			}
-		case e.Op == DropBinding:
+		case e.Op == RemoveBinding:
 			n := len(out.Bindings)
 			if out.Bindings = slices.DeleteFunc(out.Bindings, func(x Binding) bool { return x.Name == e.Name }); len(out.Bindings) == n {
 				bad = append(bad, Problem{at + ".name", fmt.Sprintf("no binding %q", e.Name)})
@@ -56,7 +56,7 @@
 			bad = append(bad, Problem{at, fmt.Sprintf("op %q unknown, or its content is missing", e.Op)})
 		}
 	}
-	// The caller's own order is checked, so that paths name what was written.
+	// Check before sorting, so that the problems' paths match the order that the caller wrote.
 	if bad = append(bad, out.Check()...); len(bad) > 0 {
 		return s, bad
 	}
--- a/internal/spec/edit_test.go
+++ b/internal/spec/edit_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-func good() Sheet {
+func validSheet() Sheet {
 	return Sheet{Services: []Service{{Name: "orders"}}, Bindings: []Binding{
 		{Name: "orders", Service: "orders", Methods: []string{"POST"}, Path: "/orders", ExpiryMS: 1000},
 		{Name: "below", Service: "orders", Methods: []string{"GET", "HEAD"}, Path: "/orders/*", ExpiryMS: 1000, Repeatable: true},
@@ -14,9 +14,9 @@
 }
 
 func TestApplyTakesAChangeWholeOrNotAtAll(t *testing.T) {
-	s := good().Sorted()
+	s := validSheet().Sorted()
 	bad := Binding{Name: "Bad Name", Service: "nowhere", Methods: []string{"FETCH"}, Path: "no-slash", ExpiryMS: 5}
-	out, ps := s.Apply([]Edit{{Op: PutService, Service: &Service{Name: "files"}}, {Op: PutBinding, Binding: &bad}, {Op: DropBinding, Name: "none"}, {Op: "invent"}})
+	out, ps := s.Apply([]Edit{{Op: PutService, Service: &Service{Name: "files"}}, {Op: PutBinding, Binding: &bad}, {Op: RemoveBinding, Name: "none"}, {Op: "invent"}})
 	if !reflect.DeepEqual(out, s) {
 		t.Errorf("an invalid change left its mark: %+v", out)
 	}
@@ -29,20 +29,20 @@
 			t.Errorf("no defect told at %s in:\n%s", want, all)
 		}
 	}
-	if _, ps := s.Apply([]Edit{{Op: DropService, Name: "orders"}}); len(ps) == 0 {
+	if _, ps := s.Apply([]Edit{{Op: RemoveService, Name: "orders"}}); len(ps) == 0 {
 		t.Error("a service that bindings need was removed")
 	}
-	out, ps = s.Apply([]Edit{{Op: PutService, Service: &Service{Name: "files"}}, {Op: DropBinding, Name: "below"}})
+	out, ps = s.Apply([]Edit{{Op: PutService, Service: &Service{Name: "files"}}, {Op: RemoveBinding, Name: "below"}})
 	if len(ps) > 0 || len(out.Services) != 2 || len(out.Bindings) != 1 || len(s.Bindings) != 2 {
 		t.Errorf("%v %+v", ps, out)
 	}
 }
 
 func TestCheckFindsWhatTagsCannotSay(t *testing.T) {
-	s := good()
+	s := validSheet()
 	s.Services = append(s.Services, Service{Name: "orders"})
 	s.Bindings = append(s.Bindings, Binding{Name: "twin", Service: "orders", Methods: []string{"POST"}, Path: "/orders", ExpiryMS: 1000},
-		Binding{Name: "mine", Service: "orders", Methods: []string{"GET"}, Path: Reserved + "/x", ExpiryMS: 1000})
+		Binding{Name: "mine", Service: "orders", Methods: []string{"GET"}, Path: ReservedPath + "/x", ExpiryMS: 1000})
 	all := ""
 	for _, p := range s.Check() {
 		all += p.String() + "\n"
@@ -55,7 +55,7 @@
 }
 
 func TestTableFinds(t *testing.T) {
-	tb := NewTable(3, good().Sorted())
+	tb := NewTable(3, validSheet().Sorted())
 	for _, c := range []struct {
 		method, path, name string
 		m                  Match
--- a/internal/spec/table.go
+++ b/internal/spec/table.go
@@ -7,18 +7,18 @@
 	"time"
 )
 
-// Match says what a table found for a request.
+// Match is the outcome of looking up a request in a Table.
 type Match int
 
-// What a look-up can find.
+// The outcomes of a lookup.
 const (
 	Found Match = iota
 	NoPath
 	NoMethod
 )
 
-// Bound is one binding in a table, names turned to dense indices (design 8.5).
-type Bound struct {
+// CompiledBinding is a binding in a Table, with names replaced by dense indices (design 8.5).
+type CompiledBinding struct {
 	Index      int
 	Name       string
 	Service    int
@@ -28,70 +28,70 @@
 	methods    []string
 }
 
-// Table is a sheet made ready for the request path. It is never changed.
+// Table is a sheet compiled for routing requests. It is immutable.
 type Table struct {
-	N        uint64
-	Sheet    Sheet
-	Services []Service
-	byName   map[string]int
-	kinds    []int // bindings of each service
-	exact    map[string][]int
-	below    []prefix // longest first
-	Bound    []Bound
+	Version       uint64
+	Sheet         Sheet
+	Services      []Service
+	byName        map[string]int
+	bindingCounts []int // by service index
+	exact         map[string][]int
+	prefixes      []prefix // longest first
+	Bindings      []CompiledBinding
 }
 
 type prefix struct {
-	p  string
-	at []int
+	path     string
+	bindings []int
 }
 
 // NewTable compiles version n of the sheet.
 func NewTable(n uint64, s Sheet) *Table {
-	t := &Table{N: n, Sheet: s, Services: s.Services, byName: map[string]int{}, exact: map[string][]int{}}
+	t := &Table{Version: n, Sheet: s, Services: s.Services, byName: map[string]int{}, exact: map[string][]int{}}
 	for i, v := range s.Services {
 		t.byName[v.Name] = i
 	}
-	t.kinds = make([]int, len(s.Services))
-	pre := map[string][]int{}
+	t.bindingCounts = make([]int, len(s.Services))
+	byPrefix := map[string][]int{}
 	for i, b := range s.Bindings {
 		m := b.MaxBody
 		if m == 0 {
 			m = 1 << 20
 		}
-		t.Bound = append(t.Bound, Bound{Index: i, Name: b.Name, Service: t.byName[b.Service],
+		t.Bindings = append(t.Bindings, CompiledBinding{Index: i, Name: b.Name, Service: t.byName[b.Service],
 			Expiry: time.Duration(b.ExpiryMS) * time.Millisecond, Repeatable: b.Repeatable, MaxBody: m, methods: b.Methods})
-		t.kinds[t.byName[b.Service]]++
+		t.bindingCounts[t.byName[b.Service]]++
 		if p, ok := strings.CutSuffix(b.Path, "*"); ok {
-			pre[p] = append(pre[p], i)
+			byPrefix[p] = append(byPrefix[p], i)
 		} else {
 			t.exact[b.Path] = append(t.exact[b.Path], i)
 		}
 	}
-	for p, at := range pre {
-		t.below = append(t.below, prefix{p, at})
+	for p, at := range byPrefix {
+		t.prefixes = append(t.prefixes, prefix{p, at})
 	}
-	slices.SortFunc(t.below, func(a, b prefix) int { return cmp.Compare(len(b.p), len(a.p)) })
+	slices.SortFunc(t.prefixes, func(a, b prefix) int { return cmp.Compare(len(b.path), len(a.path)) })
 	return t
 }
 
-// ServiceIndex is the dense index of a service.
+// ServiceIndex returns the dense index of a service.
 func (t *Table) ServiceIndex(name string) (int, bool) {
 	i, ok := t.byName[name]
 	return i, ok
 }
 
-// Kinds is how many bindings a service has, by its index.
-func (t *Table) Kinds(service int) int { return t.kinds[service] }
+// BindingCount returns the number of bindings of a service, given by its index.
+func (t *Table) BindingCount(service int) int { return t.bindingCounts[service] }
 
-// Find looks a request up: the exact path first, then the longest prefix that
-// takes the method.
-func (t *Table) Find(method, path string) (*Bound, Match) {
+// Find looks up a request: the exact path first, then the longest prefix that accepts the
+// method.
+func (t *Table) Find(method, path string) (*CompiledBinding, Match) {
 	seen := false
-	pick := func(at []int) *Bound {
+	pick := func(at []int) *CompiledBinding {
 		for _, i := range at {
 			seen = true
-			if slices.Contains(t.Bound[i].methods, method) {
-				return &t.Bound[i]
+			if slices.Contains(t.Bindings[i].methods, method) {
+				return &t.Bindings[i]
 			}
 		}
 		return nil
@@ -99,9 +99,9 @@
 	if b := pick(t.exact[path]); b != nil {
 		return b, Found
 	}
-	for _, x := range t.below {
-		if strings.HasPrefix(path, x.p) {
-			if b := pick(x.at); b != nil {
+	for _, x := range t.prefixes {
+		if strings.HasPrefix(path, x.path) {
+			if b := pick(x.bindings); b != nil {
 				return b, Found
 			}
 		}
@@ -112,18 +112,18 @@
 	return nil, NoPath
 }
 
-// Allows lists the methods taken at path, for an answer that refuses one.
-func (t *Table) Allows(path string) []string {
+// AllowedMethods lists the methods accepted at path, for the Allow header of a rejection.
+func (t *Table) AllowedMethods(path string) []string {
 	var out []string
 	add := func(at []int) {
 		for _, i := range at {
-			out = append(out, t.Bound[i].methods...)
+			out = append(out, t.Bindings[i].methods...)
 		}
 	}
 	add(t.exact[path])
-	for _, x := range t.below {
-		if strings.HasPrefix(path, x.p) {
-			add(x.at)
+	for _, x := range t.prefixes {
+		if strings.HasPrefix(path, x.path) {
+			add(x.bindings)
 		}
 	}
 	slices.Sort(out)
--- a/internal/startup/startup.go
+++ b/internal/startup/startup.go
@@ -1,5 +1,5 @@
-// Package startup reads what a process is told at its start: a settings file,
-// and flags that go before it (design 14).
+// Package startup reads a process's settings from a file and from flags, which take precedence
+// (design 14).
 package startup
 
 import (
@@ -24,7 +24,7 @@
 // Version is the program's version.
 var Version = "0.1.0"
 
-// Node is what both programs are told.
+// Node holds the settings common to both programs.
 type Node struct {
 	Startup string   `arg:"--startup,-s" yaml:"-" help:"settings file, YAML or JSON; flags go before it"`
 	ID      string   `arg:"--id" yaml:"id" validate:"required,max=64,name" help:"this node's name, unlike any other's"`
@@ -36,48 +36,48 @@
 	Level   string   `arg:"--level" yaml:"level" validate:"omitempty,oneof=debug info warn error" help:"least level logged [default: info]"`
 }
 
-// Own is the address at which this process itself listens for the other nodes.
-func (n Node) Own() string {
+// ListenAddr returns the address at which this process listens for the other nodes.
+func (n Node) ListenAddr() string {
 	if n.Bind != "" {
 		return n.Bind
 	}
 	return n.Inner
 }
 
-// Gateway is what the data plane is told.
+// Gateway holds the settings of a data-plane node.
 type Gateway struct {
 	Node `yaml:",inline"`
 	Map  string `arg:"--map" yaml:"map" help:"GraphViz or GeoJSON file that tells how far zones are apart"`
-	// Chart is what the map says.
-	Chart *topology.Chart `arg:"-" yaml:"-"`
+	// Chart holds the distances read from the file Map.
+	Chart *topology.Distances `arg:"-" yaml:"-"`
 }
 
-// Version tells the version for --version.
+// Version returns the text printed for --version.
 func (Gateway) Version() string { return "gateway " + Version }
 
-// Description heads the help.
+// Description returns the head of the help text.
 func (Gateway) Description() string {
 	return "gateway takes callers' requests and passes them to targets."
 }
 
-// Controller is what the control plane is told.
+// Controller holds the settings of a control-plane node.
 type Controller struct {
 	Node `yaml:",inline"`
 	Data string `arg:"--data" yaml:"data" help:"folder on a disk that lasts; without it this controller does not vote"`
 	Core int    `arg:"--core" yaml:"core" validate:"omitempty,oneof=1 3 5" help:"voters of a first core, the same on every controller [default: 3]"`
 }
 
-// Version tells the version for --version.
+// Version returns the text printed for --version.
 func (Controller) Version() string { return "controller " + Version }
 
-// Description heads the help.
+// Description returns the head of the help text.
 func (Controller) Description() string {
 	return "controller keeps the shared state, watches targets and brings changes into force."
 }
 
-var check = newCheck()
+var structValidator = newValidator()
 
-func newCheck() *validator.Validate {
+func newValidator() *validator.Validate {
 	v := validator.New(validator.WithRequiredStructEnabled())
 	v.RegisterTagNameFunc(func(f reflect.StructField) string { return strings.Split(f.Tag.Get("yaml"), ",")[0] })
 	for n, f := range map[string]validator.Func{
@@ -104,11 +104,11 @@
 	return err == nil && n > 0 && strings.Trim(p, "0123456789") == ""
 }
 
-// ErrShown says that help or version was printed and nothing is to be run.
-var ErrShown = errors.New("shown")
+// ErrHelpShown means that help or version was printed and nothing is to be run.
+var ErrHelpShown = errors.New("shown")
 
-// Read fills dest, a pointer to Gateway or Controller, from args and the settings file
-// they name. What is wrong is told with the field's name.
+// Read fills dest, a pointer to Gateway or Controller, from args and the settings file that
+// they name. Errors name the faulty field.
 func Read(dest any, name string, args []string, out io.Writer) error {
 	p, err := arg.NewParser(arg.Config{Program: name}, dest)
 	if err != nil {
@@ -119,11 +119,11 @@
 	}
 	n := NodeOf(dest)
 	if n.Startup != "" {
-		if err := file(n.Startup, dest); err != nil {
+		if err := readFile(n.Startup, dest); err != nil {
 			return err
 		}
-		// Flags go before the file: they are read again on top of it. A list is
-		// replaced, not added to.
+		// Flags take precedence over the file, so they are parsed again after it. A list
+		// given by flags replaces that of the file.
 		seeds := n.Seeds
 		if lo.SomeBy(args, func(a string) bool { return strings.HasPrefix(a, "--seed") }) {
 			n.Seeds = nil
@@ -141,7 +141,7 @@
 	if m, ok := dest.(*Controller); ok && m.Core == 0 {
 		m.Core = 3
 	}
-	return verify(dest)
+	return validate(dest)
 }
 
 func parse(p *arg.Parser, dest any, args []string, out io.Writer) error {
@@ -149,17 +149,17 @@
 	switch {
 	case errors.Is(err, arg.ErrHelp):
 		p.WriteHelp(out)
-		return ErrShown
+		return ErrHelpShown
 	case errors.Is(err, arg.ErrVersion):
 		if v, ok := dest.(arg.Versioned); ok {
 			_, _ = fmt.Fprintln(out, v.Version())
 		}
-		return ErrShown
+		return ErrHelpShown
 	}
 	return err
 }
 
-// NodeOf is the part of dest that both programs have.
+// NodeOf returns the settings of dest that are common to both programs.
 func NodeOf(dest any) *Node {
 	switch d := dest.(type) {
 	case *Gateway:
@@ -167,10 +167,10 @@
 	case *Controller:
 		return &d.Node
 	}
-	panic("startup of an unknown program")
+	panic("settings of an unknown program")
 }
 
-func file(path string, dest any) error {
+func readFile(path string, dest any) error {
 	f, err := os.Open(path)
 	if err != nil {
 		return fmt.Errorf("startup file: %w", err)
@@ -183,14 +183,14 @@
 	return nil
 }
 
-// verify checks dest's tags, and what tags cannot say.
-func verify(dest any) error {
-	if err := check.Struct(dest); err != nil {
+// validate checks dest against its tags, and the rules that tags cannot express.
+func validate(dest any) error {
+	if err := structValidator.Struct(dest); err != nil {
 		var fs validator.ValidationErrors
 		if !errors.As(err, &fs) {
 			return err
 		}
-		return errors.New(strings.Join(lo.Map(fs, func(f validator.FieldError, _ int) string { return told(f) }), "; "))
+		return errors.New(strings.Join(lo.Map(fs, func(f validator.FieldError, _ int) string { return describe(f) }), "; "))
 	}
 	n := NodeOf(dest)
 	if n.Inner == n.Door || n.Bind == n.Door {
@@ -215,21 +215,21 @@
 	return nil
 }
 
-func told(f validator.FieldError) string {
-	switch f.Tag() {
+func describe(fieldErr validator.FieldError) string {
+	switch fieldErr.Tag() {
 	case "required":
-		return f.Field() + ": is missing"
+		return fieldErr.Field() + ": is missing"
 	case "ipport":
-		return fmt.Sprintf("%s: %q is not IP:port", f.Field(), f.Value())
+		return fmt.Sprintf("%s: %q is not IP:port", fieldErr.Field(), fieldErr.Value())
 	case "name":
-		return fmt.Sprintf("%s: %q may hold letters, digits, . _ and - only", f.Field(), f.Value())
+		return fmt.Sprintf("%s: %q may hold letters, digits, . _ and - only", fieldErr.Field(), fieldErr.Value())
 	case "oneof":
-		return fmt.Sprintf("%s: %v is none of %s", f.Field(), f.Value(), f.Param())
+		return fmt.Sprintf("%s: %v is none of %s", fieldErr.Field(), fieldErr.Value(), fieldErr.Param())
 	}
-	return fmt.Sprintf("%s: %v breaks %s %s", f.Field(), f.Value(), f.Tag(), f.Param())
+	return fmt.Sprintf("%s: %v breaks %s %s", fieldErr.Field(), fieldErr.Value(), fieldErr.Tag(), fieldErr.Param())
 }
 
-// Logger writes JSON lines to w.
+// Logger returns a logger that writes JSON lines to w.
 func Logger(w io.Writer, n Node, program string) *log.Logger {
 	lv, err := log.ParseLevel(n.Level)
 	if err != nil {
--- a/internal/startup/startup_test.go
+++ b/internal/startup/startup_test.go
@@ -9,9 +9,9 @@
 	"testing"
 )
 
-var fine = []string{"--id", "m1", "--zone", "z1", "--inner", "127.0.0.1:1", "--door", "127.0.0.1:2", "--seed", "127.0.0.1:1"}
+var validArgs = []string{"--id", "m1", "--zone", "z1", "--inner", "127.0.0.1:1", "--door", "127.0.0.1:2", "--seed", "127.0.0.1:1"}
 
-func write(t *testing.T, s string) string {
+func writeSettings(t *testing.T, s string) string {
 	t.Helper()
 	p := filepath.Join(t.TempDir(), "s.yaml")
 	if err := os.WriteFile(p, []byte(s), 0o600); err != nil {
@@ -23,18 +23,18 @@
 func TestReadNamesWhatIsWrong(t *testing.T) {
 	for want, args := range map[string][]string{
 		"id: is missing":                   nil,
-		"inner: \"host:1\" is not IP:port": append(fine[:4:4], "--inner", "host:1", "--door", "127.0.0.1:2", "--seed", "127.0.0.1:1"),
-		"seeds[0]":                         append(fine[:8:8], "--seed", "127.0.0.1:99999"),
-		"data: stat":                       append(fine[:10:10], "--data", "/nowhere/at/all"),
-		"is no folder":                     append(fine[:10:10], "--data", os.Args[0]),
-		"core: 2":                          append(fine[:10:10], "--core", "2"),
-		"level: loud":                      append(fine[:10:10], "--level", "loud"),
+		"inner: \"host:1\" is not IP:port": append(validArgs[:4:4], "--inner", "host:1", "--door", "127.0.0.1:2", "--seed", "127.0.0.1:1"),
+		"seeds[0]":                         append(validArgs[:8:8], "--seed", "127.0.0.1:99999"),
+		"data: stat":                       append(validArgs[:10:10], "--data", "/nowhere/at/all"),
+		"is no folder":                     append(validArgs[:10:10], "--data", os.Args[0]),
+		"core: 2":                          append(validArgs[:10:10], "--core", "2"),
+		"level: loud":                      append(validArgs[:10:10], "--level", "loud"),
 		"unknown argument --what":          {"--what"},
 		"startup file":                     {"--startup", "/nowhere.yaml"},
-		"unknown field":                    {"--startup", write(t, "zonk: 1\n")},
-		"cannot unmarshal":                 {"--startup", write(t, "core: [1]\n")},
-		"bind: \"here\" is not IP:port":    append(fine[:10:10], "--bind", "here"),
-		"door: 127.0.0.1:1 is also":        append(fine[:6:6], "--door", "127.0.0.1:1", "--seed", "127.0.0.1:1"),
+		"unknown field":                    {"--startup", writeSettings(t, "zonk: 1\n")},
+		"cannot unmarshal":                 {"--startup", writeSettings(t, "core: [1]\n")},
+		"bind: \"here\" is not IP:port":    append(validArgs[:10:10], "--bind", "here"),
+		"door: 127.0.0.1:1 is also":        append(validArgs[:6:6], "--door", "127.0.0.1:1", "--seed", "127.0.0.1:1"),
 	} {
 		var m Controller
 		err := Read(&m, "controller", args, &bytes.Buffer{})
@@ -51,10 +51,10 @@
 		t.Fatal(err)
 	}
 	var f Gateway
-	if err := Read(&f, "gateway", append(args, p), &bytes.Buffer{}); err != nil || f.Chart.Far("z1", "z3") != 3 {
+	if err := Read(&f, "gateway", append(args, p), &bytes.Buffer{}); err != nil || f.Chart.RelativeDistance("z1", "z3") != 3 {
 		t.Errorf("%v %v", err, f.Chart)
 	}
-	for _, bad := range []string{"/nowhere.dot", write(t, "x: 1\n")} {
+	for _, bad := range []string{"/nowhere.dot", writeSettings(t, "x: 1\n")} {
 		if err := Read(&Gateway{}, "gateway", append(args, bad), &bytes.Buffer{}); err == nil || !strings.Contains(err.Error(), "map: ") {
 			t.Errorf("%s: %v", bad, err)
 		}
@@ -62,7 +62,7 @@
 }
 
 func TestFlagsGoBeforeTheFile(t *testing.T) {
-	p := write(t, "id: m1\nzone: z1\ninner: 127.0.0.1:1\ndoor: 127.0.0.1:2\nseeds: [\"127.0.0.1:1\", \"127.0.0.1:3\"]\nlevel: warn\n")
+	p := writeSettings(t, "id: m1\nzone: z1\ninner: 127.0.0.1:1\ndoor: 127.0.0.1:2\nseeds: [\"127.0.0.1:1\", \"127.0.0.1:3\"]\nlevel: warn\n")
 	var m Controller
 	if err := Read(&m, "controller", []string{"--startup", p, "--zone", "z9"}, &bytes.Buffer{}); err != nil {
 		t.Fatal(err)
@@ -79,7 +79,7 @@
 func TestHelpAndVersionRunNothing(t *testing.T) {
 	for _, a := range []string{"--help", "--version"} {
 		var out bytes.Buffer
-		if err := Read(&Gateway{}, "gateway", []string{a}, &out); !errors.Is(err, ErrShown) || !strings.Contains(out.String(), "gateway") {
+		if err := Read(&Gateway{}, "gateway", []string{a}, &out); !errors.Is(err, ErrHelpShown) || !strings.Contains(out.String(), "gateway") {
 			t.Errorf("%s: %v %q", a, err, out.String())
 		}
 	}
--- a/internal/statement/grammar.go
+++ b/internal/statement/grammar.go
@@ -1,5 +1,8 @@
-// Package statement is the small language of queries and commands, spoken over HTTP
-// or with `controller say` (design 16).
+// Package statement implements the small language of queries and commands that operators
+// send over HTTP or with `controller say` (design 16).
+//
+// The parser names the struct types of the grammar in its error messages; describe
+// replaces some of these by the words that are expected.
 package statement
 
 import (
@@ -10,8 +13,8 @@
 	"github.com/alecthomas/participle/v2/lexer"
 )
 
-// Saying is one query or command.
-type Saying struct {
+// Statement is a query or command.
+type Statement struct {
 	Show    *Show   `parser:"'show' @@"`
 	Why     *Why    `parser:"| 'why' @@"`
 	History *string `parser:"| 'history' 'of' 'binding' @(Word|String)"`
@@ -25,7 +28,7 @@
 	Help    bool    `parser:"| @'help'"`
 }
 
-// Show is a query that lists something.
+// Show is a query that lists objects.
 type Show struct {
 	Nodes    bool     `parser:"@'nodes'"`
 	Targets  *Targets `parser:"| 'targets' @@"`
@@ -38,57 +41,57 @@
 	Core     bool     `parser:"| @'core'"`
 }
 
-// Targets may name a service.
+// Targets selects the targets of one service, or all.
 type Targets struct {
-	Of string `parser:"('of' @(Word|String))?"`
+	Service string `parser:"('of' @(Word|String))?"`
 }
 
-// Ledger may limit how much is shown.
+// Ledger limits the number of decisions shown.
 type Ledger struct {
 	Last int `parser:"('last' @Number)?"`
 }
 
-// Which names a change by version or token.
+// Which identifies a change by version or token.
 type Which struct {
-	N     uint64 `parser:"@Number"`
-	Token string `parser:"| 'token' @(Word|String)"`
+	Version uint64 `parser:"@Number"`
+	Token   string `parser:"| 'token' @(Word|String)"`
 }
 
-// Version may name an earlier sheet.
+// Version selects an earlier version of the sheet; 0 is the latest.
 type Version struct {
-	N uint64 `parser:"('at' @Number)?"`
+	Number uint64 `parser:"('at' @Number)?"`
 }
 
-// Why asks for the reasons of something.
+// Why asks for an explanation of a target's state or of a call.
 type Why struct {
 	Target *Target `parser:"'target' @@"`
 	Call   *string `parser:"| 'call' @(Word|String)"`
 }
 
-// Drain names what gets no new work.
+// Drain names the target or node that is to get no new requests.
 type Drain struct {
 	Target *Target `parser:"'target' @@"`
 	Node   *string `parser:"| 'node' @(Word|String)"`
 }
 
-// Swap names the voter that gives its seat up and the disk node that takes it.
+// Swap names the voter that gives up its seat and the disk node that takes it.
 type Swap struct {
 	Out string `parser:"@(Word|String)"`
 	In  string `parser:"'for' @(Word|String)"`
 }
 
-// Target names a target as service/id.
+// Target identifies a target as service/id.
 type Target struct {
 	Name string `parser:"@(Word|String)"`
 }
 
-// Diff names two versions.
+// Diff names the two versions to compare.
 type Diff struct {
-	A uint64 `parser:"@Number"`
-	B uint64 `parser:"@Number"`
+	From uint64 `parser:"@Number"`
+	To   uint64 `parser:"@Number"`
 }
 
-// Order is a change of the sheet; "check" only looks whether it may be made.
+// Order is a change of the route sheet; with "check" it is only validated.
 type Order struct {
 	Check bool    `parser:"@'check'?"`
 	Edits []*Edit `parser:"@@ ('and' @@)*"`
@@ -98,14 +101,14 @@
 	Note  string  `parser:"('note' @String)?"`
 }
 
-// Edit is one part of an order.
+// Edit is one edit of an order.
 type Edit struct {
 	Put      *Put    `parser:"'put' @@"`
 	Remove   *Remove `parser:"| 'remove' @@"`
 	RollBack *uint64 `parser:"| 'roll' 'back' 'to' @Number"`
 }
 
-// Put adds or replaces.
+// Put adds or replaces a service or binding.
 type Put struct {
 	Service *PutService `parser:"'service' @@"`
 	Binding *PutBinding `parser:"| 'binding' @@"`
@@ -130,13 +133,13 @@
 	Note       string   `parser:"('about' @String)?"`
 }
 
-// Remove takes away.
+// Remove removes a service or binding.
 type Remove struct {
 	Service *string `parser:"'service' @(Word|String)"`
 	Binding *string `parser:"| 'binding' @(Word|String)"`
 }
 
-var words = lexer.MustSimple([]lexer.SimpleRule{
+var tokens = lexer.MustSimple([]lexer.SimpleRule{
 	{Name: "String", Pattern: `"[^"]*"`},
 	{Name: "Number", Pattern: `[0-9]+(\.[0-9]+)?\b`},
 	{Name: "Path", Pattern: `/[^\s,"]*`},
@@ -145,16 +148,15 @@
 	{Name: "Space", Pattern: `\s+`},
 })
 
-var parser = participle.MustBuild[Saying](participle.Lexer(words), participle.Elide("Space"), participle.Unquote("String"), participle.UseLookahead(3))
+var parser = participle.MustBuild[Statement](participle.Lexer(tokens), participle.Elide("Space"), participle.Unquote("String"), participle.UseLookahead(3))
 
-// MaxSaying bounds a saying in bytes.
-const MaxSaying = 64 << 10
+// MaxBytes bounds the size of a statement.
+const MaxBytes = 64 << 10
 
-// Parse reads a saying. What is wrong is told with its position and with what was
-// expected there.
-func Parse(s string) (*Saying, error) {
-	if len(s) > MaxSaying {
-		return nil, fmt.Errorf("longer than %d bytes", MaxSaying)
+// Parse parses a statement. Errors give the position and what was expected there.
+func Parse(s string) (*Statement, error) {
+	if len(s) > MaxBytes {
+		return nil, fmt.Errorf("longer than %d bytes", MaxBytes)
 	}
 	if strings.TrimSpace(s) == "" {
 		return nil, fmt.Errorf("1:1: nothing was said; try: help")
@@ -163,20 +165,20 @@
 	if err != nil {
 		if p, ok := err.(participle.Error); ok {
 			at := p.Position()
-			return nil, fmt.Errorf("%d:%d: %s", at.Line, at.Column, plain(p))
+			return nil, fmt.Errorf("%d:%d: %s", at.Line, at.Column, describe(p))
 		}
 		return nil, err
 	}
 	return x, nil
 }
 
-// parts says what the grammar's parts begin with.
-var parts = strings.NewReplacer("Put", `"service" or "binding"`, "Remove", `"service" or "binding"`, "Show", `"nodes", "targets", "services", "bindings", "core", "sheet", "change", "ledger" or "picture"`,
+// expectations maps grammar type names to the keywords that such a part starts with.
+var expectations = strings.NewReplacer("Put", `"service" or "binding"`, "Remove", `"service" or "binding"`, "Show", `"nodes", "targets", "services", "bindings", "core", "sheet", "change", "ledger" or "picture"`,
 	"Why", `"target" or "call"`, "Drain", `"target" or "node"`, "Which", `<number> or "token"`, "Edit", `"put", "remove" or "roll back"`,
 	"(<word> | <string>)", "<name>")
 
-// plain says an error in words that can be typed.
-func plain(p participle.Error) string {
+// describe rewrites a parser error in terms of what the operator can type.
+func describe(p participle.Error) string {
 	m := strings.ReplaceAll(p.Message(), `token "<EOF>"`, "end")
 	i := strings.Index(m, " (expected ")
 	if i < 0 {
@@ -187,13 +189,13 @@
 	case p.Position().Offset == 0:
 		want = "a query or a command; try: help"
 	case strings.HasPrefix(want, "Edit"):
-		// What may follow an edit is not what is missing here.
+		// The parser also lists what may follow an edit; only the missing edit matters.
 		want = "Edit"
 	}
-	return m[:i] + ", expected " + parts.Replace(want)
+	return m[:i] + ", expected " + expectations.Replace(want)
 }
 
-// Help lists what can be said.
+// Help lists the statements.
 const Help = `queries:
   show nodes | targets [of SERVICE] | services | bindings | core
   show sheet [at VERSION]
--- a/internal/statement/speaker.go
+++ b/internal/statement/speaker.go
@@ -18,67 +18,67 @@
 	"walkrudder/internal/spec"
 )
 
-// Speaker answers sayings at one controller.
-type Speaker struct {
-	Asker   *queries.Asker
-	Changer *commands.Changer
-	Drainer *commands.Drainer
-	Warden  *commands.Warden
-	Book    *ledger.Book
-	Settle  func(ctx context.Context, n uint64) (uint64, error)
+// Executor executes statements on one controller.
+type Executor struct {
+	Queries     *queries.Reader
+	Changer     *commands.Changer
+	Drainer     *commands.Drainer
+	Supervisor  *commands.Supervisor
+	Ledger      *ledger.Ledger
+	WaitInForce func(ctx context.Context, n uint64) (uint64, error)
 }
 
-// Reply is the answer to a saying: Kind says what Data holds.
+// Reply is the answer to a statement. Kind tells what Data holds.
 type Reply struct {
 	Kind string `json:"kind"`
 	Data any    `json:"data"`
 }
 
-// ErrSaid marks what is wrong with the saying itself.
-var ErrSaid = errors.New("not understood")
+// ErrInvalid marks errors in the statement itself.
+var ErrInvalid = errors.New("not understood")
 
-// Say answers one saying. Nothing changes unless the whole of it was understood.
-func (s *Speaker) Say(ctx context.Context, text string) (Reply, error) {
+// Execute executes one statement. Nothing is changed unless the whole statement is valid.
+func (s *Executor) Execute(ctx context.Context, text string) (Reply, error) {
 	x, err := Parse(text)
 	if err != nil {
-		return Reply{}, errors.Join(ErrSaid, err)
+		return Reply{}, errors.Join(ErrInvalid, err)
 	}
 	switch {
 	case x.Show != nil:
 		return s.show(ctx, x.Show)
 	case x.Why != nil && x.Why.Call != nil:
-		d, err := s.Asker.WhyCall(ctx, *x.Why.Call)
+		d, err := s.Queries.ExplainCall(ctx, *x.Why.Call)
 		return Reply{"call", d}, err
 	case x.Why != nil:
 		svc, id, err := x.Why.Target.split()
 		if err != nil {
 			return Reply{}, err
 		}
-		return reply("why", s.Asker.WhyTarget)(ctx, svc, id)
+		return reply("why", s.Queries.ExplainTarget)(ctx, svc, id)
 	case x.History != nil:
-		d, err := s.Asker.History(ctx, *x.History)
+		d, err := s.Queries.History(ctx, *x.History)
 		return Reply{"history", d}, err
 	case x.Diff != nil:
-		d, err := s.Asker.Diff(ctx, x.Diff.A, x.Diff.B)
+		d, err := s.Queries.Diff(ctx, x.Diff.From, x.Diff.To)
 		return Reply{"diff", d}, err
 	case x.Wait != nil:
-		n, err := s.Settle(ctx, *x.Wait)
+		n, err := s.WaitInForce(ctx, *x.Wait)
 		return Reply{"in force", n}, err
 	case x.Order != nil:
-		return s.order(ctx, x.Order)
+		return s.change(ctx, x.Order)
 	case x.Drain != nil && x.Drain.Node != nil:
-		return s.rest(ctx, *x.Drain.Node, true)
+		return s.setDrained(ctx, *x.Drain.Node, true)
 	case x.Drain != nil:
-		return s.drain(ctx, x.Drain.Target)
+		return s.drainTarget(ctx, x.Drain.Target)
 	case x.Resume != nil:
-		return s.rest(ctx, *x.Resume, false)
+		return s.setDrained(ctx, *x.Resume, false)
 	case x.Swap != nil:
-		if err := s.Warden.Wish(ctx, x.Swap.Out, x.Swap.In); err != nil {
+		if err := s.Supervisor.RequestSwap(ctx, x.Swap.Out, x.Swap.In); err != nil {
 			return Reply{}, err
 		}
 		return Reply{"wished", *x.Swap}, nil
 	case x.Forget != nil:
-		return Reply{"forgotten", *x.Forget}, s.Book.Part(ctx, *x.Forget)
+		return Reply{"forgotten", *x.Forget}, s.Ledger.RemoveGateway(ctx, *x.Forget)
 	}
 	return Reply{"help", Help}, nil
 }
@@ -93,56 +93,56 @@
 func (t *Target) split() (string, string, error) {
 	svc, id, ok := strings.Cut(t.Name, "/")
 	if !ok || svc == "" || id == "" {
-		return "", "", errors.Join(ErrSaid, fmt.Errorf("%q is no target: SERVICE/ID", t.Name))
+		return "", "", errors.Join(ErrInvalid, fmt.Errorf("%q is no target: SERVICE/ID", t.Name))
 	}
 	return svc, id, nil
 }
 
-func (s *Speaker) show(ctx context.Context, x *Show) (Reply, error) {
+func (s *Executor) show(ctx context.Context, x *Show) (Reply, error) {
 	switch {
 	case x.Nodes:
-		d, err := s.Asker.Nodes(ctx)
+		d, err := s.Queries.Nodes(ctx)
 		return Reply{"nodes", d}, err
 	case x.Targets != nil:
-		d, err := s.Asker.Targets(ctx, x.Targets.Of)
+		d, err := s.Queries.Targets(ctx, x.Targets.Service)
 		return Reply{"targets", d}, err
 	case x.Ledger != nil:
-		d, err := s.Asker.Ledger(ctx, x.Ledger.Last)
+		d, err := s.Queries.Decisions(ctx, x.Ledger.Last)
 		return Reply{"ledger", d}, err
 	case x.Change != nil:
-		d, err := s.Asker.Change(ctx, x.Change.N, x.Change.Token)
+		d, err := s.Queries.Change(ctx, x.Change.Version, x.Change.Token)
 		return Reply{"change", d}, err
 	case x.Sheet != nil:
-		d, err := s.Asker.Sheet(ctx, x.Sheet.N)
+		d, err := s.Queries.Sheet(ctx, x.Sheet.Number)
 		return Reply{"sheet", d}, err
 	case x.Picture:
-		d, err := s.Asker.Picture(ctx)
+		d, err := s.Queries.FullState(ctx)
 		return Reply{"picture", d}, err
 	case x.Core:
-		return Reply{"core", s.Asker.Prop.Core()}, nil
+		return Reply{"core", s.Queries.Proposer.Core()}, nil
 	case x.Bindings:
-		d, err := s.Asker.Sheet(ctx, 0)
+		d, err := s.Queries.Sheet(ctx, 0)
 		return Reply{"bindings", d.Sheet.Bindings}, err
 	}
-	d, err := s.Asker.Sheet(ctx, 0)
+	d, err := s.Queries.Sheet(ctx, 0)
 	return Reply{"services", d.Sheet.Services}, err
 }
 
-// order turns the words into edits and hands them to the changer.
-func (s *Speaker) order(ctx context.Context, x *Order) (Reply, error) {
-	o := commands.Order{Base: x.Base, Token: x.Token, By: x.By, Note: x.Note, Dry: x.Check}
+// change converts an order into edits and applies them.
+func (s *Executor) change(ctx context.Context, x *Order) (Reply, error) {
+	o := commands.ChangeRequest{Base: x.Base, Token: x.Token, Operator: x.By, Note: x.Note, DryRun: x.Check}
 	for _, e := range x.Edits {
 		switch {
 		case e.RollBack != nil:
-			old, err := s.Book.At(ctx, *e.RollBack)
+			old, err := s.Ledger.SheetAt(ctx, *e.RollBack)
 			if err != nil {
 				return Reply{}, err
 			}
 			o.Edits = append(o.Edits, spec.Edit{Op: spec.Replace, Sheet: &old})
 		case e.Remove != nil && e.Remove.Service != nil:
-			o.Edits = append(o.Edits, spec.Edit{Op: spec.DropService, Name: *e.Remove.Service})
+			o.Edits = append(o.Edits, spec.Edit{Op: spec.RemoveService, Name: *e.Remove.Service})
 		case e.Remove != nil:
-			o.Edits = append(o.Edits, spec.Edit{Op: spec.DropBinding, Name: *e.Remove.Binding})
+			o.Edits = append(o.Edits, spec.Edit{Op: spec.RemoveBinding, Name: *e.Remove.Binding})
 		case e.Put.Service != nil:
 			p := e.Put.Service
 			o.Edits = append(o.Edits, spec.Edit{Op: spec.PutService, Service: &spec.Service{Name: p.Name, Suspect: lo.FromPtr(p.Suspect), Note: p.Note}})
@@ -152,28 +152,28 @@
 				ExpiryMS: p.Expiry, Repeatable: p.Repeatable, MaxBody: p.MaxBody, Note: p.Note}})
 		}
 	}
-	return Reply{"result", s.Changer.Change(ctx, o)}, nil
+	return Reply{"result", s.Changer.Apply(ctx, o)}, nil
 }
 
-// rest drains a node by hand, or ends that.
-func (s *Speaker) rest(ctx context.Context, id string, on bool) (Reply, error) {
-	m, ok := lo.Find(s.Asker.Tenant.Members(), func(m membership.Member) bool { return m.ID == id })
+// setDrained drains a node by hand or ends that.
+func (s *Executor) setDrained(ctx context.Context, id string, on bool) (Reply, error) {
+	m, ok := lo.Find(s.Queries.Membership.Members(), func(m membership.Member) bool { return m.ID == id })
 	if !ok {
 		return Reply{}, fmt.Errorf("no node %s has a lease now", id)
 	}
-	if _, err := link.Ask[membership.RestTold](ctx, s.Asker.Line, m.Inner, membership.RestAsk{On: on}); err != nil {
+	if _, err := link.Ask[membership.RestTold](ctx, s.Queries.Transport, m.Inner, membership.RestAsk{On: on}); err != nil {
 		return Reply{}, err
 	}
 	return Reply{lo.Ternary(on, "drained", "resumed"), id}, nil
 }
 
-// drain stops new work to the run of a target that this controller knows.
-func (s *Speaker) drain(ctx context.Context, x *Target) (Reply, error) {
+// drainTarget stops new requests to the run of a target that this controller knows.
+func (s *Executor) drainTarget(ctx context.Context, x *Target) (Reply, error) {
 	svc, id, err := x.split()
 	if err != nil {
 		return Reply{}, err
 	}
-	ts, err := s.Asker.Targets(ctx, svc)
+	ts, err := s.Queries.Targets(ctx, svc)
 	if err != nil {
 		return Reply{}, err
 	}
@@ -181,9 +181,9 @@
 	if !ok {
 		return Reply{}, fmt.Errorf("no target %s/%s is known here", svc, id)
 	}
-	if err := s.Drainer.Leave(ctx, httpapi.Beat{ID: id, Service: svc, Inc: t.Inc}); err != nil {
+	if err := s.Drainer.MarkLeaving(ctx, httpapi.Beat{ID: id, Service: svc, Inc: t.Incarnation}); err != nil {
 		return Reply{}, err
 	}
-	_ = s.Asker.House.Mark(ctx, svc, id, t.Inc, func(e *registry.Entry) { e.Beat.Leaving = true })
+	_ = s.Queries.Registry.Mark(ctx, svc, id, t.Incarnation, func(e *registry.Entry) { e.Beat.Leaving = true })
 	return Reply{"drained", t}, nil
 }
--- a/internal/steperr/error.go
+++ b/internal/steperr/error.go
@@ -1,4 +1,4 @@
-// Package steperr gives every error the step and the peer at which it arose
+// Package steperr annotates errors with the step and the peer at which they occurred
 // (design 2.6).
 package steperr
 
@@ -9,56 +9,56 @@
 	"github.com/zeebo/errs"
 )
 
-// Class marks every error that walkrudder itself raises.
+// Class marks every error raised by walkrudder itself.
 var Class = errs.Class("walkrudder")
 
-// Error is an error with its place: the step that was under way and the peer
-// (another node, a target, or "" for this process) it concerned.
+// Error is an error with the step that was under way and the peer concerned: another node, a
+// target, or "" for this process.
 type Error struct {
 	Step string
 	Peer string
 	Err  error
 }
 
-// Error tells step, peer and cause on one line.
-func (d *Error) Error() string {
-	if d.Peer == "" {
-		return fmt.Sprintf("%s: %v", d.Step, d.Err)
+// Error returns the step, the peer and the cause on one line.
+func (e *Error) Error() string {
+	if e.Peer == "" {
+		return fmt.Sprintf("%s: %v", e.Step, e.Err)
 	}
-	return fmt.Sprintf("%s (%s): %v", d.Step, d.Peer, d.Err)
+	return fmt.Sprintf("%s (%s): %v", e.Step, e.Peer, e.Err)
 }
 
-// Unwrap yields the cause.
-func (d *Error) Unwrap() error { return d.Err }
+// Unwrap returns the cause.
+func (e *Error) Unwrap() error { return e.Err }
 
-// At wraps err with its step and peer; a nil error stays nil.
-func At(step, peer string, err error) error {
+// Wrap annotates err with its step and peer; it returns nil for a nil error.
+func Wrap(step, peer string, err error) error {
 	if err == nil {
 		return nil
 	}
 	return Class.Wrap(&Error{Step: step, Peer: peer, Err: err})
 }
 
-// New raises a fresh error with its step and peer.
+// New returns a new error annotated with its step and peer.
 func New(step, peer, format string, args ...any) error {
-	return At(step, peer, fmt.Errorf(format, args...))
+	return Wrap(step, peer, fmt.Errorf(format, args...))
 }
 
-// Of finds the innermost place noted on err.
-func Of(err error) (step, peer string) {
+// Innermost returns the step and peer of the innermost annotation of err.
+func Innermost(err error) (step, peer string) {
 	for err != nil {
-		var d *Error
-		if !errors.As(err, &d) {
+		var e *Error
+		if !errors.As(err, &e) {
 			return step, peer
 		}
-		step, peer = d.Step, d.Peer
-		err = d.Err
+		step, peer = e.Step, e.Peer
+		err = e.Err
 	}
 	return step, peer
 }
 
-// Must is for start-up alone (design 2.6): it hands on v or panics; main turns
-// the panic into a message and exit code.
+// Must is for start-up only (design 2.6): it returns v or panics with err. The main function
+// turns the panic into a message and an exit code.
 func Must[T any](v T, err error) T {
 	if err != nil {
 		panic(err)
--- a/internal/steperr/error_test.go
+++ b/internal/steperr/error_test.go
@@ -7,14 +7,14 @@
 )
 
 func TestDefectCarriesInnermostPlace(t *testing.T) {
-	err := At("roll", "f1", At("stage", "m2", io.ErrUnexpectedEOF))
-	if s, m := Of(err); s != "stage" || m != "m2" {
+	err := Wrap("roll", "f1", Wrap("stage", "m2", io.ErrUnexpectedEOF))
+	if s, m := Innermost(err); s != "stage" || m != "m2" {
 		t.Fatalf("place %q %q, want stage m2", s, m)
 	}
 	if !errors.Is(err, io.ErrUnexpectedEOF) || !Class.Has(err) {
 		t.Fatalf("cause or class lost: %v", err)
 	}
-	if At("x", "y", nil) != nil {
+	if Wrap("x", "y", nil) != nil {
 		t.Fatal("a nil error gained a place")
 	}
 }
--- a/internal/storage/bunt.go
+++ b/internal/storage/bunt.go
@@ -47,10 +47,10 @@
 	b := &Bunt{path: filepath.Join(dir, name)}
 	_ = os.Remove(b.path + ".new")
 	if err := mend(b.path); err != nil {
-		return nil, steperr.At("mend file", "", err)
+		return nil, steperr.Wrap("mend file", "", err)
 	}
 	if err := b.open(); err != nil {
-		return nil, steperr.At("open file", "", err)
+		return nil, steperr.Wrap("open file", "", err)
 	}
 	return b, nil
 }
@@ -173,7 +173,7 @@
 			return bad == nil
 		})
 	})
-	return out, steperr.At("load", "", errors.Join(err, bad))
+	return out, steperr.Wrap("load", "", errors.Join(err, bad))
 }
 
 // roomEvery is how often a write is tried that found no room on the disk, and roomFor how long.
@@ -213,7 +213,7 @@
 	case err != nil:
 		// A failed sync may have dropped the pages; what a later sync says of
 		// them is worth nothing (design 5.2).
-		b.bad = steperr.At("sync", "", err)
+		b.bad = steperr.Wrap("sync", "", err)
 		return b.bad
 	}
 	return nil
--- a/internal/storage/journal.go
+++ b/internal/storage/journal.go
@@ -81,11 +81,11 @@
 		return nil, nil
 	}
 	if err != nil {
-		return nil, steperr.At("load journal", "", err)
+		return nil, steperr.Wrap("load journal", "", err)
 	}
 	defer f.Close()
 	b, err := io.ReadAll(io.LimitReader(f, maxJournal))
-	return decode(b), steperr.At("load journal", "", err)
+	return decode(b), steperr.Wrap("load journal", "", err)
 }
 
 // Append adds records to the file that the last Replace began.
@@ -94,7 +94,7 @@
 		return steperr.New("append journal", "", "not begun by a Replace")
 	}
 	_, err := j.f.Write(encode(records))
-	return steperr.At("append journal", "", err)
+	return steperr.Wrap("append journal", "", err)
 }
 
 // Replace writes another file and gives it the name, so that a process killed halfway
@@ -102,14 +102,14 @@
 func (j *FileJournal) Replace(records [][]byte) error {
 	f, err := os.Create(j.path + ".new")
 	if err != nil {
-		return steperr.At("replace journal", "", err)
+		return steperr.Wrap("replace journal", "", err)
 	}
 	_, err = f.Write(encode(records))
 	if err == nil {
 		err = os.Rename(j.path+".new", j.path)
 	}
 	if err != nil {
-		return steperr.At("replace journal", "", errors.Join(err, f.Close()))
+		return steperr.Wrap("replace journal", "", errors.Join(err, f.Close()))
 	}
 	old := j.f
 	j.f = f
--- a/internal/topology/topology_test.go
+++ b/internal/topology/topology_test.go
@@ -35,17 +35,17 @@
 			t.Fatal(file, err)
 		}
 		for z, f := range want {
-			if g := c.Far("z1", z); math.Abs(g-f) > 1e-9 {
+			if g := c.RelativeDistance("z1", z); math.Abs(g-f) > 1e-9 {
 				t.Errorf("%s: %s is %.2f times as far, want %.2f", file, z, g, f)
 			}
 		}
 	}
 	// Amsterdam to Rotterdam is some 58 km.
-	c, _ := GeoJSON([]byte(globe))
+	c, _ := ParseGeoJSON([]byte(globe))
 	if ms := c.ms[[2]string{"z1", "z2"}]; ms < 0.55 || ms > 0.62 {
 		t.Errorf("%.3f ms", ms)
 	}
-	if (*Chart)(nil).Far("a", "b") != 1 {
+	if (*Distances)(nil).RelativeDistance("a", "b") != 1 {
 		t.Error("without a chart all zones are alike")
 	}
 }
@@ -58,7 +58,7 @@
 		"graphs":        `graph { a -- b [ms=1] } graph { c }`,
 		"two zones":     `graph { a -- { b c } [ms=1] }`,
 	} {
-		if _, err := Dot([]byte(raw)); err == nil || !strings.Contains(err.Error(), want) {
+		if _, err := ParseDot([]byte(raw)); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: %v, want %q", raw, err, want)
 		}
 	}
@@ -68,7 +68,7 @@
 		"zones":         `{"type":"FeatureCollection","features":[]}`,
 		"JSON":          `{`,
 	} {
-		if _, err := GeoJSON([]byte(raw)); err == nil || !strings.Contains(err.Error(), want) && want != "JSON" {
+		if _, err := ParseGeoJSON([]byte(raw)); err == nil || !strings.Contains(err.Error(), want) && want != "JSON" {
 			t.Errorf("%s: %v, want %q", raw, err, want)
 		}
 	}
--- a/internal/upgrade/upgrade.go
+++ b/internal/upgrade/upgrade.go
@@ -100,7 +100,7 @@
 		return u, steperr.New("read upgrade", i.Name, "not an upgrade")
 	}
 	if err := json.Unmarshal(i.Body, &u); err != nil {
-		return u, steperr.At("read upgrade", i.Name, err)
+		return u, steperr.Wrap("read upgrade", i.Name, err)
 	}
 	u.Service, u.Number = i.Name, i.Version
 	if u.Phase < Canary || u.Phase > Reverted {
--- a/internal/watch/mesh.go
+++ b/internal/watch/mesh.go
@@ -342,7 +342,7 @@
 			return nil
 		}
 		if ctx.Err() != nil {
-			return steperr.At("sync", "", errors.Join(lo.Ternary(core.Epoch == 0, quorum.ErrNoCore, quorum.ErrNoQuorum), ctx.Err()))
+			return steperr.Wrap("sync", "", errors.Join(lo.Ternary(core.Epoch == 0, quorum.ErrNoCore, quorum.ErrNoQuorum), ctx.Err()))
 		}
 		if m.Core().Epoch == core.Epoch && m.Clock.Sleep(ctx, leastPause) != nil {
 			continue
--- a/internal/watch/pack.go
+++ b/internal/watch/pack.go
@@ -55,10 +55,10 @@
 	defer writers.Put(w)
 	w.Reset(&b)
 	if err := gob.NewEncoder(w).Encode(packed{t.Items, t.Runs}); err != nil {
-		return steperr.At("pack news", "", err)
+		return steperr.Wrap("pack news", "", err)
 	}
 	if err := w.Close(); err != nil {
-		return steperr.At("pack news", "", err)
+		return steperr.Wrap("pack news", "", err)
 	}
 	t.Items, t.Runs, t.Packed = nil, nil, b.Bytes()
 	return nil
@@ -87,7 +87,7 @@
 	var p packed
 	r := flate.NewReader(bytes.NewReader(t.Packed))
 	if err := gob.NewDecoder(&bounded{r, maxUnpacked}).Decode(&p); err != nil {
-		return steperr.At("unpack news", t.Me.ID, err)
+		return steperr.Wrap("unpack news", t.Me.ID, err)
 	}
 	t.Items, t.Runs, t.Packed = append(t.Items, p.Items...), append(t.Runs, p.Runs...), nil
 	return nil
--- a/tools/fleet/failures.go
+++ b/tools/fleet/failures.go
@@ -208,7 +208,7 @@
 			for i := range 12 {
 				a := stand.Asked{Token: fmt.Sprintf("storm-%d-%d", time.Now().UnixNano(), i), Edits: []spec.Edit{{Op: spec.PutService, Service: &spec.Service{Name: fmt.Sprintf("s%d", i%3)}}}}
 				if i%4 == 3 {
-					a.Bad, a.Edits = true, append(a.Edits, spec.Edit{Op: spec.DropBinding, Name: "none"})
+					a.Bad, a.Edits = true, append(a.Edits, spec.Edit{Op: spec.RemoveBinding, Name: "none"})
 				}
 				wg.Go(func() { _, _ = t.Insist(cx, a) })
 			}
--- a/tools/fleet/main.go
+++ b/tools/fleet/main.go
@@ -129,7 +129,7 @@
 	ms := func(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
 	cx, end := context.WithTimeout(context.Background(), 5*time.Second)
 	defer end()
-	var p queries.Picture
+	var p queries.FullState
 	if err := t.Say(cx, "show picture", &p); err != nil {
 		fmt.Println("suspicions not read:", err)
 	} else {
--- a/tools/hollow/main.go
+++ b/tools/hollow/main.go
@@ -54,7 +54,7 @@
 	defer end()
 	if a.Controller != nil || a.Gateways != nil || a.Proxy != nil {
 		// As the programs that they stand for.
-		shell.Memory(0)
+		shell.TuneGC(0)
 	}
 	switch {
 	case a.Controller != nil:
--- a/tools/stand/caller.go
+++ b/tools/stand/caller.go
@@ -185,10 +185,10 @@
 	q.GetBody = nil
 	q.Header.Set(OrderField, order)
 	if client != "" {
-		q.Header.Set(httpapi.ClientField, client)
+		q.Header.Set(httpapi.ClientHeader, client)
 	}
 	if !k.Repeatable {
-		q.Header.Set(httpapi.KeyField, order)
+		q.Header.Set(httpapi.KeyHeader, order)
 	}
 	r, err := caller.Do(q)
 	if err != nil {
@@ -196,8 +196,8 @@
 		return o
 	}
 	defer r.Body.Close()
-	o.Call = r.Header.Get(httpapi.CallField)
-	o.Status, o.Stamp, o.Retry = r.StatusCode, r.Header.Get(httpapi.StampField), r.Header.Get("Retry-After")
+	o.Call = r.Header.Get(httpapi.CallHeader)
+	o.Status, o.Stamp, o.Retry = r.StatusCode, r.Header.Get(httpapi.StampHeader), r.Header.Get("Retry-After")
 	raw, err := io.ReadAll(io.LimitReader(r.Body, 64<<20))
 	if err != nil {
 		o.Err = err.Error()
--- a/tools/stand/checker.go
+++ b/tools/stand/checker.go
@@ -115,11 +115,11 @@
 		return served
 	case o.Code == httpapi.BusyNotRun:
 		return busy
-	case o.Code == httpapi.AlreadyRun || o.Code == httpapi.Unknown && o.Status == 409:
+	case o.Code == httpapi.AlreadyRun || o.Code == httpapi.OutcomeUnknown && o.Status == 409:
 		return earlierCall
-	case o.Code == httpapi.Unknown && !o.SentOn:
+	case o.Code == httpapi.OutcomeUnknown && !o.SentOn:
 		return neverSent
-	case o.Code == httpapi.Unknown:
+	case o.Code == httpapi.OutcomeUnknown:
 		return mayHaveRun
 	case o.Code == httpapi.BadAnswer:
 		return gaveUp
@@ -220,7 +220,7 @@
 }
 
 func (r *Records) success(v *Verdict, o Outcome, ex []Exec) {
-	st, err := httpapi.ReadStamp(o.Stamp)
+	st, err := httpapi.ParseStamp(o.Stamp)
 	switch {
 	case err != nil:
 		v.broke("call %s: success without a target's stamp: %q", o.Order, o.Stamp)
@@ -291,7 +291,7 @@
 	var live []*Asked
 	for i := range r.Orders {
 		// What was told to have changed nothing may not show.
-		if o := &r.Orders[i]; !o.Bad && (!o.Acked.IsZero() || o.Outcome == "" || o.Outcome == commands.Unknown || o.Outcome == commands.NoCore) {
+		if o := &r.Orders[i]; !o.Bad && (!o.Acked.IsZero() || o.Outcome == "" || o.Outcome == commands.OutcomeUnknown || o.Outcome == commands.NoMajority) {
 			live = append(live, o)
 			for _, e := range o.Edits {
 				switch {
@@ -320,7 +320,7 @@
 			switch e.Op {
 			case spec.PutBinding:
 				sets[e.Binding.Path] = e.Binding.Service
-			case spec.DropBinding:
+			case spec.RemoveBinding:
 				sets[names[e.Name]] = ""
 			case spec.Replace:
 				all(*e.Sheet)
--- a/tools/stand/checker_test.go
+++ b/tools/stand/checker_test.go
@@ -94,7 +94,7 @@
 			r.Outcome(Outcome{Order: "w", Path: "/p", Proper: true, Status: 404, Code: httpapi.NoBinding, Sent: at(500), Done: at(500)})
 		},
 		"version 3: /q still showed": func(r *Records) { // a removal that one gateway never took in
-			r.Orders = append(r.Orders, order("three", 3, 1500, spec.Edit{Op: spec.DropBinding, Name: "q"}))
+			r.Orders = append(r.Orders, order("three", 3, 1500, spec.Edit{Op: spec.RemoveBinding, Name: "q"}))
 			r.Arrive(Arrival{At: at(3700), Service: "old", Order: "u", Number: "x.1", Path: "/q"})
 		},
 		`version 3: /q showed "old" at gateway f2 300ms after`: func(r *Records) { // one gateway slips back behind another
@@ -104,7 +104,7 @@
 			r.Arrive(Arrival{At: at(1850), Service: "old", Order: "u", Number: "x.1", Path: "/q"})
 		},
 		`version 4: /q still showed ""`: func(r *Records) { // a roll-back that one gateway never took in
-			r.Orders = append(r.Orders, order("three", 3, 1500, spec.Edit{Op: spec.DropBinding, Name: "q"}), order("four", 4, 2000))
+			r.Orders = append(r.Orders, order("three", 3, 1500, spec.Edit{Op: spec.RemoveBinding, Name: "q"}), order("four", 4, 2000))
 			r.Orders[3].Back = 2
 			r.Outcome(Outcome{Order: "v", Call: "v", Gateway: "f1", Path: "/q", Status: 404, Code: httpapi.NoBinding, Sent: at(4200), Done: at(4200)})
 		},
@@ -141,13 +141,13 @@
 	// Whatever we refuse counts, in whichever words; what was done to a node does not.
 	for what, o := range map[string]Outcome{
 		busy:        {Status: 503, Code: httpapi.BusyNotRun, Retry: "1"},
-		neverSent:   {Status: 503, Code: httpapi.Unknown},
+		neverSent:   {Status: 503, Code: httpapi.OutcomeUnknown},
 		noReady:     {Err: NoNode},
 		gaveUp:      {Status: 502, Code: httpapi.BadAnswer, SentOn: true, Repeatable: true},
 		linkClosed:  {Err: "EOF", Gateway: "f2"},
 		nodeLost:    {Err: "connection reset", Gateway: "f1"},
-		earlierCall: {Status: 409, Code: httpapi.Unknown},
-		mayHaveRun:  {Status: 502, Code: httpapi.Unknown, SentOn: true},
+		earlierCall: {Status: 409, Code: httpapi.OutcomeUnknown},
+		mayHaveRun:  {Status: 502, Code: httpapi.OutcomeUnknown, SentOn: true},
 	} {
 		r := clean()
 		r.Outs = []Out{{Node: "f1", From: at(900), To: at(1100)}}
@@ -171,17 +171,17 @@
 
 // A picture that lacks, or holds, what it should not is found and named.
 func TestCheckerHoldsThePictureWhole(t *testing.T) {
-	leave := ledger.Note{Kind: ledger.NoteLeave, Target: &ledger.Target{ID: "t-old", Service: "old", Inc: 1}}
-	mk := func() (*Records, queries.Picture) {
+	leave := ledger.Note{Kind: ledger.NoteLeave, Target: &ledger.Target{ID: "t-old", Service: "old", Incarnation: 1}}
+	mk := func() (*Records, queries.FullState) {
 		r := clean()
-		p := queries.Picture{Controller: "m", Decisions: []ledger.Note{leave, {Kind: ledger.NoteSuspect, N: 7}}}
+		p := queries.FullState{Controller: "m", Decisions: []ledger.Note{leave, {Kind: ledger.NoteSuspect, Version: 7}}}
 		var s spec.Sheet
 		for i := range r.Orders {
 			o := &r.Orders[i]
 			s, _ = s.Apply(o.Edits)
-			p.Changes = append(p.Changes, ledger.Change{N: o.Version, Token: o.Token})
+			p.Changes = append(p.Changes, ledger.Change{Version: o.Version, Token: o.Token})
 		}
-		p.Sheet = queries.SheetNow{Version: 2, InForce: 2, Sheet: s}
+		p.Sheet = queries.SheetStatus{Version: 2, InForce: 2, Sheet: s}
 		return r, p
 	}
 	r, p := mk()
@@ -189,16 +189,16 @@
 	if bad := r.Picture(p); len(bad) > 0 || len(p.Sheet.Sheet.Bindings) != 2 {
 		t.Fatalf("a whole picture: %q", bad)
 	}
-	for want, plant := range map[string]func(*Records, *queries.Picture){
-		"was shown and is missing":       func(_ *Records, p *queries.Picture) { p.Decisions = p.Decisions[:1] },
-		`told "leave" is missing`:        func(_ *Records, p *queries.Picture) { p.Decisions = p.Decisions[1:] },
-		`told "gone" is missing`:         func(r *Records, _ *queries.Picture) { r.Gone(Leave{Target: "x", Inc: 3}) },
-		"version 2 of order two is miss": func(_ *Records, p *queries.Picture) { p.Changes = p.Changes[:1] },
-		"asked for by nobody":            func(_ *Records, p *queries.Picture) { p.Changes[1].Token = "who" },
-		"is version 1 and version 2":     func(r *Records, p *queries.Picture) { r.Orders[0].Acked, p.Changes[1].Token = time.Time{}, "one" },
-		"made to be refused":             func(r *Records, _ *queries.Picture) { r.Orders[1].Bad = true },
-		"in force is 1":                  func(_ *Records, p *queries.Picture) { p.Sheet.InForce = 1 },
-		"not the one that the orders give": func(_ *Records, p *queries.Picture) {
+	for want, plant := range map[string]func(*Records, *queries.FullState){
+		"was shown and is missing":       func(_ *Records, p *queries.FullState) { p.Decisions = p.Decisions[:1] },
+		`told "leave" is missing`:        func(_ *Records, p *queries.FullState) { p.Decisions = p.Decisions[1:] },
+		`told "gone" is missing`:         func(r *Records, _ *queries.FullState) { r.Gone(Leave{Target: "x", Inc: 3}) },
+		"version 2 of order two is miss": func(_ *Records, p *queries.FullState) { p.Changes = p.Changes[:1] },
+		"asked for by nobody":            func(_ *Records, p *queries.FullState) { p.Changes[1].Token = "who" },
+		"is version 1 and version 2":     func(r *Records, p *queries.FullState) { r.Orders[0].Acked, p.Changes[1].Token = time.Time{}, "one" },
+		"made to be refused":             func(r *Records, _ *queries.FullState) { r.Orders[1].Bad = true },
+		"in force is 1":                  func(_ *Records, p *queries.FullState) { p.Sheet.InForce = 1 },
+		"not the one that the orders give": func(_ *Records, p *queries.FullState) {
 			p.Sheet.Sheet.Bindings = slices.Clone(p.Sheet.Sheet.Bindings)
 			p.Sheet.Sheet.Bindings[0].Service = "old"
 		},
--- a/tools/stand/judge.go
+++ b/tools/stand/judge.go
@@ -11,7 +11,7 @@
 func (t *Town) Judge(ctx context.Context) Verdict {
 	v := t.Rec.Check()
 	for _, door := range t.Fleet.Doors("controller") {
-		var p queries.Picture
+		var p queries.FullState
 		if err := SayTo(ctx, door, "show picture", &p); err != nil {
 			v.broke("picture at %s not read: %v", t.Fleet.Name(door), err)
 			continue
--- a/tools/stand/picture.go
+++ b/tools/stand/picture.go
@@ -14,7 +14,7 @@
 
 // Shown notes a picture that an operator was shown: what it held must be in every
 // later one.
-func (r *Records) Shown(p queries.Picture) {
+func (r *Records) Shown(p queries.FullState) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for k := range said(p) {
@@ -23,10 +23,10 @@
 }
 
 // said names every decision of a picture.
-func said(p queries.Picture) map[string]bool {
+func said(p queries.FullState) map[string]bool {
 	m := map[string]bool{}
 	for _, c := range p.Changes {
-		m[fmt.Sprintf("version %d by token %s", c.N, c.Token)] = true
+		m[fmt.Sprintf("version %d by token %s", c.Version, c.Token)] = true
 	}
 	for _, n := range p.Decisions {
 		b, _ := json.Marshal(n)
@@ -38,7 +38,7 @@
 // Picture holds a picture against what operators and targets were told: it lacks
 // nothing that was acknowledged or shown, holds nothing that nobody asked for, and its
 // sheet is the one that the operators' own orders give.
-func (r *Records) Picture(p queries.Picture) (bad []string) {
+func (r *Records) Picture(p queries.FullState) (bad []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	miss := func(format string, args ...any) { bad = append(bad, p.Controller+": "+fmt.Sprintf(format, args...)) }
@@ -58,26 +58,26 @@
 		o, ok := asked[c.Token]
 		switch {
 		case !ok:
-			miss("version %d was asked for by nobody (token %q)", c.N, c.Token)
+			miss("version %d was asked for by nobody (token %q)", c.Version, c.Token)
 			return bad
 		case o.Bad:
-			miss("version %d is of order %s, which was made to be refused", c.N, c.Token)
+			miss("version %d is of order %s, which was made to be refused", c.Version, c.Token)
 			return bad
-		case !o.Acked.IsZero() && o.Version != c.N:
-			miss("order %s was told version %d, and is version %d", c.Token, o.Version, c.N)
+		case !o.Acked.IsZero() && o.Version != c.Version:
+			miss("order %s was told version %d, and is version %d", c.Token, o.Version, c.Version)
 		case at[c.Token] > 0:
-			miss("order %s is version %d and version %d", c.Token, at[c.Token], c.N)
+			miss("order %s is version %d and version %d", c.Token, at[c.Token], c.Version)
 		}
-		at[c.Token] = c.N
+		at[c.Token] = c.Version
 		if o.Back > 0 {
 			s = sheets[o.Back]
 		} else {
 			var no []spec.Problem
 			if s, no = s.Apply(o.Edits); len(no) > 0 {
-				miss("version %d of order %s does not apply to the version before: %v", c.N, c.Token, no)
+				miss("version %d of order %s does not apply to the version before: %v", c.Version, c.Token, no)
 			}
 		}
-		sheets[c.N] = s
+		sheets[c.Version] = s
 	}
 	for _, o := range r.Orders {
 		if !o.Acked.IsZero() && at[o.Token] == 0 {
@@ -93,7 +93,7 @@
 	runs := func(kind string, ls []Leave) {
 		for _, l := range ls {
 			if !lo.ContainsBy(p.Decisions, func(n ledger.Note) bool {
-				return n.Kind == kind && n.Target != nil && n.Target.ID == l.Target && n.Target.Inc == l.Inc
+				return n.Kind == kind && n.Target != nil && n.Target.ID == l.Target && n.Target.Incarnation == l.Inc
 			}) {
 				miss("that %s/%d was told %q is missing", l.Target, l.Inc, kind)
 			}
--- a/tools/stand/target.go
+++ b/tools/stand/target.go
@@ -146,7 +146,7 @@
 
 var beater = &http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 4, IdleConnTimeout: 20 * time.Second}}
 
-func (t *Target) beat(ctx context.Context) (a httpapi.BeatAnswer, err error) {
+func (t *Target) beat(ctx context.Context) (a httpapi.BeatResponse, err error) {
 	ms := t.Controllers()
 	b, _ := json.Marshal(httpapi.Beat{ID: t.ID, Service: t.Service, Zone: t.Zone, Addr: cmp.Or(t.Face, t.Addr), Capacity: t.Capacity, Leaving: t.leaving.Load(),
 		Seq: t.seq.Add(1), Inc: t.Inc(), EveryMS: int(t.Every.Milliseconds())})
@@ -188,7 +188,7 @@
 	m := Mode(t.mode.Load())
 	order := r.Header.Get(OrderField)
 	if r.URL.Path != httpapi.ProbePath {
-		t.Rec.Arrive(Arrival{At: time.Now(), Target: t.ID, Inc: t.Inc(), Service: t.Service, Order: order, Number: r.Header.Get(httpapi.RequestField), Path: r.URL.Path})
+		t.Rec.Arrive(Arrival{At: time.Now(), Target: t.ID, Inc: t.Inc(), Service: t.Service, Order: order, Number: r.Header.Get(httpapi.RequestHeader), Path: r.URL.Path})
 	}
 	if m == Vanished {
 		<-r.Context().Done()
@@ -197,19 +197,19 @@
 	if r.URL.Path == httpapi.ProbePath {
 		n, _ := strconv.ParseUint(r.URL.Query().Get("seq"), 10, 64)
 		w.Header().Set("Content-Type", "application/json")
-		_ = json.NewEncoder(w).Encode(httpapi.ProbeAnswer{ID: t.ID, Service: t.Service, Inc: t.Inc(), Seq: n, Leaving: t.leaving.Load()})
+		_ = json.NewEncoder(w).Encode(httpapi.ProbeResponse{ID: t.ID, Service: t.Service, Inc: t.Inc(), Seq: n, Leaving: t.leaving.Load()})
 		return
 	}
 	if m != Good && rand.Int64N(100) >= t.share.Load() {
 		m = Good
 	}
 	in, _ := io.ReadAll(io.LimitReader(r.Body, 32<<20))
-	inc, num := t.Inc(), r.Header.Get(httpapi.RequestField)
+	inc, num := t.Inc(), r.Header.Get(httpapi.RequestHeader)
 	st := httpapi.Stamp{ID: t.ID, Service: t.Service, Inc: inc, Request: num}
 	if m == Refusing {
 		st.Length = 0
-		w.Header().Set(httpapi.StampField, st.String())
-		w.Header().Set(httpapi.NotRunField, "1")
+		w.Header().Set(httpapi.StampHeader, st.String())
+		w.Header().Set(httpapi.NotRunHeader, "1")
 		w.WriteHeader(503)
 		return
 	}
@@ -221,7 +221,7 @@
 	}
 	body, _ := json.Marshal(Body{Order: order, Service: t.Service, Target: t.ID, Got: len(in), Pad: strings.Repeat("x", size)})
 	st.Length = len(body)
-	t.Rec.Exec(Exec{At: time.Now(), Target: t.ID, Service: t.Service, Inc: inc, Order: order, Number: num, Path: r.URL.Path, Meant: r.Header.Get(httpapi.TargetField), Digest: Digest(body)})
+	t.Rec.Exec(Exec{At: time.Now(), Target: t.ID, Service: t.Service, Inc: inc, Order: order, Number: num, Path: r.URL.Path, Meant: r.Header.Get(httpapi.TargetHeader), Digest: Digest(body)})
 	d := time.Duration(float64(t.Work) * (0.5 + rand.Float64()))
 	if m == Slow {
 		d *= 20
@@ -257,7 +257,7 @@
 		}
 		t.mu.Unlock()
 	case Cutting:
-		w.Header().Set(httpapi.StampField, stamp)
+		w.Header().Set(httpapi.StampHeader, stamp)
 		w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 		_, _ = w.Write(body[:len(body)/2])
 		if f, ok := w.(http.Flusher); ok {
@@ -267,7 +267,7 @@
 		return
 	}
 	if stamp != "" {
-		w.Header().Set(httpapi.StampField, stamp)
+		w.Header().Set(httpapi.StampHeader, stamp)
 	}
 	w.Header().Set("Content-Type", "application/json")
 	if rand.IntN(4) == 0 {
--- a/tools/stand/town.go
+++ b/tools/stand/town.go
@@ -133,7 +133,7 @@
 var operator = &http.Client{Timeout: 12 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 
 // Order sends an order to some controller.
-func (t *Town) Order(ctx context.Context, o commands.Order) (r commands.Result, err error) {
+func (t *Town) Order(ctx context.Context, o commands.ChangeRequest) (r commands.Result, err error) {
 	ms := t.Fleet.Doors("controller")
 	err = errors.New("no controller")
 	for _, i := range rand.Perm(len(ms)) {
@@ -145,7 +145,7 @@
 }
 
 // SendOrder sends an order to one controller.
-func SendOrder(ctx context.Context, door string, o commands.Order) (r commands.Result, err error) {
+func SendOrder(ctx context.Context, door string, o commands.ChangeRequest) (r commands.Result, err error) {
 	b, err := json.Marshal(o)
 	if err != nil {
 		return r, err
@@ -177,7 +177,7 @@
 		if a.Back > 0 {
 			err = t.Say(ctx, fmt.Sprintf("roll back to %d token %s", a.Back, a.Token), &r)
 		} else {
-			r, err = t.Order(ctx, commands.Order{Token: a.Token, By: "stand", Edits: a.Edits})
+			r, err = t.Order(ctx, commands.ChangeRequest{Token: a.Token, Operator: "stand", Edits: a.Edits})
 		}
 		return r, err == nil
 	}, func() { time.Sleep(50 * time.Millisecond) })
@@ -236,10 +236,10 @@
 }
 
 // Suspicions picks from a picture which target runs the ledger notes as suspected.
-func Suspicions(p queries.Picture) (out []Down) {
+func Suspicions(p queries.FullState) (out []Down) {
 	for _, n := range p.Decisions {
 		if n.Kind == ledger.NoteSuspect && n.Target != nil {
-			out = append(out, Down{n.Target.ID, n.Target.Inc, time.UnixMilli(n.At)})
+			out = append(out, Down{n.Target.ID, n.Target.Incarnation, time.UnixMilli(n.AtMS)})
 		}
 	}
 	return out
