--- a/internal/commands/beat.go
+++ b/internal/commands/beat.go
@@ -41,9 +41,9 @@
 				merge(h.Registry.Take(ctx, beat))
 				return
 			}
-			cx, end := context.WithTimeout(ctx, 500*time.Millisecond)
-			defer end()
-			merge(link.Ask[registry.BeatTold](cx, h.Transport, m.Inner, registry.BeatAsk{Beat: beat}))
+			callCtx, cancel := context.WithTimeout(ctx, 500*time.Millisecond)
+			defer cancel()
+			merge(link.Ask[registry.BeatTold](callCtx, h.Transport, m.Inner, registry.BeatAsk{Beat: beat}))
 		})
 	}
 	if beat.Leaving {
--- a/internal/commands/change.go
+++ b/internal/commands/change.go
@@ -64,31 +64,31 @@
 // only when every gateway has the change or has lost its lease.
 func (c *Changer) Apply(ctx context.Context, o ChangeRequest) Result {
 	for try := 0; ; try++ {
-		f, err := c.Ledger.Refresh(ctx)
+		state, err := c.Ledger.Refresh(ctx)
 		if err != nil {
 			return failure(err, false)
 		}
-		if n, ok := f.Token(o.Token); ok && o.Token != "" {
+		if n, ok := state.Token(o.Token); ok && o.Token != "" {
 			r := c.waitInForce(ctx, n)
 			r.Duplicate = true
 			return r
 		}
-		if o.Base != nil && *o.Base != f.Version {
-			return Result{Outcome: Conflict, Version: f.Version, Reason: fmt.Sprintf("the order was made for version %d, now is %d", *o.Base, f.Version)}
+		if o.Base != nil && *o.Base != state.Version {
+			return Result{Outcome: Conflict, Version: state.Version, Reason: fmt.Sprintf("the order was made for version %d, now is %d", *o.Base, state.Version)}
 		}
-		s, bad := f.Sheet.Apply(o.Edits)
-		if len(bad) > 0 {
-			return Result{Outcome: Invalid, Version: f.Version, Problems: bad}
+		sheet, problems := state.Sheet.Apply(o.Edits)
+		if len(problems) > 0 {
+			return Result{Outcome: Invalid, Version: state.Version, Problems: problems}
 		}
 		if o.DryRun {
-			return Result{Outcome: Valid, Version: f.Version}
+			return Result{Outcome: Valid, Version: state.Version}
 		}
-		ch := ledger.Change{Version: f.Version + 1, Token: o.Token, Operator: o.Operator, Note: o.Note, Controller: c.Controller, AtMS: c.Ledger.WallMS(), Edits: o.Edits}
-		if ch.Version%ledger.FullSheetInterval == 0 {
-			ch.Sheet = &s
+		change := ledger.Change{Version: state.Version + 1, Token: o.Token, Operator: o.Operator, Note: o.Note, Controller: c.Controller, AtMS: c.Ledger.WallMS(), Edits: o.Edits}
+		if change.Version%ledger.FullSheetInterval == 0 {
+			change.Sheet = &sheet
 		}
-		if len(ledger.Encode(ch)) > quorum.MaxValueBytes {
-			return Result{Outcome: Invalid, Version: f.Version, Problems: []spec.Problem{{Path: "edits", Reason: "too large in all"}}}
+		if len(ledger.Encode(change)) > quorum.MaxValueBytes {
+			return Result{Outcome: Invalid, Version: state.Version, Problems: []spec.Problem{{Path: "edits", Reason: "too large in all"}}}
 		}
 		// A decided change closes every gateway that confirms it until it is in force.
 		// Wait before deciding while the gateways to roll it out to are not known,
@@ -99,10 +99,10 @@
 			}
 			continue
 		}
-		err = c.Ledger.Append(ctx, ch)
+		err = c.Ledger.Append(ctx, change)
 		switch {
 		case err == nil:
-			return c.waitInForce(ctx, ch.Version)
+			return c.waitInForce(ctx, change.Version)
 		case errors.Is(err, ledger.ErrNumberTaken):
 			// Another change was decided at this number; retry on top of it.
 			if c.Clock.Sleep(ctx, time.Duration(rand.IntN(5*min(try+1, 10))+1)*time.Millisecond) != nil {
--- a/internal/commands/drain.go
+++ b/internal/commands/drain.go
@@ -40,8 +40,8 @@
 }
 
 // MarkGone records that a target run is removed, and tells every gateway.
-func (d *Drainer) MarkGone(ctx context.Context, t ledger.Target, w float64, why string) error {
-	return d.record(ctx, ledger.GonePrefix, t, ledger.Note{Kind: ledger.NoteGone, Target: &t, Suspicion: w, Reason: why})
+func (d *Drainer) MarkGone(ctx context.Context, t ledger.Target, suspicion float64, reason string) error {
+	return d.record(ctx, ledger.GonePrefix, t, ledger.Note{Kind: ledger.NoteGone, Target: &t, Suspicion: suspicion, Reason: reason})
 }
 
 func (d *Drainer) record(ctx context.Context, prefix string, t ledger.Target, note ledger.Note) error {
@@ -56,8 +56,8 @@
 		return err
 	}
 	d.Faults.At(fault.AfterLeaveNoted)
-	_, err := rollout.Everyone(ctx, d.Membership, d.Clock, nil, func(cx context.Context, m membership.Member) bool {
-		r, err := link.Ask[registry.DrainTold](cx, d.Transport, m.Inner, registry.DrainAsk{Service: t.Service, ID: t.ID, Inc: t.Incarnation, Gone: prefix == ledger.GonePrefix})
+	_, err := rollout.Everyone(ctx, d.Membership, d.Clock, nil, func(callCtx context.Context, m membership.Member) bool {
+		r, err := link.Ask[registry.DrainTold](callCtx, d.Transport, m.Inner, registry.DrainAsk{Service: t.Service, ID: t.ID, Inc: t.Incarnation, Gone: prefix == ledger.GonePrefix})
 		return err == nil && r.OK
 	})
 	if err != nil {
@@ -77,11 +77,11 @@
 func (d *Drainer) DrainedTargets(ctx context.Context) ([]rollout.Leave, error) {
 	var out []rollout.Leave
 	for _, p := range []string{ledger.LeavePrefix, ledger.GonePrefix} {
-		ns, err := d.Ledger.Notes(ctx, p)
+		notes, err := d.Ledger.Notes(ctx, p)
 		if err != nil {
 			return nil, err
 		}
-		for _, n := range ns {
+		for _, n := range notes {
 			if n.Target != nil {
 				out = append(out, rollout.Leave{Service: n.Target.Service, ID: n.Target.ID, Inc: n.Target.Incarnation, Gone: n.Kind == ledger.NoteGone})
 			}
--- a/internal/commands/trim.go
+++ b/internal/commands/trim.go
@@ -29,12 +29,12 @@
 // Trim deletes old decisions: changes before the last one that precedes the cutoff and
 // carries the full sheet, notes by their time, and leave and gone notes by the day.
 func (t *Trimmer) Trim(ctx context.Context) error {
-	f, err := t.Ledger.Refresh(ctx)
+	state, err := t.Ledger.Refresh(ctx)
 	if err != nil {
 		return err
 	}
 	cutoff := t.Ledger.WallMS() - t.Retention.Milliseconds()
-	if n := f.FullSheetBefore(cutoff); n > 0 {
+	if n := state.FullSheetBefore(cutoff); n > 0 {
 		err = errors.Join(t.Proposer.DropBelow(ctx, ledger.ChangePrefix, ledger.ChangeKey(n)), t.Proposer.DropBelow(ctx, ledger.ActivationPrefix, ledger.ActivationNoteKey(n)))
 	}
 	if cutoff <= 0 {
@@ -42,14 +42,14 @@
 	}
 	// A drained run that still exists must stay drained, so its note is written again.
 	oldestDay := ledger.DayPrefix(ledger.LeavePrefix, cutoff-ledger.DayMS)
-	ns, e := t.Ledger.Notes(ctx, ledger.LeavePrefix)
+	notes, e := t.Ledger.Notes(ctx, ledger.LeavePrefix)
 	if err = errors.Join(err, e); err != nil {
 		return err
 	}
 	seen := lo.SliceToMap(registry.Collect(ctx, t.Transport, t.Membership.Members()), func(s registry.Seen) (ledger.Target, bool) {
 		return ledger.Target{ID: s.Beat.ID, Service: s.Beat.Service, Incarnation: s.Beat.Inc}, !s.Gone
 	})
-	for _, n := range ns {
+	for _, n := range notes {
 		if n.Target != nil && seen[*n.Target] && ledger.DayPrefix(ledger.LeavePrefix, n.AtMS) < oldestDay {
 			if e := t.Drainer.record(ctx, ledger.LeavePrefix, *n.Target, ledger.Note{Kind: ledger.NoteLeave, Target: n.Target, HeartbeatSeq: n.HeartbeatSeq, Reason: "still there"}); e != nil {
 				return e
--- a/internal/commands/warden.go
+++ b/internal/commands/warden.go
@@ -60,35 +60,35 @@
 const SupervisorDuty = "warden"
 
 // Run runs the supervisor until ctx ends.
-func (w *Supervisor) Run(ctx context.Context) {
-	w.Membership.Seek(SupervisorDuty)
-	w.missingSince = map[string]time.Time{}
-	for w.Clock.Sleep(ctx, supervisorInterval) == nil {
-		_ = w.Registry.Sweep(ctx)
-		if !w.Membership.Holds(SupervisorDuty) {
+func (sv *Supervisor) Run(ctx context.Context) {
+	sv.Membership.Seek(SupervisorDuty)
+	sv.missingSince = map[string]time.Time{}
+	for sv.Clock.Sleep(ctx, supervisorInterval) == nil {
+		_ = sv.Registry.Sweep(ctx)
+		if !sv.Membership.Holds(SupervisorDuty) {
 			// The decisions of another supervisor are not tracked here.
-			w.suspected, w.missingSince = nil, map[string]time.Time{}
+			sv.suspected, sv.missingSince = nil, map[string]time.Time{}
 			continue
 		}
-		cx, end := context.WithTimeout(ctx, 5*time.Second)
-		err := errors.Join(w.checkTargets(cx), w.fillSeats(cx))
-		end()
+		callCtx, cancel := context.WithTimeout(ctx, 5*time.Second)
+		err := errors.Join(sv.checkTargets(callCtx), sv.fillSeats(callCtx))
+		cancel()
 		if err != nil && ctx.Err() == nil {
-			w.Log.Warn("supervisor round did not complete", "step", "warden", "err", err)
+			sv.Log.Warn("supervisor round did not complete", "step", "warden", "err", err)
 		}
 	}
 }
 
 // checkTargets evaluates every target once.
-func (w *Supervisor) checkTargets(ctx context.Context) error {
-	if w.suspected == nil {
-		m, err := w.Ledger.Suspected(ctx)
+func (sv *Supervisor) checkTargets(ctx context.Context) error {
+	if sv.suspected == nil {
+		m, err := sv.Ledger.Suspected(ctx)
 		if err != nil {
 			return err
 		}
-		w.suspected = m
+		sv.suspected = m
 	}
-	all := registry.Collect(ctx, w.Transport, w.Membership.Members())
+	all := registry.Collect(ctx, sv.Transport, sv.Membership.Members())
 	total, suspected := map[string]int{}, map[string]int{}
 	for _, x := range all {
 		if x.Gone {
@@ -105,12 +105,12 @@
 	for _, x := range all {
 		t := ledger.Target{ID: x.Beat.ID, Service: x.Beat.Service, Incarnation: x.Beat.Inc}
 		if x.Gone {
-			delete(w.suspected, t)
+			delete(sv.suspected, t)
 			continue
 		}
 		if x.W >= suspectThreshold {
 			if views == nil {
-				views = registry.Views(ctx, w.Transport, w.Membership.Members())
+				views = registry.Views(ctx, sv.Transport, sv.Membership.Members())
 			}
 			if views[t].Vouched() {
 				continue
@@ -118,39 +118,39 @@
 		}
 		tooMany := float64(suspected[t.Service]) > maxSuspectedShare*float64(total[t.Service])
 		switch {
-		case x.W >= suspectThreshold && !w.suspected[t] && !tooMany:
-			if err := w.Ledger.AddNote(ctx, ledger.Note{Kind: ledger.NoteSuspect, Target: &t, HeartbeatSeq: x.Beat.Seq, Suspicion: x.W,
+		case x.W >= suspectThreshold && !sv.suspected[t] && !tooMany:
+			if err := sv.Ledger.AddNote(ctx, ledger.Note{Kind: ledger.NoteSuspect, Target: &t, HeartbeatSeq: x.Beat.Seq, Suspicion: x.W,
 				Reason: fmt.Sprintf("silent for %s, fitted alpha %.3f s beta %.2f", x.Quiet.Round(time.Millisecond), x.Fit.Alpha, x.Fit.Beta)}); err != nil {
 				return err
 			}
-			w.suspected[t] = true
-			w.broadcastMark(ctx, t, true, false)
-		case x.W < suspectThreshold && w.suspected[t]:
-			if err := w.Ledger.AddNote(ctx, ledger.Note{Kind: ledger.NoteTrust, Target: &t, HeartbeatSeq: x.Beat.Seq, Suspicion: x.W, Reason: "beats again"}); err != nil {
+			sv.suspected[t] = true
+			sv.broadcastMark(ctx, t, true, false)
+		case x.W < suspectThreshold && sv.suspected[t]:
+			if err := sv.Ledger.AddNote(ctx, ledger.Note{Kind: ledger.NoteTrust, Target: &t, HeartbeatSeq: x.Beat.Seq, Suspicion: x.W, Reason: "beats again"}); err != nil {
 				return err
 			}
-			delete(w.suspected, t)
+			delete(sv.suspected, t)
 		}
-		if x.W >= goneThreshold && x.Quiet > goneSilence && !tooMany && w.homesAgree(ctx, t) && w.Membership.Holds(SupervisorDuty) {
-			if err := w.Drainer.MarkGone(ctx, t, x.W, fmt.Sprintf("silent for %s, a majority of its homes agree", x.Quiet.Round(time.Second))); err != nil {
+		if x.W >= goneThreshold && x.Quiet > goneSilence && !tooMany && sv.homesAgree(ctx, t) && sv.Membership.Holds(SupervisorDuty) {
+			if err := sv.Drainer.MarkGone(ctx, t, x.W, fmt.Sprintf("silent for %s, a majority of its homes agree", x.Quiet.Round(time.Second))); err != nil {
 				return err
 			}
-			w.Log.Info("target run removed", "step", "let go", "mate", t.Service+"/"+t.ID)
-			w.broadcastMark(ctx, t, true, true)
+			sv.Log.Info("target run removed", "step", "let go", "mate", t.Service+"/"+t.ID)
+			sv.broadcastMark(ctx, t, true, true)
 		}
 	}
 	return nil
 }
 
 // broadcastMark tells every controller's registry. A controller that misses the message
-// shows the old state for a while longer; gateways are told by other means.
-func (w *Supervisor) broadcastMark(ctx context.Context, t ledger.Target, suspect, gone bool) {
-	cx, end := context.WithTimeout(ctx, 300*time.Millisecond)
-	defer end()
+// shows the old state for a while longer; the gateways do not depend on it.
+func (sv *Supervisor) broadcastMark(ctx context.Context, t ledger.Target, suspect, gone bool) {
+	callCtx, cancel := context.WithTimeout(ctx, 300*time.Millisecond)
+	defer cancel()
 	var wg sync.WaitGroup
-	for _, m := range w.Membership.Kind("controller") {
+	for _, m := range sv.Membership.Kind("controller") {
 		wg.Go(func() {
-			_, _ = link.Ask[registry.MarkTold](cx, w.Transport, m.Inner, registry.MarkAsk{Service: t.Service, ID: t.ID, Inc: t.Incarnation, Suspect: suspect, Gone: gone})
+			_, _ = link.Ask[registry.MarkTold](callCtx, sv.Transport, m.Inner, registry.MarkAsk{Service: t.Service, ID: t.ID, Inc: t.Incarnation, Suspect: suspect, Gone: gone})
 		})
 	}
 	wg.Wait()
@@ -158,13 +158,13 @@
 
 // homesAgree asks the home controllers of the service, all of which receive its heartbeats.
 // A majority of them must suspect the run, and none may have heard from it recently.
-func (w *Supervisor) homesAgree(ctx context.Context, t ledger.Target) bool {
-	homes := registry.Homes(t.Service, w.Membership.Members())
+func (sv *Supervisor) homesAgree(ctx context.Context, t ledger.Target) bool {
+	homes := registry.Homes(t.Service, sv.Membership.Members())
 	yes := 0
 	for _, m := range homes {
-		cx, end := context.WithTimeout(ctx, 500*time.Millisecond)
-		r, err := link.Ask[registry.JudgeTold](cx, w.Transport, m.Inner, registry.JudgeAsk{Service: t.Service, ID: t.ID, Inc: t.Incarnation})
-		end()
+		callCtx, cancel := context.WithTimeout(ctx, 500*time.Millisecond)
+		r, err := link.Ask[registry.JudgeTold](callCtx, sv.Transport, m.Inner, registry.JudgeAsk{Service: t.Service, ID: t.ID, Inc: t.Incarnation})
+		cancel()
 		if err != nil {
 			continue
 		}
@@ -181,14 +181,14 @@
 // fillSeats fills a seat whose disk is missing: with the new disk of the same node, or with
 // a standby disk node once the voter has been missing for seatReplaceDelay. It makes one swap
 // at a time; the previous one must be finished first (design 4.4).
-func (w *Supervisor) fillSeats(ctx context.Context) error {
-	core := w.Proposer.Core()
-	if done, err := w.finishSwap(ctx, core); err != nil || !done {
+func (sv *Supervisor) fillSeats(ctx context.Context) error {
+	core := sv.Proposer.Core()
+	if done, err := sv.finishSwap(ctx, core); err != nil || !done {
 		return err
 	}
 	disks := map[string]membership.Member{}
 	var standby []quorum.Seat
-	for _, m := range w.Membership.Kind("controller") {
+	for _, m := range sv.Membership.Kind("controller") {
 		if m.Disk.Disk == "" {
 			continue
 		}
@@ -197,29 +197,29 @@
 			standby = append(standby, m.Disk)
 		}
 	}
-	now := w.Clock.Now()
+	now := sv.Clock.Now()
 	for _, s := range core.Seats {
 		if _, ok := disks[s.Disk]; ok {
-			delete(w.missingSince, s.Disk)
+			delete(sv.missingSince, s.Disk)
 			continue
 		}
-		if _, ok := w.missingSince[s.Disk]; !ok {
-			w.missingSince[s.Disk] = now
+		if _, ok := sv.missingSince[s.Disk]; !ok {
+			sv.missingSince[s.Disk] = now
 		}
 		// If the same node has come back with an empty disk, it gets its seat back at once.
 		for _, m := range disks {
 			if m.ID == s.ID {
-				return w.swap(ctx, core, s, m.Disk)
+				return sv.swap(ctx, core, s, m.Disk)
 			}
 		}
-		if now.Sub(w.missingSince[s.Disk]) <= seatReplaceDelay {
+		if now.Sub(sv.missingSince[s.Disk]) <= seatReplaceDelay {
 			continue
 		}
 		if in, ok := (quorum.Tolerance{}).Replacement(core.Seats, s, standby); ok {
-			return w.swap(ctx, core, s, in)
+			return sv.swap(ctx, core, s, in)
 		}
 	}
-	return w.executeRequestedSwap(ctx, core, disks)
+	return sv.executeRequestedSwap(ctx, core, disks)
 }
 
 // swapRequest is a swap requested by an operator. It is stored by its field names.
@@ -227,25 +227,25 @@
 
 // RequestSwap records that a voter is to give its seat to a standby disk node. The
 // controller that holds the supervisor's duty carries it out (design 4.4).
-func (w *Supervisor) RequestSwap(ctx context.Context, out, in string) error {
-	core := w.Proposer.Core()
+func (sv *Supervisor) RequestSwap(ctx context.Context, out, in string) error {
+	core := sv.Proposer.Core()
 	if _, ok := core.Seat(out); !ok {
 		return steperr.New("swap", out, "has no seat")
 	}
 	if _, ok := core.Seat(in); ok {
 		return steperr.New("swap", in, "has a seat already")
 	}
-	if !slices.ContainsFunc(w.Membership.Kind("controller"), func(m membership.Member) bool { return m.ID == in && m.Disk.Disk != "" }) {
+	if !slices.ContainsFunc(sv.Membership.Kind("controller"), func(m membership.Member) bool { return m.ID == in && m.Disk.Disk != "" }) {
 		return steperr.New("swap", in, "no such disk node has a lease now")
 	}
 	raw := ledger.Encode(swapRequest{out, in})
-	_, err := w.Proposer.Change(ctx, ledger.SwapRequestKey, func([]byte) ([]byte, error) { return raw, nil })
+	_, err := sv.Proposer.Change(ctx, ledger.SwapRequestKey, func([]byte) ([]byte, error) { return raw, nil })
 	return err
 }
 
 // executeRequestedSwap carries out the swap an operator requested, if it still applies.
-func (w *Supervisor) executeRequestedSwap(ctx context.Context, core quorum.Core, disks map[string]membership.Member) error {
-	raw, err := w.Proposer.Read(ctx, ledger.SwapRequestKey)
+func (sv *Supervisor) executeRequestedSwap(ctx context.Context, core quorum.Core, disks map[string]membership.Member) error {
+	raw, err := sv.Proposer.Read(ctx, ledger.SwapRequestKey)
 	if quorum.IsNeverWritten(err) || err == nil && raw == nil {
 		return nil
 	}
@@ -262,7 +262,7 @@
 			return nil
 		}
 		// The swap is done or no longer applies. Clear the request: it is carried out once.
-		_, err := w.Proposer.Change(ctx, ledger.SwapRequestKey, func(old []byte) ([]byte, error) {
+		_, err := sv.Proposer.Change(ctx, ledger.SwapRequestKey, func(old []byte) ([]byte, error) {
 			if string(old) != string(raw) {
 				return old, nil
 			}
@@ -272,15 +272,15 @@
 	}
 	for _, m := range disks {
 		if m.ID == x.In {
-			return w.swap(ctx, core, out, m.Disk)
+			return sv.swap(ctx, core, out, m.Disk)
 		}
 	}
 	return nil
 }
 
 // swap decides the next core and carries out the swap.
-func (w *Supervisor) swap(ctx context.Context, core quorum.Core, out, in quorum.Seat) error {
-	if !w.Membership.Holds(SupervisorDuty) {
+func (sv *Supervisor) swap(ctx context.Context, core quorum.Core, out, in quorum.Seat) error {
+	if !sv.Membership.Holds(SupervisorDuty) {
 		return nil
 	}
 	next := quorum.Core{Epoch: core.Epoch + 1}
@@ -291,7 +291,7 @@
 		next.Seats = append(next.Seats, s)
 	}
 	raw := ledger.Encode(next)
-	_, err := w.Proposer.Change(ctx, ledger.CoreKey, func(old []byte) ([]byte, error) {
+	_, err := sv.Proposer.Change(ctx, ledger.CoreKey, func(old []byte) ([]byte, error) {
 		if old != nil {
 			o, err := ledger.Decode[quorum.Core](old)
 			if err != nil {
@@ -307,14 +307,14 @@
 	if err != nil {
 		return steperr.Wrap("decide swap", in.ID, err)
 	}
-	w.Log.Info("seat passes on", "step", "swap", "mate", in.ID, "out", out.ID, "epoch", next.Epoch)
-	_, err = w.finishSwap(ctx, core)
+	sv.Log.Info("seat passes on", "step", "swap", "mate", in.ID, "out", out.ID, "epoch", next.Epoch)
+	_, err = sv.finishSwap(ctx, core)
 	return err
 }
 
 // finishSwap carries out a decided swap; done reports that none is pending.
-func (w *Supervisor) finishSwap(ctx context.Context, core quorum.Core) (done bool, err error) {
-	raw, err := w.Proposer.Read(ctx, ledger.CoreKey)
+func (sv *Supervisor) finishSwap(ctx context.Context, core quorum.Core) (done bool, err error) {
+	raw, err := sv.Proposer.Read(ctx, ledger.CoreKey)
 	if quorum.IsNeverWritten(err) || err == nil && raw == nil {
 		return true, nil
 	}
@@ -329,15 +329,15 @@
 		return true, nil
 	}
 	var sealed, joining []quorum.Seat
-	for _, s := range w.sourceSeats(core, next) {
-		cx, end := context.WithTimeout(ctx, time.Second)
-		r, err := link.Ask[quorum.SealTold](cx, w.Transport, s.Addr, quorum.SealAsk{Next: next})
-		end()
+	for _, s := range sv.sourceSeats(core, next) {
+		callCtx, cancel := context.WithTimeout(ctx, time.Second)
+		r, err := link.Ask[quorum.SealTold](callCtx, sv.Transport, s.Addr, quorum.SealAsk{Next: next})
+		cancel()
 		if err == nil && r.OK && r.Disk == s.Disk {
 			sealed = append(sealed, s)
 		}
 	}
-	w.Faults.At(fault.AfterSeal)
+	sv.Faults.At(fault.AfterSeal)
 	need := core.BlockingSize()
 	if next.Epoch == core.Epoch {
 		// This epoch was sealed before, and only a joining voter may be missing.
@@ -352,28 +352,28 @@
 			joining = append(joining, s)
 		}
 	}
-	votes := len(next.Seats) - len(joining)
+	voting := len(next.Seats) - len(joining)
 	for _, s := range joining {
-		cx, end := context.WithTimeout(ctx, 3*time.Second)
-		r, err := link.Ask[quorum.JoinTold](cx, w.Transport, s.Addr, quorum.JoinAsk{Next: next, From: sealed})
-		end()
+		callCtx, cancel := context.WithTimeout(ctx, 3*time.Second)
+		r, err := link.Ask[quorum.JoinTold](callCtx, sv.Transport, s.Addr, quorum.JoinAsk{Next: next, From: sealed})
+		cancel()
 		if err != nil || !r.OK {
-			w.Log.Debug("new voter has not joined yet", "step", "join", "mate", s.ID, "err", err)
+			sv.Log.Debug("new voter has not joined yet", "step", "join", "mate", s.ID, "err", err)
 			continue
 		}
-		votes++
+		voting++
 		if r.Items > 0 {
-			_ = w.Ledger.AddNote(ctx, ledger.Note{Kind: ledger.NoteSwap, Version: next.Epoch, Reason: fmt.Sprintf("%s votes on disk %s with %d items", s.ID, s.Disk, r.Items)})
+			_ = sv.Ledger.AddNote(ctx, ledger.Note{Kind: ledger.NoteSwap, Version: next.Epoch, Reason: fmt.Sprintf("%s votes on disk %s with %d items", s.ID, s.Disk, r.Items)})
 		}
 	}
-	w.Proposer.Learn(next)
+	sv.Proposer.Learn(next)
 	// Once a majority votes in the newest epoch, that epoch can be sealed for the next one,
 	// so a seat that never joins does not prevent its own replacement.
-	return votes >= next.QuorumSize(), nil
+	return voting >= next.QuorumSize(), nil
 }
 
 // sourceSeats lists the voters that a joining voter may copy items from.
-func (w *Supervisor) sourceSeats(core, next quorum.Core) []quorum.Seat {
+func (sv *Supervisor) sourceSeats(core, next quorum.Core) []quorum.Seat {
 	if next.Epoch > core.Epoch {
 		return core.Seats
 	}
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -71,86 +71,86 @@
 }
 
 // New assembles a controller; Run starts it.
-func New(p Config) (*Controller, error) {
-	i := do.New()
-	me := quorum.Seat{ID: p.Startup.ID, Addr: p.Startup.Inner, Zone: p.Startup.Zone}
-	var v *quorum.Voter
-	if p.Disk != nil {
+func New(cfg Config) (*Controller, error) {
+	injector := do.New()
+	me := quorum.Seat{ID: cfg.Startup.ID, Addr: cfg.Startup.Inner, Zone: cfg.Startup.Zone}
+	var voter *quorum.Voter
+	if cfg.Disk != nil {
 		var err error
-		if v, err = quorum.NewVoter(me, p.Disk, p.NewDiskID, p.Transport, p.Faults, p.OnDiskFailure); err != nil {
+		if voter, err = quorum.NewVoter(me, cfg.Disk, cfg.NewDiskID, cfg.Transport, cfg.Faults, cfg.OnDiskFailure); err != nil {
 			return nil, err
 		}
 	}
-	do.ProvideValue(i, v)
-	do.ProvideValue(i, link.NewDesk())
-	do.Provide(i, func(do.Injector) (*liveness.Pauses, error) { return liveness.NewPauses(p.Clock), nil })
-	do.Provide(i, func(do.Injector) (*quorum.Proposer, error) {
-		return quorum.NewProposer(p.Startup.ID+"."+p.NewDiskID, p.Transport, p.Clock), nil
+	do.ProvideValue(injector, voter)
+	do.ProvideValue(injector, link.NewDesk())
+	do.Provide(injector, func(do.Injector) (*liveness.Pauses, error) { return liveness.NewPauses(cfg.Clock), nil })
+	do.Provide(injector, func(do.Injector) (*quorum.Proposer, error) {
+		return quorum.NewProposer(cfg.Startup.ID+"."+cfg.NewDiskID, cfg.Transport, cfg.Clock), nil
 	})
-	do.Provide(i, func(i do.Injector) (*quorum.Bootstrapper, error) {
-		return &quorum.Bootstrapper{Seeds: p.Startup.Seeds, Self: p.Startup.Inner, Size: p.Startup.Core, Transport: p.Transport, Clock: p.Clock,
-			Proposer: do.MustInvoke[*quorum.Proposer](i), Voter: v}, nil
+	do.Provide(injector, func(injector do.Injector) (*quorum.Bootstrapper, error) {
+		return &quorum.Bootstrapper{Seeds: cfg.Startup.Seeds, Self: cfg.Startup.Inner, Size: cfg.Startup.Core, Transport: cfg.Transport, Clock: cfg.Clock,
+			Proposer: do.MustInvoke[*quorum.Proposer](injector), Voter: voter}, nil
 	})
-	do.Provide(i, func(i do.Injector) (*membership.Tenant, error) {
-		return &membership.Tenant{Line: p.Transport, Clock: p.Clock, Core: do.MustInvoke[*quorum.Proposer](i)}, nil
+	do.Provide(injector, func(injector do.Injector) (*membership.Tenant, error) {
+		return &membership.Tenant{Line: cfg.Transport, Clock: cfg.Clock, Core: do.MustInvoke[*quorum.Proposer](injector)}, nil
 	})
-	do.Provide(i, func(i do.Injector) (*ledger.Ledger, error) {
-		return &ledger.Ledger{Proposer: do.MustInvoke[*quorum.Proposer](i), Clock: p.Clock, Controller: p.Startup.ID, WallMS: p.WallMS}, nil
+	do.Provide(injector, func(injector do.Injector) (*ledger.Ledger, error) {
+		return &ledger.Ledger{Proposer: do.MustInvoke[*quorum.Proposer](injector), Clock: cfg.Clock, Controller: cfg.Startup.ID, WallMS: cfg.WallMS}, nil
 	})
-	do.Provide(i, func(i do.Injector) (*rollout.Roller, error) {
-		return &rollout.Roller{Book: do.MustInvoke[*ledger.Ledger](i), Tenant: do.MustInvoke[*membership.Tenant](i), Line: p.Transport, Clock: p.Clock, Faults: p.Faults, Log: p.Log}, nil
+	do.Provide(injector, func(injector do.Injector) (*rollout.Roller, error) {
+		return &rollout.Roller{Book: do.MustInvoke[*ledger.Ledger](injector), Tenant: do.MustInvoke[*membership.Tenant](injector), Line: cfg.Transport, Clock: cfg.Clock, Faults: cfg.Faults, Log: cfg.Log}, nil
 	})
-	do.Provide(i, func(i do.Injector) (*registry.House, error) {
-		h := &registry.House{Clock: p.Clock, Pause: do.MustInvoke[*liveness.Pauses](i), Run: p.Incarnation}
+	do.Provide(injector, func(injector do.Injector) (*registry.House, error) {
+		h := &registry.House{Clock: cfg.Clock, Pause: do.MustInvoke[*liveness.Pauses](injector), Run: cfg.Incarnation}
 		h.Init()
 		return h, nil
 	})
-	do.Provide(i, func(i do.Injector) (*commands.Drainer, error) {
-		return &commands.Drainer{Ledger: do.MustInvoke[*ledger.Ledger](i), Membership: do.MustInvoke[*membership.Tenant](i), Transport: p.Transport, Clock: p.Clock, Faults: p.Faults}, nil
+	do.Provide(injector, func(injector do.Injector) (*commands.Drainer, error) {
+		return &commands.Drainer{Ledger: do.MustInvoke[*ledger.Ledger](injector), Membership: do.MustInvoke[*membership.Tenant](injector), Transport: cfg.Transport, Clock: cfg.Clock, Faults: cfg.Faults}, nil
 	})
-	do.Provide(i, func(i do.Injector) (*commands.HeartbeatReceiver, error) {
-		return &commands.HeartbeatReceiver{Registry: do.MustInvoke[*registry.House](i), Membership: do.MustInvoke[*membership.Tenant](i), Transport: p.Transport, NodeID: p.Startup.ID,
-			Drainer: do.MustInvoke[*commands.Drainer](i)}, nil
+	do.Provide(injector, func(injector do.Injector) (*commands.HeartbeatReceiver, error) {
+		return &commands.HeartbeatReceiver{Registry: do.MustInvoke[*registry.House](injector), Membership: do.MustInvoke[*membership.Tenant](injector), Transport: cfg.Transport, NodeID: cfg.Startup.ID,
+			Drainer: do.MustInvoke[*commands.Drainer](injector)}, nil
 	})
-	do.Provide(i, func(i do.Injector) (*commands.Changer, error) {
-		return &commands.Changer{Ledger: do.MustInvoke[*ledger.Ledger](i), Rollout: do.MustInvoke[*rollout.Roller](i), Clock: p.Clock, Controller: p.Startup.ID}, nil
+	do.Provide(injector, func(injector do.Injector) (*commands.Changer, error) {
+		return &commands.Changer{Ledger: do.MustInvoke[*ledger.Ledger](injector), Rollout: do.MustInvoke[*rollout.Roller](injector), Clock: cfg.Clock, Controller: cfg.Startup.ID}, nil
 	})
-	do.Provide(i, func(i do.Injector) (*commands.Supervisor, error) {
-		return &commands.Supervisor{Registry: do.MustInvoke[*registry.House](i), Ledger: do.MustInvoke[*ledger.Ledger](i), Membership: do.MustInvoke[*membership.Tenant](i),
-			Drainer: do.MustInvoke[*commands.Drainer](i), Proposer: do.MustInvoke[*quorum.Proposer](i), Transport: p.Transport, Clock: p.Clock, Faults: p.Faults, Log: p.Log}, nil
+	do.Provide(injector, func(injector do.Injector) (*commands.Supervisor, error) {
+		return &commands.Supervisor{Registry: do.MustInvoke[*registry.House](injector), Ledger: do.MustInvoke[*ledger.Ledger](injector), Membership: do.MustInvoke[*membership.Tenant](injector),
+			Drainer: do.MustInvoke[*commands.Drainer](injector), Proposer: do.MustInvoke[*quorum.Proposer](injector), Transport: cfg.Transport, Clock: cfg.Clock, Faults: cfg.Faults, Log: cfg.Log}, nil
 	})
-	ctl := &Controller{Config: p, Voter: v, Mux: do.MustInvoke[*link.Desk](i), Proposer: do.MustInvoke[*quorum.Proposer](i), Membership: do.MustInvoke[*membership.Tenant](i),
-		Ledger: do.MustInvoke[*ledger.Ledger](i), Rollout: do.MustInvoke[*rollout.Roller](i), Registry: do.MustInvoke[*registry.House](i),
-		Changer: do.MustInvoke[*commands.Changer](i), Heartbeats: do.MustInvoke[*commands.HeartbeatReceiver](i), Drainer: do.MustInvoke[*commands.Drainer](i),
-		Supervisor: do.MustInvoke[*commands.Supervisor](i)}
+	ctl := &Controller{Config: cfg, Voter: voter, Mux: do.MustInvoke[*link.Desk](injector), Proposer: do.MustInvoke[*quorum.Proposer](injector), Membership: do.MustInvoke[*membership.Tenant](injector),
+		Ledger: do.MustInvoke[*ledger.Ledger](injector), Rollout: do.MustInvoke[*rollout.Roller](injector), Registry: do.MustInvoke[*registry.House](injector),
+		Changer: do.MustInvoke[*commands.Changer](injector), Heartbeats: do.MustInvoke[*commands.HeartbeatReceiver](injector), Drainer: do.MustInvoke[*commands.Drainer](injector),
+		Supervisor: do.MustInvoke[*commands.Supervisor](injector)}
 	ctl.Statements = &statement.Executor{Changer: ctl.Changer, Drainer: ctl.Drainer, Supervisor: ctl.Supervisor, Ledger: ctl.Ledger, WaitInForce: ctl.Rollout.Settle,
-		Queries: &queries.Reader{Ledger: ctl.Ledger, Registry: ctl.Registry, Membership: ctl.Membership, Proposer: ctl.Proposer, Transport: p.Transport}}
-	since := p.WallMS()
+		Queries: &queries.Reader{Ledger: ctl.Ledger, Registry: ctl.Registry, Membership: ctl.Membership, Proposer: ctl.Proposer, Transport: cfg.Transport}}
+	since := cfg.WallMS()
 	ctl.Membership.Me = func() membership.Member {
-		x := membership.Member{ID: p.Startup.ID, Inc: p.Incarnation, Kind: "controller", Inner: p.Startup.Inner, Door: p.Startup.Door, Zone: p.Startup.Zone, Since: since, Rest: ctl.drained.Load()}
-		if v != nil {
-			x.Disk = v.Seat()
+		x := membership.Member{ID: cfg.Startup.ID, Inc: cfg.Incarnation, Kind: "controller", Inner: cfg.Startup.Inner, Door: cfg.Startup.Door, Zone: cfg.Startup.Zone, Since: since, Rest: ctl.drained.Load()}
+		if voter != nil {
+			x.Disk = voter.Seat()
 		}
 		return x
 	}
-	bootstrapper := do.MustInvoke[*quorum.Bootstrapper](i)
+	bootstrapper := do.MustInvoke[*quorum.Bootstrapper](injector)
 	bootstrapper.Serve(ctl.Mux)
 	ctl.Rollout.Serve(ctl.Mux, ctl.Drainer.DrainedTargets)
 	ctl.Registry.Serve(ctl.Mux)
-	ctl.Claims = &claim.Clerk{Prop: ctl.Proposer, WallMS: p.WallMS}
+	ctl.Claims = &claim.Clerk{Prop: ctl.Proposer, WallMS: cfg.WallMS}
 	ctl.Claims.Serve(ctl.Mux)
-	ctl.trimmer = &commands.Trimmer{Ledger: ctl.Ledger, Proposer: ctl.Proposer, Membership: ctl.Membership, Transport: p.Transport, Drainer: ctl.Drainer, Retention: cmp.Or(p.Retention, defaultRetention)}
-	claims := &claim.Circle{Me: p.Startup.ID, Line: p.Transport, Clock: p.Clock, Log: p.Log, Keep: ctl.Claims, Held: ctl.Membership.Held,
+	ctl.trimmer = &commands.Trimmer{Ledger: ctl.Ledger, Proposer: ctl.Proposer, Membership: ctl.Membership, Transport: cfg.Transport, Drainer: ctl.Drainer, Retention: cmp.Or(cfg.Retention, defaultRetention)}
+	claims := &claim.Circle{Me: cfg.Startup.ID, Line: cfg.Transport, Clock: cfg.Clock, Log: cfg.Log, Keep: ctl.Claims, Held: ctl.Membership.Held,
 		Alone: func() bool { return false }, Gateways: func() ([]string, bool) { return nil, false },
-		Members: func() []string { return ctl.Membership.Others(p.Startup.ID) }, Mates: func() []string { return ctl.Membership.Others(p.Startup.ID) }}
+		Members: func() []string { return ctl.Membership.Others(cfg.Startup.ID) }, Mates: func() []string { return ctl.Membership.Others(cfg.Startup.ID) }}
 	claims.Init()
 	claims.Serve(ctl.Mux)
 	membership.ServeRest(ctl.Mux, &ctl.drained)
-	runs := []func(context.Context){bootstrapper.Run, ctl.Membership.Run, ctl.Registry.Start, ctl.Rollout.Watch, ctl.Supervisor.Run, ctl.sweep, claims.Run, do.MustInvoke[*liveness.Pauses](i).Run}
-	if v != nil {
-		v.Serve(ctl.Mux)
-		membership.NewCourt(v, p.Clock).Serve(ctl.Mux)
-		runs = append(runs, v.Run)
+	runs := []func(context.Context){bootstrapper.Run, ctl.Membership.Run, ctl.Registry.Start, ctl.Rollout.Watch, ctl.Supervisor.Run, ctl.sweep, claims.Run, do.MustInvoke[*liveness.Pauses](injector).Run}
+	if voter != nil {
+		voter.Serve(ctl.Mux)
+		membership.NewCourt(voter, cfg.Clock).Serve(ctl.Mux)
+		runs = append(runs, voter.Run)
 	}
 	ctl.start = func(ctx context.Context) {
 		for _, run := range runs {
@@ -194,21 +194,21 @@
 		if !ctl.Membership.Holds("sweep") {
 			continue
 		}
-		cx, end := context.WithTimeout(ctx, sweepInterval)
-		if err := ctl.Claims.Sweep(cx); err != nil && ctx.Err() == nil {
+		callCtx, cancel := context.WithTimeout(ctx, sweepInterval)
+		if err := ctl.Claims.Sweep(callCtx); err != nil && ctx.Err() == nil {
 			ctl.Log.Warn("cannot delete expired claims", "step", "sweep", "err", err)
 		}
 		if now := ctl.Clock.Now(); trimmed.IsZero() || now.Sub(trimmed) > min(trimInterval, ctl.trimmer.Retention) {
 			trimmed = now
-			if err := ctl.trimmer.Trim(cx); err != nil && ctx.Err() == nil {
+			if err := ctl.trimmer.Trim(callCtx); err != nil && ctx.Err() == nil {
 				ctl.Log.Warn("cannot delete expired decisions", "step", "sweep", "err", err)
 			}
 		}
-		if n, err := ctl.Proposer.RepairCopies(cx); err != nil && ctx.Err() == nil {
+		if n, err := ctl.Proposer.RepairCopies(callCtx); err != nil && ctx.Err() == nil {
 			ctl.Log.Warn("sweep did not complete", "step", "sweep", "err", err)
 		} else if n > 0 {
 			ctl.Log.Info("sweep repaired outdated copies", "step", "sweep", "items", n)
 		}
-		end()
+		cancel()
 	}
 }
--- a/internal/controller/door.go
+++ b/internal/controller/door.go
@@ -58,8 +58,8 @@
 func (ctl *Controller) postStatement(c *fiber.Ctx) error { return ctl.execute(c, string(c.Body())) }
 
 func (ctl *Controller) execute(c *fiber.Ctx, text string) error {
-	ctx, end := context.WithTimeout(context.Background(), changeTimeout)
-	defer end()
+	ctx, cancel := context.WithTimeout(context.Background(), changeTimeout)
+	defer cancel()
 	r, err := ctl.Statements.Execute(ctx, text)
 	switch {
 	case errors.Is(err, statement.ErrInvalid):
@@ -77,10 +77,10 @@
 	return c.JSON(r)
 }
 
-func writeError(c *fiber.Ctx, code int, why string) error {
+func writeError(c *fiber.Ctx, code int, reason string) error {
 	return c.Status(code).JSON(struct {
 		Error string `json:"error"`
-	}{why})
+	}{reason})
 }
 
 func (ctl *Controller) postHeartbeat(c *fiber.Ctx) error {
@@ -88,8 +88,8 @@
 	if err != nil {
 		return writeError(c, 400, err.Error())
 	}
-	ctx, end := context.WithTimeout(context.Background(), heartbeatTimeout)
-	defer end()
+	ctx, cancel := context.WithTimeout(context.Background(), heartbeatTimeout)
+	defer cancel()
 	r, err := ctl.Heartbeats.Receive(ctx, b)
 	if err != nil {
 		c.Set("Retry-After", "1")
@@ -108,8 +108,8 @@
 	if err := d.Decode(&o); err != nil {
 		return writeError(c, 400, "order: "+err.Error())
 	}
-	ctx, end := context.WithTimeout(context.Background(), changeTimeout)
-	defer end()
+	ctx, cancel := context.WithTimeout(context.Background(), changeTimeout)
+	defer cancel()
 	r := ctl.Changer.Apply(ctx, o)
 	ctl.Log.Info("change request handled", "step", "change", "outcome", r.Outcome, "version", r.Version, "token", o.Token, "by", o.Operator)
 	return c.Status(statusOf[r.Outcome]).JSON(r)
--- a/internal/gateway/door.go
+++ b/internal/gateway/door.go
@@ -67,11 +67,11 @@
 	if e, ok := err.(*fiber.Error); ok {
 		code = e.Code
 	}
-	v := httpapi.ErrorResponse{Status: code, Code: httpapi.Malformed}
+	response := httpapi.ErrorResponse{Status: code, Code: httpapi.Malformed}
 	if code == 413 {
-		v.Code = httpapi.TooLarge
+		response.Code = httpapi.TooLarge
 	}
-	return g.writeError(c, v, "")
+	return g.writeError(c, response, "")
 }
 
 // handleCall passes one call to the proxy and writes its answer.
@@ -97,19 +97,19 @@
 	return c.Send(t.Answer.Body)
 }
 
-func (g *Gateway) writeError(c *fiber.Ctx, v httpapi.ErrorResponse, call string) error {
-	if v.RetryDelay > 0 {
-		c.Set("Retry-After", v.RetryAfter())
+func (g *Gateway) writeError(c *fiber.Ctx, response httpapi.ErrorResponse, call string) error {
+	if response.RetryDelay > 0 {
+		c.Set("Retry-After", response.RetryAfter())
 	}
-	for _, a := range v.Allow {
+	for _, a := range response.Allow {
 		c.Append("Allow", a)
 	}
 	if call != "" {
 		c.Set(httpapi.CallHeader, call)
 	}
 	c.Set("Content-Type", "application/json")
-	g.countError(v.Code)
-	return c.Status(v.Status).Send(v.Body(call))
+	g.countError(response.Code)
+	return c.Status(response.Status).Send(response.Body(call))
 }
 
 func (g *Gateway) countError(code string) {
@@ -121,22 +121,22 @@
 // copyRequest copies a request out of the server's buffers, which are reused while a send
 // may still be running. It omits hop-by-hop header fields and those that Connection names.
 func copyRequest(c *fiber.Ctx) *passage.Request {
-	q := c.Request()
-	r := &passage.Request{Method: string(q.Header.Method()), URI: string(q.Header.RequestURI()), Host: string(q.Header.Host()),
-		Body: append([]byte(nil), q.Body()...)}
-	named := map[string]bool{}
-	for _, v := range q.Header.PeekAll("Connection") {
+	in := c.Request()
+	r := &passage.Request{Method: string(in.Header.Method()), URI: string(in.Header.RequestURI()), Host: string(in.Header.Host()),
+		Body: append([]byte(nil), in.Body()...)}
+	connectionFields := map[string]bool{}
+	for _, v := range in.Header.PeekAll("Connection") {
 		for _, n := range splitList(string(v)) {
-			named[textproto.CanonicalMIMEHeaderKey(n)] = true
+			connectionFields[textproto.CanonicalMIMEHeaderKey(n)] = true
 		}
 	}
-	for k, v := range q.Header.All() {
+	for k, v := range in.Header.All() {
 		n := string(k)
 		switch n {
 		case "Host", "Content-Length", httpapi.RequestHeader, httpapi.TargetHeader, "Expect":
 			continue
 		}
-		if !httpapi.IsHopByHop(n) && !named[n] {
+		if !httpapi.IsHopByHop(n) && !connectionFields[n] {
 			r.Header = append(r.Header, [2]string{n, string(v)})
 		}
 	}
--- a/internal/gateway/door_test.go
+++ b/internal/gateway/door_test.go
@@ -56,11 +56,11 @@
 // startGateway starts a gateway whose only target is at addr.
 func (s *testTarget) startGateway(t *testing.T, addr string) {
 	t.Helper()
-	tab := spec.NewTable(1, spec.Sheet{Services: []spec.Service{{Name: "svc"}}, Bindings: []spec.Binding{
+	table := spec.NewTable(1, spec.Sheet{Services: []spec.Service{{Name: "svc"}}, Bindings: []spec.Binding{
 		{Name: "once", Service: "svc", Methods: []string{"POST"}, Path: "/once/*", ExpiryMS: 1500, MaxBody: 6 << 20},
 		{Name: "again", Service: "svc", Methods: []string{"GET", "HEAD", "PUT"}, Path: "/again/*", ExpiryMS: 1500, Repeatable: true},
 	}}.Sorted())
-	ctx, end := context.WithCancel(context.Background())
+	ctx, cancel := context.WithCancel(context.Background())
 	r := &registry.Roster{Clock: clock.Wall{}, Pause: liveness.NewPauses(clock.Wall{}), Controllers: nil, Every: time.Second}
 	r.Init()
 	go r.Alone(ctx)
@@ -69,7 +69,7 @@
 	}
 	// The test takes longer than the result of a probe is valid.
 	r.Proved(r.Of("svc")[0], time.Now().Add(time.Hour))
-	p := &passage.Passage{Clock: clock.Wall{}, Rack: openGate{tab}, Roster: r, Courier: passage.NewHTTP(""), ID: "f", Inc: 1, Gateways: func() int { return 1 }}
+	p := &passage.Passage{Clock: clock.Wall{}, Rack: openGate{table}, Roster: r, Courier: passage.NewHTTP(""), ID: "f", Inc: 1, Gateways: func() int { return 1 }}
 	p.Init()
 	done := make(chan struct{})
 	go func() { p.Run(ctx); close(done) }()
@@ -80,7 +80,7 @@
 	}
 	app := f.HTTPServer(nil)
 	go func() { _ = app.Listener(ln) }()
-	t.Cleanup(func() { _ = app.Shutdown(); end(); <-done })
+	t.Cleanup(func() { _ = app.Shutdown(); cancel(); <-done })
 	s.addr = ln.Addr().String()
 }
 
@@ -275,24 +275,24 @@
 		w.Header().Set(httpapi.NotRunHeader, "1")
 		w.WriteHeader(503)
 	})
-	gone := &testTarget{}
+	unreachable := &testTarget{}
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	addr := ln.Addr().String()
 	_ = ln.Close()
-	gone.startGateway(t, addr)
-	for name, s := range map[string]*testTarget{"target says not run": busy, "nobody listens": gone} {
+	unreachable.startGateway(t, addr)
+	for name, s := range map[string]*testTarget{"target says not run": busy, "nobody listens": unreachable} {
 		r, b := s.call(t, "POST", "/once/x", strings.NewReader("order"))
 		if r.StatusCode != 503 || !strings.Contains(b, httpapi.BusyNotRun) || r.Header.Get("Retry-After") == "" {
 			t.Errorf("%s: %d %s %v", name, r.StatusCode, b, r.Header)
 		}
 	}
 	// If a target takes the request and does not answer, the outcome is unknown.
-	ends := make(chan struct{})
-	defer close(ends)
-	silent := newTarget(t, func(_ http.ResponseWriter, r *http.Request) { <-ends })
+	release := make(chan struct{})
+	defer close(release)
+	silent := newTarget(t, func(_ http.ResponseWriter, r *http.Request) { <-release })
 	r, b := silent.call(t, "POST", "/once/x", strings.NewReader("order"))
 	if r.StatusCode != 502 || !strings.Contains(b, httpapi.OutcomeUnknown) || silent.requests.Load() != 1 {
 		t.Errorf("silent target: %d %s after %d sends", r.StatusCode, b, silent.requests.Load())
@@ -321,10 +321,10 @@
 	wg.Wait()
 	for range 20 {
 		if r, _ := s.call(t, "GET", "/again/x", nil, httpapi.ClientHeader, "proper"); r.StatusCode != 200 {
-			t.Fatalf("a proper client got %d beside one that hammers", r.StatusCode)
+			t.Fatalf("a client within its limits got status %d while another one exceeded its own", r.StatusCode)
 		}
 	}
 	if limited.Load() == 0 || served.Load() < 100 {
-		t.Errorf("of 800 hammering calls %d were limited, %d served", limited.Load(), served.Load())
+		t.Errorf("of 800 calls by one client %d were limited, %d served", limited.Load(), served.Load())
 	}
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -67,43 +67,43 @@
 }
 
 // New assembles a gateway; Run starts it.
-func New(p Config) *Gateway {
-	i := do.New()
-	do.ProvideValue(i, p)
-	do.Provide(i, func(do.Injector) (*quorum.Proposer, error) {
-		return quorum.NewProposer(p.Startup.ID, p.Transport, p.Clock), nil
+func New(cfg Config) *Gateway {
+	injector := do.New()
+	do.ProvideValue(injector, cfg)
+	do.Provide(injector, func(do.Injector) (*quorum.Proposer, error) {
+		return quorum.NewProposer(cfg.Startup.ID, cfg.Transport, cfg.Clock), nil
 	})
-	do.Provide(i, func(i do.Injector) (*quorum.Bootstrapper, error) {
-		return &quorum.Bootstrapper{Seeds: p.Startup.Seeds, Self: p.Startup.Inner, Transport: p.Transport, Clock: p.Clock,
-			Proposer: do.MustInvoke[*quorum.Proposer](i)}, nil
+	do.Provide(injector, func(injector do.Injector) (*quorum.Bootstrapper, error) {
+		return &quorum.Bootstrapper{Seeds: cfg.Startup.Seeds, Self: cfg.Startup.Inner, Transport: cfg.Transport, Clock: cfg.Clock,
+			Proposer: do.MustInvoke[*quorum.Proposer](injector)}, nil
 	})
-	do.Provide(i, func(do.Injector) (*liveness.Pauses, error) { return liveness.NewPauses(p.Clock), nil })
-	do.Provide(i, func(i do.Injector) (*membership.Tenant, error) {
-		return &membership.Tenant{Line: p.Transport, Clock: p.Clock, Core: do.MustInvoke[*quorum.Proposer](i)}, nil
+	do.Provide(injector, func(do.Injector) (*liveness.Pauses, error) { return liveness.NewPauses(cfg.Clock), nil })
+	do.Provide(injector, func(injector do.Injector) (*membership.Tenant, error) {
+		return &membership.Tenant{Line: cfg.Transport, Clock: cfg.Clock, Core: do.MustInvoke[*quorum.Proposer](injector)}, nil
 	})
-	do.Provide(i, newTargets)
-	do.Provide(i, newRoutes)
-	do.Provide(i, newClaims)
-	do.Provide(i, newProxy)
-	g := &Gateway{Config: p, created: p.Clock.Now(), Mux: link.NewDesk(), Membership: do.MustInvoke[*membership.Tenant](i), Pauses: do.MustInvoke[*liveness.Pauses](i),
-		Routes: do.MustInvoke[*rollout.Rack](i), Targets: do.MustInvoke[*registry.Roster](i), Proxy: do.MustInvoke[*passage.Passage](i)}
+	do.Provide(injector, newTargets)
+	do.Provide(injector, newRoutes)
+	do.Provide(injector, newClaims)
+	do.Provide(injector, newProxy)
+	g := &Gateway{Config: cfg, created: cfg.Clock.Now(), Mux: link.NewDesk(), Membership: do.MustInvoke[*membership.Tenant](injector), Pauses: do.MustInvoke[*liveness.Pauses](injector),
+		Routes: do.MustInvoke[*rollout.Rack](injector), Targets: do.MustInvoke[*registry.Roster](injector), Proxy: do.MustInvoke[*passage.Passage](injector)}
 	since := time.Now().UnixMilli()
 	g.Membership.Me = func() membership.Member {
-		return membership.Member{ID: p.Startup.ID, Inc: p.Incarnation, Kind: "gateway", Inner: p.Startup.Inner, Door: p.Startup.Door,
-			Zone: p.Startup.Zone, Spec: g.Routes.N(), Since: since, Rest: g.drained.Load()}
+		return membership.Member{ID: cfg.Startup.ID, Inc: cfg.Incarnation, Kind: "gateway", Inner: cfg.Startup.Inner, Door: cfg.Startup.Door,
+			Zone: cfg.Startup.Zone, Spec: g.Routes.N(), Since: since, Rest: g.drained.Load()}
 	}
 	g.Targets.OnStand = g.probeTarget
 	g.Routes.Serve(g.Mux)
 	g.Targets.Serve(g.Mux)
-	claims := do.MustInvoke[*claim.Circle](i)
+	claims := do.MustInvoke[*claim.Circle](injector)
 	claims.Serve(g.Mux)
 	g.Proxy.Serve(g.Mux)
 	membership.ServeRest(g.Mux, &g.drained)
-	bootstrapper := do.MustInvoke[*quorum.Bootstrapper](i)
+	bootstrapper := do.MustInvoke[*quorum.Bootstrapper](injector)
 	bootstrapper.Serve(g.Mux)
 	g.start = func(ctx context.Context) {
 		g.wg.Go(func() {
-			clock.Every(ctx, p.Clock, maxGateClosed/8, func() { g.Ready() })
+			clock.Every(ctx, cfg.Clock, maxGateClosed/8, func() { g.Ready() })
 		})
 		for _, run := range []func(context.Context){bootstrapper.Run, g.Membership.Run, g.Routes.Run, g.Targets.Run, g.Proxy.Run, g.Pauses.Run, claims.Run} {
 			g.wg.Go(func() { run(ctx) })
@@ -113,31 +113,31 @@
 }
 
 func newTargets(i do.Injector) (*registry.Roster, error) {
-	p, t := do.MustInvoke[Config](i), do.MustInvoke[*membership.Tenant](i)
-	r := &registry.Roster{Line: p.Transport, Clock: p.Clock, Pause: do.MustInvoke[*liveness.Pauses](i), Me: p.Startup.ID, Zone: p.Startup.Zone,
-		Controllers: func() []membership.Member { return t.Kind("controller") }, Every: probeInterval}
+	cfg, members := do.MustInvoke[Config](i), do.MustInvoke[*membership.Tenant](i)
+	r := &registry.Roster{Line: cfg.Transport, Clock: cfg.Clock, Pause: do.MustInvoke[*liveness.Pauses](i), Me: cfg.Startup.ID, Zone: cfg.Startup.Zone,
+		Controllers: func() []membership.Member { return members.Kind("controller") }, Every: probeInterval}
 	r.Init()
 	return r, nil
 }
 
 func newRoutes(i do.Injector) (*rollout.Rack, error) {
-	p, t, r := do.MustInvoke[Config](i), do.MustInvoke[*membership.Tenant](i), do.MustInvoke[*registry.Roster](i)
-	k := &rollout.Rack{Tenant: t, Line: p.Transport, Clock: p.Clock, ID: p.Startup.ID, Log: p.Log,
-		Controllers: func() []string { return controllersByDistance(t.Kind("controller"), p.Startup) },
+	cfg, members, targets := do.MustInvoke[Config](i), do.MustInvoke[*membership.Tenant](i), do.MustInvoke[*registry.Roster](i)
+	routes := &rollout.Rack{Tenant: members, Line: cfg.Transport, Clock: cfg.Clock, ID: cfg.Startup.ID, Log: cfg.Log,
+		Controllers: func() []string { return controllersByDistance(members.Kind("controller"), cfg.Startup) },
 		Mates: func() []string {
-			return lo.Union(t.Others(p.Startup.ID), lo.Without(p.Startup.Seeds, p.Startup.Inner))
+			return lo.Union(members.Others(cfg.Startup.ID), lo.Without(cfg.Startup.Seeds, cfg.Startup.Inner))
 		},
-		OnSpec: func(t *spec.Table) {
-			r.Want(lo.Map(t.Services, func(s spec.Service, _ int) string { return s.Name }))
+		OnSpec: func(table *spec.Table) {
+			targets.Want(lo.Map(table.Services, func(s spec.Service, _ int) string { return s.Name }))
 		},
 		OnLeaves: func(ls []rollout.Leave) {
 			for _, l := range ls {
-				_ = r.Drain(context.Background(), l.Service, l.ID, l.Inc, l.Gone)
+				_ = targets.Drain(context.Background(), l.Service, l.ID, l.Inc, l.Gone)
 			}
 		},
 	}
-	k.Init()
-	return k, nil
+	routes.Init()
+	return routes, nil
 }
 
 // controllersByDistance lists the controllers to ask, those of the gateway's own zone first.
@@ -147,41 +147,41 @@
 	if len(ms) == 0 {
 		return s.Seeds
 	}
-	near, far := lo.FilterReject(ms, func(m membership.Member, _ int) bool { return m.Zone == s.Zone })
-	n := 0
+	ownZone, otherZones := lo.FilterReject(ms, func(m membership.Member, _ int) bool { return m.Zone == s.Zone })
+	hash := 0
 	for _, c := range []byte(s.ID) {
-		n = n*31 + int(c)
+		hash = hash*31 + int(c)
 	}
 	rotate := func(l []membership.Member) []membership.Member {
 		if len(l) == 0 {
 			return l
 		}
-		k := (n%len(l) + len(l)) % len(l)
-		return append(append([]membership.Member(nil), l[k:]...), l[:k]...)
+		start := (hash%len(l) + len(l)) % len(l)
+		return append(append([]membership.Member(nil), l[start:]...), l[:start]...)
 	}
-	return lo.Map(append(rotate(near), rotate(far)...), func(m membership.Member, _ int) string { return m.Inner })
+	return lo.Map(append(rotate(ownZone), rotate(otherZones)...), func(m membership.Member, _ int) string { return m.Inner })
 }
 
 func newProxy(i do.Injector) (*passage.Passage, error) {
-	p, t := do.MustInvoke[Config](i), do.MustInvoke[*membership.Tenant](i)
-	g := &passage.Passage{Clock: p.Clock, Rack: do.MustInvoke[*rollout.Rack](i), Roster: do.MustInvoke[*registry.Roster](i),
-		Courier: p.TargetClient, Zone: p.Startup.Zone, Chart: p.Startup.Chart, ID: p.Startup.ID, Inc: p.Incarnation, Faults: p.Faults, Log: p.Log, Count: p.Count,
+	cfg, members := do.MustInvoke[Config](i), do.MustInvoke[*membership.Tenant](i)
+	proxy := &passage.Passage{Clock: cfg.Clock, Rack: do.MustInvoke[*rollout.Rack](i), Roster: do.MustInvoke[*registry.Roster](i),
+		Courier: cfg.TargetClient, Zone: cfg.Startup.Zone, Chart: cfg.Startup.Chart, ID: cfg.Startup.ID, Inc: cfg.Incarnation, Faults: cfg.Faults, Log: cfg.Log, Count: cfg.Count,
 		Gateways: func() int {
 			// Called for every choice of a target, so the members are counted without building a list.
-			return lo.CountBy(t.Members(), func(m membership.Member) bool { return m.Kind == "gateway" }) + 1
+			return lo.CountBy(members.Members(), func(m membership.Member) bool { return m.Kind == "gateway" }) + 1
 		},
 		Claims: do.MustInvoke[*claim.Circle](i)}
-	g.Init()
-	return g, nil
+	proxy.Init()
+	return proxy, nil
 }
 
 func newClaims(i do.Injector) (*claim.Circle, error) {
-	p, t, k := do.MustInvoke[Config](i), do.MustInvoke[*membership.Tenant](i), do.MustInvoke[*rollout.Rack](i)
-	c := &claim.Circle{Me: p.Startup.ID, Line: p.Transport, Clock: p.Clock, Log: p.Log, Mates: k.Mates, Held: t.Held, Alone: k.Stranded, Gateways: k.Counts,
-		Members: func() []string { return t.Others(p.Startup.ID) },
-		Keep:    &claimClient{transport: p.Transport, clock: p.Clock, controllers: func() []string { return controllersByDistance(t.Kind("controller"), p.Startup) }}}
-	c.Init()
-	return c, nil
+	cfg, members, routes := do.MustInvoke[Config](i), do.MustInvoke[*membership.Tenant](i), do.MustInvoke[*rollout.Rack](i)
+	claims := &claim.Circle{Me: cfg.Startup.ID, Line: cfg.Transport, Clock: cfg.Clock, Log: cfg.Log, Mates: routes.Mates, Held: members.Held, Alone: routes.Stranded, Gateways: routes.Counts,
+		Members: func() []string { return members.Others(cfg.Startup.ID) },
+		Keep:    &claimClient{transport: cfg.Transport, clock: cfg.Clock, controllers: func() []string { return controllersByDistance(members.Kind("controller"), cfg.Startup) }}}
+	claims.Init()
+	return claims, nil
 }
 
 // claimClient makes idempotency-key claims through any controller that answers.
@@ -209,9 +209,9 @@
 	err = errors.New("no controller known")
 	for {
 		for _, a := range c.controllers() {
-			cx, end := context.WithTimeout(ctx, claimTimeout)
-			r, err = link.Ask[R](cx, c.transport, a, ask)
-			end()
+			callCtx, cancel := context.WithTimeout(ctx, claimTimeout)
+			r, err = link.Ask[R](callCtx, c.transport, a, ask)
+			cancel()
 			if err == nil {
 				return r, nil
 			}
@@ -313,10 +313,10 @@
 
 func (g *Gateway) probe(ctx context.Context, s *registry.Stand, seq uint64) {
 	sent := g.Clock.Now()
-	cx, end := context.WithTimeout(ctx, probeTimeout)
-	defer end()
+	callCtx, cancel := context.WithTimeout(ctx, probeTimeout)
+	defer cancel()
 	name := httpapi.TargetName(s.ID, s.Service, s.Inc)
-	a, _, err := g.TargetClient.Carry(cx, &passage.Sending{Addr: s.Addr, Target: "probe:" + name, Number: httpapi.ProbeNumber(seq), Expiry: sent.Add(probeTimeout),
+	a, _, err := g.TargetClient.Carry(callCtx, &passage.Sending{Addr: s.Addr, Target: "probe:" + name, Number: httpapi.ProbeNumber(seq), Expiry: sent.Add(probeTimeout),
 		Req: &passage.Request{Method: "GET", URI: httpapi.ProbeURI(seq), Host: s.Addr}})
 	if err != nil || a.Status != 200 || !a.Whole {
 		return
--- a/internal/httpapi/beat.go
+++ b/internal/httpapi/beat.go
@@ -62,12 +62,12 @@
 	case t.EveryMS < 0 || t.EveryMS > 600_000:
 		return t, fmt.Errorf("heartbeat_ms: %d is out of range", t.EveryMS)
 	}
-	h, p, err := net.SplitHostPort(t.Addr)
-	if err != nil || net.ParseIP(h) == nil {
+	host, port, err := net.SplitHostPort(t.Addr)
+	if err != nil || net.ParseIP(host) == nil {
 		return t, fmt.Errorf("addr: %q is not IP:port", t.Addr)
 	}
-	if n, err := strconv.Atoi(p); err != nil || n < 1 || n > 65535 {
-		return t, fmt.Errorf("addr: port %q is out of range", p)
+	if n, err := strconv.Atoi(port); err != nil || n < 1 || n > 65535 {
+		return t, fmt.Errorf("addr: port %q is out of range", port)
 	}
 	if t.EveryMS == 0 {
 		t.EveryMS = 2000
--- a/internal/httpapi/beat_test.go
+++ b/internal/httpapi/beat_test.go
@@ -29,11 +29,11 @@
 	f.Add([]byte(`{"id":"a","service":"s","addr":"127.0.0.1:1","call_seq":1}`), "a;s;1;r;5")
 	f.Fuzz(func(t *testing.T, b []byte, s string) {
 		if x, err := ParseBeat(b); err == nil && (x.ID == "" || x.Seq == 0) {
-			t.Fatalf("taken: %+v", x)
+			t.Fatalf("accepted without id or call_seq: %+v", x)
 		}
 		if st, err := ParseStamp(s); err == nil {
 			if again, err := ParseStamp(st.String()); err != nil || again != st {
-				t.Fatalf("%q does not come back: %v", s, err)
+				t.Fatalf("%q does not survive formatting and parsing: %v", s, err)
 			}
 		}
 	})
--- a/internal/ledger/book.go
+++ b/internal/ledger/book.go
@@ -33,9 +33,9 @@
 // FullSheetBefore returns the version of the last change made before the time ms that
 // carries the full sheet, or 0 if there is none. Replay can start at that change.
 func (st *State) FullSheetBefore(ms int64) (n uint64) {
-	for _, w := range st.fullSheets {
-		if w.atMS < ms {
-			n = w.version
+	for _, sheet := range st.fullSheets {
+		if sheet.atMS < ms {
+			n = sheet.version
 		}
 	}
 	return n
@@ -69,8 +69,8 @@
 
 // State returns the most recent state computed on this controller.
 func (l *Ledger) State() *State {
-	if f := l.state.Load(); f != nil {
-		return f
+	if st := l.state.Load(); st != nil {
+		return st
 	}
 	return &State{}
 }
@@ -86,9 +86,9 @@
 	if err != nil {
 		return nil, steperr.Wrap("refresh", "", err)
 	}
-	f := l.State()
-	if key == "" || key <= ChangeKey(f.Version) {
-		return f, nil
+	current := l.State()
+	if key == "" || key <= ChangeKey(current.Version) {
+		return current, nil
 	}
 	l.initOnce.Do(func() { l.refreshSlot = make(chan struct{}, 1) })
 	select {
@@ -97,16 +97,16 @@
 		return nil, steperr.Wrap("refresh", "", ctx.Err())
 	}
 	defer func() { <-l.refreshSlot }()
-	f = l.State()
-	if key <= ChangeKey(f.Version) {
-		return f, nil
+	current = l.State()
+	if key <= ChangeKey(current.Version) {
+		return current, nil
 	}
 	after := ""
-	if f.Version > 0 {
-		after = ChangeKey(f.Version)
+	if current.Version > 0 {
+		after = ChangeKey(current.Version)
 	}
-	next := &State{Version: f.Version, Sheet: f.Sheet, tokens: map[string]uint64{}, fullSheets: slices.Clone(f.fullSheets)}
-	for t, k := range f.tokens {
+	next := &State{Version: current.Version, Sheet: current.Sheet, tokens: map[string]uint64{}, fullSheets: slices.Clone(current.fullSheets)}
+	for t, k := range current.tokens {
 		next.tokens[t] = k
 	}
 	err = l.Proposer.List(ctx, ChangePrefix, after, func(k string, v []byte) error {
@@ -187,13 +187,13 @@
 }
 
 // Activation reads the activation record from a majority of the voters.
-func (l *Ledger) Activation(ctx context.Context) (f Activation, err error) {
+func (l *Ledger) Activation(ctx context.Context) (a Activation, err error) {
 	v, err := l.Proposer.Read(ctx, ActivationKey)
 	if quorum.IsNeverWritten(err) || err == nil && v == nil {
-		return f, nil
+		return a, nil
 	}
 	if err != nil {
-		return f, steperr.Wrap("read flip", "", err)
+		return a, steperr.Wrap("read flip", "", err)
 	}
 	return Decode[Activation](v)
 }
@@ -241,7 +241,7 @@
 	return err
 }
 
-func (l *Ledger) updateActivation(ctx context.Context, f func(Activation) Activation) (out Activation, err error) {
+func (l *Ledger) updateActivation(ctx context.Context, update func(Activation) Activation) (out Activation, err error) {
 	_, err = l.Proposer.Change(ctx, ActivationKey, func(old []byte) ([]byte, error) {
 		var o Activation
 		if old != nil {
@@ -250,7 +250,7 @@
 				return nil, err
 			}
 		}
-		out = f(o)
+		out = update(o)
 		return Encode(out), nil
 	})
 	return out, steperr.Wrap("flip", "", err)
@@ -337,17 +337,17 @@
 	if err != nil {
 		return spec.Sheet{}, err
 	}
-	f := &State{tokens: map[string]uint64{}}
+	st := &State{tokens: map[string]uint64{}}
 	for _, c := range cs {
 		if c.Version > n {
 			break
 		}
-		if err := f.apply(c); err != nil {
+		if err := st.apply(c); err != nil {
 			return spec.Sheet{}, err
 		}
 	}
-	if f.Version != n {
+	if st.Version != n {
 		return spec.Sheet{}, steperr.New("sheet at version", "", "no version %d", n)
 	}
-	return f.Sheet, nil
+	return st.Sheet, nil
 }
--- a/internal/ledger/book_test.go
+++ b/internal/ledger/book_test.go
@@ -7,14 +7,14 @@
 	"walkrudder/internal/spec"
 )
 
-func put(n uint64, name string) Change {
+func putService(n uint64, name string) Change {
 	return Change{Version: n, Token: fmt.Sprint("t", n), Edits: []spec.Edit{{Op: spec.PutService, Service: &spec.Service{Name: name}}}}
 }
 
 func TestFoldTakesChangesInOrderOnly(t *testing.T) {
 	f := &State{tokens: map[string]uint64{}}
 	for i := range 3 {
-		if err := f.apply(put(uint64(i+1), fmt.Sprint("s", i))); err != nil {
+		if err := f.apply(putService(uint64(i+1), fmt.Sprint("s", i))); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -24,20 +24,20 @@
 	if n, ok := f.Token("t2"); !ok || n != 2 {
 		t.Errorf("token t2 is at %d, %v", n, ok)
 	}
-	if f.apply(put(5, "gap")) == nil {
-		t.Error("a gap was folded over")
+	if f.apply(putService(5, "gap")) == nil {
+		t.Error("a change was applied across a gap")
 	}
-	bad := put(4, "x")
+	bad := putService(4, "x")
 	bad.Edits[0].Service.Name = "Not A Name"
 	if f.apply(bad) == nil || f.Version != 3 {
-		t.Error("a change that does not apply was folded in")
+		t.Error("a change with an invalid edit was applied")
 	}
 	// Replay can start only at the first change or at one that carries the full sheet.
-	whole := put(64, "y")
+	whole := putService(64, "y")
 	whole.Sheet = &spec.Sheet{Services: []spec.Service{{Name: "y"}}}
 	g := &State{tokens: map[string]uint64{}}
-	if g.apply(put(64, "y")) == nil {
-		t.Error("a fold began in the middle without a whole sheet")
+	if g.apply(putService(64, "y")) == nil {
+		t.Error("replay started at a change without the full sheet")
 	}
 	if err := g.apply(whole); err != nil || g.Version != 64 || len(g.Sheet.Services) != 1 {
 		t.Errorf("%+v %v", g, err)
@@ -52,6 +52,6 @@
 		}
 	}
 	if !(Activation{}).HasMajority(nil) {
-		t.Error("with no gateway that counts, none is needed")
+		t.Error("no majority without gateways that count, want one")
 	}
 }
--- a/internal/queries/queries.go
+++ b/internal/queries/queries.go
@@ -48,12 +48,12 @@
 }
 
 // Nodes lists the members according to the lease tables of a majority.
-func (a *Reader) Nodes(ctx context.Context) ([]NodeRow, error) {
-	ms, err := a.Membership.Table(ctx)
+func (rd *Reader) Nodes(ctx context.Context) ([]NodeRow, error) {
+	ms, err := rd.Membership.Table(ctx)
 	if err != nil {
 		return nil, err
 	}
-	c := a.Proposer.Core()
+	c := rd.Proposer.Core()
 	return lo.Map(ms, func(m membership.Member, _ int) NodeRow {
 		s, in := c.Seat(m.ID)
 		return NodeRow{ID: m.ID, Kind: m.Kind, Zone: m.Zone, Inner: m.Inner, Door: m.Door, Votes: in && s.Disk == m.Disk.Disk,
@@ -83,9 +83,9 @@
 }
 
 // Targets lists the targets of one service, or of all services if service is empty.
-func (a *Reader) Targets(ctx context.Context, service string) ([]TargetRow, error) {
-	views := registry.Views(ctx, a.Transport, a.Membership.Members())
-	return lo.FilterMap(registry.Collect(ctx, a.Transport, a.Membership.Members()), func(s registry.Seen, _ int) (TargetRow, bool) {
+func (rd *Reader) Targets(ctx context.Context, service string) ([]TargetRow, error) {
+	views := registry.Views(ctx, rd.Transport, rd.Membership.Members())
+	return lo.FilterMap(registry.Collect(ctx, rd.Transport, rd.Membership.Members()), func(s registry.Seen, _ int) (TargetRow, bool) {
 		v := views[ledger.Target{ID: s.Beat.ID, Service: s.Beat.Service, Incarnation: s.Beat.Inc}]
 		state := "serving"
 		switch {
@@ -112,19 +112,19 @@
 }
 
 // Sheet reads the latest sheet from a majority, or the sheet of an earlier version.
-func (a *Reader) Sheet(ctx context.Context, n uint64) (SheetStatus, error) {
-	f, err := a.Ledger.Refresh(ctx)
+func (rd *Reader) Sheet(ctx context.Context, n uint64) (SheetStatus, error) {
+	state, err := rd.Ledger.Refresh(ctx)
 	if err != nil {
 		return SheetStatus{}, err
 	}
-	fo, err := a.Ledger.Activation(ctx)
+	activation, err := rd.Ledger.Activation(ctx)
 	if err != nil {
 		return SheetStatus{}, err
 	}
-	s := SheetStatus{Version: f.Version, InForce: fo.Version, Sheet: f.Sheet}
-	if n != 0 && n != f.Version {
+	s := SheetStatus{Version: state.Version, InForce: activation.Version, Sheet: state.Sheet}
+	if n != 0 && n != state.Version {
 		s.Version = n
-		s.Sheet, err = a.Ledger.SheetAt(ctx, n)
+		s.Sheet, err = rd.Ledger.SheetAt(ctx, n)
 	}
 	return s, err
 }
@@ -136,20 +136,20 @@
 }
 
 // Change returns the state of a change, found by version or token.
-func (a *Reader) Change(ctx context.Context, n uint64, token string) (ChangeStatus, error) {
-	cs, err := a.Ledger.Changes(ctx)
+func (rd *Reader) Change(ctx context.Context, n uint64, token string) (ChangeStatus, error) {
+	changes, err := rd.Ledger.Changes(ctx)
 	if err != nil {
 		return ChangeStatus{}, err
 	}
-	c, ok := lo.Find(cs, func(c ledger.Change) bool { return n != 0 && c.Version == n || token != "" && c.Token == token })
+	c, ok := lo.Find(changes, func(c ledger.Change) bool { return n != 0 && c.Version == n || token != "" && c.Token == token })
 	if !ok {
 		return ChangeStatus{}, steperr.New("find change", "", "no such change")
 	}
-	fo, err := a.Ledger.Activation(ctx)
+	activation, err := rd.Ledger.Activation(ctx)
 	if err != nil {
 		return ChangeStatus{}, err
 	}
-	return ChangeStatus{c, lo.Ternary(c.Version <= fo.Version, "in force", "decided")}, nil
+	return ChangeStatus{c, lo.Ternary(c.Version <= activation.Version, "in force", "decided")}, nil
 }
 
 // Decision is one decision in human-readable form.
@@ -163,40 +163,40 @@
 }
 
 // notes lists all decisions other than changes, oldest first.
-func (a *Reader) notes(ctx context.Context) (out []ledger.Note, err error) {
+func (rd *Reader) notes(ctx context.Context) (out []ledger.Note, err error) {
 	for _, p := range ledger.NotePrefixes {
-		ns, err := a.Ledger.Notes(ctx, p)
+		ns, err := rd.Ledger.Notes(ctx, p)
 		if err != nil {
 			return nil, err
 		}
 		out = append(out, ns...)
 	}
-	slices.SortStableFunc(out, func(a, b ledger.Note) int { return cmp.Compare(a.AtMS, b.AtMS) })
+	slices.SortStableFunc(out, func(rd, b ledger.Note) int { return cmp.Compare(rd.AtMS, b.AtMS) })
 	return out, nil
 }
 
 // Decisions lists all decisions, oldest first; only the last ones if last is above 0.
-func (a *Reader) Decisions(ctx context.Context, last int) ([]Decision, error) {
+func (rd *Reader) Decisions(ctx context.Context, last int) ([]Decision, error) {
 	var out []Decision
-	cs, err := a.Ledger.Changes(ctx)
+	changes, err := rd.Ledger.Changes(ctx)
 	if err != nil {
 		return nil, err
 	}
-	for _, c := range cs {
+	for _, c := range changes {
 		out = append(out, Decision{formatTime(c.AtMS), c.Controller, "change", fmt.Sprintf("version %d", c.Version), fmt.Sprintf("by %q: %s %s", c.Operator, formatEdits(c.Edits), c.Note), c.AtMS})
 	}
-	ns, err := a.notes(ctx)
+	notes, err := rd.notes(ctx)
 	if err != nil {
 		return nil, err
 	}
-	for _, n := range ns {
+	for _, n := range notes {
 		about := fmt.Sprintf("version %d", n.Version)
 		if n.Target != nil {
 			about = fmt.Sprintf("%s/%s run %d", n.Target.Service, n.Target.ID, n.Target.Incarnation)
 		}
 		out = append(out, Decision{formatTime(n.AtMS), n.Controller, n.Kind, about, n.Reason, n.AtMS})
 	}
-	slices.SortStableFunc(out, func(a, b Decision) int { return cmp.Compare(a.atMS, b.atMS) })
+	slices.SortStableFunc(out, func(rd, b Decision) int { return cmp.Compare(rd.atMS, b.atMS) })
 	if last > 0 && len(out) > last {
 		out = out[len(out)-last:]
 	}
@@ -225,12 +225,12 @@
 }
 
 // ExplainTarget returns what is known about a target and the decisions made about it.
-func (a *Reader) ExplainTarget(ctx context.Context, service, id string) (any, error) {
-	ts, err := a.Targets(ctx, service)
+func (rd *Reader) ExplainTarget(ctx context.Context, service, id string) (any, error) {
+	ts, err := rd.Targets(ctx, service)
 	if err != nil {
 		return nil, err
 	}
-	all, err := a.notes(ctx)
+	all, err := rd.notes(ctx)
 	if err != nil {
 		return nil, err
 	}
@@ -252,21 +252,21 @@
 }
 
 // ExplainCall asks the gateway that received a call what happened to it.
-func (a *Reader) ExplainCall(ctx context.Context, call string) (passage.Story, error) {
-	run := strings.LastIndexByte(call, '-')
-	id := strings.LastIndexByte(call[:max(run, 0)], '-')
-	if id <= 0 {
+func (rd *Reader) ExplainCall(ctx context.Context, call string) (passage.Story, error) {
+	runSep := strings.LastIndexByte(call, '-')
+	idSep := strings.LastIndexByte(call[:max(runSep, 0)], '-')
+	if idSep <= 0 {
 		return passage.Story{}, steperr.New("find call", "", "%q is no call: FLOW-RUN-NUMBER", call)
 	}
-	gateway, inc := call[:id], call[id+1:run]
-	m, ok := lo.Find(a.Membership.Members(), func(m membership.Member) bool { return m.ID == gateway })
+	gateway, inc := call[:idSep], call[idSep+1:runSep]
+	m, ok := lo.Find(rd.Membership.Members(), func(m membership.Member) bool { return m.ID == gateway })
 	if !ok {
 		return passage.Story{}, steperr.New("find call", gateway, "that gateway has no lease now; its log has what it gave up")
 	}
 	if strconv.FormatUint(m.Inc, 36) != inc {
 		return passage.Story{}, steperr.New("find call", gateway, "that run of the gateway has ended; its log has what it gave up")
 	}
-	r, err := link.Ask[passage.StoryTold](ctx, a.Transport, m.Inner, passage.StoryAsk{Call: call})
+	r, err := link.Ask[passage.StoryTold](ctx, rd.Transport, m.Inner, passage.StoryAsk{Call: call})
 	if err != nil {
 		return passage.Story{}, steperr.Wrap("find call", gateway, err)
 	}
@@ -285,28 +285,28 @@
 }
 
 // History lists the versions of a binding.
-func (a *Reader) History(ctx context.Context, name string) ([]HistoryRow, error) {
-	cs, err := a.Ledger.Changes(ctx)
+func (rd *Reader) History(ctx context.Context, name string) ([]HistoryRow, error) {
+	changes, err := rd.Ledger.Changes(ctx)
 	if err != nil {
 		return nil, err
 	}
 	var out []HistoryRow
 	var s spec.Sheet
-	var was *spec.Binding
-	for _, c := range cs {
+	var previous *spec.Binding
+	for _, c := range changes {
 		if c.Sheet != nil {
 			s = *c.Sheet
 		} else {
 			s, _ = s.Apply(c.Edits)
 		}
-		var is *spec.Binding
+		var current *spec.Binding
 		if b, ok := lo.Find(s.Bindings, func(b spec.Binding) bool { return b.Name == name }); ok {
-			is = &b
+			current = &b
 		}
-		if !reflect.DeepEqual(was, is) {
-			out = append(out, HistoryRow{c.Version, formatTime(c.AtMS), c.Operator, is})
+		if !reflect.DeepEqual(previous, current) {
+			out = append(out, HistoryRow{c.Version, formatTime(c.AtMS), c.Operator, current})
 		}
-		was = is
+		previous = current
 	}
 	if len(out) == 0 {
 		return nil, steperr.New("history", "", "there was never a binding %q", name)
@@ -323,12 +323,12 @@
 }
 
 // Diff lists the differences between versions x and y.
-func (a *Reader) Diff(ctx context.Context, x, y uint64) ([]DiffRow, error) {
-	sx, err := a.Sheet(ctx, x)
+func (rd *Reader) Diff(ctx context.Context, x, y uint64) ([]DiffRow, error) {
+	sx, err := rd.Sheet(ctx, x)
 	if err != nil {
 		return nil, err
 	}
-	sy, err := a.Sheet(ctx, y)
+	sy, err := rd.Sheet(ctx, y)
 	if err != nil {
 		return nil, err
 	}
@@ -364,23 +364,23 @@
 }
 
 // FullState reads the complete shared state.
-func (a *Reader) FullState(ctx context.Context) (p FullState, err error) {
-	p.Controller, p.Core = a.Ledger.Controller, a.Proposer.Core()
-	if p.Sheet, err = a.Sheet(ctx, 0); err != nil {
+func (rd *Reader) FullState(ctx context.Context) (p FullState, err error) {
+	p.Controller, p.Core = rd.Ledger.Controller, rd.Proposer.Core()
+	if p.Sheet, err = rd.Sheet(ctx, 0); err != nil {
 		return p, err
 	}
-	if p.Changes, err = a.Ledger.Changes(ctx); err != nil {
+	if p.Changes, err = rd.Ledger.Changes(ctx); err != nil {
 		return p, err
 	}
-	if p.Decisions, err = a.notes(ctx); err != nil {
+	if p.Decisions, err = rd.notes(ctx); err != nil {
 		return p, err
 	}
-	if p.Targets, err = a.Targets(ctx, ""); err != nil {
+	if p.Targets, err = rd.Targets(ctx, ""); err != nil {
 		return p, err
 	}
 	// The member list is not part of the decisions. If the member table is unavailable
 	// for a moment after a restart, the rest of the state is still returned.
-	if p.Nodes, err = a.Nodes(ctx); err != nil {
+	if p.Nodes, err = rd.Nodes(ctx); err != nil {
 		err = nil
 	}
 	return p, err
--- a/internal/shell/memory.go
+++ b/internal/shell/memory.go
@@ -10,10 +10,10 @@
 
 const (
 	// smallHeapGCPercent and defaultGCPercent are the GC percentages for small and other heaps.
-	// A small heap holds little and produces little garbage: at the default percentage, a third
-	// of its memory is uncollected garbage. A large heap is large because many requests come in,
-	// and collecting it as often takes the CPU time that they need: with the low percentage,
-	// seven controllers with 680 gateways did not complete their start.
+	// A small heap holds little and produces little garbage; at the default percentage, a third
+	// of its memory is garbage not yet collected. A large heap is large because much data comes
+	// in, and collecting it as often takes the CPU time that the work needs: with the small
+	// percentage, seven controllers with 680 gateways did not complete their start.
 	smallHeapGCPercent, defaultGCPercent = 40, 100
 	// smallHeapBelow and largeHeapFrom bound small and large heaps, in bytes of live data.
 	smallHeapBelow, largeHeapFrom = 8 << 20, 16 << 20
--- a/internal/shell/memory_test.go
+++ b/internal/shell/memory_test.go
@@ -34,16 +34,16 @@
 		return false
 	}
 	if !reaches(smallHeapGCPercent) {
-		t.Errorf("a small heap is collected at %d", gcPercent.Load())
+		t.Errorf("small heap: GC percentage %d", gcPercent.Load())
 	}
 	held := make([]byte, 2*largeHeapFrom)
 	if !reaches(defaultGCPercent) {
-		t.Errorf("a large heap is collected at %d", gcPercent.Load())
+		t.Errorf("large heap: GC percentage %d", gcPercent.Load())
 	}
 	runtime.KeepAlive(held)
 	held = nil
 	if !reaches(smallHeapGCPercent) {
-		t.Errorf("a heap that is small again is collected at %d", gcPercent.Load())
+		t.Errorf("heap that is small again: GC percentage %d", gcPercent.Load())
 	}
 }
 
--- a/internal/shell/shell.go
+++ b/internal/shell/shell.go
@@ -54,8 +54,8 @@
 		return ExitStartup
 	}
 	logger := startup.Logger(errw, *startup.NodeOf(dest), name)
-	ctx, end := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
-	defer end()
+	ctx, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
+	defer cancel()
 	if err := run(ctx, logger); err != nil {
 		var s *StartError
 		if errors.As(err, &s) {
--- a/internal/spec/edit.go
+++ b/internal/spec/edit.go
@@ -27,9 +27,9 @@
 // it. A change is applied as a whole or not at all (design 8.1).
 func (s Sheet) Apply(edits []Edit) (Sheet, []Problem) {
 	out := s.Sorted()
-	var bad []Problem
+	var problems []Problem
 	if len(edits) == 0 {
-		bad = append(bad, Problem{"edits", "is empty"})
+		problems = append(problems, Problem{"edits", "is empty"})
 	}
 	for i, e := range edits {
 		at := fmt.Sprintf("edits[%d]", i)
@@ -43,22 +43,22 @@
 		case e.Op == RemoveService:
 			n := len(out.Services)
 			if out.Services = slices.DeleteFunc(out.Services, func(x Service) bool { return x.Name == e.Name }); len(out.Services) == n {
-				bad = append(bad, Problem{at + ".name", fmt.Sprintf("no service %q", e.Name)})
+				problems = append(problems, Problem{at + ".name", fmt.Sprintf("no service %q", e.Name)})
 			}
 		case e.Op == RemoveBinding:
 			n := len(out.Bindings)
 			if out.Bindings = slices.DeleteFunc(out.Bindings, func(x Binding) bool { return x.Name == e.Name }); len(out.Bindings) == n {
-				bad = append(bad, Problem{at + ".name", fmt.Sprintf("no binding %q", e.Name)})
+				problems = append(problems, Problem{at + ".name", fmt.Sprintf("no binding %q", e.Name)})
 			}
 		case e.Op == Replace && e.Sheet != nil:
 			out = *e.Sheet
 		default:
-			bad = append(bad, Problem{at, fmt.Sprintf("op %q unknown, or its content is missing", e.Op)})
+			problems = append(problems, Problem{at, fmt.Sprintf("op %q unknown, or its content is missing", e.Op)})
 		}
 	}
 	// Check before sorting, so that the problems' paths match the order that the caller wrote.
-	if bad = append(bad, out.Check()...); len(bad) > 0 {
-		return s, bad
+	if problems = append(problems, out.Check()...); len(problems) > 0 {
+		return s, problems
 	}
 	return out.Sorted(), nil
 }
--- a/internal/spec/edit_test.go
+++ b/internal/spec/edit_test.go
@@ -18,7 +18,7 @@
 	bad := Binding{Name: "Bad Name", Service: "nowhere", Methods: []string{"FETCH"}, Path: "no-slash", ExpiryMS: 5}
 	out, ps := s.Apply([]Edit{{Op: PutService, Service: &Service{Name: "files"}}, {Op: PutBinding, Binding: &bad}, {Op: RemoveBinding, Name: "none"}, {Op: "invent"}})
 	if !reflect.DeepEqual(out, s) {
-		t.Errorf("an invalid change left its mark: %+v", out)
+		t.Errorf("an invalid change was partly applied: %+v", out)
 	}
 	all := ""
 	for _, p := range ps {
@@ -26,7 +26,7 @@
 	}
 	for _, want := range []string{"bindings[2].name", "bindings[2].methods[0]", "bindings[2].path", "bindings[2].expiry_ms", "bindings[2].service: no service", "edits[2].name", "edits[3]"} {
 		if !strings.Contains(all, want) {
-			t.Errorf("no defect told at %s in:\n%s", want, all)
+			t.Errorf("no problem reported at %s in:\n%s", want, all)
 		}
 	}
 	if _, ps := s.Apply([]Edit{{Op: RemoveService, Name: "orders"}}); len(ps) == 0 {
@@ -49,7 +49,7 @@
 	}
 	for _, want := range []string{"services[1].name", `bindings[2].path: POST /orders is already taken by binding "orders"`, "bindings[3].path"} {
 		if !strings.Contains(all, want) {
-			t.Errorf("no defect told at %s in:\n%s", want, all)
+			t.Errorf("no problem reported at %s in:\n%s", want, all)
 		}
 	}
 }
--- a/internal/spec/table.go
+++ b/internal/spec/table.go
@@ -86,27 +86,27 @@
 // Find looks up a request: the exact path first, then the longest prefix that accepts the
 // method.
 func (t *Table) Find(method, path string) (*CompiledBinding, Match) {
-	seen := false
-	pick := func(at []int) *CompiledBinding {
+	pathFound := false
+	match := func(at []int) *CompiledBinding {
 		for _, i := range at {
-			seen = true
+			pathFound = true
 			if slices.Contains(t.Bindings[i].methods, method) {
 				return &t.Bindings[i]
 			}
 		}
 		return nil
 	}
-	if b := pick(t.exact[path]); b != nil {
+	if b := match(t.exact[path]); b != nil {
 		return b, Found
 	}
 	for _, x := range t.prefixes {
 		if strings.HasPrefix(path, x.path) {
-			if b := pick(x.bindings); b != nil {
+			if b := match(x.bindings); b != nil {
 				return b, Found
 			}
 		}
 	}
-	if seen {
+	if pathFound {
 		return nil, NoMethod
 	}
 	return nil, NoPath
--- a/internal/startup/startup.go
+++ b/internal/startup/startup.go
@@ -81,7 +81,7 @@
 	v := validator.New(validator.WithRequiredStructEnabled())
 	v.RegisterTagNameFunc(func(f reflect.StructField) string { return strings.Split(f.Tag.Get("yaml"), ",")[0] })
 	for n, f := range map[string]validator.Func{
-		"ipport": func(f validator.FieldLevel) bool { return ipPort(f.Field().String()) },
+		"ipport": func(f validator.FieldLevel) bool { return validIPPort(f.Field().String()) },
 		"name": func(f validator.FieldLevel) bool {
 			return lo.EveryBy([]byte(f.Field().String()), func(c byte) bool {
 				return c == '-' || c == '_' || c == '.' || c >= '0' && c <= '9' || c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z'
@@ -95,13 +95,13 @@
 	return v
 }
 
-func ipPort(s string) bool {
-	h, p, err := net.SplitHostPort(s)
-	if err != nil || net.ParseIP(h) == nil {
+func validIPPort(s string) bool {
+	host, port, err := net.SplitHostPort(s)
+	if err != nil || net.ParseIP(host) == nil {
 		return false
 	}
-	n, err := net.LookupPort("tcp", p)
-	return err == nil && n > 0 && strings.Trim(p, "0123456789") == ""
+	n, err := net.LookupPort("tcp", port)
+	return err == nil && n > 0 && strings.Trim(port, "0123456789") == ""
 }
 
 // ErrHelpShown means that help or version was printed and nothing is to be run.
@@ -161,11 +161,11 @@
 
 // NodeOf returns the settings of dest that are common to both programs.
 func NodeOf(dest any) *Node {
-	switch d := dest.(type) {
+	switch s := dest.(type) {
 	case *Gateway:
-		return &d.Node
+		return &s.Node
 	case *Controller:
-		return &d.Node
+		return &s.Node
 	}
 	panic("settings of an unknown program")
 }
--- a/internal/statement/grammar_test.go
+++ b/internal/statement/grammar_test.go
@@ -54,7 +54,7 @@
 	}
 	f.Fuzz(func(t *testing.T, s string) {
 		if x, err := Parse(s); err == nil && x == nil {
-			t.Fatal("nothing parsed and nothing wrong")
+			t.Fatal("Parse returned neither a statement nor an error")
 		}
 	})
 }
--- a/internal/statement/speaker.go
+++ b/internal/statement/speaker.go
@@ -38,52 +38,52 @@
 var ErrInvalid = errors.New("not understood")
 
 // Execute executes one statement. Nothing is changed unless the whole statement is valid.
-func (s *Executor) Execute(ctx context.Context, text string) (Reply, error) {
+func (ex *Executor) Execute(ctx context.Context, text string) (Reply, error) {
 	x, err := Parse(text)
 	if err != nil {
 		return Reply{}, errors.Join(ErrInvalid, err)
 	}
 	switch {
 	case x.Show != nil:
-		return s.show(ctx, x.Show)
+		return ex.show(ctx, x.Show)
 	case x.Why != nil && x.Why.Call != nil:
-		d, err := s.Queries.ExplainCall(ctx, *x.Why.Call)
+		d, err := ex.Queries.ExplainCall(ctx, *x.Why.Call)
 		return Reply{"call", d}, err
 	case x.Why != nil:
 		svc, id, err := x.Why.Target.split()
 		if err != nil {
 			return Reply{}, err
 		}
-		return reply("why", s.Queries.ExplainTarget)(ctx, svc, id)
+		return replyTo("why", ex.Queries.ExplainTarget)(ctx, svc, id)
 	case x.History != nil:
-		d, err := s.Queries.History(ctx, *x.History)
+		d, err := ex.Queries.History(ctx, *x.History)
 		return Reply{"history", d}, err
 	case x.Diff != nil:
-		d, err := s.Queries.Diff(ctx, x.Diff.From, x.Diff.To)
+		d, err := ex.Queries.Diff(ctx, x.Diff.From, x.Diff.To)
 		return Reply{"diff", d}, err
 	case x.Wait != nil:
-		n, err := s.WaitInForce(ctx, *x.Wait)
+		n, err := ex.WaitInForce(ctx, *x.Wait)
 		return Reply{"in force", n}, err
 	case x.Order != nil:
-		return s.change(ctx, x.Order)
+		return ex.change(ctx, x.Order)
 	case x.Drain != nil && x.Drain.Node != nil:
-		return s.setDrained(ctx, *x.Drain.Node, true)
+		return ex.setDrained(ctx, *x.Drain.Node, true)
 	case x.Drain != nil:
-		return s.drainTarget(ctx, x.Drain.Target)
+		return ex.drainTarget(ctx, x.Drain.Target)
 	case x.Resume != nil:
-		return s.setDrained(ctx, *x.Resume, false)
+		return ex.setDrained(ctx, *x.Resume, false)
 	case x.Swap != nil:
-		if err := s.Supervisor.RequestSwap(ctx, x.Swap.Out, x.Swap.In); err != nil {
+		if err := ex.Supervisor.RequestSwap(ctx, x.Swap.Out, x.Swap.In); err != nil {
 			return Reply{}, err
 		}
 		return Reply{"wished", *x.Swap}, nil
 	case x.Forget != nil:
-		return Reply{"forgotten", *x.Forget}, s.Ledger.RemoveGateway(ctx, *x.Forget)
+		return Reply{"forgotten", *x.Forget}, ex.Ledger.RemoveGateway(ctx, *x.Forget)
 	}
 	return Reply{"help", Help}, nil
 }
 
-func reply[A, B any](kind string, f func(context.Context, A, B) (any, error)) func(context.Context, A, B) (Reply, error) {
+func replyTo[A, B any](kind string, f func(context.Context, A, B) (any, error)) func(context.Context, A, B) (Reply, error) {
 	return func(ctx context.Context, a A, b B) (Reply, error) {
 		d, err := f(ctx, a, b)
 		return Reply{kind, d}, err
@@ -98,43 +98,43 @@
 	return svc, id, nil
 }
 
-func (s *Executor) show(ctx context.Context, x *Show) (Reply, error) {
+func (ex *Executor) show(ctx context.Context, x *Show) (Reply, error) {
 	switch {
 	case x.Nodes:
-		d, err := s.Queries.Nodes(ctx)
+		d, err := ex.Queries.Nodes(ctx)
 		return Reply{"nodes", d}, err
 	case x.Targets != nil:
-		d, err := s.Queries.Targets(ctx, x.Targets.Service)
+		d, err := ex.Queries.Targets(ctx, x.Targets.Service)
 		return Reply{"targets", d}, err
 	case x.Ledger != nil:
-		d, err := s.Queries.Decisions(ctx, x.Ledger.Last)
+		d, err := ex.Queries.Decisions(ctx, x.Ledger.Last)
 		return Reply{"ledger", d}, err
 	case x.Change != nil:
-		d, err := s.Queries.Change(ctx, x.Change.Version, x.Change.Token)
+		d, err := ex.Queries.Change(ctx, x.Change.Version, x.Change.Token)
 		return Reply{"change", d}, err
 	case x.Sheet != nil:
-		d, err := s.Queries.Sheet(ctx, x.Sheet.Number)
+		d, err := ex.Queries.Sheet(ctx, x.Sheet.Number)
 		return Reply{"sheet", d}, err
 	case x.Picture:
-		d, err := s.Queries.FullState(ctx)
+		d, err := ex.Queries.FullState(ctx)
 		return Reply{"picture", d}, err
 	case x.Core:
-		return Reply{"core", s.Queries.Proposer.Core()}, nil
+		return Reply{"core", ex.Queries.Proposer.Core()}, nil
 	case x.Bindings:
-		d, err := s.Queries.Sheet(ctx, 0)
+		d, err := ex.Queries.Sheet(ctx, 0)
 		return Reply{"bindings", d.Sheet.Bindings}, err
 	}
-	d, err := s.Queries.Sheet(ctx, 0)
+	d, err := ex.Queries.Sheet(ctx, 0)
 	return Reply{"services", d.Sheet.Services}, err
 }
 
 // change converts an order into edits and applies them.
-func (s *Executor) change(ctx context.Context, x *Order) (Reply, error) {
+func (ex *Executor) change(ctx context.Context, x *Order) (Reply, error) {
 	o := commands.ChangeRequest{Base: x.Base, Token: x.Token, Operator: x.By, Note: x.Note, DryRun: x.Check}
 	for _, e := range x.Edits {
 		switch {
 		case e.RollBack != nil:
-			old, err := s.Ledger.SheetAt(ctx, *e.RollBack)
+			old, err := ex.Ledger.SheetAt(ctx, *e.RollBack)
 			if err != nil {
 				return Reply{}, err
 			}
@@ -152,28 +152,28 @@
 				ExpiryMS: p.Expiry, Repeatable: p.Repeatable, MaxBody: p.MaxBody, Note: p.Note}})
 		}
 	}
-	return Reply{"result", s.Changer.Apply(ctx, o)}, nil
+	return Reply{"result", ex.Changer.Apply(ctx, o)}, nil
 }
 
 // setDrained drains a node by hand or ends that.
-func (s *Executor) setDrained(ctx context.Context, id string, on bool) (Reply, error) {
-	m, ok := lo.Find(s.Queries.Membership.Members(), func(m membership.Member) bool { return m.ID == id })
+func (ex *Executor) setDrained(ctx context.Context, id string, on bool) (Reply, error) {
+	m, ok := lo.Find(ex.Queries.Membership.Members(), func(m membership.Member) bool { return m.ID == id })
 	if !ok {
 		return Reply{}, fmt.Errorf("no node %s has a lease now", id)
 	}
-	if _, err := link.Ask[membership.RestTold](ctx, s.Queries.Transport, m.Inner, membership.RestAsk{On: on}); err != nil {
+	if _, err := link.Ask[membership.RestTold](ctx, ex.Queries.Transport, m.Inner, membership.RestAsk{On: on}); err != nil {
 		return Reply{}, err
 	}
 	return Reply{lo.Ternary(on, "drained", "resumed"), id}, nil
 }
 
 // drainTarget stops new requests to the run of a target that this controller knows.
-func (s *Executor) drainTarget(ctx context.Context, x *Target) (Reply, error) {
+func (ex *Executor) drainTarget(ctx context.Context, x *Target) (Reply, error) {
 	svc, id, err := x.split()
 	if err != nil {
 		return Reply{}, err
 	}
-	ts, err := s.Queries.Targets(ctx, svc)
+	ts, err := ex.Queries.Targets(ctx, svc)
 	if err != nil {
 		return Reply{}, err
 	}
@@ -181,9 +181,9 @@
 	if !ok {
 		return Reply{}, fmt.Errorf("no target %s/%s is known here", svc, id)
 	}
-	if err := s.Drainer.MarkLeaving(ctx, httpapi.Beat{ID: id, Service: svc, Inc: t.Incarnation}); err != nil {
+	if err := ex.Drainer.MarkLeaving(ctx, httpapi.Beat{ID: id, Service: svc, Inc: t.Incarnation}); err != nil {
 		return Reply{}, err
 	}
-	_ = s.Queries.Registry.Mark(ctx, svc, id, t.Incarnation, func(e *registry.Entry) { e.Beat.Leaving = true })
+	_ = ex.Queries.Registry.Mark(ctx, svc, id, t.Incarnation, func(e *registry.Entry) { e.Beat.Leaving = true })
 	return Reply{"drained", t}, nil
 }
--- a/internal/topology/topology.go
+++ b/internal/topology/topology.go
@@ -24,37 +24,37 @@
 
 // Distances holds the round-trip times between zones in milliseconds.
 type Distances struct {
-	ms map[[2]string]float64
+	roundTripMS map[[2]string]float64
 	// nearest is the distance from each zone to its nearest neighbour.
 	nearest map[string]float64
 }
 
 // Read reads a file, whose format its extension tells: .dot or .gv, .geojson or .json.
 func Read(path string) (*Distances, error) {
-	raw, err := os.ReadFile(path)
+	data, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
 	}
 	switch strings.ToLower(filepath.Ext(path)) {
 	case ".dot", ".gv":
-		return ParseDot(raw)
+		return ParseDot(data)
 	case ".geojson", ".json":
-		return ParseGeoJSON(raw)
+		return ParseGeoJSON(data)
 	}
 	return nil, fmt.Errorf("%s: neither .dot, .gv, .geojson nor .json", filepath.Base(path))
 }
 
 // ParseDot parses a graph whose nodes are zones and whose edges have the attribute "ms". The
 // distance of zones without an edge is the shortest path through others.
-func ParseDot(raw []byte) (*Distances, error) {
-	f, err := dot.ParseBytes(raw)
+func ParseDot(data []byte) (*Distances, error) {
+	f, err := dot.ParseBytes(data)
 	if err != nil {
 		return nil, err
 	}
 	if len(f.Graphs) != 1 {
 		return nil, fmt.Errorf("%d graphs, not one", len(f.Graphs))
 	}
-	c := &Distances{ms: map[[2]string]float64{}}
+	c := &Distances{roundTripMS: map[[2]string]float64{}}
 	for _, s := range f.Graphs[0].Stmts {
 		e, ok := s.(*ast.EdgeStmt)
 		if !ok {
@@ -94,8 +94,8 @@
 
 // ParseGeoJSON parses a collection of points with the property "zone". Distances are
 // great-circle distances.
-func ParseGeoJSON(raw []byte) (*Distances, error) {
-	fc, err := geojson.UnmarshalFeatureCollection(raw)
+func ParseGeoJSON(data []byte) (*Distances, error) {
+	fc, err := geojson.UnmarshalFeatureCollection(data)
 	if err != nil {
 		return nil, err
 	}
@@ -110,7 +110,7 @@
 		}
 		points[z] = f.Geometry.Point
 	}
-	c := &Distances{ms: map[[2]string]float64{}}
+	c := &Distances{roundTripMS: map[[2]string]float64{}}
 	for a, p := range points {
 		for b, q := range points {
 			if a < b {
@@ -130,15 +130,15 @@
 }
 
 func (c *Distances) setShorter(a, b string, ms float64) {
-	if o, ok := c.ms[[2]string{a, b}]; !ok || ms < o {
-		c.ms[[2]string{a, b}], c.ms[[2]string{b, a}] = ms, ms
+	if o, ok := c.roundTripMS[[2]string{a, b}]; !ok || ms < o {
+		c.roundTripMS[[2]string{a, b}], c.roundTripMS[[2]string{b, a}] = ms, ms
 	}
 }
 
 // addIndirect adds the shortest paths through other zones and finds the nearest neighbours.
 func (c *Distances) addIndirect() error {
 	zones := map[string]bool{}
-	for k := range c.ms {
+	for k := range c.roundTripMS {
 		zones[k[0]] = true
 	}
 	if len(zones) < 2 || len(zones) > maxZones {
@@ -146,20 +146,20 @@
 	}
 	for via := range zones {
 		for a := range zones {
-			x, ok := c.ms[[2]string{a, via}]
+			x, ok := c.roundTripMS[[2]string{a, via}]
 			if !ok {
 				continue
 			}
 			for b := range zones {
-				if y, ok := c.ms[[2]string{via, b}]; ok && a != b {
+				if y, ok := c.roundTripMS[[2]string{via, b}]; ok && a != b {
 					c.setShorter(a, b, x+y)
 				}
 			}
 		}
 	}
 	c.nearest = map[string]float64{}
-	for k, ms := range c.ms {
-		if o, ok := c.nearest[k[0]]; k[0] != k[1] && (!ok || ms < o) {
+	for k, ms := range c.roundTripMS {
+		if old, ok := c.nearest[k[0]]; k[0] != k[1] && (!ok || ms < old) {
 			c.nearest[k[0]] = ms
 		}
 	}
@@ -173,7 +173,7 @@
 	if c == nil || own == zone {
 		return 1
 	}
-	d, ok := c.ms[[2]string{own, zone}]
+	d, ok := c.roundTripMS[[2]string{own, zone}]
 	least := c.nearest[own]
 	if !ok || least <= 0 {
 		return 1
--- a/internal/topology/topology_test.go
+++ b/internal/topology/topology_test.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	graph = `graph zones { node [shape=box]; z1 -- z2 [ms=2]; z2 -- "z3" [ms="3"]; z1 -- z4 [ms=20] }`
-	globe = `{"type":"FeatureCollection","features":[
+	graph   = `graph zones { node [shape=box]; z1 -- z2 [ms=2]; z2 -- "z3" [ms="3"]; z1 -- z4 [ms=20] }`
+	geoJSON = `{"type":"FeatureCollection","features":[
 {"type":"Feature","properties":{"zone":"z1"},"geometry":{"type":"Point","coordinates":[4.9,52.37]}},
 {"type":"Feature","properties":{"zone":"z2"},"geometry":{"type":"Point","coordinates":[4.48,51.92]}},
 {"type":"Feature","properties":{"zone":"z3"},"geometry":{"type":"Point","coordinates":[-3.7,40.42]}}]}`
@@ -24,7 +24,7 @@
 	} {
 		raw := graph
 		if strings.HasSuffix(file, "json") {
-			raw = globe
+			raw = geoJSON
 		}
 		p := filepath.Join(dir, file)
 		if err := os.WriteFile(p, []byte(raw), 0o600); err != nil {
@@ -41,12 +41,12 @@
 		}
 	}
 	// Amsterdam to Rotterdam is some 58 km.
-	c, _ := ParseGeoJSON([]byte(globe))
-	if ms := c.ms[[2]string{"z1", "z2"}]; ms < 0.55 || ms > 0.62 {
+	c, _ := ParseGeoJSON([]byte(geoJSON))
+	if ms := c.roundTripMS[[2]string{"z1", "z2"}]; ms < 0.55 || ms > 0.62 {
 		t.Errorf("%.3f ms", ms)
 	}
 	if (*Distances)(nil).RelativeDistance("a", "b") != 1 {
-		t.Error("without a chart all zones are alike")
+		t.Error("without distances all zones must count as equally far")
 	}
 }
 
@@ -64,7 +64,7 @@
 	}
 	for want, raw := range map[string]string{
 		"property zone": `{"type":"FeatureCollection","features":[{"type":"Feature","properties":{},"geometry":{"type":"Point","coordinates":[1,2]}}]}`,
-		"twice":         strings.ReplaceAll(globe, "z2", "z1"),
+		"twice":         strings.ReplaceAll(geoJSON, "z2", "z1"),
 		"zones":         `{"type":"FeatureCollection","features":[]}`,
 		"JSON":          `{`,
 	} {
