--- a/internal/control/beat.go
+++ b/internal/control/beat.go
@@ -38,7 +38,7 @@
 		return changed
 	})
 	if !known {
-		return steperr.At("beat", b.ID, errTableFull)
+		return steperr.Wrap("beat", b.ID, errTableFull)
 	}
 	if !b.Draining {
 		return nil
--- a/internal/control/change.go
+++ b/internal/control/change.go
@@ -115,7 +115,7 @@
 		return problems, nil
 	}
 	if n.stale(caller) {
-		return nil, steperr.At("apply", "", ErrStale)
+		return nil, steperr.Wrap("apply", "", ErrStale)
 	}
 	// Changes are serialized: two concurrent changes could each be valid alone but not
 	// together.
@@ -123,7 +123,7 @@
 	case n.changeSlot <- struct{}{}:
 		defer func() { <-n.changeSlot }()
 	case <-ctx.Done():
-		return nil, steperr.At("apply", "", ctx.Err())
+		return nil, steperr.Wrap("apply", "", ctx.Err())
 	}
 	if err := n.Mesh.Sync(ctx); err != nil {
 		return nil, err
@@ -135,7 +135,7 @@
 	case check.inForce:
 		return nil, nil
 	case n.stale(caller):
-		return nil, steperr.At("apply", "", ErrStale)
+		return nil, steperr.Wrap("apply", "", ErrStale)
 	}
 	decided, err := n.Proposer.Decide(ctx, all)
 	if err != nil {
@@ -169,7 +169,7 @@
 	case err != nil:
 		return nil, err
 	case found:
-		return nil, steperr.At("apply", "", quorum.ErrPartialConflict)
+		return nil, steperr.Wrap("apply", "", quorum.ErrPartialConflict)
 	}
 	return problems, nil
 }
@@ -264,7 +264,7 @@
 		}
 	}
 	if err != nil {
-		return Configuration{}, steperr.At("current", "", err)
+		return Configuration{}, steperr.Wrap("current", "", err)
 	}
 	slices.SortFunc(config.Routes, func(a, b route.Route) int { return cmp.Compare(a.Name, b.Name) })
 	slices.SortFunc(config.Services, func(a, b route.Service) int { return cmp.Compare(a.Name, b.Name) })
--- a/internal/control/departure.go
+++ b/internal/control/departure.go
@@ -104,7 +104,7 @@
 	ctx, cancel := context.WithTimeout(ctx, departureTimeout)
 	defer cancel()
 	if err := n.Proposer.Merge(ctx, []item.Item{departureItem(r)}); err != nil {
-		return steperr.At("hold", r.ID, err)
+		return steperr.Wrap("hold", r.ID, err)
 	}
 	n.departures.record([]target.Run{r}, true, n.Clock.Now())
 	return nil
--- a/internal/control/node.go
+++ b/internal/control/node.go
@@ -114,7 +114,7 @@
 // New builds a node; Run starts it.
 func New(p Parts) (*Node, error) {
 	if err := validate.Struct(p.Settings); err != nil {
-		return nil, steperr.At("settings", "", err)
+		return nil, steperr.Wrap("settings", "", err)
 	}
 	n := &Node{Parts: p, Desk: link.NewDesk(), Proposer: quorum.NewProposer(p.ID+"."+p.NewDiskID, p.Line, p.Clock), Board: watch.NewBoard(p.Clock),
 		book: route.NewValidator(), pauses: liveness.NewPausesEvery(p.Clock, pausePollInterval), changeSlot: make(chan struct{}, 1),
--- a/internal/control/query.go
+++ b/internal/control/query.go
@@ -46,14 +46,14 @@
 	link.On(n.Desk, func(ctx context.Context, _ link.Who, a A) (r R, err error) {
 		if err := validate.Struct(a); err != nil {
 			n.calls.queries.record(true, nil)
-			return r, steperr.At("query", n.ID, err)
+			return r, steperr.Wrap("query", n.ID, err)
 		}
 		defer func() { n.calls.queries.record(false, err) }()
 		select {
 		case n.querySlots <- struct{}{}:
 			defer func() { <-n.querySlots }()
 		case <-ctx.Done():
-			return r, steperr.At("query", n.ID, ctx.Err())
+			return r, steperr.Wrap("query", n.ID, ctx.Err())
 		}
 		return f(ctx, a)
 	})
--- a/internal/control/upgrade.go
+++ b/internal/control/upgrade.go
@@ -44,14 +44,14 @@
 	}
 	o.Exposure = n.Exposure
 	if n.stale(caller) {
-		return steperr.At("order", o.Service, ErrStale)
+		return steperr.Wrap("order", o.Service, ErrStale)
 	}
 	for {
 		if err := n.Mesh.Sync(ctx); err != nil {
 			return err
 		}
 		if !n.hasService(o.Service) {
-			return steperr.At("order", o.Service, ErrUnknownService)
+			return steperr.Wrap("order", o.Service, ErrUnknownService)
 		}
 		previous, err := n.newestUpgrade(o.Service)
 		if err != nil {
@@ -60,11 +60,11 @@
 		next, verdict := o.Apply(previous, n.mostCommonVersion(o.Service, o.To), time.Now())
 		switch {
 		case verdict == upgrade.Conflicting:
-			return steperr.At("order", o.Service, ErrUpgradeInProgress)
+			return steperr.Wrap("order", o.Service, ErrUpgradeInProgress)
 		case verdict == upgrade.Repeated:
 			return n.ensureDurable(ctx, []item.Item{previous.Item()})
 		case n.stale(caller):
-			return steperr.At("order", o.Service, ErrStale)
+			return steperr.Wrap("order", o.Service, ErrStale)
 		}
 		if err := n.decideUpgrade(ctx, next); !errors.Is(err, errSuperseded) {
 			return err
@@ -90,7 +90,7 @@
 	case err != nil:
 		return u, err
 	case u.Phase == 0:
-		return u, steperr.At("read upgrade", service, ErrNoUpgrade)
+		return u, steperr.Wrap("read upgrade", service, ErrNoUpgrade)
 	}
 	return u, n.ensureDurable(ctx, []item.Item{u.Item()})
 }
@@ -115,7 +115,7 @@
 		return err
 	}
 	if !decided[0].Same(step) {
-		return steperr.At("decide upgrade", u.Service, errSuperseded)
+		return steperr.Wrap("decide upgrade", u.Service, errSuperseded)
 	}
 	return nil
 }
@@ -173,7 +173,7 @@
 		case u.Phase == upgrade.Reverted:
 			return nil
 		case !u.Active():
-			return steperr.At("revert", service, fmt.Errorf("the upgrade to %s is %s", u.To, u.Phase))
+			return steperr.Wrap("revert", service, fmt.Errorf("the upgrade to %s is %s", u.To, u.Phase))
 		}
 		if err := n.decideUpgrade(ctx, u.Revert("an operator's order")); !errors.Is(err, errSuperseded) {
 			return err
--- a/internal/proxy/pool.go
+++ b/internal/proxy/pool.go
@@ -156,13 +156,13 @@
 	nc, err := n.dialAddr(run.Addr, limit)
 	if err != nil {
 		n.stats.dialsFailed.Add(1)
-		return nil, steperr.At("connect", run.ID, err)
+		return nil, steperr.Wrap("connect", run.ID, err)
 	}
 	n.recordRoundTrip(n.clock.Now().Sub(begun))
 	c := newConn(nc)
 	if err := c.startUse(deadline); err != nil {
 		c.closeWithReset()
-		return nil, steperr.At("connect", run.ID, err)
+		return nil, steperr.Wrap("connect", run.ID, err)
 	}
 	return c, nil
 }
--- a/internal/proxy/serve.go
+++ b/internal/proxy/serve.go
@@ -37,14 +37,14 @@
 			case n.listenersClosed.Load():
 				return nil
 			case errors.Is(err, net.ErrClosed):
-				return steperr.At("accept", "", err)
+				return steperr.Wrap("accept", "", err)
 			case errors.As(err, &ne):
 				if err := n.clock.Sleep(context.Background(), acceptRetryDelay); err != nil {
-					return steperr.At("accept", "", err)
+					return steperr.Wrap("accept", "", err)
 				}
 				continue
 			}
-			return steperr.At("accept", "", err)
+			return steperr.Wrap("accept", "", err)
 		}
 		n.startCaller(nc)
 	}
@@ -89,7 +89,7 @@
 	n.log.Info("a planned stop begins", "step", "stop", "under_way", n.inFlight())
 	n.downloads.setStopDeadline(deadline)
 	if err := n.clock.Sleep(ctx, min(n.settings.Linger, n.settings.Grace/2)); err != nil {
-		return steperr.At("stop", "", err)
+		return steperr.Wrap("stop", "", err)
 	}
 	n.closeListeners()
 	n.log.Info("no more callers are taken", "step", "stop", "under_way", n.inFlight())
@@ -107,7 +107,7 @@
 		return nil
 	}
 	if err := ctx.Err(); err != nil {
-		return steperr.At("stop", "", err)
+		return steperr.Wrap("stop", "", err)
 	}
 	n.logUnfinished()
 	return steperr.New("stop", "", "%d requests were not answered in the grace", n.stats.inside.Load())
--- a/internal/proxy/settings.go
+++ b/internal/proxy/settings.go
@@ -65,7 +65,7 @@
 
 // Check validates the settings.
 func (s Settings) Check() error {
-	return steperr.At("settings", "", validator.New(validator.WithRequiredStructEnabled()).Struct(s))
+	return steperr.Wrap("settings", "", validator.New(validator.WithRequiredStructEnabled()).Struct(s))
 }
 
 // withDefaults replaces zero values by the defaults.
--- /dev/null
+++ b/internal/statement/executor.go
@@ -0,0 +1,189 @@
+package statement
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"strings"
+
+	"github.com/samber/lo"
+
+	"walkrudder/internal/commands"
+	"walkrudder/internal/httpapi"
+	"walkrudder/internal/ledger"
+	"walkrudder/internal/link"
+	"walkrudder/internal/membership"
+	"walkrudder/internal/queries"
+	"walkrudder/internal/registry"
+	"walkrudder/internal/spec"
+)
+
+// Executor executes statements on one controller.
+type Executor struct {
+	Queries     *queries.Reader
+	Changer     *commands.Changer
+	Drainer     *commands.Drainer
+	Supervisor  *commands.Supervisor
+	Ledger      *ledger.Ledger
+	WaitInForce func(ctx context.Context, n uint64) (uint64, error)
+}
+
+// Reply is the answer to a statement. Kind tells what Data holds.
+type Reply struct {
+	Kind string `json:"kind"`
+	Data any    `json:"data"`
+}
+
+// ErrInvalid marks errors in the statement itself.
+var ErrInvalid = errors.New("not understood")
+
+// Execute executes one statement. Nothing is changed unless the whole statement is valid.
+func (ex *Executor) Execute(ctx context.Context, text string) (Reply, error) {
+	x, err := Parse(text)
+	if err != nil {
+		return Reply{}, errors.Join(ErrInvalid, err)
+	}
+	switch {
+	case x.Show != nil:
+		return ex.show(ctx, x.Show)
+	case x.Why != nil && x.Why.Call != nil:
+		d, err := ex.Queries.ExplainCall(ctx, *x.Why.Call)
+		return Reply{"call", d}, err
+	case x.Why != nil:
+		svc, id, err := x.Why.Target.split()
+		if err != nil {
+			return Reply{}, err
+		}
+		return replyTo("why", ex.Queries.ExplainTarget)(ctx, svc, id)
+	case x.History != nil:
+		d, err := ex.Queries.History(ctx, *x.History)
+		return Reply{"history", d}, err
+	case x.Diff != nil:
+		d, err := ex.Queries.Diff(ctx, x.Diff.From, x.Diff.To)
+		return Reply{"diff", d}, err
+	case x.Wait != nil:
+		n, err := ex.WaitInForce(ctx, *x.Wait)
+		return Reply{"in force", n}, err
+	case x.Order != nil:
+		return ex.change(ctx, x.Order)
+	case x.Drain != nil && x.Drain.Node != nil:
+		return ex.setDrained(ctx, *x.Drain.Node, true)
+	case x.Drain != nil:
+		return ex.drainTarget(ctx, x.Drain.Target)
+	case x.Resume != nil:
+		return ex.setDrained(ctx, *x.Resume, false)
+	case x.Swap != nil:
+		if err := ex.Supervisor.RequestSwap(ctx, x.Swap.Out, x.Swap.In); err != nil {
+			return Reply{}, err
+		}
+		return Reply{"wished", *x.Swap}, nil
+	case x.Forget != nil:
+		return Reply{"forgotten", *x.Forget}, ex.Ledger.RemoveGateway(ctx, *x.Forget)
+	}
+	return Reply{"help", Help}, nil
+}
+
+func replyTo[A, B any](kind string, f func(context.Context, A, B) (any, error)) func(context.Context, A, B) (Reply, error) {
+	return func(ctx context.Context, a A, b B) (Reply, error) {
+		d, err := f(ctx, a, b)
+		return Reply{kind, d}, err
+	}
+}
+
+func (t *Target) split() (string, string, error) {
+	svc, id, ok := strings.Cut(t.Name, "/")
+	if !ok || svc == "" || id == "" {
+		return "", "", errors.Join(ErrInvalid, fmt.Errorf("%q is no target: SERVICE/ID", t.Name))
+	}
+	return svc, id, nil
+}
+
+func (ex *Executor) show(ctx context.Context, x *Show) (Reply, error) {
+	switch {
+	case x.Nodes:
+		d, err := ex.Queries.Nodes(ctx)
+		return Reply{"nodes", d}, err
+	case x.Targets != nil:
+		d, err := ex.Queries.Targets(ctx, x.Targets.Service)
+		return Reply{"targets", d}, err
+	case x.Ledger != nil:
+		d, err := ex.Queries.Decisions(ctx, x.Ledger.Last)
+		return Reply{"ledger", d}, err
+	case x.Change != nil:
+		d, err := ex.Queries.Change(ctx, x.Change.Version, x.Change.Token)
+		return Reply{"change", d}, err
+	case x.Sheet != nil:
+		d, err := ex.Queries.Sheet(ctx, x.Sheet.Number)
+		return Reply{"sheet", d}, err
+	case x.Picture:
+		d, err := ex.Queries.FullState(ctx)
+		return Reply{"picture", d}, err
+	case x.Core:
+		return Reply{"core", ex.Queries.Proposer.Core()}, nil
+	case x.Bindings:
+		d, err := ex.Queries.Sheet(ctx, 0)
+		return Reply{"bindings", d.Sheet.Bindings}, err
+	}
+	d, err := ex.Queries.Sheet(ctx, 0)
+	return Reply{"services", d.Sheet.Services}, err
+}
+
+// change converts an order into edits and applies them.
+func (ex *Executor) change(ctx context.Context, x *Order) (Reply, error) {
+	o := commands.ChangeRequest{Base: x.Base, Token: x.Token, Operator: x.By, Note: x.Note, DryRun: x.Check}
+	for _, e := range x.Edits {
+		switch {
+		case e.RollBack != nil:
+			old, err := ex.Ledger.SheetAt(ctx, *e.RollBack)
+			if err != nil {
+				return Reply{}, err
+			}
+			o.Edits = append(o.Edits, spec.Edit{Op: spec.Replace, Sheet: &old})
+		case e.Remove != nil && e.Remove.Service != nil:
+			o.Edits = append(o.Edits, spec.Edit{Op: spec.RemoveService, Name: *e.Remove.Service})
+		case e.Remove != nil:
+			o.Edits = append(o.Edits, spec.Edit{Op: spec.RemoveBinding, Name: *e.Remove.Binding})
+		case e.Put.Service != nil:
+			p := e.Put.Service
+			o.Edits = append(o.Edits, spec.Edit{Op: spec.PutService, Service: &spec.Service{Name: p.Name, Suspect: lo.FromPtr(p.Suspect), Note: p.Note}})
+		default:
+			p := e.Put.Binding
+			o.Edits = append(o.Edits, spec.Edit{Op: spec.PutBinding, Binding: &spec.Binding{Name: p.Name, Service: p.Service, Methods: p.Methods, Path: p.Path,
+				ExpiryMS: p.Expiry, Repeatable: p.Repeatable, MaxBody: p.MaxBody, Note: p.Note}})
+		}
+	}
+	return Reply{"result", ex.Changer.Apply(ctx, o)}, nil
+}
+
+// setDrained drains a node by hand or ends that.
+func (ex *Executor) setDrained(ctx context.Context, id string, on bool) (Reply, error) {
+	m, ok := lo.Find(ex.Queries.Membership.Members(), func(m membership.Member) bool { return m.ID == id })
+	if !ok {
+		return Reply{}, fmt.Errorf("no node %s has a lease now", id)
+	}
+	if _, err := link.Ask[membership.RestTold](ctx, ex.Queries.Transport, m.Inner, membership.RestAsk{On: on}); err != nil {
+		return Reply{}, err
+	}
+	return Reply{lo.Ternary(on, "drained", "resumed"), id}, nil
+}
+
+// drainTarget stops new requests to the run of a target that this controller knows.
+func (ex *Executor) drainTarget(ctx context.Context, x *Target) (Reply, error) {
+	svc, id, err := x.split()
+	if err != nil {
+		return Reply{}, err
+	}
+	ts, err := ex.Queries.Targets(ctx, svc)
+	if err != nil {
+		return Reply{}, err
+	}
+	t, ok := lo.Find(ts, func(t queries.TargetRow) bool { return t.ID == id })
+	if !ok {
+		return Reply{}, fmt.Errorf("no target %s/%s is known here", svc, id)
+	}
+	if err := ex.Drainer.MarkLeaving(ctx, httpapi.Beat{ID: id, Service: svc, Inc: t.Incarnation}); err != nil {
+		return Reply{}, err
+	}
+	_ = ex.Queries.Registry.Mark(ctx, svc, id, t.Incarnation, func(e *registry.Entry) { e.Beat.Leaving = true })
+	return Reply{"drained", t}, nil
+}
