--- a/internal/control/beat.go
+++ b/internal/control/beat.go
@@ -18,7 +18,7 @@
 
 // Beat takes in what a target says of itself. One that is ready is taken note of, and
 // that is all. That it drains is acknowledged only once a majority of synced disks holds it.
-func (n *Node) Beat(ctx context.Context, b target.Beat) (err error) {
+func (n *Node) Beat(ctx context.Context, b target.Heartbeat) (err error) {
 	if err := b.Check(); err != nil {
 		n.counts.beats.note(true, nil)
 		return err
@@ -26,14 +26,14 @@
 	defer func() { n.counts.beats.note(false, err) }()
 	var r target.Run
 	known := false
-	n.Board.Table(func(t *target.Table, now time.Time) (news bool) {
+	n.Board.WithRuns(func(t *target.Table, now time.Time) (news bool) {
 		var moved bool
-		if r, news, moved = t.Hear(b, n.quiet(), now); moved || news {
+		if r, news, moved = t.ReceiveHeartbeat(b, n.quiet(), now); moved || news {
 			_, known = t.Get(b.ID, now)
 		} else {
 			known = true
 		}
-		n.watch.Heard(b.ID, b.Seq, moved, now)
+		n.watch.Observe(b.ID, b.Seq, moved, now)
 		return news
 	})
 	if !known {
@@ -47,14 +47,14 @@
 
 // Leave takes in that a run has ended, also one that is not known here.
 func (n *Node) Leave(ctx context.Context, id string) (err error) {
-	if err := (target.Beat{ID: id, Service: "-", Addr: "-"}).Check(); err != nil {
+	if err := (target.Heartbeat{ID: id, Service: "-", Addr: "-"}).Check(); err != nil {
 		n.counts.leaves.note(true, nil)
 		return err
 	}
 	defer func() { n.counts.leaves.note(false, err) }()
 	var r target.Run
-	n.Board.Table(func(t *target.Table, now time.Time) (news bool) {
-		r, news = t.Leave(id, now)
+	n.Board.WithRuns(func(t *target.Table, now time.Time) (news bool) {
+		r, news = t.MarkEnded(id, now)
 		return news
 	})
 	return n.hold(ctx, r)
@@ -76,7 +76,7 @@
 	if l := n.nearby.Load(); l != nil && now.Sub(l.at) < nearFor {
 		return l.controllers
 	}
-	l := &nearby{now, n.Mesh.Near()}
+	l := &nearby{now, n.Mesh.Available()}
 	n.nearby.Store(l)
 	return l.controllers
 }
--- a/internal/control/beat_test.go
+++ b/internal/control/beat_test.go
@@ -19,7 +19,7 @@
 	w.wg.Go(func() {
 		to := ""
 		for seq := uint64(1); ctx.Err() == nil; seq++ {
-			b := target.Beat{ID: id, Service: service, Addr: addr, Zone: zone, Slots: 2, Seq: seq}
+			b := target.Heartbeat{ID: id, Service: service, Addr: addr, Zone: zone, Slots: 2, Seq: seq}
 			for range 4 {
 				m, ok := lo.Find(w.controllers, func(m *controllerHost) bool { return m.addr == to })
 				if !ok {
@@ -40,7 +40,7 @@
 }
 
 // beat sends one beat over the network, as it were.
-func (w *world) beat(m *controllerHost, b target.Beat) error {
+func (w *world) beat(m *controllerHost, b target.Heartbeat) error {
 	run := m.up()
 	if run == nil {
 		return errRefused
@@ -69,7 +69,7 @@
 		w.order(base(3), w.controllers)
 		for i := range 6 {
 			id := fmt.Sprintf("i-%d", i)
-			b := target.Beat{ID: id, Service: "a", Addr: fmt.Sprintf("10.0.0.%d:80", i), Zone: "z0", Slots: 2, Seq: 1}
+			b := target.Heartbeat{ID: id, Service: "a", Addr: fmt.Sprintf("10.0.0.%d:80", i), Zone: "z0", Slots: 2, Seq: 1}
 			if err := pick(w, w.controllers).control().Beat(w.ctx, b); err != nil {
 				t.Fatal(err)
 			}
@@ -83,7 +83,7 @@
 		for i := range 6 {
 			id := fmt.Sprintf("i-%d", i)
 			m := pick(w, w.controllers)
-			b := target.Beat{ID: id, Service: "a", Addr: fmt.Sprintf("10.0.0.%d:80", i), Zone: "z0", Slots: 2, Seq: 2, Draining: true}
+			b := target.Heartbeat{ID: id, Service: "a", Addr: fmt.Sprintf("10.0.0.%d:80", i), Zone: "z0", Slots: 2, Seq: 2, Draining: true}
 			state := target.Draining
 			var err error
 			if i%3 == 2 {
@@ -173,7 +173,7 @@
 			}
 		}
 		// One newer beat, at whatever node, clears it.
-		if err := pick(w, w.controllers).control().Beat(w.ctx, target.Beat{ID: "i-3", Service: "a", Addr: "10.0.0.3:80", Zone: "z0", Slots: 2, Seq: 1000}); err != nil {
+		if err := pick(w, w.controllers).control().Beat(w.ctx, target.Heartbeat{ID: "i-3", Service: "a", Addr: "10.0.0.3:80", Zone: "z0", Slots: 2, Seq: 1000}); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(300 * time.Millisecond)
--- a/internal/control/change.go
+++ b/internal/control/change.go
@@ -200,12 +200,12 @@
 
 // weigh checks a change against what stands.
 func (n *Node) weigh(all []item.Item) (w weighed) {
-	n.Board.Items(func(s *item.Set) {
+	n.Board.WithItems(func(s *item.Set) {
 		var put []item.Item
 		w.stands = true
 		for _, i := range all {
 			old, ok := s.Get(i.Key)
-			w.stands = w.stands && ok && old.Same(i) && n.ledger.has(i)
+			w.stands = w.stands && ok && old.Equal(i) && n.ledger.has(i)
 			// A version not above what stands changes nothing, whatever it holds.
 			if !ok || i.Version > old.Version {
 				put = append(put, i)
@@ -240,7 +240,7 @@
 		return st, err
 	}
 	var all []item.Item
-	n.Board.Items(func(s *item.Set) { all = slices.Collect(s.All()) })
+	n.Board.WithItems(func(s *item.Set) { all = slices.Collect(s.All()) })
 	// What this answer shows must be shown by every later one: a majority is to hold it.
 	if err := n.secure(ctx, all); err != nil {
 		return st, err
--- a/internal/control/change_test.go
+++ b/internal/control/change_test.go
@@ -264,7 +264,7 @@
 			if m.disk != nil && m.disk.holds(mark) {
 				t.Errorf("%s keeps an invalid change", m.id)
 			}
-			m.control().Board.Items(func(s *item.Set) {
+			m.control().Board.WithItems(func(s *item.Set) {
 				if s.Len() != 6 {
 					t.Errorf("%s knows %d items", m.id, s.Len())
 				}
--- a/internal/control/core.go
+++ b/internal/control/core.go
@@ -26,7 +26,7 @@
 // coreSeats are the seats of the newest core known here, where their machines stand now.
 func (n *Node) coreSeats() (quorum.Core, []quorum.Seat) {
 	core := n.core()
-	return core, quorum.UpdateDomains(core.Seats, n.Mesh.Heard())
+	return core, quorum.UpdateDomains(core.Seats, n.Mesh.DiskContacts())
 }
 
 // watchCore logs the core whenever it, or what it bears, changes.
@@ -37,7 +37,7 @@
 		if core.Epoch == 0 {
 			return
 		}
-		silent := silentSeats(seats, n.Mesh.Heard())
+		silent := silentSeats(seats, n.Mesh.DiskContacts())
 		now := coreState{core.Epoch, n.Tolerance.ExposureOf(seats), len(seats)-len(silent) >= core.QuorumSize()}
 		n.tellCore(told, now, seats, silent)
 		told = now
@@ -100,7 +100,7 @@
 // coreRows lists the seats.
 func (n *Node) coreRows(_ context.Context, a CoreAsk) (Answer[SeatRow], error) {
 	core, seats := n.coreSeats()
-	heard := n.Mesh.Heard()
+	heard := n.Mesh.DiskContacts()
 	p := newPage[SeatRow](a.Page)
 	for _, s := range seats {
 		row := SeatRow{ID: s.ID, Region: s.Region, Zone: s.Zone, Inner: s.Addr, Epoch: core.Epoch}
--- a/internal/control/home_test.go
+++ b/internal/control/home_test.go
@@ -31,7 +31,7 @@
 								return
 							}
 							zone := fmt.Sprintf("z%d", i%3)
-							if err := w.beat(m, target.Beat{ID: fmt.Sprintf("i-%d", i), Service: "a", Addr: fmt.Sprintf("10.0.0.%d:80", i), Zone: zone, Slots: 2, Seq: seq}); err != nil {
+							if err := w.beat(m, target.Heartbeat{ID: fmt.Sprintf("i-%d", i), Service: "a", Addr: fmt.Sprintf("10.0.0.%d:80", i), Zone: zone, Slots: 2, Seq: seq}); err != nil {
 								t.Error(err)
 							}
 							home := m.control().Home("a", zone)
@@ -43,7 +43,7 @@
 				// A suspicion is over as soon as the home hears of it, but it leaves its trace.
 				suspected := func() (out []string) {
 					for _, m := range w.controllers {
-						m.control().Board.Table(func(tb *target.Table, now time.Time) bool {
+						m.control().Board.WithRuns(func(tb *target.Table, now time.Time) bool {
 							for r := range tb.All(now) {
 								if r.Silent > 0 {
 									out = append(out, r.ID)
--- a/internal/control/node.go
+++ b/internal/control/node.go
@@ -82,15 +82,15 @@
 	Desk  *link.Desk
 	Voter *quorum.Voter // nil without a disk
 	Prop  *quorum.Proposer
-	Board *watch.Board
+	Board *watch.Replica
 	Mesh  *watch.Mesh
 
 	bootstrapper *quorum.Bootstrapper
 	reconfigurer *quorum.Reconfigurer // nil without a disk
-	teller       *watch.Teller
+	teller       *watch.Publisher
 	pause        *liveness.Pauses
-	watch        *target.Watch // guarded by the board's lock on its table
-	book         *route.Book   // guarded by the board's lock on its items
+	watch        *target.Monitor // guarded by the board's lock on its table
+	book         *route.Book     // guarded by the board's lock on its items
 	ledger       ledger
 	departures   departures
 	upgrades     upgrades
@@ -116,7 +116,7 @@
 	if err := check.Struct(p.Settings); err != nil {
 		return nil, steperr.At("settings", "", err)
 	}
-	n := &Node{Parts: p, Desk: link.NewDesk(), Prop: quorum.NewProposer(p.ID+"."+p.Fresh, p.Line, p.Clock), Board: watch.NewBoard(p.Clock),
+	n := &Node{Parts: p, Desk: link.NewDesk(), Prop: quorum.NewProposer(p.ID+"."+p.Fresh, p.Line, p.Clock), Board: watch.NewReplica(p.Clock),
 		book: route.NewBook(), pause: liveness.NewPausesEvery(p.Clock, pauseTick), busy: make(chan struct{}, 1),
 		asked: make(chan struct{}, mostQueries), started: p.Clock.Now()}
 	if p.Disk != nil {
@@ -126,7 +126,7 @@
 	if p.Notes != nil {
 		n.Notes, n.notesMeter = storage.MeterJournal(p.Notes, p.Clock)
 	}
-	n.watch = &target.Watch{Every: p.BeatEvery, Pause: n.pause}
+	n.watch = &target.Monitor{HeartbeatInterval: p.BeatEvery, Pauses: n.pause}
 	n.Board.OnItem = func(i item.Item) {
 		n.noteUpgrade(i)
 		if err := n.book.Apply(i); err != nil {
@@ -153,15 +153,15 @@
 	}
 	n.bootstrapper = &quorum.Bootstrapper{Seeds: p.Seeds, Self: p.Inner, Size: size, Tolerance: p.Tolerance, Attainable: attainable, Transport: p.Line, Clock: p.Clock, Proposer: n.Prop, Voter: n.Voter, SubsequentStart: !p.First}
 	n.bootstrapper.Serve(n.Desk)
-	n.Mesh = &watch.Mesh{Me: n.me, Line: p.Line, Clock: p.Clock, Board: n.Board, Core: n.core, Learn: func(c quorum.Core) { n.Prop.Learn(c) }, Votes: n.votes}
+	n.Mesh = &watch.Mesh{Me: n.me, Line: p.Line, Clock: p.Clock, Replica: n.Board, Core: n.core, LearnCore: func(c quorum.Core) { n.Prop.Learn(c) }, VotingEpoch: n.votes}
 	n.SetSeeds(p.Seeds)
-	n.teller = &watch.Teller{Me: n.me, Board: n.Board, Clock: p.Clock, Core: n.core, Votes: n.votes, Fresh: n.fresh, Going: n.stop.Load,
-		Others: n.Mesh.Others, Elsewhere: n.Mesh.Gateways, Met: n.Mesh.Met}
+	n.teller = &watch.Publisher{Me: n.me, Replica: n.Board, Clock: p.Clock, Core: n.core, VotingEpoch: n.votes, Fresh: n.fresh, Stopping: n.stop.Load,
+		Others: n.Mesh.Others, OtherGateways: n.Mesh.Gateways, OnController: n.Mesh.OnController}
 	n.teller.Serve(n.Desk)
 	n.serveQueries()
 	n.serveReports()
 	if n.Voter != nil {
-		n.reconfigurer = &quorum.Reconfigurer{Contacts: n.Mesh.Heard, Tolerance: p.Tolerance, Size: size, Proposer: n.Prop, Transport: p.Line, Clock: p.Clock, Faults: p.Faults, Log: p.Log}
+		n.reconfigurer = &quorum.Reconfigurer{Contacts: n.Mesh.DiskContacts, Tolerance: p.Tolerance, Size: size, Proposer: n.Prop, Transport: p.Line, Clock: p.Clock, Faults: p.Faults, Log: p.Log}
 	}
 	return n, nil
 }
@@ -223,12 +223,12 @@
 	var tidied time.Time
 	clock.Every(ctx, n.Clock, judgeEvery, func() {
 		n.settle(n.Clock.Now())
-		n.Board.Table(func(t *target.Table, now time.Time) bool {
-			news := n.watch.Judge(t, now)
+		n.Board.WithRuns(func(t *target.Table, now time.Time) bool {
+			news := n.watch.Evaluate(t, now)
 			if now.Sub(tidied) >= tendEvery {
 				tidied = now
-				news = t.Yield(n.quiet(), now) || news
-				news = t.Tend(now) || news
+				news = t.EndSuperseded(n.quiet(), now) || news
+				news = t.Maintain(now) || news
 			}
 			return news
 		})
--- a/internal/control/query_test.go
+++ b/internal/control/query_test.go
@@ -49,7 +49,7 @@
 		w.order(base(3), w.controllers[:1])
 		time.Sleep(bound)
 		l, m := w.operator(), w.controllers[0]
-		before := m.control().Board.End()
+		before := m.control().Board.Cursor()
 		bad := []any{
 			ItemsAsk{Page: Page{Most: -1}}, ItemsAsk{Page: Page{Most: 1001}}, ItemsAsk{Prefix: strings.Repeat("x", 2049)},
 			ItemsAsk{Page: Page{After: strings.Repeat("x", 2049)}}, RunsAsk{Service: strings.Repeat("x", 257)}, RunsAsk{Prefix: strings.Repeat("x", 257)},
@@ -67,7 +67,7 @@
 		if n := counter(w, l, m, "queries_refused"); n != uint64(len(bad)) {
 			t.Errorf("%d refused, want %d", n, len(bad))
 		}
-		if end := m.control().Board.End(); end != before || !m.control().Ready() {
+		if end := m.control().Board.Cursor(); end != before || !m.control().Ready() {
 			t.Errorf("a query changed %+v to %+v", before, end)
 		}
 	})
@@ -172,7 +172,7 @@
 	})
 	b.Run("one chunk under the lock", func(b *testing.B) {
 		for b.Loop() {
-			n.Board.Table(func(t *target.Table, now time.Time) bool {
+			n.Board.WithRuns(func(t *target.Table, now time.Time) bool {
 				t.Since(0, chunk, 0, now)
 				return false
 			})
--- a/internal/control/querycounters_test.go
+++ b/internal/control/querycounters_test.go
@@ -9,9 +9,9 @@
 func TestCountersCount(t *testing.T) {
 	play(t, 30, small, func(w *world) {
 		l, m := w.operator(), w.controllers[0]
-		good := target.Beat{ID: "i-1", Service: "a", Addr: "10.0.0.1:80", Zone: "z0", Slots: 2, Seq: 1}
+		good := target.Heartbeat{ID: "i-1", Service: "a", Addr: "10.0.0.1:80", Zone: "z0", Slots: 2, Seq: 1}
 		_ = w.beat(m, good)
-		_ = w.beat(m, target.Beat{})
+		_ = w.beat(m, target.Heartbeat{})
 		w.order(base(1), []*controllerHost{m})
 		bad := base(1)
 		bad.Routes[0].Version, bad.Routes[0].Host = 9, ""
--- a/internal/control/queryitems.go
+++ b/internal/control/queryitems.go
@@ -69,7 +69,7 @@
 			return r, steperr.At("items", n.ID, ctx.Err())
 		}
 		var got []item.Item
-		n.Board.Items(func(s *item.Set) { got, from, more = s.Since(from, chunk, 0) })
+		n.Board.WithItems(func(s *item.Set) { got, from, more = s.Since(from, chunk, 0) })
 		for _, i := range got {
 			if strings.HasPrefix(i.Name, a.Prefix) || strings.HasPrefix(placeOf(i), a.Prefix) {
 				p.add(itemKey(i.Key), i)
@@ -78,7 +78,7 @@
 	}
 	p.trim()
 	seqs := make(map[item.Key]uint64, len(p.rows))
-	n.Board.Items(func(s *item.Set) {
+	n.Board.WithItems(func(s *item.Set) {
 		for _, x := range p.rows {
 			seqs[x.of.Key] = s.SeqOf(x.of.Key)
 		}
--- a/internal/control/querymembers.go
+++ b/internal/control/querymembers.go
@@ -39,7 +39,7 @@
 func (n *Node) memberRows(_ context.Context, a MembersAsk) (Answer[MemberRow], error) {
 	// Where everything known here ends is taken first: who has heard more by then is
 	// not behind.
-	end := n.Board.End()
+	end := n.Board.Cursor()
 	rows := map[string]*MemberRow{}
 	at := func(kind, id, inner string) *MemberRow {
 		key := kind + "/" + cmp.Or(id, inner)
@@ -51,9 +51,9 @@
 	me := n.me()
 	self := at(watch.Controller, me.ID, me.Inner)
 	self.Zone, self.Votes, self.Going = me.Zone, n.votes(), n.stop.Load()
-	for _, x := range n.Mesh.Neighbours() {
+	for _, x := range n.Mesh.Peers() {
 		r := at(watch.Controller, x.ID, x.Inner)
-		r.Zone, r.Votes, r.Going = x.Zone, x.Votes, x.Going
+		r.Zone, r.Votes, r.Going = x.Zone, x.VotingEpoch, x.Stopping
 		if x.Answered {
 			r.AnsweredMS = some(float64(x.Age.Milliseconds()))
 		}
--- a/internal/control/queryruns.go
+++ b/internal/control/queryruns.go
@@ -53,7 +53,7 @@
 			return r, steperr.At("runs", n.ID, ctx.Err())
 		}
 		var got []target.Run
-		n.Board.Table(func(t *target.Table, now time.Time) bool {
+		n.Board.WithRuns(func(t *target.Table, now time.Time) bool {
 			got, from, more = t.Since(from, chunk, 0, now)
 			return false
 		})
@@ -66,15 +66,15 @@
 	p.trim()
 	rows := make(map[string]RunRow, len(p.rows))
 	for at := 0; at < len(p.rows); at += chunk {
-		n.Board.Table(func(t *target.Table, now time.Time) bool {
+		n.Board.WithRuns(func(t *target.Table, now time.Time) bool {
 			for _, k := range p.rows[at:min(at+chunk, len(p.rows))] {
 				x := k.of
 				row := RunRow{ID: x.ID, Service: x.Service, Addr: x.Addr, Zone: x.Zone, Slots: x.Slots, State: stateNames[x.State], Beat: x.Seq,
 					Suspected: x.Suspected(), Recalled: x.Recalled, Held: n.departures.held(x)}
-				beat, last := t.Heard(x.ID)
+				beat, last := t.LastHeard(x.ID)
 				row.BeatMS, row.NewsMS = ago(now, beat), ago(now, last)
 				if w, ok := n.watch.Suspicion(x.ID, now); ok {
-					if _, newest := t.Own(x.ID); newest {
+					if _, newest := t.OwnSeq(x.ID); newest {
 						row.Suspicion = some(math.Round(w*1e6) / 1e6)
 					}
 				}
--- a/internal/control/queryruns_test.go
+++ b/internal/control/queryruns_test.go
@@ -34,7 +34,7 @@
 		}
 		r := row(home, "i-1")
 		if r.Service != "a" || r.Addr != "10.0.0.1:80" || r.Zone != "z0" || r.Slots != 2 || r.State != "ready" || r.Home != home.addr || r.Held || r.Suspected || r.Recalled ||
-			!r.BeatMS.Known || r.BeatMS.Value > 1100 || !r.Suspicion.Known || r.Suspicion.Value >= target.Threshold {
+			!r.BeatMS.Known || r.BeatMS.Value > 1100 || !r.Suspicion.Known || r.Suspicion.Value >= target.SuspicionThreshold {
 			t.Errorf("at home: %+v", r)
 		}
 		if r := row(away, "i-1"); r.State != "ready" || r.Home != home.addr || r.Suspicion.Known || !r.NewsMS.Known {
@@ -48,7 +48,7 @@
 		}
 		// Where a run was heard once, its silence shows nothing after it moved on.
 		for seq, m := range []*controllerHost{away, home} {
-			if err := w.beat(m, target.Beat{ID: "y-0", Service: "a", Addr: "10.0.0.9:80", Zone: "z0", Slots: 2, Seq: uint64(seq + 1)}); err != nil {
+			if err := w.beat(m, target.Heartbeat{ID: "y-0", Service: "a", Addr: "10.0.0.9:80", Zone: "z0", Slots: 2, Seq: uint64(seq + 1)}); err != nil {
 				t.Fatal(err)
 			}
 			time.Sleep(time.Second)
@@ -70,7 +70,7 @@
 		}
 		stops["i-3"]()
 		time.Sleep(1100 * time.Millisecond)
-		if err := w.beat(away, target.Beat{ID: "i-3", Service: "a", Addr: "10.0.0.3:80", Zone: "z0", Slots: 2, Seq: 1000, Draining: true}); err != nil {
+		if err := w.beat(away, target.Heartbeat{ID: "i-3", Service: "a", Addr: "10.0.0.3:80", Zone: "z0", Slots: 2, Seq: 1000, Draining: true}); err != nil {
 			t.Fatal(err)
 		}
 		if r := row(away, "i-3"); r.State != "draining" || !r.Held {
--- a/internal/control/recall.go
+++ b/internal/control/recall.go
@@ -63,11 +63,11 @@
 // settle ends the time in which recalled runs count, once this node misses nothing that
 // another has heard.
 func (n *Node) settle(now time.Time) {
-	if n.Board.Settled() || now.Sub(n.started) < n.confirmTime()+n.pause.At(now) {
+	if n.Board.RunsComplete() || now.Sub(n.started) < n.confirmTime()+n.pause.At(now) {
 		return
 	}
 	if _, fresh := n.Mesh.Fresh(); fresh {
-		n.Board.Settle()
+		n.Board.MarkRunsComplete()
 	}
 }
 
@@ -108,7 +108,7 @@
 func (n *Node) write(s *notes) error {
 	whole := !s.sound || s.written > s.whole+slackNotes
 	var runs []target.Run
-	n.Board.Table(func(t *target.Table, now time.Time) bool {
+	n.Board.WithRuns(func(t *target.Table, now time.Time) bool {
 		if whole {
 			s.seq = 0
 		}
--- a/internal/control/recall_test.go
+++ b/internal/control/recall_test.go
@@ -80,7 +80,7 @@
 		if h.over[id] {
 			continue
 		}
-		b := target.Beat{ID: id, Service: "a", Addr: fmt.Sprintf("10.0.0.%d:80", i), Zone: fmt.Sprintf("z%d", i%3), Slots: 2, Seq: h.seq, Draining: h.away[id]}
+		b := target.Heartbeat{ID: id, Service: "a", Addr: fmt.Sprintf("10.0.0.%d:80", i), Zone: fmt.Sprintf("z%d", i%3), Slots: 2, Seq: h.seq, Draining: h.away[id]}
 		h.w.await("answer to a beat", 3*time.Second, func() bool { return h.w.beat(pick(h.w, h.w.controllers), b) == nil })
 	}
 }
@@ -255,7 +255,7 @@
 		}
 		h.live(5*time.Minute+30*time.Second, func() {})
 		holds := func(n *Node, id string) (ok bool) {
-			n.Board.Table(func(tb *target.Table, now time.Time) bool {
+			n.Board.WithRuns(func(tb *target.Table, now time.Time) bool {
 				_, ok = tb.Get(id, now)
 				return false
 			})
@@ -318,7 +318,7 @@
 			t.Errorf("%d records after 70 s of beats, %d before", got, n)
 		}
 		for slots := range slackNotes + 50 {
-			w.controllers[0].control().Board.Table(func(tb *target.Table, now time.Time) bool {
+			w.controllers[0].control().Board.WithRuns(func(tb *target.Table, now time.Time) bool {
 				r, _ := tb.Get("i-0", now)
 				r.Seq, r.Slots = r.Seq+1, slots+1
 				return tb.Merge(r, now)
--- a/internal/control/report.go
+++ b/internal/control/report.go
@@ -30,10 +30,10 @@
 	r := Report{About: n.about(), Epoch: c.Epoch, Seats: len(c.Seats), Votes: n.votes(), Controllers: len(n.Mesh.Others()), Runs: map[string]int{},
 		Files: n.diskRows(), Counters: map[string]uint64{}}
 	r.Gateways, _ = n.teller.Gateways()
-	n.Board.Items(func(s *item.Set) { r.Items = s.Len() })
+	n.Board.WithItems(func(s *item.Set) { r.Items = s.Len() })
 	for from, more := uint64(0), true; more; {
 		var got []target.Run
-		n.Board.Table(func(t *target.Table, now time.Time) bool {
+		n.Board.WithRuns(func(t *target.Table, now time.Time) bool {
 			got, from, more = t.Since(from, chunk, 0, now)
 			return false
 		})
--- a/internal/control/report_test.go
+++ b/internal/control/report_test.go
@@ -13,7 +13,7 @@
 		time.Sleep(6 * time.Second)
 		w.order(base(1), []*controllerHost{m})
 		for _, id := range []string{"i-1", "i-2", "i-3", "i-4", "i-5", "i-6"} {
-			if err := w.beat(m, target.Beat{ID: id, Service: "a", Addr: "10.0.0." + id[2:] + ":80", Zone: "z0", Slots: 2, Seq: 1, Draining: id == "i-2"}); err != nil {
+			if err := w.beat(m, target.Heartbeat{ID: id, Service: "a", Addr: "10.0.0." + id[2:] + ":80", Zone: "z0", Slots: 2, Seq: 1, Draining: id == "i-2"}); err != nil {
 				t.Fatal(err)
 			}
 		}
--- a/internal/control/stop_test.go
+++ b/internal/control/stop_test.go
@@ -39,7 +39,7 @@
 					}
 				}
 			}
-			if err := w.beat(m, target.Beat{ID: "i-" + m.id, Service: "a", Addr: "10.0.0.1:80", Zone: m.zone, Slots: 2, Seq: 1, Draining: true}); err != nil {
+			if err := w.beat(m, target.Heartbeat{ID: "i-" + m.id, Service: "a", Addr: "10.0.0.1:80", Zone: m.zone, Slots: 2, Seq: 1, Draining: true}); err != nil {
 				t.Errorf("a controller that stops does not hold a leaving: %v", err)
 			}
 			w.drained("i-"+m.id, target.Draining, w.gateways)
@@ -58,7 +58,7 @@
 			w.await("return", 8*time.Second, func() bool { return m.control().Ready() })
 			w.await("return of the others' trust", 5*time.Second, func() bool {
 				return lo.EveryBy(others, func(o *controllerHost) bool {
-					return lo.ContainsBy(o.control().Mesh.Near(), func(x watch.Member) bool { return x.ID == m.id })
+					return lo.ContainsBy(o.control().Mesh.Available(), func(x watch.Member) bool { return x.ID == m.id })
 				})
 			})
 			time.Sleep(6 * time.Second)
--- a/internal/control/upgrade.go
+++ b/internal/control/upgrade.go
@@ -115,7 +115,7 @@
 	if err := n.secure(ctx, stands); err != nil {
 		return err
 	}
-	if !stands[0].Same(step) {
+	if !stands[0].Equal(step) {
 		return steperr.At("decide upgrade", u.Service, errOvertaken)
 	}
 	return nil
@@ -123,7 +123,7 @@
 
 // upgradeOf is the newest upgrade of a service known here, of no phase where there is none.
 func (n *Node) upgradeOf(service string) (u upgrade.Upgrade, err error) {
-	n.Board.Items(func(s *item.Set) {
+	n.Board.WithItems(func(s *item.Set) {
 		if i, ok := s.Get(upgrade.Key(service)); ok && !i.Gone {
 			u, err = upgrade.FromItem(i)
 		}
@@ -132,7 +132,7 @@
 }
 
 func (n *Node) hasService(name string) (has bool) {
-	n.Board.Items(func(s *item.Set) {
+	n.Board.WithItems(func(s *item.Set) {
 		i, ok := s.Get(item.Key{Kind: item.Service, Name: name})
 		has = ok && !i.Gone
 	})
@@ -154,7 +154,7 @@
 
 // readyRuns walks through the targets of a service that are ready.
 func (n *Node) readyRuns(service string, f func(target.Run)) {
-	n.Board.Table(func(t *target.Table, now time.Time) bool {
+	n.Board.WithRuns(func(t *target.Table, now time.Time) bool {
 		for r := range t.All(now) {
 			if r.Service == service && r.State == target.Ready && !r.Suspected() {
 				f(r)
--- a/internal/control/view.go
+++ b/internal/control/view.go
@@ -37,11 +37,11 @@
 
 // View tells what this node sees.
 func (n *Node) View() View {
-	v := View{Me: n.me(), Core: n.core(), Votes: n.votes(), Controllers: n.Mesh.Others(), Askers: n.teller.Askers()}
+	v := View{Me: n.me(), Core: n.core(), Votes: n.votes(), Controllers: n.Mesh.Others(), Askers: n.teller.Clients()}
 	v.Lag, v.Fresh = n.fresh()
 	v.Gateways, v.Zones = n.teller.Gateways()
-	n.Board.Items(func(s *item.Set) { v.Items = s.Len() })
-	n.Board.Table(func(t *target.Table, now time.Time) bool {
+	n.Board.WithItems(func(s *item.Set) { v.Items = s.Len() })
+	n.Board.WithRuns(func(t *target.Table, now time.Time) bool {
 		for r := range t.All(now) {
 			x := RunView{Run: r}
 			x.Suspicion, x.Judged = n.watch.Suspicion(r.ID, now)
@@ -56,8 +56,8 @@
 
 // Members are the nodes that this one hears: the controllers that answer, and all that ask.
 func (n *Node) Members() []watch.Member {
-	out := n.Mesh.Near()
-	for _, a := range n.teller.Askers() {
+	out := n.Mesh.Available()
+	for _, a := range n.teller.Clients() {
 		if !slices.ContainsFunc(out, func(m watch.Member) bool { return m.ID == a.ID }) {
 			out = append(out, a)
 		}
--- a/internal/control/world_test.go
+++ b/internal/control/world_test.go
@@ -196,7 +196,7 @@
 	x.inc++
 	s := &watch.Subscriber{Me: watch.Member{ID: x.id, Kind: watch.Gateway, Zone: x.zone, Inc: x.inc}, Line: simnet.Line{P: proc}, Clock: simnet.Clock{P: proc}, Log: quietLog()}
 	items, runs := map[item.Key]item.Item{}, map[string]target.Run{}
-	s.OnNews = func(t watch.WatchTold) {
+	s.OnUpdate = func(t watch.WatchTold) {
 		x.mu.Lock()
 		defer x.mu.Unlock()
 		for _, i := range t.Items {
--- a/internal/item/item.go
+++ b/internal/item/item.go
@@ -50,8 +50,8 @@
 	return hex.EncodeToString(s[:8])
 }
 
-// Same tells whether two copies are of one version and one content.
-func (i Item) Same(o Item) bool {
+// Equal tells whether two copies are of one version and one content.
+func (i Item) Equal(o Item) bool {
 	return i.Key == o.Key && i.Version == o.Version && i.Gone == o.Gone && (i.Gone || bytes.Equal(i.Body, o.Body))
 }
 
--- a/internal/item/set_test.go
+++ b/internal/item/set_test.go
@@ -157,7 +157,7 @@
 		}
 		return list
 	}
-	size := overhead + 11
+	size := itemOverhead + 11
 	for _, c := range []struct {
 		seq          uint64
 		items, bytes int
@@ -191,7 +191,7 @@
 	s := NewSet()
 	for i := range 100_000 {
 		s.Merge(route(fmt.Sprint(i%10), uint64(i), ""))
-		if len(s.log) > 2*s.Len()+slackLog {
+		if len(s.log) > 2*s.Len()+logSlack {
 			t.Fatalf("the log holds %d changes of %d items", len(s.log), s.Len())
 		}
 	}
--- a/internal/quorum/decision.go
+++ b/internal/quorum/decision.go
@@ -56,7 +56,7 @@
 		return Decision{Item: it, Call: call}, offerTaken
 	case c > 0:
 		return Decision{Item: it, Call: call, Past: addPastVersion(d.Past, PastVersion{d.Item.Version, d.Item.Digest()})}, offerTaken
-	case c == 0 && it.Same(d.Item):
+	case c == 0 && it.Equal(d.Item):
 		return d, offerRepeated
 	case c == 0:
 		return d, offerConflicting
@@ -87,7 +87,7 @@
 	switch {
 	case d.Decided() && it.Version < d.Item.Version:
 		return d
-	case !d.Item.Same(it):
+	case !d.Item.Equal(it):
 		d.Call = ""
 	}
 	d.Item = it
--- a/internal/quorum/proposerdecide.go
+++ b/internal/quorum/proposerdecide.go
@@ -92,7 +92,7 @@
 	for i, h := range held {
 		next, v := h.Decision.afterOffer(r.items[i], r.call)
 		decisions[i] = next
-		isCurrent := h.Decision.Decided() && h.Decision.Item.Same(r.items[i])
+		isCurrent := h.Decision.Decided() && h.Decision.Item.Equal(r.items[i])
 		settled, ownCurrent = settled && isCurrent && h.Settled, ownCurrent || isCurrent && h.Decision.Call == r.call
 		if v == offerConflicting && conflict == nil {
 			conflict = ConflictError{r.items[i].Key, r.items[i].Version}
--- a/internal/quorum/votertransfer_test.go
+++ b/internal/quorum/votertransfer_test.go
@@ -74,7 +74,7 @@
 			t.Errorf("%d pages were sent, limit 24", pages)
 		}
 		for _, it := range all {
-			if h := c.node("n3").itemOnDisk(it.Key); !h.Same(it) {
+			if h := c.node("n3").itemOnDisk(it.Key); !h.Equal(it) {
 				t.Errorf("%v is missing after the join", it.Key)
 			}
 		}
@@ -110,7 +110,7 @@
 		if (err != nil) != tc.fails {
 			t.Errorf("%s: %v", name, err)
 		}
-		if got := tr.records[full.Key].Decision; err == nil && (!got.Item.Same(tc.want.Item) || got.Call != tc.want.Call) {
+		if got := tr.records[full.Key].Decision; err == nil && (!got.Item.Equal(tc.want.Item) || got.Call != tc.want.Call) {
 			t.Errorf("%s: %+v, want %+v", name, got, tc.want)
 		}
 	}
--- a/internal/sim/day/machine.go
+++ b/internal/sim/day/machine.go
@@ -145,7 +145,7 @@
 		w.t.Fatal(err)
 	}
 	n := proxy.New(proxy.Parts{Settings: set, Clock: simnet.Clock{P: p}, Log: quietLog(), Dial: p.Dial})
-	sub := &watch.Subscriber{Me: watch.Member{ID: m.ID, Kind: watch.Gateway, Zone: m.Zone, Inc: m.nextInc()}, Line: simnet.Line{P: p}, Clock: simnet.Clock{P: p}, Log: quietLog(), Within: s.Bounds.Apply, Narrow: set.Narrow()}
+	sub := &watch.Subscriber{Me: watch.Member{ID: m.ID, Kind: watch.Gateway, Zone: m.Zone, Inc: m.nextInc()}, Line: simnet.Line{P: p}, Clock: simnet.Clock{P: p}, Log: quietLog(), ChangeDeadline: s.Bounds.Apply, SlowLink: set.Narrow()}
 	n.Follow(sub)
 	sub.Init(w.seedList())
 	l := &life{p: p, done: make(chan struct{})}
--- a/internal/sim/day/target.go
+++ b/internal/sim/day/target.go
@@ -167,7 +167,7 @@
 	w := t.w
 	t.mu.Lock()
 	t.seq++
-	b := target.Beat{ID: t.ID, Service: t.Service, Addr: t.p.Addr, Zone: t.Zone, Version: t.Version, Slots: w.Shape.Slots, Draining: t.state == target.Draining, Seq: t.seq,
+	b := target.Heartbeat{ID: t.ID, Service: t.Service, Addr: t.p.Addr, Zone: t.Zone, Version: t.Version, Slots: w.Shape.Slots, Draining: t.state == target.Draining, Seq: t.seq,
 		Cold: max(0, t.warm-(w.now()-t.started))}
 	home := t.home
 	t.mu.Unlock()
--- a/internal/sim/model/world.go
+++ b/internal/sim/model/world.go
@@ -299,7 +299,7 @@
 		if p == nil {
 			continue
 		}
-		p.control.Board.Items(func(s *item.Set) {
+		p.control.Board.WithItems(func(s *item.Set) {
 			for i := range s.All() {
 				w.history.show(n.id, i)
 			}
--- a/internal/target/beat.go
+++ b/internal/target/beat.go
@@ -3,15 +3,15 @@
 import "walkrudder/internal/steperr"
 
 // Check refuses a beat that says too little, or more than a table takes.
-func (b Beat) Check() error {
+func (b Heartbeat) Check() error {
 	for _, f := range []struct{ name, text string }{{"id", b.ID}, {"service", b.Service}, {"address", b.Addr}} {
 		if f.text == "" {
 			return steperr.New("beat", b.ID, "%s is missing", f.name)
 		}
 	}
 	for _, f := range []struct{ name, text string }{{"id", b.ID}, {"service", b.Service}, {"address", b.Addr}, {"zone", b.Zone}, {"version", b.Version}} {
-		if len(f.text) > maxText {
-			return steperr.New("beat", "", "%s is longer than %d", f.name, maxText)
+		if len(f.text) > maxStringLen {
+			return steperr.New("beat", "", "%s is longer than %d", f.name, maxStringLen)
 		}
 	}
 	if b.Slots < 0 || b.Cold < 0 {
--- a/internal/target/heard.go
+++ b/internal/target/heard.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// Heard tells when this node received a run's newest beat itself, and when it heard of
+// LastHeard tells when this node received a run's newest beat itself, and when it heard of
 // the run at all: both are zero where it never did.
-func (t *Table) Heard(id string) (beat, last time.Time) {
+func (t *Table) LastHeard(id string) (beat, last time.Time) {
 	e := t.runs[id]
 	if e == nil {
 		return beat, last
 	}
-	return e.ownAt, e.heard
+	return e.ownSeqAt, e.heardAt
 }
--- a/internal/target/record.go
+++ b/internal/target/record.go
@@ -9,14 +9,14 @@
 // The first byte of a record. firstForm is that of releases that did not note the version of a target's software;
 // a later form than recordForm is not taken for one of these.
 const (
-	firstForm  = 1
-	recordForm = 2
+	recordFormatV1 = 1
+	recordFormat   = 2
 )
 
 // Record is a run in the form in which a controller notes it for its next life. How much
 // longer it is slow is left out: nobody knows how long that life is off.
 func (r Run) Record() []byte {
-	b := []byte{recordForm, byte(r.State)}
+	b := []byte{recordFormat, byte(r.State)}
 	for _, s := range []string{r.ID, r.Service, r.Addr, r.Zone, r.Version} {
 		b = append(binary.AppendUvarint(b, uint64(len(s))), s...)
 	}
@@ -28,20 +28,20 @@
 
 // ReadRecord reads what Record wrote, as a run that is recalled.
 func ReadRecord(b []byte) (Run, error) {
-	bad := steperr.New("read record", "", "not the record of a run")
-	if len(b) < 2 || b[0] != firstForm && b[0] != recordForm {
-		return Run{}, bad
+	errInvalid := steperr.New("read record", "", "not the record of a run")
+	if len(b) < 2 || b[0] != recordFormatV1 && b[0] != recordFormat {
+		return Run{}, errInvalid
 	}
 	r := Run{State: State(b[1]), Recalled: true}
 	texts := []*string{&r.ID, &r.Service, &r.Addr, &r.Zone, &r.Version}
-	if b[0] == firstForm {
+	if b[0] == recordFormatV1 {
 		texts = texts[:len(texts)-1]
 	}
 	b = b[2:]
 	for _, s := range texts {
 		n, k := binary.Uvarint(b)
-		if k <= 0 || n > maxText || uint64(len(b)-k) < n {
-			return Run{}, bad
+		if k <= 0 || n > maxStringLen || uint64(len(b)-k) < n {
+			return Run{}, errInvalid
 		}
 		*s, b = string(b[k:k+int(n)]), b[k+int(n):]
 	}
@@ -49,12 +49,12 @@
 	for _, u := range []*uint64{&slots, &r.Seq, &r.Silent} {
 		n, k := binary.Uvarint(b)
 		if k <= 0 {
-			return Run{}, bad
+			return Run{}, errInvalid
 		}
 		*u, b = n, b[k:]
 	}
-	if len(b) > 0 || slots > maxSlots || !r.sound() {
-		return Run{}, bad
+	if len(b) > 0 || slots > maxSlots || !r.valid() {
+		return Run{}, errInvalid
 	}
 	r.Slots = int(slots)
 	return r, nil
--- a/internal/target/record_test.go
+++ b/internal/target/record_test.go
@@ -35,7 +35,7 @@
 
 // A record of a release that did not note versions is still read after an upgrade of this program.
 func TestAnOlderRecordIsRead(t *testing.T) {
-	old := []byte{firstForm, byte(Ready), 1, 'i', 1, 'a', 1, 'x', 1, 'z', 3, 7, 2}
+	old := []byte{recordFormatV1, byte(Ready), 1, 'i', 1, 'a', 1, 'x', 1, 'z', 3, 7, 2}
 	want := Run{ID: "i", Service: "a", Addr: "x", Zone: "z", Slots: 3, State: Ready, Seq: 7, Silent: 2, Recalled: true}
 	if got, err := ReadRecord(old); err != nil || got != want {
 		t.Errorf("%+v, %v; want %+v", got, err, want)
--- a/internal/target/run.go
+++ b/internal/target/run.go
@@ -4,8 +4,8 @@
 
 import "time"
 
-// Beat is what a target says of itself.
-type Beat struct {
+// Heartbeat is what a target says of itself.
+type Heartbeat struct {
 	ID       string // of this run; every start has another
 	Service  string
 	Addr     string // IP:port
--- a/internal/target/table_test.go
+++ b/internal/target/table_test.go
@@ -10,30 +10,30 @@
 	"github.com/samber/lo"
 )
 
-var begin = time.Unix(1e9, 0)
+var testStart = time.Unix(1e9, 0)
 
-func run(id string, seq uint64, s State) Run {
+func testRun(id string, seq uint64, s State) Run {
 	return Run{ID: id, Service: "a", Addr: "10.0.0.1:" + id, Zone: "z", Slots: 2, Seq: seq, State: s}
 }
 
 func TestOnlyMaterialNewsIsTold(t *testing.T) {
 	tb := NewTable()
-	now := begin
+	now := testStart
 	for i, c := range []struct {
 		r    Run
 		news bool
 	}{
-		{run("1", 1, Ready), true},
-		{run("1", 2, Ready), false}, // the ordinary beat
-		{run("1", 1, Ready), false}, // a late one
-		{func() Run { r := run("1", 3, Ready); r.Slots = 3; return r }(), true},
-		{func() Run { r := run("1", 2, Ready); r.Slots = 9; return r }(), false},                   // an older word on the slots
-		{func() Run { r := run("1", 3, Ready); r.Slots, r.Silent = 3, 3; return r }(), true},       // suspected
-		{func() Run { r := run("1", 4, Ready); r.Slots = 3; return r }(), true},                    // heard again
-		{func() Run { r := run("1", 5, Draining); r.Slots = 3; return r }(), true},                 // drains
-		{func() Run { r := run("1", 6, Ready); r.Slots = 3; return r }(), false},                   // and never comes back
-		{func() Run { r := run("1", 2, Ended); return r }(), true},                                 // has ended
-		{func() Run { r := run("1", 9, Draining); r.Slots = 3; return r }(), false},                // a late beat
+		{testRun("1", 1, Ready), true},
+		{testRun("1", 2, Ready), false}, // the ordinary beat
+		{testRun("1", 1, Ready), false}, // a late one
+		{func() Run { r := testRun("1", 3, Ready); r.Slots = 3; return r }(), true},
+		{func() Run { r := testRun("1", 2, Ready); r.Slots = 9; return r }(), false},               // an older word on the slots
+		{func() Run { r := testRun("1", 3, Ready); r.Slots, r.Silent = 3, 3; return r }(), true},   // suspected
+		{func() Run { r := testRun("1", 4, Ready); r.Slots = 3; return r }(), true},                // heard again
+		{func() Run { r := testRun("1", 5, Draining); r.Slots = 3; return r }(), true},             // drains
+		{func() Run { r := testRun("1", 6, Ready); r.Slots = 3; return r }(), false},               // and never comes back
+		{func() Run { r := testRun("1", 2, Ended); return r }(), true},                             // has ended
+		{func() Run { r := testRun("1", 9, Draining); r.Slots = 3; return r }(), false},            // a late beat
 		{Run{ID: "", State: Ready}, false}, {Run{ID: "x"}, false}, {Run{ID: "x", State: 7}, false}, // unsound
 	} {
 		seq := tb.Seq()
@@ -53,7 +53,7 @@
 		rnd := rand.New(rand.NewPCG(seed, 0))
 		var in []Run
 		for range 60 {
-			r := run(fmt.Sprint(rnd.IntN(5)), uint64(rnd.IntN(6)), State(1+rnd.IntN(3)))
+			r := testRun(fmt.Sprint(rnd.IntN(5)), uint64(rnd.IntN(6)), State(1+rnd.IntN(3)))
 			r.Slots, r.Silent = rnd.IntN(3), uint64(rnd.IntN(5))
 			if rnd.IntN(3) == 0 {
 				r.Addr = "10.0.0.2:1"
@@ -65,14 +65,14 @@
 		}
 		a, b := NewTable(), NewTable()
 		for _, r := range in {
-			a.Merge(r, begin)
+			a.Merge(r, testStart)
 		}
 		rnd.Shuffle(len(in), func(i, j int) { in[i], in[j] = in[j], in[i] })
 		for _, r := range in {
-			b.Merge(r, begin)
+			b.Merge(r, testStart)
 		}
-		for r := range a.All(begin) {
-			if o, _ := b.Get(r.ID, begin); o != r {
+		for r := range a.All(testStart) {
+			if o, _ := b.Get(r.ID, testStart); o != r {
 				t.Fatalf("seed %d: %+v and %+v", seed, r, o)
 			}
 		}
@@ -87,9 +87,9 @@
 		c := NewTable()
 		for at, more := uint64(0), true; more; {
 			var rs []Run
-			rs, at, more = a.Since(at, 2, 0, begin)
+			rs, at, more = a.Since(at, 2, 0, testStart)
 			for _, r := range rs {
-				c.Merge(r, begin)
+				c.Merge(r, testStart)
 			}
 		}
 		if c.Sums() != a.Sums() {
@@ -101,64 +101,64 @@
 func TestSinceTellsEachChangeOnceAndStaysSmall(t *testing.T) {
 	tb := NewTable()
 	for i := range 10 {
-		tb.Merge(run(fmt.Sprint(i), 1, Ready), begin)
+		tb.Merge(testRun(fmt.Sprint(i), 1, Ready), testStart)
 	}
-	_, at, _ := tb.Since(0, 0, 0, begin)
+	_, at, _ := tb.Since(0, 0, 0, testStart)
 	for s := range uint64(1000) {
-		r := run("3", 2+s, Ready)
+		r := testRun("3", 2+s, Ready)
 		r.Slots = int(s)
-		tb.Merge(r, begin)
+		tb.Merge(r, testStart)
 	}
-	rs, to, more := tb.Since(at, 0, 0, begin)
+	rs, to, more := tb.Since(at, 0, 0, testStart)
 	if len(rs) != 1 || rs[0].ID != "3" || rs[0].Slots != 999 || more || to != tb.Seq() {
 		t.Errorf("%v %d %v", rs, to, more)
 	}
-	if len(tb.log) > 2*10+slackLog+1 {
+	if len(tb.log) > 2*10+logSlack+1 {
 		t.Errorf("the log holds %d changes of 10 runs", len(tb.log))
 	}
-	if rs, _, _ := tb.Since(tb.Seq()+5, 0, 0, begin); len(rs) != 10 {
+	if rs, _, _ := tb.Since(tb.Seq()+5, 0, 0, testStart); len(rs) != 10 {
 		t.Errorf("a number never given tells %d runs", len(rs))
 	}
-	if rs, _, more := tb.Since(0, 0, 100, begin); len(rs) == 0 || len(rs) > 4 || !more {
+	if rs, _, more := tb.Since(0, 0, 100, testStart); len(rs) == 0 || len(rs) > 4 || !more {
 		t.Errorf("100 bytes hold %d runs", len(rs))
 	}
 }
 
-func beat(id, addr string, seq uint64) Beat {
-	return Beat{ID: id, Service: "a", Addr: addr, Zone: "z", Slots: 2, Seq: seq, Cold: 5 * time.Second}
+func testHeartbeat(id, addr string, seq uint64) Heartbeat {
+	return Heartbeat{ID: id, Service: "a", Addr: addr, Zone: "z", Slots: 2, Seq: seq, Cold: 5 * time.Second}
 }
 
-const quiet = 2 * time.Second
+const quietTime = 2 * time.Second
 
-func state(tb *Table, id string) State {
-	r, _ := tb.Get(id, begin)
+func stateOf(tb *Table, id string) State {
+	r, _ := tb.Get(id, testStart)
 	return r.State
 }
 
 func TestANewerRunTakesAnAddressOver(t *testing.T) {
 	tb := NewTable()
-	tb.Hear(beat("old", "x:1", 7), quiet, begin)
+	tb.ReceiveHeartbeat(testHeartbeat("old", "x:1", 7), quietTime, testStart)
 	// Not silent for long enough: it may be beating yet.
-	tb.Hear(beat("new", "x:1", 1), quiet, begin.Add(quiet))
-	if r, _ := tb.Get("old", begin); r.State != Ready || r.Suspected() {
+	tb.ReceiveHeartbeat(testHeartbeat("new", "x:1", 1), quietTime, testStart.Add(quietTime))
+	if r, _ := tb.Get("old", testStart); r.State != Ready || r.Suspected() {
 		t.Errorf("ended too early: %+v", r)
 	}
-	if tb.Yield(quiet, begin.Add(quiet)); state(tb, "old") != Ready {
+	if tb.EndSuperseded(quietTime, testStart.Add(quietTime)); stateOf(tb, "old") != Ready {
 		t.Error("ended too early")
 	}
-	if !tb.Yield(quiet, begin.Add(quiet+1)) {
+	if !tb.EndSuperseded(quietTime, testStart.Add(quietTime+1)) {
 		t.Error("no news")
 	}
-	if r, _ := tb.Get("old", begin); r.State != Ended {
+	if r, _ := tb.Get("old", testStart); r.State != Ended {
 		t.Errorf("still there: %+v", r)
 	}
-	if r, _ := tb.Get("new", begin); r.State != Ready {
+	if r, _ := tb.Get("new", testStart); r.State != Ready {
 		t.Errorf("the newer one ended: %+v", r)
 	}
 	// A late beat of the older run neither brings it back nor harms the newer one.
-	tb.Hear(beat("old", "x:1", 8), quiet, begin.Add(time.Minute))
-	tb.Yield(quiet, begin.Add(10*time.Minute))
-	if o, n := state(tb, "old"), state(tb, "new"); o != Ended || n != Ready {
+	tb.ReceiveHeartbeat(testHeartbeat("old", "x:1", 8), quietTime, testStart.Add(time.Minute))
+	tb.EndSuperseded(quietTime, testStart.Add(10*time.Minute))
+	if o, n := stateOf(tb, "old"), stateOf(tb, "new"); o != Ended || n != Ready {
 		t.Errorf("states %d and %d", o, n)
 	}
 }
@@ -167,39 +167,39 @@
 // that node says better.
 func TestARunHeardElsewhereIsOnlySuspected(t *testing.T) {
 	home, here := NewTable(), NewTable()
-	home.Hear(beat("old", "x:1", 7), quiet, begin)
-	r, _ := home.Get("old", begin)
-	here.Merge(r, begin)
-	home.Hear(beat("old", "x:1", 8), quiet, begin.Add(time.Second))
-	here.Hear(beat("new", "x:1", 1), quiet, begin.Add(time.Second))
-	r, _ = here.Get("old", begin)
+	home.ReceiveHeartbeat(testHeartbeat("old", "x:1", 7), quietTime, testStart)
+	r, _ := home.Get("old", testStart)
+	here.Merge(r, testStart)
+	home.ReceiveHeartbeat(testHeartbeat("old", "x:1", 8), quietTime, testStart.Add(time.Second))
+	here.ReceiveHeartbeat(testHeartbeat("new", "x:1", 1), quietTime, testStart.Add(time.Second))
+	r, _ = here.Get("old", testStart)
 	if r.State != Ready || !r.Suspected() {
 		t.Fatalf("%+v", r)
 	}
-	if !home.Merge(r, begin.Add(time.Second)) {
+	if !home.Merge(r, testStart.Add(time.Second)) {
 		t.Error("the home does not answer the suspicion")
 	}
-	r, _ = home.Get("old", begin)
-	here.Merge(r, begin.Add(time.Second))
-	if r, _ := here.Get("old", begin); r.Suspected() {
+	r, _ = home.Get("old", testStart)
+	here.Merge(r, testStart.Add(time.Second))
+	if r, _ := here.Get("old", testStart); r.Suspected() {
 		t.Errorf("not cleared: %+v", r)
 	}
 }
 
 func TestRunsThatAreOverAreForgotten(t *testing.T) {
 	tb := NewTable()
-	now := begin
-	tb.Hear(beat("gone", "x:1", 1), quiet, now)
-	tb.Leave("gone", now)
-	tb.Leave("never", now)
-	tb.Hear(beat("lost", "x:2", 1), quiet, now)
-	tb.Silence("lost", now)
-	tb.Hear(beat("here", "x:3", 1), quiet, now)
-	tb.Merge(run("4", 1, Ready), now) // heard elsewhere, and then no more
-	now = now.Add(forgetAfter)
-	tb.Tend(now)
+	now := testStart
+	tb.ReceiveHeartbeat(testHeartbeat("gone", "x:1", 1), quietTime, now)
+	tb.MarkEnded("gone", now)
+	tb.MarkEnded("never", now)
+	tb.ReceiveHeartbeat(testHeartbeat("lost", "x:2", 1), quietTime, now)
+	tb.Suspect("lost", now)
+	tb.ReceiveHeartbeat(testHeartbeat("here", "x:3", 1), quietTime, now)
+	tb.Merge(testRun("4", 1, Ready), now) // heard elsewhere, and then no more
+	now = now.Add(inactiveRetention)
+	tb.Maintain(now)
 	if tb.Len() != 5 {
-		t.Errorf("%d runs after %v", tb.Len(), forgetAfter)
+		t.Errorf("%d runs after %v", tb.Len(), inactiveRetention)
 	}
 	if r, _ := tb.Get("4", now); !r.Suspected() {
 		t.Error("a run that nobody tells of is not suspected")
@@ -207,7 +207,7 @@
 	if r, _ := tb.Get("here", now); r.Suspected() {
 		t.Error("a run that is heard here is not this rule's")
 	}
-	tb.Tend(now.Add(time.Second))
+	tb.Maintain(now.Add(time.Second))
 	if ids := lo.Map(slices.Collect(tb.All(now)), func(r Run, _ int) string { return r.ID }); len(ids) != 2 || !lo.Every(ids, []string{"here", "4"}) {
 		t.Errorf("left: %v", ids)
 	}
@@ -223,25 +223,25 @@
 func TestTheTableIsBounded(t *testing.T) {
 	tb := NewTable()
 	for i := range MaxRuns {
-		tb.Merge(run(fmt.Sprint(i), 1, Ready), begin)
+		tb.Merge(testRun(fmt.Sprint(i), 1, Ready), testStart)
 	}
-	if tb.Merge(run("x", 1, Ready), begin) || tb.Len() != MaxRuns {
+	if tb.Merge(testRun("x", 1, Ready), testStart) || tb.Len() != MaxRuns {
 		t.Errorf("a full table took more: %d", tb.Len())
 	}
-	tb.Leave("7", begin)
-	if !tb.Merge(run("x", 1, Ready), begin) || tb.Len() != MaxRuns {
+	tb.MarkEnded("7", testStart)
+	if !tb.Merge(testRun("x", 1, Ready), testStart) || tb.Len() != MaxRuns {
 		t.Error("a run that is over did not make room")
 	}
-	if _, ok := tb.Get("7", begin); ok {
+	if _, ok := tb.Get("7", testStart); ok {
 		t.Error("another one went")
 	}
 }
 
 func TestColdIsToldAsWhatIsLeft(t *testing.T) {
 	tb := NewTable()
-	tb.Hear(beat("1", "x:1", 1), quiet, begin)
+	tb.ReceiveHeartbeat(testHeartbeat("1", "x:1", 1), quietTime, testStart)
 	for at, want := range map[time.Duration]time.Duration{0: 5 * time.Second, 2 * time.Second: 3 * time.Second, 9 * time.Second: 0} {
-		if r, _ := tb.Get("1", begin.Add(at)); r.Cold != want {
+		if r, _ := tb.Get("1", testStart.Add(at)); r.Cold != want {
 			t.Errorf("after %v: %v", at, r.Cold)
 		}
 	}
@@ -251,50 +251,50 @@
 // judge it any more, but not with each beat.
 func TestAMoveIsToldNowAndThen(t *testing.T) {
 	tb := NewTable()
-	tb.Merge(run("1", 5, Ready), begin)
-	now := begin.Add(movedEvery)
-	b := beat("1", "10.0.0.1:1", 6)
-	if _, news, moved := tb.Hear(b, quiet, now); !news || !moved {
+	tb.Merge(testRun("1", 5, Ready), testStart)
+	now := testStart.Add(moveReportInterval)
+	b := testHeartbeat("1", "10.0.0.1:1", 6)
+	if _, news, moved := tb.ReceiveHeartbeat(b, quietTime, now); !news || !moved {
 		t.Error("a move is no news")
 	}
 	b.Seq++
-	if _, news, moved := tb.Hear(b, quiet, now); news || moved {
+	if _, news, moved := tb.ReceiveHeartbeat(b, quietTime, now); news || moved {
 		t.Error("the next beat is")
 	}
-	tb.Merge(run("1", 8, Ready), now)
+	tb.Merge(testRun("1", 8, Ready), now)
 	b.Seq = 9
-	if _, news, moved := tb.Hear(b, quiet, now.Add(movedEvery/2)); news || !moved {
+	if _, news, moved := tb.ReceiveHeartbeat(b, quietTime, now.Add(moveReportInterval/2)); news || !moved {
 		t.Errorf("a move back right away: news %v, moved %v", news, moved)
 	}
 }
 
 func TestRunsHeardHereAreToldAgain(t *testing.T) {
 	tb := NewTable()
-	tb.Tend(begin)
-	tb.Hear(beat("mine", "x:1", 1), quiet, begin)
-	tb.Merge(run("2", 1, Ready), begin)
+	tb.Maintain(testStart)
+	tb.ReceiveHeartbeat(testHeartbeat("mine", "x:1", 1), quietTime, testStart)
+	tb.Merge(testRun("2", 1, Ready), testStart)
 	for i := range uint64(60) {
-		tb.Hear(beat("mine", "x:1", 2+i), quiet, begin.Add(time.Duration(i)*time.Second))
+		tb.ReceiveHeartbeat(testHeartbeat("mine", "x:1", 2+i), quietTime, testStart.Add(time.Duration(i)*time.Second))
 	}
 	at := tb.Seq()
-	if tb.Tend(begin.Add(RetellEvery - time.Second)); tb.Seq() != at {
+	if tb.Maintain(testStart.Add(ReannounceInterval - time.Second)); tb.Seq() != at {
 		t.Error("told again too early")
 	}
-	if !tb.Tend(begin.Add(RetellEvery)) {
+	if !tb.Maintain(testStart.Add(ReannounceInterval)) {
 		t.Error("not told again")
 	}
-	rs, _, _ := tb.Since(at, 0, 0, begin)
+	rs, _, _ := tb.Since(at, 0, 0, testStart)
 	if len(rs) != 1 || rs[0].ID != "mine" || rs[0].Seq != 61 {
 		t.Errorf("%+v", rs)
 	}
 }
 
 func TestBeatsAreChecked(t *testing.T) {
-	if err := beat("1", "x:1", 1).Check(); err != nil {
+	if err := testHeartbeat("1", "x:1", 1).Check(); err != nil {
 		t.Error(err)
 	}
-	long := string(make([]byte, maxText+1))
-	for name, b := range map[string]Beat{"no id": {Service: "a", Addr: "x"}, "no service": {ID: "i", Addr: "x"}, "no address": {ID: "i", Service: "a"},
+	long := string(make([]byte, maxStringLen+1))
+	for name, b := range map[string]Heartbeat{"no id": {Service: "a", Addr: "x"}, "no service": {ID: "i", Addr: "x"}, "no address": {ID: "i", Service: "a"},
 		"long id": {ID: long, Service: "a", Addr: "x"}, "negative slots": {ID: "i", Service: "a", Addr: "x", Slots: -1}} {
 		if b.Check() == nil {
 			t.Errorf("%s taken", name)
@@ -306,11 +306,11 @@
 func TestAnOrdinaryBeatAllocatesNothing(t *testing.T) {
 	tb, now := NewTable(), time.Now()
 	seq := uint64(1)
-	b := beat("i", "x:1", seq)
-	tb.Hear(b, quiet, now)
+	b := testHeartbeat("i", "x:1", seq)
+	tb.ReceiveHeartbeat(b, quietTime, now)
 	if n := testing.AllocsPerRun(100, func() {
 		b.Seq++
-		tb.Hear(b, quiet, now)
+		tb.ReceiveHeartbeat(b, quietTime, now)
 	}); n > 0 {
 		t.Errorf("%v allocations", n)
 	}
@@ -325,7 +325,7 @@
 	} {
 		b := a
 		change(&b)
-		if x, y := join(a, b), join(b, a); x != y {
+		if x, y := mergeRuns(a, b), mergeRuns(b, a); x != y {
 			t.Errorf("%s: %+v or %+v", name, x, y)
 		}
 		tb, now := NewTable(), time.Now()
@@ -340,10 +340,10 @@
 
 func BenchmarkHear(b *testing.B) {
 	tb, now := NewTable(), time.Now()
-	x := beat("i", "x:1", 1)
+	x := testHeartbeat("i", "x:1", 1)
 	b.ReportAllocs()
 	for b.Loop() {
 		x.Seq++
-		tb.Hear(x, quiet, now)
+		tb.ReceiveHeartbeat(x, quietTime, now)
 	}
 }
--- a/internal/target/watch_test.go
+++ b/internal/target/watch_test.go
@@ -11,25 +11,25 @@
 	"walkrudder/internal/liveness"
 )
 
-// beats has n runs beat for d, all but those mute says.
-func beats(tb *Table, w *Watch, n int, seq *uint64, d time.Duration, mute func(i int) bool) {
+// sendHeartbeats has n runs beat for d, all but those mute says.
+func sendHeartbeats(tb *Table, w *Monitor, n int, seq *uint64, d time.Duration, silent func(i int) bool) {
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(250 * time.Millisecond) {
 		if time.Now().UnixMilli()%1000 < 250 {
 			*seq++
 			for i := range n {
-				if !mute(i) {
+				if !silent(i) {
 					now := time.Now()
 					id := fmt.Sprint(i)
-					_, _, moved := tb.Hear(beat(id, "x:"+id, *seq), quiet, now)
-					w.Heard(id, *seq, moved, now)
+					_, _, moved := tb.ReceiveHeartbeat(testHeartbeat(id, "x:"+id, *seq), quietTime, now)
+					w.Observe(id, *seq, moved, now)
 				}
 			}
 		}
-		w.Judge(tb, time.Now())
+		w.Evaluate(tb, time.Now())
 	}
 }
 
-func suspects(tb *Table) (n int) {
+func countSuspected(tb *Table) (n int) {
 	for r := range tb.All(time.Now()) {
 		if r.Suspected() {
 			n++
@@ -42,22 +42,22 @@
 	synctest.Test(t, func(t *testing.T) {
 		p := liveness.NewPausesEvery(clock.Wall{}, 200*time.Millisecond)
 		go p.Run(t.Context())
-		tb, w := NewTable(), &Watch{Every: time.Second, Pause: p}
+		tb, w := NewTable(), &Monitor{HeartbeatInterval: time.Second, Pauses: p}
 		var seq uint64
-		beats(tb, w, 7, &seq, 20*time.Second, func(int) bool { return false })
-		if n := suspects(tb); n != 0 {
+		sendHeartbeats(tb, w, 7, &seq, 20*time.Second, func(int) bool { return false })
+		if n := countSuspected(tb); n != 0 {
 			t.Errorf("%d of 7 that beat are suspected", n)
 		}
-		beats(tb, w, 7, &seq, 5*time.Second, func(i int) bool { return i == 2 })
-		if r, _ := tb.Get("2", time.Now()); !r.Suspected() || suspects(tb) != 1 || r.Silent != 20 {
-			t.Errorf("%+v, %d suspected", r, suspects(tb))
+		sendHeartbeats(tb, w, 7, &seq, 5*time.Second, func(i int) bool { return i == 2 })
+		if r, _ := tb.Get("2", time.Now()); !r.Suspected() || countSuspected(tb) != 1 || r.Silent != 20 {
+			t.Errorf("%+v, %d suspected", r, countSuspected(tb))
 		}
-		beats(tb, w, 7, &seq, 5*time.Second, func(i int) bool { return false })
-		if n := suspects(tb); n != 0 {
+		sendHeartbeats(tb, w, 7, &seq, 5*time.Second, func(i int) bool { return false })
+		if n := countSuspected(tb); n != 0 {
 			t.Errorf("%d are suspected after a newer beat", n)
 		}
-		beats(tb, w, 7, &seq, 10*time.Second, func(i int) bool { return true })
-		if n := suspects(tb); n != 3 {
+		sendHeartbeats(tb, w, 7, &seq, 10*time.Second, func(i int) bool { return true })
+		if n := countSuspected(tb); n != 3 {
 			t.Errorf("%d of 7 are suspected when all fall silent", n)
 		}
 	})
@@ -68,14 +68,14 @@
 	synctest.Test(t, func(t *testing.T) {
 		p := liveness.NewPausesEvery(clock.Wall{}, 200*time.Millisecond)
 		go p.Run(t.Context())
-		tb, w := NewTable(), &Watch{Every: time.Second, Pause: p}
+		tb, w := NewTable(), &Monitor{HeartbeatInterval: time.Second, Pauses: p}
 		var seq uint64
-		beats(tb, w, 4, &seq, 10*time.Second, func(int) bool { return false })
+		sendHeartbeats(tb, w, 4, &seq, 10*time.Second, func(int) bool { return false })
 		r, _ := tb.Get("1", time.Now())
 		r.Seq += 3
 		tb.Merge(r, time.Now())
-		beats(tb, w, 4, &seq, 10*time.Second, func(i int) bool { return i == 1 })
-		if n := suspects(tb); n != 0 {
+		sendHeartbeats(tb, w, 4, &seq, 10*time.Second, func(i int) bool { return i == 1 })
+		if n := countSuspected(tb); n != 0 {
 			t.Error("judged though it beats elsewhere")
 		}
 	})
@@ -92,40 +92,40 @@
 			return end
 		}
 		freeze := run()
-		tb, w := NewTable(), &Watch{Every: time.Second, Pause: p}
+		tb, w := NewTable(), &Monitor{HeartbeatInterval: time.Second, Pauses: p}
 		var seq uint64
 		none := func(int) bool { return false }
-		beats(tb, w, 4, &seq, 10*time.Second, none)
+		sendHeartbeats(tb, w, 4, &seq, 10*time.Second, none)
 		time.Sleep(200 * time.Millisecond)
 		freeze()
 		time.Sleep(5 * time.Second)
 		freeze = run()
 		for range 3 {
 			time.Sleep(250 * time.Millisecond)
-			w.Judge(tb, time.Now())
+			w.Evaluate(tb, time.Now())
 		}
-		if n := suspects(tb); n != 0 {
+		if n := countSuspected(tb); n != 0 {
 			t.Errorf("%d suspected right after a pause", n)
 		}
 		time.Sleep(1500 * time.Millisecond)
-		w.Judge(tb, time.Now())
-		if n := suspects(tb); n != 2 {
+		w.Evaluate(tb, time.Now())
+		if n := countSuspected(tb); n != 2 {
 			t.Errorf("%d of 4 silent runs suspected in the end", n)
 		}
-		beats(tb, w, 4, &seq, 10*time.Second, none)
+		sendHeartbeats(tb, w, 4, &seq, 10*time.Second, none)
 		r, _ := tb.Get("1", time.Now())
 		r.Seq += 3
 		tb.Merge(r, time.Now())
 		seq += 5
 		now := time.Now()
-		_, _, moved := tb.Hear(beat("1", "x:1", seq), quiet, now)
-		w.Heard("1", seq, moved, now)
-		beats(tb, w, 4, &seq, 2500*time.Millisecond, func(i int) bool { return i == 1 })
-		if n := suspects(tb); n != 0 {
+		_, _, moved := tb.ReceiveHeartbeat(testHeartbeat("1", "x:1", seq), quietTime, now)
+		w.Observe("1", seq, moved, now)
+		sendHeartbeats(tb, w, 4, &seq, 2500*time.Millisecond, func(i int) bool { return i == 1 })
+		if n := countSuspected(tb); n != 0 {
 			t.Error("suspected right after it came here")
 		}
-		beats(tb, w, 4, &seq, 2*time.Second, func(i int) bool { return i == 1 })
-		if n := suspects(tb); n != 1 {
+		sendHeartbeats(tb, w, 4, &seq, 2*time.Second, func(i int) bool { return i == 1 })
+		if n := countSuspected(tb); n != 1 {
 			t.Errorf("%d suspected, want the one that fell silent after it came", n)
 		}
 		freeze()
--- a/internal/upgrade/upgrade_test.go
+++ b/internal/upgrade/upgrade_test.go
@@ -31,7 +31,7 @@
 	if err != nil || fmt.Sprint(got) != fmt.Sprint(u) {
 		t.Errorf("%+v, %v; want %+v", got, err, u)
 	}
-	if !u.Item().Same(got.Item()) {
+	if !u.Item().Equal(got.Item()) {
 		t.Error("another body the second time")
 	}
 	for _, version := range []string{"v0", "v1"} {
--- a/internal/watch/board.go
+++ b/internal/watch/board.go
@@ -18,9 +18,9 @@
 	sumsLen = itemBuckets + target.Buckets
 )
 
-// Board holds all that one node knows of items and runs, and lets others wait for
+// Replica holds all that one node knows of items and runs, and lets others wait for
 // what changes. Every method may be called from anywhere.
-type Board struct {
+type Replica struct {
 	// OnItem is told of each item that is news, in order and under the board's lock:
 	// what it keeps never differs from the board. Set before use.
 	OnItem func(item.Item)
@@ -34,36 +34,36 @@
 	woken   chan struct{}
 }
 
-// NewBoard makes an empty board.
-func NewBoard(c clock.Clock) *Board {
-	return &Board{clock: c, items: item.NewSet(), runs: target.NewTable(), changed: make(chan struct{}), woken: make(chan struct{})}
+// NewReplica makes an empty board.
+func NewReplica(c clock.Clock) *Replica {
+	return &Replica{clock: c, items: item.NewSet(), runs: target.NewTable(), changed: make(chan struct{}), woken: make(chan struct{})}
 }
 
 // Changed is closed at the next change, or Wake. Who looks at the board after having
 // asked for it misses nothing.
-func (b *Board) Changed() <-chan struct{} {
+func (b *Replica) Changed() <-chan struct{} {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.changed
 }
 
 // Woken is closed at the next Wake.
-func (b *Board) Woken() <-chan struct{} {
+func (b *Replica) Woken() <-chan struct{} {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.woken
 }
 
 // Wake makes all who wait look again, also those that hold news back.
-func (b *Board) Wake() {
+func (b *Replica) Wake() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.wake()
+	b.notifyChanged()
 	close(b.woken)
 	b.woken = make(chan struct{})
 }
 
-func (b *Board) wake() {
+func (b *Replica) notifyChanged() {
 	close(b.changed)
 	b.changed = make(chan struct{})
 }
@@ -92,7 +92,7 @@
 }
 
 // MergeItems takes copies in and returns those that were news.
-func (b *Board) MergeItems(in []item.Item) (news []item.Item) {
+func (b *Replica) MergeItems(in []item.Item) (changed []item.Item) {
 	if len(in) == 0 {
 		return nil
 	}
@@ -111,19 +111,19 @@
 			*s -= itemHash(old)
 		}
 		*s += itemHash(i)
-		news = append(news, i)
+		changed = append(changed, i)
 		if b.OnItem != nil {
 			b.OnItem(i)
 		}
 	}
-	if len(news) > 0 {
-		b.wake()
+	if len(changed) > 0 {
+		b.notifyChanged()
 	}
-	return news
+	return changed
 }
 
 // MergeRuns takes copies in and returns, as they stand now, those that were news.
-func (b *Board) MergeRuns(in []target.Run) (news []target.Run) {
+func (b *Replica) MergeRuns(in []target.Run) (changed []target.Run) {
 	if len(in) == 0 {
 		return nil
 	}
@@ -133,49 +133,49 @@
 	for _, r := range in {
 		if b.runs.Merge(r, now) {
 			r, _ = b.runs.Get(r.ID, now)
-			news = append(news, r)
+			changed = append(changed, r)
 		}
 	}
-	if len(news) > 0 {
-		b.wake()
+	if len(changed) > 0 {
+		b.notifyChanged()
 	}
-	return news
+	return changed
 }
 
-// Settle notes that whatever run lives is known here, and returns the recalled ones that
+// MarkRunsComplete notes that whatever run lives is known here, and returns the recalled ones that
 // are doubted from now on.
-func (b *Board) Settle() (news []target.Run) {
+func (b *Replica) MarkRunsComplete() (suspected []target.Run) {
 	now := b.clock.Now()
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	from := b.runs.Seq()
-	if !b.runs.Settle(now) {
+	if !b.runs.MarkComplete(now) {
 		return nil
 	}
-	news, _, _ = b.runs.Since(from, 0, 0, now)
-	b.wake()
-	return news
+	suspected, _, _ = b.runs.Since(from, 0, 0, now)
+	b.notifyChanged()
+	return suspected
 }
 
-// Settled tells whether whatever run lives is known here.
-func (b *Board) Settled() bool {
+// RunsComplete tells whether whatever run lives is known here.
+func (b *Replica) RunsComplete() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.runs.Settled()
+	return b.runs.Complete()
 }
 
-// Table runs f on the table of runs; f tells whether it made news.
-func (b *Board) Table(f func(t *target.Table, now time.Time) bool) {
+// WithRuns runs f on the table of runs; f tells whether it made news.
+func (b *Replica) WithRuns(f func(t *target.Table, now time.Time) bool) {
 	now := b.clock.Now()
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if f(b.runs, now) {
-		b.wake()
+		b.notifyChanged()
 	}
 }
 
-// Items runs f on the set of items, which f must not change.
-func (b *Board) Items(f func(s *item.Set)) {
+// WithItems runs f on the set of items, which f must not change.
+func (b *Replica) WithItems(f func(s *item.Set)) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	f(b.items)
@@ -183,20 +183,20 @@
 
 // Sums tell what the board holds, in short: two boards whose sums are alike in a
 // bucket hold the same there.
-func (b *Board) Sums() []uint64 {
+func (b *Replica) Sums() []uint64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.allSums()
+	return b.sumsLocked()
 }
 
-func (b *Board) allSums() []uint64 {
+func (b *Replica) sumsLocked() []uint64 {
 	r := b.runs.Sums()
 	return append(append(make([]uint64, 0, sumsLen), b.sums[:]...), r[:]...)
 }
 
 // since returns what changed past a cursor, up to about most bytes, without what lies
 // in buckets that sum like the asker's: that much the asker holds already.
-func (b *Board) since(c Cursor, sums []uint64, most int) (items []item.Item, runs []target.Run, to Cursor, more bool) {
+func (b *Replica) since(c Cursor, sums []uint64, maxBytes int) (items []item.Item, runs []target.Run, to Cursor, more bool) {
 	now := b.clock.Now()
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -204,19 +204,19 @@
 	if c.Items == b.items.Seq() && c.Runs == b.runs.Seq() {
 		return nil, nil, to, false
 	}
-	same := func(int) bool { return false }
+	bucketsEqual := func(int) bool { return false }
 	if len(sums) == sumsLen {
-		own := b.allSums()
-		same = func(i int) bool { return own[i] == sums[i] }
+		own := b.sumsLocked()
+		bucketsEqual = func(i int) bool { return own[i] == sums[i] }
 	}
-	left := most
-	for left > 0 {
+	remaining := maxBytes
+	for remaining > 0 {
 		var got []item.Item
-		got, to.Items, more = b.items.Since(to.Items, 0, left)
+		got, to.Items, more = b.items.Since(to.Items, 0, remaining)
 		for _, i := range got {
-			if !same(itemBucket(i.Key)) {
+			if !bucketsEqual(itemBucket(i.Key)) {
 				items = append(items, i)
-				left -= len(i.Name) + len(i.Body) + 16
+				remaining -= len(i.Name) + len(i.Body) + 16
 			}
 		}
 		if !more {
@@ -226,13 +226,13 @@
 	if more {
 		return items, runs, to, true
 	}
-	for left > 0 {
+	for remaining > 0 {
 		var got []target.Run
-		got, to.Runs, more = b.runs.Since(to.Runs, 0, left, now)
+		got, to.Runs, more = b.runs.Since(to.Runs, 0, remaining, now)
 		for _, r := range got {
-			if !same(itemBuckets + target.Bucket(r.ID)) {
+			if !bucketsEqual(itemBuckets + target.Bucket(r.ID)) {
 				runs = append(runs, r)
-				left -= len(r.ID) + len(r.Service) + len(r.Addr) + len(r.Zone) + len(r.Version) + 24
+				remaining -= len(r.ID) + len(r.Service) + len(r.Addr) + len(r.Zone) + len(r.Version) + 24
 			}
 		}
 		if !more {
@@ -244,8 +244,8 @@
 	return items, runs, to, more
 }
 
-// past tells whether a cursor is beyond what this board ever told.
-func (b *Board) past(c Cursor) bool {
+// beyond tells whether a cursor is beyond what this board ever told.
+func (b *Replica) beyond(c Cursor) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return c.Items > b.items.Seq() || c.Runs > b.runs.Seq()
--- a/internal/watch/board_test.go
+++ b/internal/watch/board_test.go
@@ -10,18 +10,18 @@
 	"walkrudder/internal/target"
 )
 
-func thing(name string, v uint64) item.Item {
+func testItem(name string, v uint64) item.Item {
 	return item.Item{Key: item.Key{Kind: item.Route, Name: name}, Version: v, Body: fmt.Appendf(nil, "%s at %d", name, v)}
 }
 
-func someRun(id string, seq uint64) target.Run {
+func testRun(id string, seq uint64) target.Run {
 	return target.Run{ID: id, Service: "a", Addr: "x:" + id, Zone: "z", Slots: 2, State: target.Ready, Seq: seq}
 }
 
 // fill puts random items and runs on both boards, and some on one only.
-func fill(rnd *rand.Rand, n int, both []*Board, one *Board) {
+func fill(rnd *rand.Rand, n int, both []*Replica, one *Replica) {
 	for i := range n {
-		it, r := thing(fmt.Sprint(i), 1+rnd.Uint64N(9)), someRun(fmt.Sprint(i%40), 1)
+		it, r := testItem(fmt.Sprint(i), 1+rnd.Uint64N(9)), testRun(fmt.Sprint(i%40), 1)
 		it.Gone = rnd.IntN(5) == 0
 		for _, b := range both {
 			b.MergeItems([]item.Item{it})
@@ -29,8 +29,8 @@
 		}
 	}
 	for range rnd.IntN(4) {
-		one.MergeItems([]item.Item{thing(fmt.Sprint(rnd.IntN(n)), 10+rnd.Uint64N(9))})
-		r := someRun(fmt.Sprint(rnd.IntN(40)), 2)
+		one.MergeItems([]item.Item{testItem(fmt.Sprint(rnd.IntN(n)), 10+rnd.Uint64N(9))})
+		r := testRun(fmt.Sprint(rnd.IntN(40)), 2)
 		r.State = target.Draining
 		one.MergeRuns([]target.Run{r})
 	}
@@ -41,8 +41,8 @@
 func TestOnlyWhatDiffersIsTold(t *testing.T) {
 	for seed := range uint64(50) {
 		rnd := rand.New(rand.NewPCG(seed, 0))
-		a, b := NewBoard(clock.Wall{}), NewBoard(clock.Wall{})
-		fill(rnd, 500, []*Board{a, b}, a)
+		a, b := NewReplica(clock.Wall{}), NewReplica(clock.Wall{})
+		fill(rnd, 500, []*Replica{a, b}, a)
 		sums := b.Sums()
 		told := 0
 		for at, more := (Cursor{}), true; more; {
@@ -53,7 +53,7 @@
 			b.MergeItems(is)
 			b.MergeRuns(rs)
 			if more && rnd.IntN(3) == 0 {
-				a.MergeItems([]item.Item{thing(fmt.Sprint(rnd.IntN(500)), 100+rnd.Uint64N(100))})
+				a.MergeItems([]item.Item{testItem(fmt.Sprint(rnd.IntN(500)), 100+rnd.Uint64N(100))})
 			}
 		}
 		if fmt.Sprint(a.Sums()) != fmt.Sprint(b.Sums()) {
@@ -69,11 +69,11 @@
 }
 
 func TestAnswersAreBounded(t *testing.T) {
-	a := NewBoard(clock.Wall{})
+	a := NewReplica(clock.Wall{})
 	for i := range 1000 {
-		a.MergeItems([]item.Item{thing(fmt.Sprintf("%05d", i), 1)})
+		a.MergeItems([]item.Item{testItem(fmt.Sprintf("%05d", i), 1)})
 	}
-	a.MergeRuns([]target.Run{someRun("1", 1)})
+	a.MergeRuns([]target.Run{testRun("1", 1)})
 	seen := 0
 	var runs []target.Run
 	for at, more := (Cursor{}), true; more; {
@@ -96,7 +96,7 @@
 }
 
 func TestWaitersAreWokenByNewsOnly(t *testing.T) {
-	b := NewBoard(clock.Wall{})
+	b := NewReplica(clock.Wall{})
 	woken := func(c <-chan struct{}) bool {
 		select {
 		case <-c:
@@ -105,20 +105,20 @@
 			return false
 		}
 	}
-	b.MergeItems([]item.Item{thing("x", 2)})
-	b.MergeRuns([]target.Run{someRun("1", 5)})
+	b.MergeItems([]item.Item{testItem("x", 2)})
+	b.MergeRuns([]target.Run{testRun("1", 5)})
 	c := b.Changed()
-	b.MergeItems([]item.Item{thing("x", 2), thing("x", 1)})
-	b.MergeRuns([]target.Run{someRun("1", 9)})
+	b.MergeItems([]item.Item{testItem("x", 2), testItem("x", 1)})
+	b.MergeRuns([]target.Run{testRun("1", 9)})
 	if woken(c) {
 		t.Error("woken by what is no news")
 	}
-	b.MergeItems([]item.Item{thing("x", 3)})
+	b.MergeItems([]item.Item{testItem("x", 3)})
 	if !woken(c) {
 		t.Error("not woken by an item")
 	}
 	c = b.Changed()
-	b.MergeRuns([]target.Run{someRun("2", 1)})
+	b.MergeRuns([]target.Run{testRun("2", 1)})
 	if !woken(c) {
 		t.Error("not woken by a run")
 	}
@@ -127,16 +127,16 @@
 func TestNewsArePackedAndUnpacked(t *testing.T) {
 	var r WatchTold
 	for i := range 2000 {
-		r.Items = append(r.Items, thing(fmt.Sprint(i), uint64(i)))
+		r.Items = append(r.Items, testItem(fmt.Sprint(i), uint64(i)))
 	}
-	r.Runs = []target.Run{someRun("1", 1)}
+	r.Runs = []target.Run{testRun("1", 1)}
 	if err := r.pack(); err != nil || len(r.Packed) == 0 || r.Items != nil {
 		t.Fatal(err, len(r.Packed))
 	}
-	if err := r.unpack(); err != nil || len(r.Items) != 2000 || len(r.Runs) != 1 || r.Items[7].Compare(thing("7", 7)) != 0 {
+	if err := r.unpack(); err != nil || len(r.Items) != 2000 || len(r.Runs) != 1 || r.Items[7].Compare(testItem("7", 7)) != 0 {
 		t.Fatal(err, len(r.Items))
 	}
-	small := WatchTold{Items: []item.Item{thing("1", 1)}}
+	small := WatchTold{Items: []item.Item{testItem("1", 1)}}
 	if err := small.pack(); err != nil || small.Packed != nil {
 		t.Error("a few are packed")
 	}
--- a/internal/watch/follower.go
+++ b/internal/watch/follower.go
@@ -13,16 +13,16 @@
 }
 
 // Gone tells whether a gateway no longer counts as attached.
-func (f Follower) Gone() bool { return f.Age >= gatewayGone }
+func (f Follower) Gone() bool { return f.Age >= gatewayTimeout }
 
 // Followers are the nodes that asked here lately, by ID.
-func (t *Teller) Followers() []Follower {
+func (t *Publisher) Followers() []Follower {
 	now := t.Clock.Now()
 	t.mu.Lock()
-	out := make([]Follower, 0, len(t.askers))
-	for _, a := range t.askers {
-		f := Follower{a.Member, a.seen}
-		f.Age = now.Sub(a.at)
+	out := make([]Follower, 0, len(t.clients))
+	for _, a := range t.clients {
+		f := Follower{a.Member, a.cursor}
+		f.Age = now.Sub(a.askedAt)
 		out = append(out, f)
 	}
 	t.mu.Unlock()
@@ -30,16 +30,16 @@
 	return out
 }
 
-// Asks is how often this node was asked for news.
-func (t *Teller) Asks() uint64 {
+// PollCount is how often this node was asked for news.
+func (t *Publisher) PollCount() uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.asks
+	return t.pollCount
 }
 
-// End is how far whoever heard all of this board out has got. Each change of an item
+// Cursor is how far whoever heard all of this board out has got. Each change of an item
 // or a run counts one.
-func (b *Board) End() Cursor {
+func (b *Replica) Cursor() Cursor {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return Cursor{Items: b.items.Seq(), Runs: b.runs.Seq()}
--- a/internal/watch/mesh.go
+++ b/internal/watch/mesh.go
@@ -17,69 +17,69 @@
 )
 
 const (
-	// seatWait and otherWait are how long asks of controllers wait for news: those of
+	// voterWait and otherWait are how long asks of controllers wait for news: those of
 	// voters prove that nothing is missed, and are sought more often.
-	seatWait  = 500 * time.Millisecond
-	otherWait = time.Second
-	// answerTime is how much longer than its wait an ask may take.
-	answerTime = 500 * time.Millisecond
-	// freshFor is how old the proof may be that nothing acknowledged is missed.
-	freshFor = 1200 * time.Millisecond
-	// forgetAfter is how long a controller that is neither seed nor seat is sought in vain.
-	forgetAfter = 10 * time.Second
-	// peerAge is how lately a controller must have been heard to be told of.
-	peerAge = 5 * time.Second
-	// heardAge is how lately a controller must have been heard to be given work.
-	heardAge = 1700 * time.Millisecond
-	// leastPause and mostPause bound the pause after an ask that failed.
-	leastPause = 50 * time.Millisecond
-	mostPause  = 500 * time.Millisecond
+	voterWait    = 500 * time.Millisecond
+	nonVoterWait = time.Second
+	// peerAnswerMargin is how much longer than its wait an ask may take.
+	peerAnswerMargin = 500 * time.Millisecond
+	// maxProofAge is how old the proof may be that nothing acknowledged is missed.
+	maxProofAge = 1200 * time.Millisecond
+	// peerRetention is how long a controller that is neither seed nor seat is sought in vain.
+	peerRetention = 10 * time.Second
+	// maxPeerAge is how lately a controller must have been heard to be told of.
+	maxPeerAge = 5 * time.Second
+	// maxAvailableAge is how lately a controller must have been heard to be given work.
+	maxAvailableAge = 1700 * time.Millisecond
+	// minRetryPause and mostPause bound the pause after an ask that failed.
+	minRetryPause = 50 * time.Millisecond
+	maxRetryPause = 500 * time.Millisecond
 	// maxControllers bounds the controllers followed.
 	maxControllers = 64
-	// tendEvery is how often the list of controllers is looked over.
-	tendEvery = time.Second
+	// maintenanceInterval is how often the list of controllers is looked over.
+	maintenanceInterval = time.Second
 )
 
 // Mesh is a controller's view of all the others: it follows each by long polls and merges
 // what it learns into the board.
 type Mesh struct {
-	Me    func() Member
-	Line  link.Line
-	Clock clock.Clock
-	Board *Board
+	Me      func() Member
+	Line    link.Line
+	Clock   clock.Clock
+	Replica *Replica
 	// Core is the newest core known, Learn takes one that may be newer, and Votes is
 	// the epoch of the core in which the own disk has a seat, or 0.
-	Core  func() quorum.Core
-	Learn func(quorum.Core)
-	Votes func() uint64
-
-	mu     sync.Mutex
-	seeds  []string
-	peers  map[string]*peer // by inner address
-	ctx    context.Context  // nil while it does not run
-	wg     sync.WaitGroup
-	fresh  bool
-	met    bool // was fresh once
-	proved chan struct{}
+	Core        func() quorum.Core
+	LearnCore   func(quorum.Core)
+	VotingEpoch func() uint64
+
+	mu        sync.Mutex
+	seeds     []string
+	peers     map[string]*peer // by inner address
+	ctx       context.Context  // nil while it does not run
+	wg        sync.WaitGroup
+	fresh     bool
+	everFresh bool // was fresh once
+	recheck   chan struct{}
 }
 
 // peer is one other controller.
 type peer struct {
-	place // owned by its follower; copied under the mesh's lock
-	end   context.CancelFunc
-	since time.Time // when it was first sought
-	heard time.Time // when it answered last
+	followState   // owned by its follower; copied under the mesh's lock
+	cancel        context.CancelFunc
+	followedSince time.Time // when it was first sought
+	answeredAt    time.Time // when it answered last
 	// proof is when all that it held was known here, while its disk has a seat.
-	proof    time.Time
-	votes    uint64
-	disk     string
-	gateways map[string]string // zones of the gateways that follow it, by ID
-	going    bool              // it is about to stop
-	kick     chan struct{}
+	provedAt    time.Time
+	votingEpoch uint64
+	disk        string
+	gateways    map[string]string // zones of the gateways that follow it, by ID
+	stopping    bool              // it is about to stop
+	retry       chan struct{}
 }
 
 func (m *Mesh) poller() *poller {
-	return &poller{me: m.Me, line: m.Line, board: m.Board, epoch: func() uint64 { return m.Core().Epoch }}
+	return &poller{me: m.Me, line: m.Line, replica: m.Replica, epoch: func() uint64 { return m.Core().Epoch }}
 }
 
 // SetSeeds replaces the seeds.
@@ -87,21 +87,21 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.seeds = slices.Clone(seeds)
-	m.seek()
+	m.followKnown()
 }
 
 // Run follows the others until ctx ends.
 func (m *Mesh) Run(ctx context.Context) {
 	m.mu.Lock()
 	m.ctx = ctx
-	m.proved = make(chan struct{}, 1)
-	m.seek()
+	m.recheck = make(chan struct{}, 1)
+	m.followKnown()
 	m.mu.Unlock()
-	m.wg.Go(func() { m.guard(ctx) })
-	clock.Every(ctx, m.Clock, tendEvery, func() {
+	m.wg.Go(func() { m.monitorFreshness(ctx) })
+	clock.Every(ctx, m.Clock, maintenanceInterval, func() {
 		m.mu.Lock()
 		defer m.mu.Unlock()
-		m.seek()
+		m.followKnown()
 		m.prune()
 	})
 	m.mu.Lock()
@@ -110,8 +110,8 @@
 	m.wg.Wait()
 }
 
-// seek follows seeds and seats; under the lock.
-func (m *Mesh) seek() {
+// followKnown follows seeds and seats; under the lock.
+func (m *Mesh) followKnown() {
 	for _, a := range m.seeds {
 		m.follow(a)
 	}
@@ -126,8 +126,8 @@
 	seats := m.Core().Seats
 	for a, p := range m.peers {
 		kept := slices.Contains(m.seeds, a) || lo.ContainsBy(seats, func(s quorum.Seat) bool { return s.Addr == a })
-		if !kept && now.Sub(latest(p.heard, p.since)) > forgetAfter {
-			p.end()
+		if !kept && now.Sub(latest(p.answeredAt, p.followedSince)) > peerRetention {
+			p.cancel()
 			delete(m.peers, a)
 		}
 	}
@@ -149,76 +149,76 @@
 		m.peers = map[string]*peer{}
 	}
 	ctx, end := context.WithCancel(m.ctx)
-	p := &peer{place: place{addr: addr}, end: end, since: m.Clock.Now(), kick: make(chan struct{}, 1)}
+	p := &peer{followState: followState{addr: addr}, cancel: end, followedSince: m.Clock.Now(), retry: make(chan struct{}, 1)}
 	m.peers[addr] = p
-	m.wg.Go(func() { m.track(ctx, p) })
+	m.wg.Go(func() { m.followPeer(ctx, p) })
 }
 
-// Met is told of a controller that asks this one.
-func (m *Mesh) Met(x Member) {
+// OnController is told of a controller that asks this one.
+func (m *Mesh) OnController(x Member) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.follow(x.Inner)
 	if p := m.peers[x.Inner]; p != nil && p.controller.Inc != x.Inc {
 		// It is up: whoever pauses after a failure need not wait any longer.
 		select {
-		case p.kick <- struct{}{}:
+		case p.retry <- struct{}{}:
 		default:
 		}
 	}
 }
 
-// track follows one controller until ctx ends.
-func (m *Mesh) track(ctx context.Context, p *peer) {
+// followPeer follows one controller until ctx ends.
+func (m *Mesh) followPeer(ctx context.Context, p *peer) {
 	q := m.poller()
-	at := p.place
-	pause := leastPause
+	state := p.followState
+	pause := minRetryPause
 	for ctx.Err() == nil {
 		core := m.Core()
-		wait := otherWait
-		if lo.ContainsBy(core.Seats, func(s quorum.Seat) bool { return s.Addr == at.addr }) || core.Epoch == 0 {
-			wait = seatWait
+		wait := nonVoterWait
+		if lo.ContainsBy(core.Seats, func(s quorum.Seat) bool { return s.Addr == state.addr }) || core.Epoch == 0 {
+			wait = voterWait
 		}
-		if at.inc == 0 || at.sums != nil {
+		if state.inc == 0 || state.sums != nil {
 			wait = 0
 		}
-		begun := m.Clock.Now()
-		cx, end := context.WithTimeout(ctx, wait+answerTime)
-		t, _, _, err := q.poll(cx, &at, wait)
+		start := m.Clock.Now()
+		cx, end := context.WithTimeout(ctx, wait+peerAnswerMargin)
+		t, _, _, err := q.poll(cx, &state, wait)
 		end()
 		if err != nil {
-			bell, stop := m.Clock.After(pause)
+			expired, stop := m.Clock.After(pause)
 			select {
 			case <-ctx.Done():
-			case <-bell:
-			case <-p.kick:
+			case <-expired:
+			case <-p.retry:
 			}
 			stop()
-			pause = min(2*pause, mostPause)
+			pause = min(2*pause, maxRetryPause)
 			continue
 		}
-		pause = leastPause
-		m.take(p, at, t, begun)
+		pause = minRetryPause
+		m.applyAnswer(p, state, t, start)
 	}
 }
 
-// take notes an answer to an ask that began at begun.
-func (m *Mesh) take(p *peer, at place, t WatchTold, begun time.Time) {
+// applyAnswer notes an answer to an ask that began at begun.
+func (m *Mesh) applyAnswer(p *peer, state followState, t WatchTold, start time.Time) {
 	if t.Core.Epoch > 0 {
-		m.Learn(t.Core)
+		m.LearnCore(t.Core)
 	}
 	if t.Firm && !t.More {
 		// Before this answer counts as a proof: what others are told by a fresh controller must
 		// not be what it already has reason to doubt.
-		m.Board.Settle()
+		m.Replica.MarkRunsComplete()
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	p.place, p.going = at, t.Going
-	p.heard = m.Clock.Now()
-	p.votes, p.disk = t.Votes, t.Disk
+	p.followState, p.stopping = state, t.Going
+	p.answeredAt = m.Clock.Now()
+	p.votingEpoch, p.disk = t.Votes, t.Disk
 	if !t.More {
-		p.proof = begun.Add(t.Waited)
+		p.provedAt = start.Add(t.Waited)
 	}
 	if t.Attached != nil {
 		p.gateways = t.Attached
@@ -226,30 +226,30 @@
 		p.gateways = nil
 	}
 	for _, x := range t.Peers {
-		if x.Kind == Controller && x.Age < peerAge {
+		if x.Kind == Controller && x.Age < maxPeerAge {
 			m.follow(x.Inner)
 		}
 	}
 	if !m.fresh {
-		m.poke()
+		m.triggerRecheck()
 	}
 }
 
-// poke has the guard look again.
-func (m *Mesh) poke() {
+// triggerRecheck has the guard look again.
+func (m *Mesh) triggerRecheck() {
 	select {
-	case m.proved <- struct{}{}:
+	case m.recheck <- struct{}{}:
 	default:
 	}
 }
 
-// Counts tells whether a node that votes in the core of epoch votes, by a disk, speaks
+// SpeaksForSeat tells whether a node that votes in the core of epoch votes, by a disk, speaks
 // for a seat of c. One that still votes in the core right before is a seat that stays
 // and has not been told; one further behind had left, and has yet to pull what was
 // acknowledged without it.
-func Counts(c quorum.Core, id, disk string, votes uint64) bool {
+func SpeaksForSeat(c quorum.Core, id, disk string, votingEpoch uint64) bool {
 	s, ok := c.Seat(id)
-	return ok && disk != "" && s.Disk == disk && votes > 0 && votes+1 >= c.Epoch
+	return ok && disk != "" && s.Disk == disk && votingEpoch > 0 && votingEpoch+1 >= c.Epoch
 }
 
 // lag is how long ago this controller held everything that was acknowledged until then: the
@@ -268,12 +268,12 @@
 	}
 	now := m.Clock.Now()
 	var ages []time.Duration
-	if m.counts(c) {
+	if m.ownDiskVotes(c) {
 		ages = append(ages, 0)
 	}
 	for _, p := range m.peers {
-		if Counts(c, p.controller.ID, p.disk, p.votes) && !p.proof.IsZero() {
-			ages = append(ages, now.Sub(p.proof))
+		if SpeaksForSeat(c, p.controller.ID, p.disk, p.votingEpoch) && !p.provedAt.IsZero() {
+			ages = append(ages, now.Sub(p.provedAt))
 		}
 	}
 	if len(ages) < need {
@@ -283,10 +283,10 @@
 	return ages[need-1], true
 }
 
-// counts tells whether the own disk speaks for a seat of c.
-func (m *Mesh) counts(c quorum.Core) bool {
+// ownDiskVotes tells whether the own disk speaks for a seat of c.
+func (m *Mesh) ownDiskVotes(c quorum.Core) bool {
 	me := m.Me()
-	return Counts(c, me.ID, me.Seat.Disk, m.Votes())
+	return SpeaksForSeat(c, me.ID, me.Seat.Disk, m.VotingEpoch())
 }
 
 // Fresh tells whether this controller misses nothing that was acknowledged up to lag ago,
@@ -295,38 +295,38 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	lag, ok := m.lag()
-	return lag, ok && lag <= freshFor
+	return lag, ok && lag <= maxProofAge
 }
 
 // Synced tells whether this controller was fresh at some time of its life.
 func (m *Mesh) Synced() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.met
+	return m.everFresh
 }
 
-// guard tells the waiting watchers when freshness begins and ends.
-func (m *Mesh) guard(ctx context.Context) {
+// monitorFreshness tells the waiting watchers when freshness begins and ends.
+func (m *Mesh) monitorFreshness(ctx context.Context) {
 	for ctx.Err() == nil {
 		m.mu.Lock()
 		lag, ok := m.lag()
-		is := ok && lag <= freshFor
-		turned := is != m.fresh
-		m.fresh, m.met = is, m.met || is
+		fresh := ok && lag <= maxProofAge
+		changed := fresh != m.fresh
+		m.fresh, m.everFresh = fresh, m.everFresh || fresh
 		m.mu.Unlock()
-		if turned {
-			m.Board.Wake()
+		if changed {
+			m.Replica.Wake()
 		}
 		// It can't end before the proofs known now are too old.
-		look := tendEvery
-		if is {
-			look = max(freshFor-lag, 0) + time.Millisecond
+		recheckAfter := maintenanceInterval
+		if fresh {
+			recheckAfter = max(maxProofAge-lag, 0) + time.Millisecond
 		}
-		bell, stop := m.Clock.After(look)
+		expired, stop := m.Clock.After(recheckAfter)
 		select {
 		case <-ctx.Done():
-		case <-bell:
-		case <-m.proved:
+		case <-expired:
+		case <-m.recheck:
 		}
 		stop()
 	}
@@ -338,29 +338,29 @@
 func (m *Mesh) Sync(ctx context.Context) error {
 	for {
 		core := m.Core()
-		if core.Epoch > 0 && m.syncWith(ctx, core) && m.Core().Epoch == core.Epoch {
+		if core.Epoch > 0 && m.syncSeats(ctx, core) && m.Core().Epoch == core.Epoch {
 			return nil
 		}
 		if ctx.Err() != nil {
 			return steperr.At("sync", "", errors.Join(lo.Ternary(core.Epoch == 0, quorum.ErrNoCore, quorum.ErrNoQuorum), ctx.Err()))
 		}
-		if m.Core().Epoch == core.Epoch && m.Clock.Sleep(ctx, leastPause) != nil {
+		if m.Core().Epoch == core.Epoch && m.Clock.Sleep(ctx, minRetryPause) != nil {
 			continue
 		}
 	}
 }
 
-// syncWith polls the seats of one core once.
-func (m *Mesh) syncWith(ctx context.Context, core quorum.Core) bool {
+// syncSeats polls the seats of one core once.
+func (m *Mesh) syncSeats(ctx context.Context, core quorum.Core) bool {
 	need := core.BlockingSize()
-	if m.counts(core) {
+	if m.ownDiskVotes(core) {
 		need--
 	}
 	if need <= 0 {
 		return true
 	}
 	me := m.Me()
-	cx, end := context.WithTimeout(ctx, seatWait+answerTime)
+	cx, end := context.WithTimeout(ctx, voterWait+peerAnswerMargin)
 	defer end()
 	got := make(chan bool, len(core.Seats))
 	asked := 0
@@ -369,7 +369,7 @@
 			continue
 		}
 		asked++
-		go func() { got <- m.syncOne(cx, core, s) }()
+		go func() { got <- m.syncSeat(cx, core, s) }()
 	}
 	for range asked {
 		select {
@@ -387,25 +387,25 @@
 	return false
 }
 
-// syncOne polls one seat until it has told everything.
-func (m *Mesh) syncOne(ctx context.Context, core quorum.Core, s quorum.Seat) bool {
-	at := place{addr: s.Addr}
+// syncSeat polls one seat until it has told everything.
+func (m *Mesh) syncSeat(ctx context.Context, core quorum.Core, s quorum.Seat) bool {
+	state := followState{addr: s.Addr}
 	m.mu.Lock()
 	if p := m.peers[s.Addr]; p != nil {
-		at = p.place
+		state = p.followState
 	}
 	m.mu.Unlock()
 	q := m.poller()
 	for {
-		t, _, _, err := q.poll(ctx, &at, 0)
+		t, _, _, err := q.poll(ctx, &state, 0)
 		if err != nil {
 			return false
 		}
 		if t.Core.Epoch > 0 {
-			m.Learn(t.Core)
+			m.LearnCore(t.Core)
 		}
 		if !t.More {
-			return at.controller.ID == s.ID && Counts(core, s.ID, t.Disk, t.Votes)
+			return state.controller.ID == s.ID && SpeaksForSeat(core, s.ID, t.Disk, t.Votes)
 		}
 	}
 }
@@ -415,24 +415,24 @@
 	return m.others(func(*peer) bool { return true })
 }
 
-func (m *Mesh) others(which func(*peer) bool) []Member {
+func (m *Mesh) others(include func(*peer) bool) []Member {
 	now := m.Clock.Now()
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	var out []Member
 	for _, p := range m.peers {
-		if x := p.controller; x.ID != "" && now.Sub(p.heard) < peerAge && which(p) {
-			x.Age = now.Sub(p.heard)
+		if x := p.controller; x.ID != "" && now.Sub(p.answeredAt) < maxPeerAge && include(p) {
+			x.Age = now.Sub(p.answeredAt)
 			out = append(out, x)
 		}
 	}
 	return out
 }
 
-// Near are the controllers that may be given work: those that answered just now and are not
+// Available are the controllers that may be given work: those that answered just now and are not
 // about to stop, and this.
-func (m *Mesh) Near() []Member {
-	out := lo.Filter(m.others(func(p *peer) bool { return !p.going }), func(x Member, _ int) bool { return x.Age < heardAge })
+func (m *Mesh) Available() []Member {
+	out := lo.Filter(m.others(func(p *peer) bool { return !p.stopping }), func(x Member, _ int) bool { return x.Age < maxAvailableAge })
 	return append(out, m.Me())
 }
 
@@ -444,15 +444,15 @@
 	defer m.mu.Unlock()
 	out := map[string]string{}
 	for _, p := range m.peers {
-		if now.Sub(p.heard) < forgetAfter {
+		if now.Sub(p.answeredAt) < peerRetention {
 			maps.Copy(out, p.gateways)
 		}
 	}
 	return out
 }
 
-// Heard are the disks of the controllers that answered, with how long ago, and the own one.
-func (m *Mesh) Heard() []quorum.DiskContact {
+// DiskContacts are the disks of the controllers that answered, with how long ago, and the own one.
+func (m *Mesh) DiskContacts() []quorum.DiskContact {
 	now := m.Clock.Now()
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -461,8 +461,8 @@
 		out = append(out, quorum.DiskContact{Seat: s})
 	}
 	for _, p := range m.peers {
-		if p.controller.Seat.ID != "" && !p.heard.IsZero() {
-			out = append(out, quorum.DiskContact{Seat: p.controller.Seat, Ago: now.Sub(p.heard)})
+		if p.controller.Seat.ID != "" && !p.answeredAt.IsZero() {
+			out = append(out, quorum.DiskContact{Seat: p.controller.Seat, Ago: now.Sub(p.answeredAt)})
 		}
 	}
 	return out
--- a/internal/watch/pack.go
+++ b/internal/watch/pack.go
@@ -14,14 +14,14 @@
 )
 
 const (
-	// packFrom is the size from which news are packed: a node that starts hears
+	// packThreshold is the size from which news are packed: a node that starts hears
 	// thousands of items that are much alike, and links are slow and priced.
-	packFrom = 16 << 10
+	packThreshold = 16 << 10
 	// maxUnpacked bounds what an answer may unpack to.
 	maxUnpacked = 16 << 20
 )
 
-var errUnpacked = errors.New("unpacks to more than the limit")
+var errUnpackedTooLarge = errors.New("unpacks to more than the limit")
 
 // packed is what an answer's Packed holds.
 type packed struct {
@@ -29,7 +29,7 @@
 	Runs  []target.Run
 }
 
-var writers = sync.Pool{New: func() any {
+var flateWriters = sync.Pool{New: func() any {
 	w, err := flate.NewWriter(io.Discard, flate.BestSpeed)
 	if err != nil {
 		// The level is a constant of the library's.
@@ -47,12 +47,12 @@
 	for _, r := range t.Runs {
 		n += len(r.ID) + len(r.Addr) + len(r.Service) + len(r.Zone) + len(r.Version) + 24
 	}
-	if n < packFrom {
+	if n < packThreshold {
 		return nil
 	}
 	var b bytes.Buffer
-	w := writers.Get().(*flate.Writer)
-	defer writers.Put(w)
+	w := flateWriters.Get().(*flate.Writer)
+	defer flateWriters.Put(w)
 	w.Reset(&b)
 	if err := gob.NewEncoder(w).Encode(packed{t.Items, t.Runs}); err != nil {
 		return steperr.At("pack news", "", err)
@@ -64,18 +64,18 @@
 	return nil
 }
 
-// bounded gives up on a stream that unpacks to more than it may.
-type bounded struct {
-	r    io.Reader
-	left int
+// limitedReader gives up on a stream that unpacks to more than it may.
+type limitedReader struct {
+	r         io.Reader
+	remaining int
 }
 
-func (b *bounded) Read(p []byte) (int, error) {
-	if b.left <= 0 {
-		return 0, errUnpacked
+func (b *limitedReader) Read(p []byte) (int, error) {
+	if b.remaining <= 0 {
+		return 0, errUnpackedTooLarge
 	}
-	n, err := b.r.Read(p[:min(len(p), b.left)])
-	b.left -= n
+	n, err := b.r.Read(p[:min(len(p), b.remaining)])
+	b.remaining -= n
 	return n, err
 }
 
@@ -86,7 +86,7 @@
 	}
 	var p packed
 	r := flate.NewReader(bytes.NewReader(t.Packed))
-	if err := gob.NewDecoder(&bounded{r, maxUnpacked}).Decode(&p); err != nil {
+	if err := gob.NewDecoder(&limitedReader{r, maxUnpacked}).Decode(&p); err != nil {
 		return steperr.At("unpack news", t.Me.ID, err)
 	}
 	t.Items, t.Runs, t.Packed = append(t.Items, p.Items...), append(t.Runs, p.Runs...), nil
--- a/internal/watch/report.go
+++ b/internal/watch/report.go
@@ -7,8 +7,8 @@
 	Synced bool `json:"synced"`
 	// BehindMS is how long ago everything acknowledged until then was known here; -1 is
 	// never yet.
-	BehindMS int64      `json:"behind_ms"`
-	Follows  []Followed `json:"follows"`
+	BehindMS int64                `json:"behind_ms"`
+	Follows  []FollowedController `json:"follows"`
 	// Newest is the item that changed last here, and Items and Runs how many changes of
 	// each came.
 	Newest  string `json:"newest_item"`
@@ -18,8 +18,8 @@
 	Runs    uint64 `json:"run_changes"`
 }
 
-// Followed is one controller that is followed now.
-type Followed struct {
+// FollowedController is one controller that is followed now.
+type FollowedController struct {
 	Controller string `json:"controller"` // "" before its first answer
 	Inner      string `json:"inner"`
 	Zone       string `json:"zone"`
@@ -33,26 +33,26 @@
 // Report tells of the controllers followed.
 func (s *Subscriber) Report() Report {
 	now := s.Clock.Now()
-	r := Report{BehindMS: -1, Follows: []Followed{}}
+	r := Report{BehindMS: -1, Follows: []FollowedController{}}
 	s.mu.Lock()
 	r.Synced = s.synced
 	if !s.asOf.IsZero() {
 		r.BehindMS = now.Sub(s.asOf).Milliseconds()
 	}
-	for i, a := range s.at {
+	for i, a := range s.following {
 		if a != "" {
-			p := s.places[a]
-			r.Follows = append(r.Follows, Followed{Controller: p.controller.ID, Inner: a, Zone: p.controller.Zone, SinceMS: now.Sub(s.since[i]).Milliseconds(),
-				Fresh: s.told[i].Fresh, Items: p.seen.Items, Runs: p.seen.Runs})
+			p := s.states[a]
+			r.Follows = append(r.Follows, FollowedController{Controller: p.controller.ID, Inner: a, Zone: p.controller.Zone, SinceMS: now.Sub(s.followedSince[i]).Milliseconds(),
+				Fresh: s.answers[i].Fresh, Items: p.cursor.Items, Runs: p.cursor.Runs})
 		}
 	}
 	s.mu.Unlock()
-	s.board.Items(func(x *item.Set) {
+	s.replica.WithItems(func(x *item.Set) {
 		r.Items = x.Seq()
 		if last, _, _ := x.Since(x.Seq()-min(x.Seq(), 1), 1, 0); len(last) > 0 {
 			r.Newest, r.Version, r.Dropped = last[0].Name, last[0].Version, last[0].Gone
 		}
 	})
-	r.Runs = s.board.End().Runs
+	r.Runs = s.replica.Cursor().Runs
 	return r
 }
--- a/internal/watch/report_test.go
+++ b/internal/watch/report_test.go
@@ -15,17 +15,17 @@
 
 func TestAGatewayReportsWhomItFollowsAndSinceWhen(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := &far{way: 10 * time.Millisecond, controllers: map[string]*bench{}, met: map[string]bool{}, mute: map[string]bool{}}
+		f := &delayedLine{delay: 10 * time.Millisecond, controllers: map[string]*testPublisher{}, connected: map[string]bool{}, silent: map[string]bool{}}
 		var all []Member
 		for _, id := range []string{"a", "b", "c"} {
-			b := newBench()
+			b := newTestPublisher()
 			me := Member{ID: id, Kind: Controller, Inner: "in-" + id, Zone: "z" + id, Inc: 7, Seat: quorum.Seat{ID: id, Disk: "d" + id}}
 			b.Me = func() Member { return me }
 			b.Others = func() []Member { return all }
 			all = append(all, me)
 			f.controllers["in-"+id] = b
 		}
-		s := &Subscriber{Me: Member{ID: "f", Kind: Gateway, Zone: "za", Inc: 1}, Line: f, Clock: clock.Wall{}, Log: log.New(nil), OnNews: func(WatchTold) {}}
+		s := &Subscriber{Me: Member{ID: "f", Kind: Gateway, Zone: "za", Inc: 1}, Line: f, Clock: clock.Wall{}, Log: log.New(nil), OnUpdate: func(WatchTold) {}}
 		s.Init([]string{"in-a", "in-b", "in-c"})
 		if r := s.Report(); r.Synced || r.BehindMS != -1 || len(r.Follows) > 0 || r.Newest != "" {
 			t.Errorf("before its first ask: %+v", r)
@@ -35,7 +35,7 @@
 		go func() { s.Run(ctx); close(done) }()
 		time.Sleep(10 * time.Second)
 		for _, b := range f.controllers {
-			b.Board.MergeItems([]item.Item{thing("x", 3), {Key: thing("y", 4).Key, Version: 4, Gone: true}})
+			b.Replica.MergeItems([]item.Item{testItem("x", 3), {Key: testItem("y", 4).Key, Version: 4, Gone: true}})
 		}
 		time.Sleep(time.Second)
 		r := s.Report()
@@ -49,7 +49,7 @@
 		// The controller of its zone falls silent: it follows another one, since just now, and
 		// the second slot stays where it was.
 		f.mu.Lock()
-		f.mute["in-a"] = true
+		f.silent["in-a"] = true
 		f.mu.Unlock()
 		time.Sleep(1900 * time.Millisecond)
 		q := s.Report().Follows
@@ -64,13 +64,13 @@
 // Who asks the same controller again after a look around has followed it all the time.
 func TestAGatewayThatStaysHasFollowedSinceItCame(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := &far{way: 10 * time.Millisecond, controllers: map[string]*bench{}, met: map[string]bool{}, mute: map[string]bool{}}
+		f := &delayedLine{delay: 10 * time.Millisecond, controllers: map[string]*testPublisher{}, connected: map[string]bool{}, silent: map[string]bool{}}
 		for _, id := range []string{"a", "b"} {
-			b := newBench()
+			b := newTestPublisher()
 			b.Me = func() Member { return Member{ID: id, Kind: Controller, Inner: "in-" + id, Zone: "z" + id, Inc: 7} }
 			f.controllers["in-"+id] = b
 		}
-		s := &Subscriber{Me: Member{ID: "f", Kind: Gateway, Zone: "za", Inc: 1}, Line: f, Clock: clock.Wall{}, Log: log.New(nil), OnNews: func(WatchTold) {}}
+		s := &Subscriber{Me: Member{ID: "f", Kind: Gateway, Zone: "za", Inc: 1}, Line: f, Clock: clock.Wall{}, Log: log.New(nil), OnUpdate: func(WatchTold) {}}
 		s.Init([]string{"in-a", "in-b"})
 		ctx, end := context.WithCancel(t.Context())
 		done := make(chan struct{})
@@ -79,7 +79,7 @@
 		before := s.Report().Follows
 		for _, b := range f.controllers {
 			b.fresh.Store(false)
-			b.Board.Wake()
+			b.Replica.Wake()
 		}
 		time.Sleep(5 * time.Second)
 		now := s.Report().Follows
--- a/internal/watch/subscriber.go
+++ b/internal/watch/subscriber.go
@@ -19,43 +19,43 @@
 const (
 	// gatewayWait is how long a gateway's ask waits for news at most, and gatewayAnswer how long
 	// it may take in all.
-	gatewayWait   = time.Second
-	gatewayAnswer = 1700 * time.Millisecond
-	// gatewayBehind is how old what a gateway knows may grow before it looks for another controller.
-	gatewayBehind = 1900 * time.Millisecond
-	// leastAnswer is what an ask is given at least, and answerSlack what it is given on
+	gatewayWait          = time.Second
+	gatewayAnswerTimeout = 1700 * time.Millisecond
+	// maxGatewayLag is how old what a gateway knows may grow before it looks for another controller.
+	maxGatewayLag = 1900 * time.Millisecond
+	// minAnswerTimeout is what an ask is given at least, and answerSlack what it is given on
 	// top of its wait.
-	leastAnswer = 800 * time.Millisecond
-	answerSlack = 600 * time.Millisecond
-	// firstAnswer is what the first ask of a controller is given, doubled with each failure in
+	minAnswerTimeout = 800 * time.Millisecond
+	answerMargin     = 600 * time.Millisecond
+	// firstAnswerTimeout is what the first ask of a controller is given, doubled with each failure in
 	// a row: a gateway that lost its controller must not wait long for a second dead one.
-	firstAnswer = 500 * time.Millisecond
-	// shunTime is how long a controller is passed over after a failure, doubled with each in a
+	firstAnswerTimeout = 500 * time.Millisecond
+	// minBackoff is how long a controller is passed over after a failure, doubled with each in a
 	// row up to mostShun; one that answers but is not fresh for staleShun.
-	shunTime  = 300 * time.Millisecond
-	mostShun  = time.Second
-	staleShun = 400 * time.Millisecond
+	minBackoff   = 300 * time.Millisecond
+	maxBackoff   = time.Second
+	staleBackoff = 400 * time.Millisecond
 	// staleWait is how long an ask waits at a controller that is not fresh, where none is.
 	staleWait = 400 * time.Millisecond
-	// homeEvery is how often a gateway that follows a controller of another zone tries its own.
-	homeEvery = 2 * time.Second
-	// waitTick is how long a gateway that starts waits for the first word of one controller before it
+	// ownZoneRetryInterval is how often a gateway that follows a controller of another zone tries its own.
+	ownZoneRetryInterval = 2 * time.Second
+	// initialSyncTick is how long a gateway that starts waits for the first word of one controller before it
 	// asks a second, and waitMost for each further word.
-	waitTick, waitMost = 100 * time.Millisecond, time.Second
-	// tableEvery is how often runs that are over are forgotten.
-	tableEvery = time.Minute
-	// usualWithin is the time for a change that gatewayWait and gatewayBehind are made for, and
+	initialSyncTick, initialSyncMaxIdle = 100 * time.Millisecond, time.Second
+	// expireInterval is how often runs that are over are forgotten.
+	expireInterval = time.Minute
+	// usualChangeDeadline is the time for a change that gatewayWait and gatewayBehind are made for, and
 	// leastWithin the shortest that asks are made more often for.
-	usualWithin, leastWithin = 2 * time.Second, time.Second
-	narrowDial               = 1200 * time.Millisecond
-	narrowWait, narrowAnswer = 500 * time.Millisecond, 3500 * time.Millisecond
+	usualChangeDeadline, minChangeDeadline = 2 * time.Second, time.Second
+	slowLinkDialTimeout                    = 1200 * time.Millisecond
+	slowLinkWait, slowLinkAnswerTimeout    = 500 * time.Millisecond, 3500 * time.Millisecond
 )
 
-// followed is how many controllers a gateway follows at once. With one alone, what it missed while
+// followSlots is how many controllers a gateway follows at once. With one alone, what it missed while
 // it looked for the next could be older than may be: a controller that is cut off from the
 // others takes over a second to notice, and on a narrow link the first answer of another
 // one three round trips.
-const followed = 2
+const followSlots = 2
 
 // Subscriber is a gateway's view of the control plane: it follows a controller of its own zone
 // where it can, and one of another zone beside it, and goes to the next when one is
@@ -67,44 +67,44 @@
 	Log   *log.Logger
 	// Within is in what time a change has to be in force; 0 is usual. In less a gateway asks
 	// more often, so that it never knows what is older.
-	Within time.Duration
+	ChangeDeadline time.Duration
 	// Narrow says that messages may wait for long behind others on the node's own link.
-	Narrow bool
+	SlowLink bool
 	// OnNews is told, in order and one call at a time, of what was news here: Items and
 	// Runs hold what changed, as it stands now. Gateways counts come with each answer.
-	OnNews func(WatchTold)
-
-	board   *Board
-	telling sync.Mutex // held from the merging of an answer until OnNews has run
-
-	mu     sync.Mutex
-	places map[string]place    // how far each controller was heard out, by inner address
-	at     [followed]string    // the controllers followed now
-	since  [followed]time.Time // from when on
-	seeds  []string
-	peers  map[string]Member // by inner address
-	shun   map[string]shun
-	told   [followed]WatchTold // the last complete answers, without their news
-	asOf   time.Time           // until when all that was acknowledged is known here
-	way    time.Duration       // that the last question and its answer needed
-	synced bool
-	heard  int           // answers to the first slot
-	moved  chan struct{} // the seeds changed
+	OnUpdate func(WatchTold)
+
+	replica    *Replica
+	deliveryMu sync.Mutex // held from the merging of an answer until OnNews has run
+
+	mu               sync.Mutex
+	states           map[string]followState // how far each controller was heard out, by inner address
+	following        [followSlots]string    // the controllers followed now
+	followedSince    [followSlots]time.Time // from when on
+	seeds            []string
+	peers            map[string]Member // by inner address
+	backoffs         map[string]backoff
+	answers          [followSlots]WatchTold // the last complete answers, without their news
+	asOf             time.Time              // until when all that was acknowledged is known here
+	roundTrip        time.Duration          // that the last question and its answer needed
+	synced           bool
+	firstSlotAnswers int           // answers to the first slot
+	seedsChanged     chan struct{} // the seeds changed
 }
 
-// shun is a controller passed over for now.
-type shun struct {
-	until time.Time
-	fails int
-	stale bool // it answers
+// backoff is a controller passed over for now.
+type backoff struct {
+	until    time.Time
+	failures int
+	stale    bool // it answers
 }
 
 // Init makes the subscriber ready.
 func (s *Subscriber) Init(seeds []string) {
-	s.board = NewBoard(s.Clock)
-	s.seeds, s.peers, s.shun = slices.Clone(seeds), map[string]Member{}, map[string]shun{}
-	s.places = map[string]place{}
-	s.moved = make(chan struct{}, followed)
+	s.replica = NewReplica(s.Clock)
+	s.seeds, s.peers, s.backoffs = slices.Clone(seeds), map[string]Member{}, map[string]backoff{}
+	s.states = map[string]followState{}
+	s.seedsChanged = make(chan struct{}, followSlots)
 }
 
 // SetSeeds replaces the seeds.
@@ -112,24 +112,26 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.seeds = slices.Clone(seeds)
-	for range followed {
+	for range followSlots {
 		select {
-		case s.moved <- struct{}{}:
+		case s.seedsChanged <- struct{}{}:
 		default:
 		}
 	}
 }
 
-// within is d where changes have the usual time, and less where they have less.
-func (s *Subscriber) within(d time.Duration) time.Duration {
-	if s.Within <= 0 || s.Within >= usualWithin {
+// scaled is d where changes have the usual time, and less where they have less.
+func (s *Subscriber) scaled(d time.Duration) time.Duration {
+	if s.ChangeDeadline <= 0 || s.ChangeDeadline >= usualChangeDeadline {
 		return d
 	}
-	return d * max(s.Within, leastWithin) / usualWithin
+	return d * max(s.ChangeDeadline, minChangeDeadline) / usualChangeDeadline
 }
 
-// DialTime is how long a connect to a controller may take; 0 is usual.
-func (s *Subscriber) DialTime() time.Duration { return lo.Ternary(s.Narrow, narrowDial, 0) }
+// DialTimeout is how long a connect to a controller may take; 0 is usual.
+func (s *Subscriber) DialTimeout() time.Duration {
+	return lo.Ternary(s.SlowLink, slowLinkDialTimeout, 0)
+}
 
 // Synced tells whether a fresh controller has told everything once in this life.
 func (s *Subscriber) Synced() bool {
@@ -142,7 +144,7 @@
 func (s *Subscriber) Fresh() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.best().Fresh && s.Clock.Now().Sub(s.asOf) <= s.within(gatewayBehind)+leastAnswer
+	return s.bestAnswer().Fresh && s.Clock.Now().Sub(s.asOf) <= s.scaled(maxGatewayLag)+minAnswerTimeout
 }
 
 // AsOf is until when all that was acknowledged is known here.
@@ -152,18 +154,18 @@
 	return s.asOf
 }
 
-// Way is how long the last question to a fresh controller and its answer were on their way.
-func (s *Subscriber) Way() time.Duration {
+// RoundTrip is how long the last question to a fresh controller and its answer were on their way.
+func (s *Subscriber) RoundTrip() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.way
+	return s.roundTrip
 }
 
 // Gateways is how many gateways there are, in all and in the own zone, by the last answer.
 func (s *Subscriber) Gateways() (all, near int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	t := s.best()
+	t := s.bestAnswer()
 	return t.Gateways, t.GatewaysNear
 }
 
@@ -178,64 +180,64 @@
 func (s *Subscriber) Following() Member {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.best().Me
+	return s.bestAnswer().Me
 }
 
-// best is the last answer of the first slot whose controller is fresh, else of the first. Under
+// bestAnswer is the last answer of the first slot whose controller is fresh, else of the first. Under
 // the lock.
-func (s *Subscriber) best() WatchTold {
-	for _, t := range s.told {
+func (s *Subscriber) bestAnswer() WatchTold {
+	for _, t := range s.answers {
 		if t.Fresh {
 			return t
 		}
 	}
-	return s.told[0]
+	return s.answers[0]
 }
 
-// Board is what this gateway knows.
-func (s *Subscriber) Board() *Board { return s.board }
+// Replica is what this gateway knows.
+func (s *Subscriber) Replica() *Replica { return s.replica }
 
 // Run follows controllers until ctx ends.
 func (s *Subscriber) Run(ctx context.Context) {
 	var wg sync.WaitGroup
-	for slot := range followed {
-		wg.Go(func() { s.keep(ctx, slot) })
+	for slot := range followSlots {
+		wg.Go(func() { s.runSlot(ctx, slot) })
 	}
 	wg.Wait()
 }
 
-// keep follows one controller after the other. The first slot is of the own zone where it can
+// runSlot follows one controller after the other. The first slot is of the own zone where it can
 // be, and goes by that; the others keep to controllers that no other slot follows.
-func (s *Subscriber) keep(ctx context.Context, slot int) {
+func (s *Subscriber) runSlot(ctx context.Context, slot int) {
 	if slot > 0 {
-		s.wait(ctx)
+		s.awaitInitialSync(ctx)
 	}
-	swept := s.Clock.Now()
+	expiredAt := s.Clock.Now()
 	for ctx.Err() == nil {
-		addr, ok, back := s.next(slot)
+		addr, ok, retryIn := s.nextController(slot)
 		if addr != "" {
 			s.follow(ctx, slot, addr, ok)
 		} else {
 			// Nobody answers: look again soon, but not all the time.
-			bell, stop := s.Clock.After(max(back, leastPause))
+			expired, stop := s.Clock.After(max(retryIn, minRetryPause))
 			select {
 			case <-ctx.Done():
-			case <-bell:
-			case <-s.moved:
+			case <-expired:
+			case <-s.seedsChanged:
 			}
 			stop()
 		}
-		if now := s.Clock.Now(); now.Sub(swept) > tableEvery {
-			swept = now
-			s.board.Table(func(t *target.Table, now time.Time) bool { t.Forget(now); return false })
+		if now := s.Clock.Now(); now.Sub(expiredAt) > expireInterval {
+			expiredAt = now
+			s.replica.WithRuns(func(t *target.Table, now time.Time) bool { t.RemoveExpired(now); return false })
 		}
 	}
 }
 
-// controllers lists the addresses to try, the best first: controllers of the own zone, then those of
+// candidates lists the addresses to try, the best first: controllers of the own zone, then those of
 // others, then seeds of which nothing is known, each by rendezvous, so that gateways
 // spread and few move when controllers come and go. Under the lock.
-func (s *Subscriber) controllers() []string {
+func (s *Subscriber) candidates() []string {
 	rank := func(a string) int {
 		switch p, ok := s.peers[a]; {
 		case ok && p.Zone == s.Me.Zone:
@@ -253,150 +255,150 @@
 	return out
 }
 
-// next is the controller to try: the best that is not passed over. Where all are, ok is
+// nextController is the controller to try: the best that is not passed over. Where all are, ok is
 // false, the one that answers is taken, and back is when the first is to be tried again.
-func (s *Subscriber) next(slot int) (addr string, ok bool, back time.Duration) {
+func (s *Subscriber) nextController(slot int) (addr string, ok bool, retryIn time.Duration) {
 	now := s.Clock.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	was := s.at[slot]
-	s.at[slot], s.told[slot].Fresh = "", false
-	all := s.controllers()
+	was := s.following[slot]
+	s.following[slot], s.answers[slot].Fresh = "", false
+	all := s.candidates()
 	if slot > 0 {
 		// Of another zone than the first slot's, so that one fault seldom takes both; and
 		// the own zone is the first slot's to take.
-		zone := s.peers[s.at[0]].Zone
+		zone := s.peers[s.following[0]].Zone
 		last := func(a string) int {
 			z := s.peers[a].Zone
-			return b2i(z == zone || z == s.Me.Zone)
+			return boolToInt(z == zone || z == s.Me.Zone)
 		}
 		slices.SortStableFunc(all, func(a, b string) int { return cmp.Compare(last(a), last(b)) })
 	}
-	back = mostShun
+	retryIn = maxBackoff
 	defer func() {
-		if s.at[slot] = addr; addr != was {
-			s.since[slot] = now
+		if s.following[slot] = addr; addr != was {
+			s.followedSince[slot] = now
 		}
 	}()
 	for _, a := range all {
-		if slices.Contains(s.at[:], a) {
+		if slices.Contains(s.following[:], a) {
 			continue
 		}
-		x := s.shun[a]
+		x := s.backoffs[a]
 		if !now.Before(x.until) {
 			return a, true, 0
 		}
-		back = min(back, x.until.Sub(now))
+		retryIn = min(retryIn, x.until.Sub(now))
 		if x.stale && addr == "" {
 			addr = a
 		}
 	}
-	return addr, false, back
+	return addr, false, retryIn
 }
 
-// wait returns once a gateway that starts knows everything, or hears nothing more: what it does
+// awaitInitialSync returns once a gateway that starts knows everything, or hears nothing more: what it does
 // not hold yet is to be told once, and not by two controllers at the same time.
-func (s *Subscriber) wait(ctx context.Context) {
-	for still := 0; still*int(waitTick) < int(waitMost); still++ {
+func (s *Subscriber) awaitInitialSync(ctx context.Context) {
+	for idleTicks := 0; idleTicks*int(initialSyncTick) < int(initialSyncMaxIdle); idleTicks++ {
 		s.mu.Lock()
-		was, synced := s.heard, s.synced
+		before, synced := s.firstSlotAnswers, s.synced
 		s.mu.Unlock()
-		if synced || s.Clock.Sleep(ctx, waitTick) != nil {
+		if synced || s.Clock.Sleep(ctx, initialSyncTick) != nil {
 			return
 		}
 		s.mu.Lock()
-		is := s.heard
+		after := s.firstSlotAnswers
 		s.mu.Unlock()
 		switch {
-		case is == 0:
+		case after == 0:
 			return // this controller may be down
-		case is != was:
-			still = -1
+		case after != before:
+			idleTicks = -1
 		}
 	}
 }
 
-func b2i(b bool) int { return lo.Ternary(b, 1, 0) }
+func boolToInt(b bool) int { return lo.Ternary(b, 1, 0) }
 
-// avoid passes a controller over for a while.
-func (s *Subscriber) avoid(addr string, stale bool) {
+// backOff passes a controller over for a while.
+func (s *Subscriber) backOff(addr string, stale bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.shun) > 4*maxControllers {
-		s.shun = map[string]shun{}
+	if len(s.backoffs) > 4*maxControllers {
+		s.backoffs = map[string]backoff{}
 	}
-	x := s.shun[addr]
-	d := staleShun
+	x := s.backoffs[addr]
+	d := staleBackoff
 	if x.stale = stale; stale {
-		x.fails = 0
+		x.failures = 0
 	} else {
-		d = min(shunTime<<min(x.fails, 8), mostShun)
-		x.fails++
+		d = min(minBackoff<<min(x.failures, 8), maxBackoff)
+		x.failures++
 	}
 	x.until = s.Clock.Now().Add(d)
-	s.shun[addr] = x
+	s.backoffs[addr] = x
 }
 
-// patience is how long the next ask may take, and how long it is to wait for news.
-func (s *Subscriber) patience(slot int, at *place, fails int) (answer, wait time.Duration) {
-	if s.Narrow && slot > 0 {
-		return narrowAnswer, lo.Ternary(at.inc == 0 || at.sums != nil, 0, s.within(narrowWait))
+// timeouts is how long the next ask may take, and how long it is to wait for news.
+func (s *Subscriber) timeouts(slot int, state *followState, failures int) (answer, wait time.Duration) {
+	if s.SlowLink && slot > 0 {
+		return slowLinkAnswerTimeout, lo.Ternary(state.inc == 0 || state.sums != nil, 0, s.scaled(slowLinkWait))
 	}
-	if at.inc == 0 {
-		return min(firstAnswer<<min(fails, 8), gatewayAnswer), 0
+	if state.inc == 0 {
+		return min(firstAnswerTimeout<<min(failures, 8), gatewayAnswerTimeout), 0
 	}
-	if at.sums != nil {
-		return gatewayAnswer, 0
+	if state.sums != nil {
+		return gatewayAnswerTimeout, 0
 	}
-	left := s.asOf.Add(s.within(gatewayBehind)).Sub(s.Clock.Now())
-	answer = min(max(left, leastAnswer), gatewayAnswer)
-	return answer, min(answer-answerSlack, s.within(lo.Ternary(s.Narrow, narrowWait, gatewayWait)))
+	left := s.asOf.Add(s.scaled(maxGatewayLag)).Sub(s.Clock.Now())
+	answer = min(max(left, minAnswerTimeout), gatewayAnswerTimeout)
+	return answer, min(answer-answerMargin, s.scaled(lo.Ternary(s.SlowLink, slowLinkWait, gatewayWait)))
 }
 
 // follow stays with one controller for as long as it will do; ok says that a better one than
 // that is not known to be stale.
 func (s *Subscriber) follow(ctx context.Context, slot int, addr string, ok bool) {
-	q := &poller{me: func() Member { return s.Me }, line: s.Line, board: s.board, epoch: func() uint64 { return noEpoch }, told: &s.telling}
+	q := &poller{me: func() Member { return s.Me }, line: s.Line, replica: s.replica, epoch: func() uint64 { return maxEpoch }, deliveryMu: &s.deliveryMu}
 	s.mu.Lock()
-	at := s.places[addr]
+	state := s.states[addr]
 	s.mu.Unlock()
-	at.addr = addr
+	state.addr = addr
 	since := s.Clock.Now()
 	for first := true; ctx.Err() == nil; first = false {
 		s.mu.Lock()
-		fails := s.shun[addr].fails
-		answer, wait := s.patience(slot, &at, fails)
+		failures := s.backoffs[addr].failures
+		answer, wait := s.timeouts(slot, &state, failures)
 		s.mu.Unlock()
-		if !ok && !first && at.sums == nil {
+		if !ok && !first && state.sums == nil {
 			// None is fresh: wait here for as long as the next look at the others is off.
-			answer, wait = staleWait+answerSlack, staleWait
+			answer, wait = staleWait+answerMargin, staleWait
 		}
-		begun := s.Clock.Now()
+		start := s.Clock.Now()
 		cx, end := context.WithTimeout(ctx, answer)
-		t, items, runs, err := q.poll(cx, &at, wait)
+		t, items, runs, err := q.poll(cx, &state, wait)
 		end()
 		if err != nil {
 			if ctx.Err() == nil {
 				s.Log.Debug("controller does not answer", "step", "follow", "mate", addr, "err", err)
-				s.avoid(addr, false)
+				s.backOff(addr, false)
 			}
 			return
 		}
-		s.take(slot, addr, at, t, begun)
+		s.recordAnswer(slot, addr, state, t, start)
 		if t.Firm && !t.More {
-			runs = append(runs, s.board.Settle()...)
+			runs = append(runs, s.replica.MarkRunsComplete()...)
 		}
 		t.Items, t.Runs = items, runs
-		s.OnNews(t)
-		s.telling.Unlock()
+		s.OnUpdate(t)
+		s.deliveryMu.Unlock()
 		switch {
 		case t.More:
 		case !t.Fresh:
-			s.avoid(addr, true)
+			s.backOff(addr, true)
 			if ok || wait > 0 {
 				return
 			}
-		case s.better(slot, addr, since):
+		case s.betterAvailable(slot, addr, since):
 			return
 		default:
 			ok = true
@@ -404,17 +406,17 @@
 	}
 }
 
-// take notes an answer.
-func (s *Subscriber) take(slot int, addr string, at place, t WatchTold, begun time.Time) {
+// recordAnswer notes an answer.
+func (s *Subscriber) recordAnswer(slot int, addr string, state followState, t WatchTold, start time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if slot == 0 {
-		s.heard++
+		s.firstSlotAnswers++
 	}
-	if len(s.places) > 4*maxControllers {
-		s.places = map[string]place{}
+	if len(s.states) > 4*maxControllers {
+		s.states = map[string]followState{}
 	}
-	s.places[addr] = at
+	s.states[addr] = state
 	if len(t.Peers) > 0 {
 		s.peers = map[string]Member{}
 		for _, p := range t.Peers[:min(len(t.Peers), maxControllers)] {
@@ -427,36 +429,36 @@
 		return
 	}
 	t.Items, t.Runs, t.Peers = nil, nil, nil
-	t.Me = at.controller
-	s.told[slot] = t
+	t.Me = state.controller
+	s.answers[slot] = t
 	if !t.Fresh {
 		return
 	}
-	delete(s.shun, addr)
+	delete(s.backoffs, addr)
 	s.synced = true
-	s.way = s.Clock.Now().Sub(begun) - t.Waited
-	if asOf := begun.Add(t.Waited - t.Lag); asOf.After(s.asOf) {
+	s.roundTrip = s.Clock.Now().Sub(start) - t.Waited
+	if asOf := start.Add(t.Waited - t.Lag); asOf.After(s.asOf) {
 		s.asOf = asOf
 	}
 }
 
-// better tells whether it is time to try a better controller than the one at addr.
-func (s *Subscriber) better(slot int, addr string, since time.Time) bool {
+// betterAvailable tells whether it is time to try a better controller than the one at addr.
+func (s *Subscriber) betterAvailable(slot int, addr string, since time.Time) bool {
 	now := s.Clock.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if slot > 0 {
 		// It makes room for the first slot, whose zone this is.
-		return s.peers[addr].Zone == s.Me.Zone && s.peers[s.at[0]].Zone != s.Me.Zone && len(s.peers) > followed
+		return s.peers[addr].Zone == s.Me.Zone && s.peers[s.following[0]].Zone != s.Me.Zone && len(s.peers) > followSlots
 	}
-	if now.Sub(since) < homeEvery {
+	if now.Sub(since) < ownZoneRetryInterval {
 		return false
 	}
-	for _, a := range s.controllers() {
+	for _, a := range s.candidates() {
 		switch {
 		case a == addr:
 			return false
-		case s.peers[a].Zone == s.Me.Zone && !now.Before(s.shun[a].until) && !slices.Contains(s.at[1:], a):
+		case s.peers[a].Zone == s.Me.Zone && !now.Before(s.backoffs[a].until) && !slices.Contains(s.following[1:], a):
 			return true
 		}
 	}
--- a/internal/watch/subscriber_test.go
+++ b/internal/watch/subscriber_test.go
@@ -17,23 +17,23 @@
 	"walkrudder/internal/quorum"
 )
 
-// far is a line on which each way takes a while: a question over it and, where the link
+// delayedLine is a line on which each way takes a while: a question over it and, where the link
 // is new, two more round trips first.
-type far struct {
-	way         time.Duration
+type delayedLine struct {
+	delay       time.Duration
 	mu          sync.Mutex
-	controllers map[string]*bench
-	met         map[string]bool
-	mute        map[string]bool
+	controllers map[string]*testPublisher
+	connected   map[string]bool
+	silent      map[string]bool
 	bytes       int // of news
 }
 
-// newFar has controllers that know each other, each in a zone of its own.
-func newFar(way time.Duration, ids ...string) *far {
-	f := &far{way: way, controllers: map[string]*bench{}, met: map[string]bool{}, mute: map[string]bool{}}
+// newDelayedLine has controllers that know each other, each in a zone of its own.
+func newDelayedLine(way time.Duration, ids ...string) *delayedLine {
+	f := &delayedLine{delay: way, controllers: map[string]*testPublisher{}, connected: map[string]bool{}, silent: map[string]bool{}}
 	var all []Member
 	for _, id := range ids {
-		b := newBench()
+		b := newTestPublisher()
 		me := Member{ID: id, Kind: Controller, Inner: id, Zone: "z" + id, Inc: 7, Seat: quorum.Seat{ID: id, Disk: "d" + id}}
 		b.Me = func() Member { return me }
 		b.Others = func() []Member { return all }
@@ -43,17 +43,17 @@
 	return f
 }
 
-// slowDown has each way take so long from now on.
-func (f *far) slowDown(way time.Duration) {
+// setDelay has each way take so long from now on.
+func (f *delayedLine) setDelay(way time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.way = way
+	f.delay = way
 }
 
-func (f *far) Call(ctx context.Context, addr string, ask any) (any, error) {
+func (f *delayedLine) Call(ctx context.Context, addr string, ask any) (any, error) {
 	f.mu.Lock()
-	b, first, mute, way := f.controllers[addr], !f.met[addr], f.mute[addr], f.way
-	f.met[addr] = true
+	b, first, mute, way := f.controllers[addr], !f.connected[addr], f.silent[addr], f.delay
+	f.connected[addr] = true
 	f.mu.Unlock()
 	trips := 1
 	if first {
@@ -72,7 +72,7 @@
 	if !ok {
 		return nil, errors.New("no such question")
 	}
-	r, err := b.watch(ctx, a)
+	r, err := b.handleWatch(ctx, a)
 	if err != nil {
 		return nil, err
 	}
@@ -93,11 +93,11 @@
 	for name, mute := range map[string]bool{"cut off": false, "silent": true} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				f := newFar(120*time.Millisecond, "a", "b", "c", "d", "e")
+				f := newDelayedLine(120*time.Millisecond, "a", "b", "c", "d", "e")
 				var mu sync.Mutex
 				known := map[string]uint64{}
 				s := &Subscriber{Me: Member{ID: "f", Kind: Gateway, Zone: "za", Inc: 1}, Line: f, Clock: clock.Wall{}, Log: log.New(nil),
-					OnNews: func(w WatchTold) {
+					OnUpdate: func(w WatchTold) {
 						mu.Lock()
 						defer mu.Unlock()
 						for _, i := range w.Items {
@@ -111,7 +111,7 @@
 				tell := func(v uint64, but string) {
 					for id, b := range f.controllers {
 						if id != but {
-							b.Board.MergeItems([]item.Item{thing("x", v)})
+							b.Replica.MergeItems([]item.Item{testItem("x", v)})
 						}
 					}
 				}
@@ -121,13 +121,13 @@
 					at := s.Following().Inner
 					if mute {
 						f.mu.Lock()
-						f.mute[at] = true
+						f.silent[at] = true
 						f.mu.Unlock()
 					}
 					tell(v, at)
 					time.Sleep(1200 * time.Millisecond)
 					f.controllers[at].fresh.Store(false)
-					f.controllers[at].Board.Wake()
+					f.controllers[at].Replica.Wake()
 					time.Sleep(300 * time.Millisecond)
 					mu.Lock()
 					if known["x"] != v {
@@ -135,9 +135,9 @@
 					}
 					mu.Unlock()
 					f.mu.Lock()
-					f.mute[at] = false
+					f.silent[at] = false
 					f.mu.Unlock()
-					f.controllers[at].Board.MergeItems([]item.Item{thing("x", v)})
+					f.controllers[at].Replica.MergeItems([]item.Item{testItem("x", v)})
 					f.controllers[at].fresh.Store(true)
 					time.Sleep(10 * time.Second)
 				}
@@ -153,8 +153,8 @@
 func TestAGatewayKnowsWhatIsYoungEnough(t *testing.T) {
 	oldest := func(t *testing.T, within time.Duration) (old time.Duration) {
 		synctest.Test(t, func(t *testing.T) {
-			f := newFar(120*time.Millisecond, "a", "b", "c")
-			s := &Subscriber{Me: Member{ID: "f", Kind: Gateway, Zone: "za", Inc: 1}, Line: f, Clock: clock.Wall{}, Log: log.New(nil), Within: within, OnNews: func(WatchTold) {}}
+			f := newDelayedLine(120*time.Millisecond, "a", "b", "c")
+			s := &Subscriber{Me: Member{ID: "f", Kind: Gateway, Zone: "za", Inc: 1}, Line: f, Clock: clock.Wall{}, Log: log.New(nil), ChangeDeadline: within, OnUpdate: func(WatchTold) {}}
 			s.Init([]string{"b", "c"})
 			ctx, end := context.WithCancel(t.Context())
 			done := make(chan struct{})
@@ -169,12 +169,12 @@
 		})
 		return old
 	}
-	for _, c := range []struct{ within, most time.Duration }{{0, usualWithin}, {5 * time.Second, usualWithin}, {1500 * time.Millisecond, 1500 * time.Millisecond}, {leastWithin, leastWithin}} {
+	for _, c := range []struct{ within, most time.Duration }{{0, usualChangeDeadline}, {5 * time.Second, usualChangeDeadline}, {1500 * time.Millisecond, 1500 * time.Millisecond}, {minChangeDeadline, minChangeDeadline}} {
 		if old := oldest(t, c.within); old >= c.most {
 			t.Errorf("within %v: went by what was %v old", c.within, old)
 		}
 	}
-	if old := oldest(t, 0); old < leastWithin {
+	if old := oldest(t, 0); old < minChangeDeadline {
 		t.Errorf("asks are as frequent without need: %v at the oldest", old)
 	}
 }
@@ -183,15 +183,15 @@
 // its answer came, made connections that took as long, and heard nothing for seconds.
 func TestALinkThatHoldsMessagesUpStillBringsNews(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFar(10*time.Millisecond, "a", "b", "c")
-		s := &Subscriber{Me: Member{ID: "f", Kind: Gateway, Zone: "za", Inc: 1}, Line: f, Clock: clock.Wall{}, Log: log.New(nil), Narrow: true, OnNews: func(WatchTold) {}}
+		f := newDelayedLine(10*time.Millisecond, "a", "b", "c")
+		s := &Subscriber{Me: Member{ID: "f", Kind: Gateway, Zone: "za", Inc: 1}, Line: f, Clock: clock.Wall{}, Log: log.New(nil), SlowLink: true, OnUpdate: func(WatchTold) {}}
 		s.Init([]string{"a", "b", "c"})
 		ctx, end := context.WithCancel(t.Context())
 		done := make(chan struct{})
 		go func() { s.Run(ctx); close(done) }()
 		time.Sleep(5 * time.Second)
 		const way = 700 * time.Millisecond
-		f.slowDown(way)
+		f.setDelay(way)
 		time.Sleep(5 * time.Second)
 		old := time.Duration(0)
 		for range 2000 {
@@ -201,7 +201,7 @@
 		end()
 		<-done
 		// A question is asked as soon as the last one is answered, waits, and is told of at once.
-		if most := 4*way + narrowWait + 100*time.Millisecond; old > most {
+		if most := 4*way + slowLinkWait + 100*time.Millisecond; old > most {
 			t.Errorf("went by what was %v old, %v at the most is wanted", old, most)
 		}
 	})
@@ -212,16 +212,16 @@
 func TestAStartIsToldOnce(t *testing.T) {
 	start := func(mute string) (bytes int, took time.Duration) {
 		synctest.Test(t, func(t *testing.T) {
-			f := newFar(5*time.Millisecond, "a", "b", "c")
-			f.mute[mute] = true
+			f := newDelayedLine(5*time.Millisecond, "a", "b", "c")
+			f.silent[mute] = true
 			for _, b := range f.controllers {
 				var items []item.Item
 				for i := range 6000 {
-					items = append(items, thing(fmt.Sprintf("%x-%d", xxhash.Sum64String(fmt.Sprint(i)), i), 1))
+					items = append(items, testItem(fmt.Sprintf("%x-%d", xxhash.Sum64String(fmt.Sprint(i)), i), 1))
 				}
-				b.Board.MergeItems(items)
+				b.Replica.MergeItems(items)
 			}
-			s := &Subscriber{Me: Member{ID: "f", Kind: Gateway, Zone: "za", Inc: 1}, Line: f, Clock: clock.Wall{}, Log: log.New(nil), OnNews: func(WatchTold) {}}
+			s := &Subscriber{Me: Member{ID: "f", Kind: Gateway, Zone: "za", Inc: 1}, Line: f, Clock: clock.Wall{}, Log: log.New(nil), OnUpdate: func(WatchTold) {}}
 			s.Init([]string{"a", "b", "c"})
 			ctx, end := context.WithCancel(t.Context())
 			done := make(chan struct{})
@@ -235,7 +235,7 @@
 			f.mu.Lock()
 			bytes = f.bytes
 			f.mu.Unlock()
-			if s.told[1].Inc == 0 {
+			if s.answers[1].Inc == 0 {
 				t.Error("no second controller is followed")
 			}
 			end()
--- a/internal/watch/teller_test.go
+++ b/internal/watch/teller_test.go
@@ -15,29 +15,29 @@
 	"walkrudder/internal/target"
 )
 
-// bench is a teller whose freshness a test sets.
-type bench struct {
-	*Teller
+// testPublisher is a teller whose freshness a test sets.
+type testPublisher struct {
+	*Publisher
 	fresh atomic.Bool
 	epoch atomic.Uint64
 }
 
-func newBench() *bench {
-	b := &bench{}
+func newTestPublisher() *testPublisher {
+	b := &testPublisher{}
 	b.fresh.Store(true)
-	b.Teller = &Teller{Me: func() Member {
+	b.Publisher = &Publisher{Me: func() Member {
 		return Member{ID: "m", Kind: Controller, Inner: "in-m", Zone: "z", Inc: 5, Seat: quorum.Seat{ID: "m", Disk: "d"}}
 	},
-		Board: NewBoard(clock.Wall{}), Clock: clock.Wall{}, Core: func() quorum.Core { return quorum.Core{Epoch: b.epoch.Load()} }, Votes: func() uint64 { return 0 },
-		Fresh: func() (time.Duration, bool) { return 0, b.fresh.Load() }, Others: func() []Member { return nil }, Elsewhere: func() map[string]string { return map[string]string{"f9": "y"} }}
+		Replica: NewReplica(clock.Wall{}), Clock: clock.Wall{}, Core: func() quorum.Core { return quorum.Core{Epoch: b.epoch.Load()} }, VotingEpoch: func() uint64 { return 0 },
+		Fresh: func() (time.Duration, bool) { return 0, b.fresh.Load() }, Others: func() []Member { return nil }, OtherGateways: func() map[string]string { return map[string]string{"f9": "y"} }}
 	return b
 }
 
-var asking = Member{ID: "f", Kind: Gateway, Zone: "z", Inc: 1}
+var testGateway = Member{ID: "f", Kind: Gateway, Zone: "z", Inc: 1}
 
-func (b *bench) ask(t *testing.T, a WatchAsk) WatchTold {
+func (b *testPublisher) ask(t *testing.T, a WatchAsk) WatchTold {
 	t.Helper()
-	r, err := b.watch(t.Context(), a)
+	r, err := b.handleWatch(t.Context(), a)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -46,9 +46,9 @@
 
 func TestAnAskWaitsForNewsAndNoLonger(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench()
-		b.Board.MergeItems([]item.Item{thing("x", 1)})
-		r := b.ask(t, WatchAsk{Me: asking, Sums: make([]uint64, sumsLen)})
+		b := newTestPublisher()
+		b.Replica.MergeItems([]item.Item{testItem("x", 1)})
+		r := b.ask(t, WatchAsk{Me: testGateway, Sums: make([]uint64, sumsLen)})
 		if len(r.Items) != 1 || r.Inc != 5 || r.Me.ID != "m" || len(r.Peers) != 1 || r.Gateways != 2 || r.GatewaysNear != 1 {
 			t.Fatalf("%+v", r)
 		}
@@ -64,9 +64,9 @@
 			t.Errorf("held back until %v", time.Since(begun))
 		}
 		for name, f := range map[string]func(){
-			"an item":   func() { b.Board.MergeItems([]item.Item{thing("x", r.Seen.Items+5)}) },
-			"a run":     func() { b.Board.MergeRuns([]target.Run{someRun("1", 1)}) },
-			"freshness": func() { b.fresh.Store(!b.fresh.Load()); b.Board.Wake() },
+			"an item":   func() { b.Replica.MergeItems([]item.Item{testItem("x", r.Seen.Items+5)}) },
+			"a run":     func() { b.Replica.MergeRuns([]target.Run{testRun("1", 1)}) },
+			"freshness": func() { b.fresh.Store(!b.fresh.Load()); b.Replica.Wake() },
 		} {
 			begun = time.Now()
 			go func() {
@@ -83,8 +83,8 @@
 
 func TestAnotherLifeTellsEverything(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench()
-		b.Board.MergeItems([]item.Item{thing("x", 1), thing("y", 1)})
+		b := newTestPublisher()
+		b.Replica.MergeItems([]item.Item{testItem("x", 1), testItem("y", 1)})
 		none := make([]uint64, sumsLen)
 		for name, a := range map[string]WatchAsk{
 			"never introduced":  {Me: Member{ID: "f", Inc: 1}, Inc: 5},
@@ -93,33 +93,33 @@
 			"another life asks": {Me: Member{ID: "f", Inc: 2}, Inc: 5},
 		} {
 			if name != "never introduced" {
-				b.ask(t, WatchAsk{Me: asking, Sums: none})
+				b.ask(t, WatchAsk{Me: testGateway, Sums: none})
 			}
 			if r := b.ask(t, a); !r.Anew || len(r.Items) > 0 {
 				t.Errorf("%s: %+v", name, r)
 			}
-			a.Me, a.Sums = asking, none
+			a.Me, a.Sums = testGateway, none
 			if r := b.ask(t, a); r.Anew || len(r.Items) != 2 && name != "another life asks" {
 				t.Errorf("%s, introduced: %+v", name, r)
 			}
-			b.askers = nil
+			b.clients = nil
 		}
 	})
 }
 
 func TestGatewaysThatAreGoneAreNotCounted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench()
-		b.ask(t, WatchAsk{Me: asking, Sums: make([]uint64, sumsLen)})
+		b := newTestPublisher()
+		b.ask(t, WatchAsk{Me: testGateway, Sums: make([]uint64, sumsLen)})
 		if n, zones := b.Gateways(); n != 2 || zones["z"] != 1 || zones["y"] != 1 {
 			t.Errorf("%d %v", n, zones)
 		}
-		time.Sleep(gatewayGone + time.Second)
+		time.Sleep(gatewayTimeout + time.Second)
 		if n, zones := b.Gateways(); n != 1 || zones["z"] != 0 {
 			t.Errorf("%d %v", n, zones)
 		}
-		time.Sleep(askerGone)
-		if _, _ = b.Gateways(); len(b.Askers()) != 0 {
+		time.Sleep(clientRetention)
+		if _, _ = b.Gateways(); len(b.Clients()) != 0 {
 			t.Error("an asker is remembered for ever")
 		}
 	})
@@ -128,26 +128,26 @@
 // An asker whose patience ends is not kept waiting, and holds no goroutine.
 func TestAnAskEndsWithItsPatience(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench()
-		b.ask(t, WatchAsk{Me: asking, Sums: make([]uint64, sumsLen)})
+		b := newTestPublisher()
+		b.ask(t, WatchAsk{Me: testGateway, Sums: make([]uint64, sumsLen)})
 		ctx, end := context.WithTimeout(t.Context(), 100*time.Millisecond)
 		defer end()
 		begun := time.Now()
-		if _, err := b.watch(ctx, WatchAsk{Me: Member{ID: "f", Inc: 1}, Inc: 5, Wait: time.Second}); err != nil || time.Since(begun) != 100*time.Millisecond {
+		if _, err := b.handleWatch(ctx, WatchAsk{Me: Member{ID: "f", Inc: 1}, Inc: 5, Wait: time.Second}); err != nil || time.Since(begun) != 100*time.Millisecond {
 			t.Error(err, time.Since(begun))
 		}
 	})
 }
 
-// look reads a follower's notes.
-func look[T any](f *follower, read func(*follower) T) T {
+// locked reads a follower's notes.
+func locked[T any](f *testFollower, read func(*testFollower) T) T {
 	f.Lock()
 	defer f.Unlock()
 	return read(f)
 }
 
-// follower asks again and again, and counts what it is told, and when.
-type follower struct {
+// testFollower asks again and again, and counts what it is told, and when.
+type testFollower struct {
 	sync.Mutex
 	r       WatchTold
 	answers int
@@ -155,12 +155,12 @@
 	runs    map[string]time.Time
 }
 
-func follows(t *testing.T, b *bench, me Member, until time.Duration) *follower {
-	f := &follower{items: map[string]time.Time{}, runs: map[string]time.Time{}}
+func startFollower(t *testing.T, b *testPublisher, me Member, until time.Duration) *testFollower {
+	f := &testFollower{items: map[string]time.Time{}, runs: map[string]time.Time{}}
 	f.r = b.ask(t, WatchAsk{Me: me, Sums: make([]uint64, sumsLen)})
 	go func() {
 		for begun := time.Now(); t.Context().Err() == nil && time.Since(begun) < until; {
-			r, err := b.watch(t.Context(), WatchAsk{Me: Member{ID: me.ID, Inc: me.Inc}, Inc: 5, Seen: f.r.Seen, Wait: time.Second})
+			r, err := b.handleWatch(t.Context(), WatchAsk{Me: Member{ID: me.ID, Inc: me.Inc}, Inc: 5, Seen: f.r.Seen, Wait: time.Second})
 			if err != nil {
 				t.Error(err)
 				return
@@ -178,7 +178,7 @@
 				f.items[i.Name] = time.Now()
 			}
 			for _, x := range r.Runs {
-				f.runs[x.ID+word(x.State)] = time.Now()
+				f.runs[x.ID+stateSuffix(x.State)] = time.Now()
 			}
 			f.Unlock()
 		}
@@ -186,12 +186,12 @@
 	return f
 }
 
-func answered(f *follower) int { return f.answers }
+func answerCount(f *testFollower) int { return f.answers }
 
-func word(s target.State) string { return fmt.Sprintf(" in state %d", s) }
+func stateSuffix(s target.State) string { return fmt.Sprintf(" in state %d", s) }
 
-func leaving(id string, s target.State) target.Run {
-	r := someRun(id, 1)
+func runInState(id string, s target.State) target.Run {
+	r := testRun(id, 1)
 	r.State = s
 	return r
 }
@@ -201,21 +201,23 @@
 func TestNewsAreHeldTogether(t *testing.T) {
 	for name, c := range map[string]struct {
 		kind       string
-		what       func(*bench, int)
+		what       func(*testPublisher, int)
 		each       time.Duration
 		most, held time.Duration
 	}{
-		"runs that appear":                {Gateway, func(b *bench, i int) { b.Board.MergeRuns([]target.Run{someRun(fmt.Sprint(i), 1)}) }, time.Millisecond, holdRest, holdRest},
-		"runs that leave":                 {Gateway, func(b *bench, i int) { b.Board.MergeRuns([]target.Run{leaving(fmt.Sprint(i), target.Draining)}) }, time.Millisecond, holdUrgent, holdUrgent},
-		"items":                           {Gateway, func(b *bench, i int) { b.Board.MergeItems([]item.Item{thing(fmt.Sprint(i), 1)}) }, 10 * time.Millisecond, 0, 0},
-		"items at a controller":           {Controller, func(b *bench, i int) { b.Board.MergeItems([]item.Item{thing(fmt.Sprint(i), 1)}) }, 10 * time.Millisecond, 0, 0},
-		"runs that appear at controllers": {Controller, func(b *bench, i int) { b.Board.MergeRuns([]target.Run{someRun(fmt.Sprint(i), 1)}) }, time.Millisecond, holdController, holdController},
+		"runs that appear": {Gateway, func(b *testPublisher, i int) { b.Replica.MergeRuns([]target.Run{testRun(fmt.Sprint(i), 1)}) }, time.Millisecond, holdNormal, holdNormal},
+		"runs that leave": {Gateway, func(b *testPublisher, i int) {
+			b.Replica.MergeRuns([]target.Run{runInState(fmt.Sprint(i), target.Draining)})
+		}, time.Millisecond, holdUrgent, holdUrgent},
+		"items":                           {Gateway, func(b *testPublisher, i int) { b.Replica.MergeItems([]item.Item{testItem(fmt.Sprint(i), 1)}) }, 10 * time.Millisecond, 0, 0},
+		"items at a controller":           {Controller, func(b *testPublisher, i int) { b.Replica.MergeItems([]item.Item{testItem(fmt.Sprint(i), 1)}) }, 10 * time.Millisecond, 0, 0},
+		"runs that appear at controllers": {Controller, func(b *testPublisher, i int) { b.Replica.MergeRuns([]target.Run{testRun(fmt.Sprint(i), 1)}) }, time.Millisecond, holdController, holdController},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				b := newBench()
-				b.Board.MergeItems([]item.Item{thing("before", 1)})
-				f := follows(t, b, Member{ID: "f", Kind: c.kind, Zone: "z", Inc: 1}, 3*time.Second)
+				b := newTestPublisher()
+				b.Replica.MergeItems([]item.Item{testItem("before", 1)})
+				f := startFollower(t, b, Member{ID: "f", Kind: c.kind, Zone: "z", Inc: 1}, 3*time.Second)
 				time.Sleep(time.Second + 17*time.Millisecond) // a calm
 				const pieces = 1000
 				told := map[string]time.Time{}
@@ -225,12 +227,12 @@
 					told[fmt.Sprint(i)] = time.Now()
 					c.what(b, i)
 					synctest.Wait()
-					if n := look(f, answered); i == 0 && n != 1 {
+					if n := locked(f, answerCount); i == 0 && n != 1 {
 						t.Errorf("the first piece is told in %d answers", n)
 					}
 					time.Sleep(c.each)
 				}
-				time.Sleep(2*time.Second + holdRest)
+				time.Sleep(2*time.Second + holdNormal)
 				synctest.Wait()
 				f.Lock()
 				defer f.Unlock()
@@ -242,7 +244,7 @@
 				for id, at := range told {
 					got, ok := seen[id]
 					for _, s := range []target.State{target.Ready, target.Draining} {
-						if x, has := seen[id+word(s)]; has {
+						if x, has := seen[id+stateSuffix(s)]; has {
 							got, ok = x, true
 						}
 					}
@@ -268,27 +270,27 @@
 // appeared are held for longer; and one who stops or is no longer fresh says so at once.
 func TestALeavingIsNotHeldBehindTheRest(t *testing.T) {
 	for name, c := range map[string]struct {
-		what func(*bench)
+		what func(*testPublisher)
 		most time.Duration
-		told func(*follower) bool
+		told func(*testFollower) bool
 	}{
-		"leaves": {func(b *bench) { b.Board.MergeRuns([]target.Run{leaving("x", target.Ended)}) }, holdUrgent,
-			func(f *follower) bool { return !f.runs["x"+word(target.Ended)].IsZero() }},
-		"item": {func(b *bench) { b.Board.MergeItems([]item.Item{thing("y", 1)}) }, holdUrgent,
-			func(f *follower) bool { return !f.items["y"].IsZero() }},
-		"not fresh": {func(b *bench) { b.fresh.Store(false); b.Board.Wake() }, 0, func(f *follower) bool { return !f.r.Fresh }},
+		"leaves": {func(b *testPublisher) { b.Replica.MergeRuns([]target.Run{runInState("x", target.Ended)}) }, holdUrgent,
+			func(f *testFollower) bool { return !f.runs["x"+stateSuffix(target.Ended)].IsZero() }},
+		"item": {func(b *testPublisher) { b.Replica.MergeItems([]item.Item{testItem("y", 1)}) }, holdUrgent,
+			func(f *testFollower) bool { return !f.items["y"].IsZero() }},
+		"not fresh": {func(b *testPublisher) { b.fresh.Store(false); b.Replica.Wake() }, 0, func(f *testFollower) bool { return !f.r.Fresh }},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				b := newBench()
-				b.Board.MergeItems([]item.Item{thing("before", 1)})
-				f := follows(t, b, asking, 2*time.Second)
+				b := newTestPublisher()
+				b.Replica.MergeItems([]item.Item{testItem("before", 1)})
+				f := startFollower(t, b, testGateway, 2*time.Second)
 				time.Sleep(500 * time.Millisecond)
 				for i := range 2 {
-					b.Board.MergeRuns([]target.Run{someRun(fmt.Sprint(i), 1)})
+					b.Replica.MergeRuns([]target.Run{testRun(fmt.Sprint(i), 1)})
 					synctest.Wait()
 				}
-				if n := look(f, answered); n != 1 {
+				if n := locked(f, answerCount); n != 1 {
 					t.Fatalf("%d answers: the second piece is not held", n)
 				}
 				time.Sleep(20 * time.Millisecond)
@@ -297,7 +299,7 @@
 					time.Sleep(c.most)
 				}
 				synctest.Wait()
-				if !look(f, c.told) {
+				if !locked(f, c.told) {
 					t.Errorf("not told after %v", c.most)
 				}
 				time.Sleep(3 * time.Second)
--- a/internal/watch/types.go
+++ b/internal/watch/types.go
@@ -33,8 +33,8 @@
 	Age time.Duration
 }
 
-// noEpoch is past every epoch.
-const noEpoch = math.MaxUint64
+// maxEpoch is past every epoch.
+const maxEpoch = math.MaxUint64
 
 // Cursor is how far an asker has heard one life of a teller out.
 type Cursor struct{ Items, Runs, Peers uint64 }
--- a/tools/hollow/controllers.go
+++ b/tools/hollow/controllers.go
@@ -147,7 +147,7 @@
 // beatHandler takes the beats in.
 func beatHandler(n *control.Node, beats *atomic.Int64) fasthttp.RequestHandler {
 	return func(x *fasthttp.RequestCtx) {
-		var b target.Beat
+		var b target.Heartbeat
 		if err := json.Unmarshal(x.PostBody(), &b); err != nil {
 			x.SetStatusCode(http.StatusBadRequest)
 			return
--- a/tools/hollow/gateways.go
+++ b/tools/hollow/gateways.go
@@ -75,7 +75,7 @@
 		line := link.NewTCP(link.Who{ID: id, Kind: watch.Gateway}, ip(a.Net, gatewayNet, a.Zone)+":0", quiet())
 		way := &Way{Line: line, Delay: ways(a.Zone)}
 		sub := &watch.Subscriber{Me: watch.Member{ID: id, Kind: watch.Gateway, Zone: zoneName(a.Zone), Inc: rand.Uint64() | 1}, Line: way, Clock: clock.Wall{}, Log: quiet()}
-		sub.OnNews = func(t watch.WatchTold) {
+		sub.OnUpdate = func(t watch.WatchTold) {
 			s.count(t)
 			for _, x := range t.Items {
 				if x.Name == routeName(0) {
--- a/tools/hollow/targets.go
+++ b/tools/hollow/targets.go
@@ -39,13 +39,13 @@
 	to           string
 }
 
-func (x *hollowTarget) beat(services int) target.Beat {
-	return target.Beat{ID: fmt.Sprintf("i-%d-%05d-%d", x.zone, x.n, x.run), Service: serviceName(x.n % services),
+func (x *hollowTarget) beat(services int) target.Heartbeat {
+	return target.Heartbeat{ID: fmt.Sprintf("i-%d-%05d-%d", x.zone, x.n, x.run), Service: serviceName(x.n % services),
 		Addr: fmt.Sprintf("10.%d.%d.%d:8080", x.zone, x.n/250, x.n%250+1), Zone: zoneName(x.zone), Version: "v1", Slots: 3, Seq: x.seq}
 }
 
 // send makes one call over the target's kept connection.
-func (x *hollowTarget) send(from, method string, b target.Beat) (told beatTold, err error) {
+func (x *hollowTarget) send(from, method string, b target.Heartbeat) (told beatTold, err error) {
 	const limit = time.Second
 	if x.c == nil {
 		d := net.Dialer{Timeout: limit, LocalAddr: &net.TCPAddr{IP: net.ParseIP(from)}}
@@ -99,7 +99,7 @@
 	took := map[string][]int64{}
 	counts := map[string]int64{}
 	replace := make(chan struct{}, 4096)
-	call := func(x *hollowTarget, what, method string, b target.Beat) error {
+	call := func(x *hollowTarget, what, method string, b target.Heartbeat) error {
 		ip, _, _ := net.SplitHostPort(x.to)
 		begun := time.Now()
 		var told beatTold
@@ -184,7 +184,7 @@
 func ipOf(a *TargetsArgs) string { return ip(a.Net, targetNet, a.Zone) }
 
 // replace ends a run as planned, and begins the next.
-func (a *TargetsArgs) replace(ctx context.Context, x *hollowTarget, call func(*hollowTarget, string, string, target.Beat) error) {
+func (a *TargetsArgs) replace(ctx context.Context, x *hollowTarget, call func(*hollowTarget, string, string, target.Heartbeat) error) {
 	x.seq++
 	b := x.beat(a.Services)
 	b.Draining = true
