--- a/internal/item/item.go
+++ b/internal/item/item.go
@@ -1,6 +1,6 @@
-// Package item holds the shared state as items, each with a version of its own:
-// the highest version of a name stands, whether set or dropped, and copies merge
-// item by item in any order (design 20).
+// Package item holds the shared state as independently versioned items. For each key the
+// highest version wins, whether it sets or deletes the item, and replicas merge item by
+// item in any order (design 20).
 package item
 
 import (
@@ -10,38 +10,39 @@
 	"encoding/hex"
 )
 
-// Kind says what an item holds.
+// Kind is the type of an item.
 type Kind uint8
 
-// The kinds of items.
+// The item kinds.
 const (
 	Route Kind = iota + 1
 	Service
 	Limits
-	// Departure is the leaving of a target's run: its version is the run's state, which only
-	// rises. It is kept at the voters like other items, and is no part of the configuration.
+	// Departure records that a target's run is leaving. Its version is the run's state, which
+	// only increases. The voters store it like any other item, but it is not part of the
+	// configuration.
 	Departure
-	// Upgrade is the move of a service's requests to targets of another version, named by the service. It is no part of
-	// the configuration.
+	// Upgrade is a rolling upgrade that moves a service's requests to targets of another version.
+	// It is keyed by the service name and is not part of the configuration.
 	Upgrade
 )
 
-// Key names one item.
+// Key identifies an item.
 type Key struct {
 	Kind Kind
 	Name string
 }
 
-// Item is one version of one item. A dropped item is kept as Gone, a tombstone, so that
-// an older version that comes late does not bring it back.
+// Item is one version of an item. A deleted item is kept as a tombstone, marked Gone, so
+// that an older version that arrives late does not restore it.
 type Item struct {
 	Key
 	Version uint64
 	Gone    bool
-	Body    []byte // what stands, encoded by its owner; nil where Gone
+	Body    []byte // encoded by the owner of the kind; nil if Gone
 }
 
-// Digest tells two contents of one version apart.
+// Digest distinguishes two contents that have the same version.
 func (i Item) Digest() string {
 	if i.Gone {
 		return ""
@@ -50,19 +51,20 @@
 	return hex.EncodeToString(s[:8])
 }
 
-// Equal tells whether two copies are of one version and one content.
+// Equal reports whether two copies have the same key, version and content.
 func (i Item) Equal(o Item) bool {
 	return i.Key == o.Key && i.Version == o.Version && i.Gone == o.Gone && (i.Gone || bytes.Equal(i.Body, o.Body))
 }
 
-// Compare orders two copies of an item: by version, and where two operators gave
-// one version to two contents at once, by content, so that all copies end alike.
+// Compare orders two copies of an item by version. If two operators assigned the same
+// version to different contents concurrently, the content digest decides, so that all
+// replicas converge.
 func (i Item) Compare(o Item) int {
 	if c := cmp.Compare(i.Version, o.Version); c != 0 {
 		return c
 	}
 	if i.Gone == o.Gone && bytes.Equal(i.Body, o.Body) {
-		return 0 // the common case, as every node hears of an item from several others
+		return 0 // the common case, since every node receives an item from several others
 	}
 	return cmp.Compare(i.Digest(), o.Digest())
 }
--- a/internal/item/set.go
+++ b/internal/item/set.go
@@ -5,25 +5,25 @@
 	"slices"
 )
 
-// logSlack is how many overtaken changes a small set's log may hold before it is
+// logSlack is how many superseded changes the log of a small set may hold before it is
 // compacted.
 const logSlack = 64
 
-// Set holds the newest copy of every item, and the order in which they came. Dropped
-// items stay as tombstones for good: nobody can know how late an older copy may come.
-// It is not for concurrent use; its owner guards it.
+// Set holds the newest copy of every item and the order in which the copies arrived.
+// Tombstones are never removed, because there is no bound on how late an older copy may
+// arrive. A Set is not safe for concurrent use; its owner must guard it.
 type Set struct {
 	entries map[Key]*entry
-	// log names the changes in order. A change that a later one of its item overtook
-	// stays until the log is twice as long as the set, so memory follows the number of
-	// items, and a change costs the same on average however large the set is.
+	// log lists the changes in order. A change that was superseded by a later one of the
+	// same item stays until the log is twice as long as the set, so memory is proportional
+	// to the number of items, and a change has constant amortized cost.
 	log []change
 	seq uint64
 }
 
 type entry struct {
 	Item
-	seq uint64 // of its last change
+	seq uint64 // sequence number of its last change
 }
 
 type change struct {
@@ -33,11 +33,11 @@
 
 func (c change) superseded() bool { return c.entry.seq != c.seq }
 
-// NewSet makes an empty set.
+// NewSet returns an empty set.
 func NewSet() *Set { return &Set{entries: map[Key]*entry{}} }
 
-// Merge takes a copy in and tells whether it was news. Bodies are shared, not copied:
-// nobody may write to them.
+// Merge adds a copy and reports whether it was newer than the stored one. Bodies are
+// shared, not copied, and must not be modified.
 func (s *Set) Merge(i Item) bool {
 	if i.Gone {
 		i.Body = nil
@@ -54,7 +54,7 @@
 	h.Item, h.seq = i, s.seq
 	s.log = append(s.log, change{s.seq, h})
 	if len(s.log) > 2*len(s.entries)+logSlack {
-		// A fresh log, for All may be walking through the old one.
+		// A new slice, because All may be iterating over the old one.
 		log := make([]change, 0, len(s.entries)+logSlack)
 		for _, c := range s.log {
 			if !c.superseded() {
@@ -66,7 +66,7 @@
 	return true
 }
 
-// Get returns the newest copy of an item, also of a dropped one.
+// Get returns the newest copy of an item, which may be a tombstone.
 func (s *Set) Get(k Key) (Item, bool) {
 	h := s.entries[k]
 	if h == nil {
@@ -75,13 +75,13 @@
 	return h.Item, true
 }
 
-// Len is the number of items, dropped ones too.
+// Len returns the number of items, tombstones included.
 func (s *Set) Len() int { return len(s.entries) }
 
-// Seq is the number of the last change.
+// Seq returns the sequence number of the last change.
 func (s *Set) Seq() uint64 { return s.seq }
 
-// All walks through the newest copies in order of their last change, dropped ones too.
+// All iterates over the newest copies in order of their last change, tombstones included.
 func (s *Set) All() iter.Seq[Item] {
 	return func(yield func(Item) bool) {
 		for _, c := range s.log {
@@ -92,14 +92,14 @@
 	}
 }
 
-// itemOverhead is roughly what an item takes besides its name and body when it is sent.
+// itemOverhead is the approximate encoded size of an item apart from its name and body.
 const itemOverhead = 16
 
-// Since returns what changed after seq, in order of change, each item once with its
-// newest content. The next look goes on at upTo; more says that there is more already.
-// A look takes at most maxItems and maxBytes, but always one item, so that it gets on; 0
-// is no bound. Whoever asks from a number that this set never gave was told by another
-// one, and hears everything.
+// Since returns the items that changed after seq, in order of change, each item once with
+// its newest content. The next call continues at upTo; more reports that further changes
+// are already available. A call returns at most maxItems items and maxBytes bytes (0 means
+// unlimited), but always at least one item, so that it makes progress. A seq that this set
+// never issued comes from another set, and everything is returned.
 func (s *Set) Since(seq uint64, maxItems, maxBytes int) (items []Item, upTo uint64, more bool) {
 	if seq > s.seq {
 		seq = 0
--- a/internal/target/beat.go
+++ b/internal/target/beat.go
@@ -2,7 +2,7 @@
 
 import "walkrudder/internal/steperr"
 
-// Check refuses a beat that says too little, or more than a table takes.
+// Check rejects a heartbeat that lacks a required field or exceeds the limits of a table.
 func (b Heartbeat) Check() error {
 	for _, f := range []struct{ name, text string }{{"id", b.ID}, {"service", b.Service}, {"address", b.Addr}} {
 		if f.text == "" {
--- a/internal/target/heard.go
+++ b/internal/target/heard.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// LastHeard tells when this node received a run's newest beat itself, and when it heard of
-// the run at all: both are zero where it never did.
+// LastHeard returns when this node itself received a run's newest heartbeat, and when it
+// last received any information about the run. A time is zero if that never happened.
 func (t *Table) LastHeard(id string) (beat, last time.Time) {
 	e := t.runs[id]
 	if e == nil {
--- a/internal/target/record.go
+++ b/internal/target/record.go
@@ -6,15 +6,15 @@
 	"walkrudder/internal/steperr"
 )
 
-// The first byte of a record. firstForm is that of releases that did not note the version of a target's software;
-// a later form than recordForm is not taken for one of these.
+// The first byte of a record is its format. recordFormatV1 is from releases that did not record the
+// version of a target's software. Formats later than recordFormat are rejected.
 const (
 	recordFormatV1 = 1
 	recordFormat   = 2
 )
 
-// Record is a run in the form in which a controller notes it for its next life. How much
-// longer it is slow is left out: nobody knows how long that life is off.
+// Record encodes a run as a controller stores it for use after a restart. Cold is left out,
+// because it is unknown how long the process will be down.
 func (r Run) Record() []byte {
 	b := []byte{recordFormat, byte(r.State)}
 	for _, s := range []string{r.ID, r.Service, r.Addr, r.Zone, r.Version} {
@@ -26,7 +26,7 @@
 	return b
 }
 
-// ReadRecord reads what Record wrote, as a run that is recalled.
+// ReadRecord decodes the output of Record. The run is marked as recalled.
 func ReadRecord(b []byte) (Run, error) {
 	errInvalid := steperr.New("read record", "", "not the record of a run")
 	if len(b) < 2 || b[0] != recordFormatV1 && b[0] != recordFormat {
--- a/internal/target/run.go
+++ b/internal/target/run.go
@@ -1,52 +1,54 @@
-// Package target holds what is known of the targets: one run for each start of one,
-// merged from beats that may reach any control-plane node (design 22).
+// Package target holds what is known about the targets: one run for each start of a
+// target, merged from heartbeats that any control-plane node may receive (design 22).
 package target
 
 import "time"
 
-// Heartbeat is what a target says of itself.
+// Heartbeat is what a target reports about itself.
 type Heartbeat struct {
-	ID       string // of this run; every start has another
+	ID       string // of this run; every start has a different one
 	Service  string
 	Addr     string // IP:port
 	Zone     string
-	Version  string // of its software
+	Version  string // of the target's software
 	Slots    int
 	Draining bool
-	Seq      uint64        // rises with each beat of a run
-	Cold     time.Duration // how much longer it is slow from its start
+	Seq      uint64        // increases with each heartbeat of a run
+	Cold     time.Duration // remaining time of slow operation after its start
 }
 
-// State of a run. It only rises: a run that drains or ended takes no new work again.
+// State is the state of a run. It only increases: a run that is draining or ended never
+// accepts new work again.
 type State uint8
 
-// The states of a run.
+// The run states.
 const (
 	Ready State = iota + 1
 	Draining
 	Ended
 )
 
-// Run is what all nodes keep of one run.
+// Run is the replicated state of one run.
 type Run struct {
 	ID      string
 	Service string
 	Addr    string
 	Zone    string
-	Version string // of its software
+	Version string // of the target's software
 	Slots   int
 	State   State
-	// Seq is the largest beat known; only material news carries it on.
+	// Seq is the largest known heartbeat number. It is only replicated with a material change.
 	Seq uint64
-	// Silent is the beat after which a home suspects the run; it is suspected while
-	// Silent >= Seq and Silent > 0.
+	// Silent is the heartbeat number after which a node suspected the run. The run is
+	// suspected while Silent >= Seq and Silent > 0.
 	Silent uint64
-	// Cold is how much longer the run is slow, as of when it was told.
+	// Cold is the remaining time of slow operation when this copy was sent.
 	Cold time.Duration
-	// Recalled says that the run is only known from what a controller noted in an earlier life:
-	// none has heard a beat of it since. One copy that is not recalled ends that for all.
+	// Recalled means that the run is only known from the record that a controller stored before
+	// a restart, and no controller has received a heartbeat since. Merging one copy that is
+	// not recalled clears it everywhere.
 	Recalled bool
 }
 
-// Suspected tells whether the control plane holds the run for silent.
+// Suspected reports whether the control plane considers the run silent.
 func (r Run) Suspected() bool { return r.Silent > 0 && r.Silent >= r.Seq }
--- a/internal/target/table.go
+++ b/internal/target/table.go
@@ -12,58 +12,60 @@
 )
 
 const (
-	// MaxRuns bounds a table.
+	// MaxRuns is the maximum number of runs in a table.
 	MaxRuns = 16384
 	// inactiveRetention is how long a run that ended, or that stayed suspected, is
-	// remembered, so that no late beat brings it back.
+	// kept, so that a late heartbeat does not restore it.
 	inactiveRetention = 5 * time.Minute
-	// lostAfter is how long a run is suspected before it counts as lost for good.
+	// lostAfter is how long a run must be suspected before it counts as lost.
 	lostAfter = 60 * time.Second
-	// ReannounceInterval is how often a node tells of the runs whose beats it receives,
-	// though nothing changed: it shows the others that somebody still hears them.
+	// ReannounceInterval is how often a node announces the runs whose heartbeats it
+	// receives, even without a change. This shows the others that a node still hears them.
 	ReannounceInterval = 60 * time.Second
-	// suspectUnheardAfter is how long a run may go untold before it is suspected: the node
-	// that heard its beats was lost together with it.
+	// suspectUnheardAfter is how long a run may go unannounced before it is suspected: the
+	// node that received its heartbeats was lost together with the run.
 	suspectUnheardAfter = 3 * ReannounceInterval
-	// moveReportInterval bounds how often a run that beats at changing nodes is news.
+	// moveReportInterval limits how often a run whose heartbeats alternate between nodes
+	// counts as a change.
 	moveReportInterval = 2 * time.Second
-	// Buckets is the number of sums by which two tables are compared.
+	// Buckets is the number of checksums by which two tables are compared.
 	Buckets = 16
-	// logSlack is how many overtaken changes a small table's log may hold.
+	// logSlack is how many superseded changes the log of a small table may hold.
 	logSlack = 64
-	// maxStringLen bounds the strings of a run.
+	// maxStringLen limits the length of each string of a run.
 	maxStringLen = 256
-	// maxSlots bounds the slots of a run that is read from a record.
+	// maxSlots limits the slots of a run that is read from a record.
 	maxSlots = 1 << 20
 )
 
-// Table holds what is known of every run. Copies merge by a rule that does not look at
-// the order in which they come: the state, the largest beat and the largest beat
-// followed by silence only rise. It is not for concurrent use; its owner guards it.
+// Table holds what is known about every run. The merge rule is independent of the order in
+// which copies arrive: the state, the largest heartbeat number, and the largest heartbeat
+// number followed by silence only increase. A Table is not safe for concurrent use; its
+// owner must guard it.
 type Table struct {
 	runs          map[string]*entry
-	byAddr        map[string][]*entry // by address, in order of first sight
+	byAddr        map[string][]*entry // by address, in the order in which this table first saw them
 	log           []change
 	seq           uint64
 	sums          [Buckets]uint64
-	reannouncedAt time.Time // when the own runs were last told again
-	// settled says that whatever lives is known here.
+	reannouncedAt time.Time // when the runs heard by this node were last announced again
+	// complete means that every live run is known to this table.
 	complete bool
 }
 
 type entry struct {
 	Run
-	seq  uint64 // of its last change; 0 once it is forgotten
-	hash uint64 // its part of the sums
-	// told is when its last change was noted here, heard when anything was.
+	seq  uint64 // sequence number of its last change; 0 once the run is removed
+	hash uint64 // its contribution to the checksums
+	// changedAt is when its last change was recorded here, heardAt when any copy arrived.
 	changedAt, heardAt time.Time
 	inactiveSince      time.Time // when it ended or was suspected
-	warmAt             time.Time // until when it is slow
-	// own is the largest beat that this node received itself, at ownAt; 0 is none.
+	warmAt             time.Time // when its slow operation after the start is over
+	// ownSeq is the largest heartbeat that this node received itself, at ownSeqAt; 0 is none.
 	ownSeq   uint64
 	ownSeqAt time.Time
-	// movedAt is when it was last told that the run beats here now; owed says that it has
-	// moved here again and that this is still to be told.
+	// moveReportedAt is when this node last reported that the run's heartbeats arrive here.
+	// movePending means that the run moved here again and that this is not reported yet.
 	moveReportedAt time.Time
 	movePending    bool
 }
@@ -73,16 +75,17 @@
 	entry *entry
 }
 
-// NewTable makes an empty table.
+// NewTable returns an empty table.
 func NewTable() *Table { return &Table{runs: map[string]*entry{}, byAddr: map[string][]*entry{}} }
 
-// valid refuses what no beat and no table can hold.
+// valid reports whether a run is within the limits of a heartbeat and a table.
 func (r Run) valid() bool {
 	return r.ID != "" && len(r.ID) <= maxStringLen && len(r.Service) <= maxStringLen && len(r.Addr) <= maxStringLen && len(r.Zone) <= maxStringLen && len(r.Version) <= maxStringLen &&
 		r.State >= Ready && r.State <= Ended
 }
 
-// compareLocation orders two copies of a run by what a beat says of where it stands; 0 is the same.
+// compareLocation orders two copies of a run by the location, version and slots of their
+// heartbeats; 0 means equal.
 func compareLocation(a, b *Run) int {
 	return cmp.Or(cmp.Compare(a.Addr, b.Addr), cmp.Compare(a.Service, b.Service), cmp.Compare(a.Zone, b.Zone), cmp.Compare(a.Version, b.Version), cmp.Compare(a.Slots, b.Slots))
 }
@@ -90,7 +93,7 @@
 // mergeRuns merges two copies of one run.
 func mergeRuns(a, b Run) Run {
 	out := a
-	// A run that is only known by its end has no place.
+	// A run of which only the end is known has no address.
 	if b.Addr != "" && (a.Addr == "" || b.Seq > a.Seq || b.Seq == a.Seq && compareLocation(&b, &a) > 0) {
 		out = b
 	}
@@ -99,8 +102,8 @@
 	return out
 }
 
-// Sum is the hash of what is material in a run: two nodes with equal sums need not
-// tell each other anything. The ordinary beat is no part of it.
+// Sum returns the hash of the material fields of a run. Two nodes with equal sums need not
+// exchange anything. The heartbeat number is not included.
 func (r Run) Sum() uint64 {
 	var b [512]byte
 	p := b[:0]
@@ -113,19 +116,19 @@
 	return xxhash.Sum64(p)
 }
 
-// Bucket tells in which of the sums a run's part stands.
+// Bucket returns the index of the checksum to which a run contributes.
 func Bucket(id string) int { return int(xxhash.Sum64String(id) % Buckets) }
 
-// Sums are the sums of all runs' hashes, by bucket.
+// Sums returns the sums of the runs' hashes by bucket.
 func (t *Table) Sums() [Buckets]uint64 { return t.sums }
 
-// Len is the number of runs.
+// Len returns the number of runs.
 func (t *Table) Len() int { return len(t.runs) }
 
-// Seq is the number of the last change.
+// Seq returns the sequence number of the last change.
 func (t *Table) Seq() uint64 { return t.seq }
 
-// Merge takes a copy in and tells whether it was material news.
+// Merge merges a copy and reports whether that was a material change.
 func (t *Table) Merge(r Run, now time.Time) bool {
 	if !r.valid() {
 		return false
@@ -133,7 +136,7 @@
 	e := t.runs[r.ID]
 	if e == nil {
 		if t.complete && r.Recalled && r.State < Ended {
-			// It would be known here if it lived.
+			// A live run would be known here already.
 			return false
 		}
 		if e = t.add(r, now); e == nil {
@@ -149,7 +152,7 @@
 	return t.update(e, mergeRuns(e.Run, r), now)
 }
 
-// add makes room for a new run: the one that has been over for longest goes.
+// add inserts a new run. If the table is full, the run that has been inactive longest is evicted.
 func (t *Table) add(r Run, now time.Time) *entry {
 	if len(t.runs) >= MaxRuns {
 		oldest := lo.MinBy(lo.Filter(lo.Values(t.runs), func(e *entry, _ int) bool { return !e.inactiveSince.IsZero() }),
@@ -189,7 +192,7 @@
 	e.seq = 0
 }
 
-// update replaces a run's copy and tells whether that is material news.
+// update replaces a run's copy and reports whether that is a material change.
 func (t *Table) update(e *entry, r Run, now time.Time) bool {
 	was, wasInactive := e.Run, e.State == Ended || e.Suspected()
 	if r.Addr != e.Addr {
@@ -211,7 +214,7 @@
 	return true
 }
 
-// recordChange notes a change to be told.
+// recordChange updates the checksums and appends the change to the log.
 func (t *Table) recordChange(e *entry, now time.Time) {
 	b := Bucket(e.ID)
 	t.sums[b] -= e.hash
@@ -225,8 +228,8 @@
 	}
 }
 
-// ReceiveHeartbeat takes in a beat that this node received itself. moved says that the run was
-// heard by another node until now, or by none.
+// ReceiveHeartbeat merges a heartbeat that this node received itself. moved reports that
+// the run's previous heartbeat went to another node, or that there was none.
 func (t *Table) ReceiveHeartbeat(b Heartbeat, quiet time.Duration, now time.Time) (r Run, changed, moved bool) {
 	in := Run{ID: b.ID, Service: b.Service, Addr: b.Addr, Zone: b.Zone, Version: b.Version, Slots: b.Slots, Seq: b.Seq, Cold: b.Cold,
 		State: lo.Ternary(b.Draining, Draining, Ready)}
@@ -238,9 +241,9 @@
 		return in, false, false
 	}
 	moved = before == nil || elsewhere || e.ownSeq == 0
-	// The node that heard it before is to know that it need not judge it any more: at
-	// once, or after a move right before this one with a later beat. It must not be left
-	// out: to that node the run is silent.
+	// The node that received its heartbeats before must learn that it no longer has to
+	// monitor the run: at once, or, if another move was reported just before, with a later
+	// heartbeat. The report must not be skipped, because to that node the run is silent.
 	e.movePending = e.movePending || elsewhere && !changed
 	if e.movePending && now.Sub(e.moveReportedAt) >= moveReportInterval {
 		t.recordChange(e, now)
@@ -255,10 +258,10 @@
 	return t.snapshot(e, now), changed, moved
 }
 
-// supersedeOlder ends the older runs at the address of a run first seen now. Only the node that
-// heard an older run itself can know that it has been silent for long enough to be
-// gone; of any other this node can only say that the beats known here are the last,
-// which the next beat proves wrong.
+// supersedeOlder ends the older runs at the address of a run seen for the first time. Only
+// the node that received an older run's heartbeats itself can know that it has been silent
+// for long enough to be gone. Any other run is only suspected after the last heartbeat
+// known here, which its next heartbeat disproves.
 func (t *Table) supersedeOlder(e *entry, quiet time.Duration, now time.Time) (changed bool) {
 	for _, o := range t.byAddr[e.Addr] {
 		switch {
@@ -274,8 +277,8 @@
 	return changed
 }
 
-// EndSuperseded ends the runs that this node heard itself until they fell silent for quiet and
-// whose address another, later run has taken over since.
+// EndSuperseded ends the runs whose newest heartbeat this node received itself, that have
+// been silent for longer than quiet, and whose address a later run has taken over.
 func (t *Table) EndSuperseded(quiet time.Duration, now time.Time) (changed bool) {
 	for _, l := range t.byAddr {
 		if len(l) < 2 {
@@ -303,13 +306,13 @@
 	return t.update(e, r, now)
 }
 
-// Suspect notes that a run is suspected after its largest beat known here.
+// Suspect records that a run is suspected after the largest heartbeat known here.
 func (t *Table) Suspect(id string, now time.Time) bool {
 	e := t.runs[id]
 	return e != nil && t.suspect(e, now)
 }
 
-// MarkEnded notes that a run has ended, also one that was never heard of.
+// MarkEnded records that a run has ended, even if the run was unknown.
 func (t *Table) MarkEnded(id string, now time.Time) (r Run, changed bool) {
 	r, ok := t.Get(id, now)
 	if !ok {
@@ -320,9 +323,9 @@
 	return r, changed
 }
 
-// MarkComplete notes that whatever lives is known here by now: recalled runs of which no beat
-// came are suspected, and no more of them are taken in. Ending them would go too far:
-// one whose beats only were held up is cleared by its next.
+// MarkComplete records that every live run is known here by now. Recalled runs without a
+// heartbeat are suspected, and no further ones are accepted. They are not ended, because a
+// run whose heartbeats were only delayed is cleared by its next one.
 func (t *Table) MarkComplete(now time.Time) (changed bool) {
 	if t.complete {
 		return false
@@ -336,10 +339,10 @@
 	return changed
 }
 
-// Complete tells whether whatever lives is known here.
+// Complete reports whether every live run is known here.
 func (t *Table) Complete() bool { return t.complete }
 
-// RemoveExpired drops the runs that have been over, or suspected, for long.
+// RemoveExpired removes the runs that have been inactive for longer than inactiveRetention.
 func (t *Table) RemoveExpired(now time.Time) {
 	for _, e := range t.runs {
 		if !e.inactiveSince.IsZero() && now.Sub(e.inactiveSince) > inactiveRetention {
@@ -348,8 +351,8 @@
 	}
 }
 
-// Maintain forgets what is over, suspects what nobody tells of any more, and tells again of
-// the runs heard here. It tells whether there is news.
+// Maintain removes expired runs, suspects runs that no node announces any more, and announces
+// the runs heard here again. It reports whether anything changed.
 func (t *Table) Maintain(now time.Time) (changed bool) {
 	reannounce := now.Sub(t.reannouncedAt) >= ReannounceInterval
 	if reannounce {
@@ -371,15 +374,15 @@
 	return changed
 }
 
-// Lost tells whether a run has been over, or suspected, for so long that it no longer
-// counts among its service's.
+// Lost reports whether a run is unknown, ended, or suspected for so long that it no longer counts among
+// the runs of its service.
 func (t *Table) Lost(id string, now time.Time) bool {
 	e := t.runs[id]
 	return e == nil || e.State == Ended || !e.inactiveSince.IsZero() && now.Sub(e.inactiveSince) > lostAfter
 }
 
-// OwnSeq is the largest beat of a run that this node received itself, and whether that
-// is the largest that any node is known to have received.
+// OwnSeq returns the largest heartbeat of a run that this node received itself, and whether
+// that is the largest that any node is known to have received.
 func (t *Table) OwnSeq(id string) (seq uint64, newest bool) {
 	e := t.runs[id]
 	if e == nil {
@@ -388,14 +391,14 @@
 	return e.ownSeq, e.ownSeq > 0 && e.ownSeq >= e.Seq
 }
 
-// snapshot is a run as it is told now.
+// snapshot returns a run with its Cold as of now.
 func (t *Table) snapshot(e *entry, now time.Time) Run {
 	r := e.Run
 	r.Cold = max(0, e.warmAt.Sub(now))
 	return r
 }
 
-// Get returns a run.
+// Get returns a run with its Cold as of now.
 func (t *Table) Get(id string, now time.Time) (Run, bool) {
 	e := t.runs[id]
 	if e == nil {
@@ -404,7 +407,7 @@
 	return t.snapshot(e, now), true
 }
 
-// All walks through all runs, in no order.
+// All iterates over all runs in unspecified order.
 func (t *Table) All(now time.Time) iter.Seq[Run] {
 	return func(yield func(Run) bool) {
 		for _, e := range t.runs {
@@ -415,11 +418,11 @@
 	}
 }
 
-// runOverhead is roughly what a run takes besides its strings when it is sent.
+// runOverhead is the approximate encoded size of a run apart from its strings.
 const runOverhead = 24
 
-// Since returns what changed after seq, in order of change, each run once. The next
-// look goes on at upTo; more says that there is more already.
+// Since returns the runs that changed after seq, in order of change, each run once. The
+// next call continues at upTo; more reports that further changes are already available.
 func (t *Table) Since(seq uint64, maxRuns, maxBytes int, now time.Time) (runs []Run, upTo uint64, more bool) {
 	if seq > t.seq {
 		seq = 0
--- a/internal/target/watch.go
+++ b/internal/target/watch.go
@@ -9,37 +9,39 @@
 )
 
 const (
-	// SuspicionThreshold is the suspicion from which a run counts as silent.
+	// SuspicionThreshold is the suspicion level from which a run counts as silent.
 	SuspicionThreshold = 0.99
-	// moveGraceBeats is how many beats' time a run is not judged after it moved here: the node
-	// that it left may take it back, and each such move costs a beat.
+	// moveGraceBeats is the number of heartbeat intervals for which a run is not judged after
+	// it moved here: the run may return to the node that it left, and each such move costs a heartbeat.
 	moveGraceBeats = 3
-	// pauseGrace is how long nobody is judged after this process stood still: what came in
-	// meanwhile, here or elsewhere, is still to be read.
+	// pauseGrace is how long no run is judged after this process was paused: heartbeats that
+	// arrived meanwhile, here or at other nodes, are still to be processed.
 	pauseGrace = time.Second
 )
 
-// Monitor is a control node's detector: one Weibull accrual detector for each run whose
-// beats this node receives itself (docs/detector.md). Nodes need not agree: a run is
-// judged only where its newest beat came in, for everywhere else its silence shows
-// nothing; and a beat newer than the one it was suspected after, at whatever node,
-// clears it for all. It is guarded by the owner of the table.
+// Monitor is a control-plane node's failure detector. It has one Weibull accrual detector
+// for each run whose heartbeats this node receives itself (docs/detector.md). Nodes need
+// not agree: a run is judged only by the node that received its newest heartbeat, because
+// silence at any other node proves nothing. A heartbeat newer than the one after which the
+// run was suspected, at whichever node, clears the suspicion for all. A Monitor is guarded
+// by the owner of the table.
 type Monitor struct {
-	HeartbeatInterval time.Duration // between a run's beats
+	HeartbeatInterval time.Duration // between two heartbeats of a run
 	Pauses            *liveness.Pauses
 
 	detectors      map[string]*runDetector
-	pausedTotal    time.Duration // own pauses at the last look
-	suspendedUntil time.Time     // no judgement before
+	pausedTotal    time.Duration // total pauses of this process at the last evaluation
+	suspendedUntil time.Time     // no run is judged before
 }
 
 type runDetector struct {
 	*liveness.Detector
-	suspendedUntil time.Time // not judged before
+	suspendedUntil time.Time // the run is not judged before
 }
 
-// Observe takes in a beat that this node received itself; moved says that others heard
-// the run in the meantime, so that the gap before this beat shows nothing.
+// Observe records a heartbeat that this node received itself. moved means that other nodes
+// received the run's heartbeats in the meantime, so that the gap before this one proves
+// nothing.
 func (w *Monitor) Observe(id string, seq uint64, moved bool, now time.Time) {
 	if w.detectors == nil {
 		w.detectors = map[string]*runDetector{}
@@ -60,9 +62,9 @@
 	d.Arrive(seq, now)
 }
 
-// Evaluate marks the runs that have been silent for too long, with a fresh suspicion for
-// each. At most half of a service's runs are held for silent by one node: beyond that
-// the fault is more likely here. It tells whether there is news.
+// Evaluate marks the runs that have been silent for too long, each judged by its current
+// suspicion level. One node suspects at most half of a service's runs: beyond that, the
+// fault is more likely on this node. It reports whether anything changed.
 func (w *Monitor) Evaluate(t *Table, now time.Time) (changed bool) {
 	type candidate struct {
 		run       Run
@@ -110,7 +112,7 @@
 	return changed
 }
 
-// Suspicion is the fresh suspicion of a run heard here; ok is false for any other.
+// Suspicion returns the current suspicion level of a run heard here; ok is false for any other run.
 func (w *Monitor) Suspicion(id string, now time.Time) (s float64, ok bool) {
 	d := w.detectors[id]
 	if d == nil {
--- a/internal/usage/usage.go
+++ b/internal/usage/usage.go
@@ -1,18 +1,18 @@
-// Package usage tells what this process takes of its machine, for people.
+// Package usage reports the resources that this process uses, for operators.
 package usage
 
 import "runtime/metrics"
 
-// Usage is what a process takes.
+// Usage is the resource usage of a process.
 type Usage struct {
-	// Heap are the bytes of objects, garbage that was not swept yet among them, and Held
-	// all that the runtime has from the system, without what it gave back.
+	// Heap is the number of bytes in objects, including garbage not swept yet. Held is all
+	// memory obtained from the system, less what was returned to it.
 	Heap       uint64 `json:"heap_bytes"`
 	Held       uint64 `json:"held_bytes"`
 	Goroutines uint64 `json:"goroutines"`
 }
 
-// Now reads it. It stops nothing, as runtime.ReadMemStats does.
+// Now reads the current usage. Unlike runtime.ReadMemStats, it does not stop the world.
 func Now() Usage {
 	s := []metrics.Sample{{Name: "/memory/classes/heap/objects:bytes"}, {Name: "/memory/classes/total:bytes"},
 		{Name: "/memory/classes/heap/released:bytes"}, {Name: "/sched/goroutines:goroutines"}}
