--- a/internal/watch/board.go
+++ b/internal/watch/board.go
@@ -12,17 +12,17 @@
 )
 
 const (
-	// itemBuckets is the number of sums by which two sets of items are compared.
+	// itemBuckets is the number of checksums by which two sets of items are compared.
 	itemBuckets = 64
-	// sumsLen is the length of the Sums of an ask.
+	// sumsLen is the length of the Sums in a WatchAsk.
 	sumsLen = itemBuckets + target.Buckets
 )
 
-// Replica holds all that one node knows of items and runs, and lets others wait for
-// what changes. Every method may be called from anywhere.
+// Replica holds everything that one node knows about items and runs, and lets callers wait
+// for changes. All methods are safe for concurrent use.
 type Replica struct {
-	// OnItem is told of each item that is news, in order and under the board's lock:
-	// what it keeps never differs from the board. Set before use.
+	// OnItem is called for each changed item, in order and with the lock held, so that
+	// state derived from the items always matches the replica. It must be set before use.
 	OnItem func(item.Item)
 
 	clock   clock.Clock
@@ -34,27 +34,27 @@
 	woken   chan struct{}
 }
 
-// NewReplica makes an empty board.
+// NewReplica returns an empty replica.
 func NewReplica(c clock.Clock) *Replica {
 	return &Replica{clock: c, items: item.NewSet(), runs: target.NewTable(), changed: make(chan struct{}), woken: make(chan struct{})}
 }
 
-// Changed is closed at the next change, or Wake. Who looks at the board after having
-// asked for it misses nothing.
+// Changed returns a channel that is closed at the next change or call of Wake. A caller
+// that obtains the channel before it reads the replica misses no change.
 func (b *Replica) Changed() <-chan struct{} {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.changed
 }
 
-// Woken is closed at the next Wake.
+// Woken returns a channel that is closed at the next call of Wake.
 func (b *Replica) Woken() <-chan struct{} {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.woken
 }
 
-// Wake makes all who wait look again, also those that hold news back.
+// Wake makes all waiting requests check again, including those that hold changes back.
 func (b *Replica) Wake() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -68,7 +68,7 @@
 	b.changed = make(chan struct{})
 }
 
-// itemHash is an item's part of the sums.
+// itemHash returns an item's contribution to the checksums.
 func itemHash(i item.Item) uint64 {
 	var d xxhash.Digest
 	d.Reset()
@@ -91,7 +91,7 @@
 	return int((xxhash.Sum64String(k.Name) + uint64(k.Kind)) % itemBuckets)
 }
 
-// MergeItems takes copies in and returns those that were news.
+// MergeItems merges copies of items and returns those that were newer than the stored ones.
 func (b *Replica) MergeItems(in []item.Item) (changed []item.Item) {
 	if len(in) == 0 {
 		return nil
@@ -122,7 +122,7 @@
 	return changed
 }
 
-// MergeRuns takes copies in and returns, as they stand now, those that were news.
+// MergeRuns merges copies of runs and returns the merged state of those that changed materially.
 func (b *Replica) MergeRuns(in []target.Run) (changed []target.Run) {
 	if len(in) == 0 {
 		return nil
@@ -142,8 +142,8 @@
 	return changed
 }
 
-// MarkRunsComplete notes that whatever run lives is known here, and returns the recalled ones that
-// are doubted from now on.
+// MarkRunsComplete records that every live run is known here, and returns the recalled runs
+// that became suspected.
 func (b *Replica) MarkRunsComplete() (suspected []target.Run) {
 	now := b.clock.Now()
 	b.mu.Lock()
@@ -157,14 +157,14 @@
 	return suspected
 }
 
-// RunsComplete tells whether whatever run lives is known here.
+// RunsComplete reports whether every live run is known here.
 func (b *Replica) RunsComplete() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.runs.Complete()
 }
 
-// WithRuns runs f on the table of runs; f tells whether it made news.
+// WithRuns calls f with the table of runs. f reports whether it made a material change.
 func (b *Replica) WithRuns(f func(t *target.Table, now time.Time) bool) {
 	now := b.clock.Now()
 	b.mu.Lock()
@@ -174,15 +174,15 @@
 	}
 }
 
-// WithItems runs f on the set of items, which f must not change.
+// WithItems calls f with the set of items, which f must not modify.
 func (b *Replica) WithItems(f func(s *item.Set)) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	f(b.items)
 }
 
-// Sums tell what the board holds, in short: two boards whose sums are alike in a
-// bucket hold the same there.
+// Sums returns checksums of the replica's content by bucket: two replicas with equal sums
+// for a bucket have the same content in it.
 func (b *Replica) Sums() []uint64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -194,8 +194,8 @@
 	return append(append(make([]uint64, 0, sumsLen), b.sums[:]...), r[:]...)
 }
 
-// since returns what changed past a cursor, up to about most bytes, without what lies
-// in buckets that sum like the asker's: that much the asker holds already.
+// since returns what changed after a cursor, up to about maxBytes. It skips buckets whose
+// checksums equal the requester's, since the requester has their content already.
 func (b *Replica) since(c Cursor, sums []uint64, maxBytes int) (items []item.Item, runs []target.Run, to Cursor, more bool) {
 	now := b.clock.Now()
 	b.mu.Lock()
@@ -239,12 +239,12 @@
 			break
 		}
 	}
-	// What was left out for lack of room is still to come.
+	// Runs that were left out for lack of room follow in the next answer.
 	more = more || to.Runs < b.runs.Seq()
 	return items, runs, to, more
 }
 
-// beyond tells whether a cursor is beyond what this board ever told.
+// beyond reports whether a cursor is ahead of the changes recorded by this replica.
 func (b *Replica) beyond(c Cursor) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/watch/follow.go
+++ b/internal/watch/follow.go
@@ -11,30 +11,31 @@
 	"walkrudder/internal/target"
 )
 
-// followState is how far a follower has heard one controller out. Its owner alone uses it; a copy
-// may be polled from beside it, for what is heard twice merges to the same.
+// followState is how far a follower has received one controller's changes. Only its owner uses
+// it. A copy may be polled concurrently, because receiving a change twice merges to the same state.
 type followState struct {
 	addr       string
 	inc        uint64
 	cursor     Cursor
-	sums       []uint64 // while not all was told yet
-	controller Member   // as it introduced itself
+	sums       []uint64 // set until everything was received once
+	controller Member   // from the controller's last introduction
 }
 
-// poller asks controllers for news and merges them.
+// poller requests changes from controllers and merges them.
 type poller struct {
 	me      func() Member
 	line    link.Line
 	replica *Replica
-	// epoch is of the newest core known here.
+	// epoch returns the epoch of the newest core known here.
 	epoch func() uint64
-	// told, where set, is locked from before an answer is merged on, and left so for the
-	// caller: what one poll merged is passed on before another says that all was told.
+	// deliveryMu, if set, is locked before an answer is merged and left locked for the caller.
+	// This way, the changes of one poll are delivered before a concurrent poll reports that
+	// everything was received.
 	deliveryMu sync.Locker
 }
 
-// poll asks once; the news are merged when it returns. items and runs are those that
-// were news here.
+// poll sends one request and merges the answer before it returns. items and runs are those
+// that changed here.
 func (p *poller) poll(ctx context.Context, state *followState, wait time.Duration) (t WatchTold, items []item.Item, runs []target.Run, err error) {
 	me := p.me()
 	for range 3 {
@@ -49,7 +50,7 @@
 			return t, nil, nil, err
 		}
 		if t.Anew {
-			// Another life answers, or one that has forgotten this node.
+			// The controller has restarted, or has forgotten this node.
 			if t.Inc != state.inc {
 				state.inc = 0
 			}
@@ -72,5 +73,5 @@
 		}
 		return t, items, runs, nil
 	}
-	return t, nil, nil, steperr.New("poll", state.addr, "does not take this node's introduction")
+	return t, nil, nil, steperr.New("poll", state.addr, "controller did not accept this node's introduction")
 }
--- a/internal/watch/follower.go
+++ b/internal/watch/follower.go
@@ -5,17 +5,17 @@
 	"slices"
 )
 
-// Follower is a node that asked here lately, as people are told of it. Seen is how far it
-// had heard this node out when it asked last.
+// Follower is a node that polled this controller recently, as shown to operators. Seen is the cursor
+// of its last request.
 type Follower struct {
 	Member
 	Seen Cursor
 }
 
-// Gone tells whether a gateway no longer counts as attached.
+// Gone reports whether a gateway no longer counts as attached.
 func (f Follower) Gone() bool { return f.Age >= gatewayTimeout }
 
-// Followers are the nodes that asked here lately, by ID.
+// Followers returns the nodes that polled this controller recently, ordered by ID.
 func (t *Publisher) Followers() []Follower {
 	now := t.Clock.Now()
 	t.mu.Lock()
@@ -30,15 +30,15 @@
 	return out
 }
 
-// PollCount is how often this node was asked for news.
+// PollCount returns the number of requests for changes that this node received.
 func (t *Publisher) PollCount() uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.pollCount
 }
 
-// Cursor is how far whoever heard all of this board out has got. Each change of an item
-// or a run counts one.
+// Cursor returns the cursor of a follower that has received all changes of this replica.
+// It advances by one for each change of an item or a run.
 func (b *Replica) Cursor() Cursor {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/watch/mesh.go
+++ b/internal/watch/mesh.go
@@ -17,38 +17,38 @@
 )
 
 const (
-	// voterWait and otherWait are how long asks of controllers wait for news: those of
-	// voters prove that nothing is missed, and are sought more often.
+	// voterWait and nonVoterWait are how long requests to controllers wait for changes. Answers
+	// of voters prove that no change is missing, and are requested more often.
 	voterWait    = 500 * time.Millisecond
 	nonVoterWait = time.Second
-	// peerAnswerMargin is how much longer than its wait an ask may take.
+	// peerAnswerMargin is how much longer than its wait a request may take.
 	peerAnswerMargin = 500 * time.Millisecond
-	// maxProofAge is how old the proof may be that nothing acknowledged is missed.
+	// maxProofAge is the maximum age of the proof that no acknowledged change is missing.
 	maxProofAge = 1200 * time.Millisecond
-	// peerRetention is how long a controller that is neither seed nor seat is sought in vain.
+	// peerRetention is how long a controller that is neither seed nor seat is followed without an answer.
 	peerRetention = 10 * time.Second
-	// maxPeerAge is how lately a controller must have been heard to be told of.
+	// maxPeerAge is how recently a controller must have answered to be reported to others.
 	maxPeerAge = 5 * time.Second
-	// maxAvailableAge is how lately a controller must have been heard to be given work.
+	// maxAvailableAge is how recently a controller must have answered to be assigned work.
 	maxAvailableAge = 1700 * time.Millisecond
-	// minRetryPause and mostPause bound the pause after an ask that failed.
+	// minRetryPause and maxRetryPause limit the pause after a failed request.
 	minRetryPause = 50 * time.Millisecond
 	maxRetryPause = 500 * time.Millisecond
-	// maxControllers bounds the controllers followed.
+	// maxControllers is the maximum number of followed controllers.
 	maxControllers = 64
-	// maintenanceInterval is how often the list of controllers is looked over.
+	// maintenanceInterval is how often the list of followed controllers is updated.
 	maintenanceInterval = time.Second
 )
 
-// Mesh is a controller's view of all the others: it follows each by long polls and merges
-// what it learns into the board.
+// Mesh is a controller's view of all other controllers. It follows each of them by long
+// polling and merges what it receives into the replica.
 type Mesh struct {
 	Me      func() Member
 	Line    link.Line
 	Clock   clock.Clock
 	Replica *Replica
-	// Core is the newest core known, Learn takes one that may be newer, and Votes is
-	// the epoch of the core in which the own disk has a seat, or 0.
+	// Core returns the newest known core, LearnCore accepts a core that may be newer, and
+	// VotingEpoch returns the epoch of the core in which this node's disk has a seat, or 0.
 	Core        func() quorum.Core
 	LearnCore   func(quorum.Core)
 	VotingEpoch func() uint64
@@ -56,25 +56,25 @@
 	mu        sync.Mutex
 	seeds     []string
 	peers     map[string]*peer // by inner address
-	ctx       context.Context  // nil while it does not run
+	ctx       context.Context  // nil while Run is not active
 	wg        sync.WaitGroup
 	fresh     bool
-	everFresh bool // was fresh once
+	everFresh bool // whether it was ever fresh
 	recheck   chan struct{}
 }
 
-// peer is one other controller.
+// peer is another controller.
 type peer struct {
-	followState   // owned by its follower; copied under the mesh's lock
+	followState   // owned by followPeer; copied under the mesh's lock
 	cancel        context.CancelFunc
-	followedSince time.Time // when it was first sought
-	answeredAt    time.Time // when it answered last
-	// proof is when all that it held was known here, while its disk has a seat.
+	followedSince time.Time // when following began
+	answeredAt    time.Time // time of its last answer
+	// provedAt is the time up to which everything that it held is known here, if its disk has a seat.
 	provedAt    time.Time
 	votingEpoch uint64
 	disk        string
 	gateways    map[string]string // zones of the gateways that follow it, by ID
-	stopping    bool              // it is about to stop
+	stopping    bool              // about to stop
 	retry       chan struct{}
 }
 
@@ -90,7 +90,7 @@
 	m.followKnown()
 }
 
-// Run follows the others until ctx ends.
+// Run follows the other controllers until ctx ends.
 func (m *Mesh) Run(ctx context.Context) {
 	m.mu.Lock()
 	m.ctx = ctx
@@ -110,7 +110,7 @@
 	m.wg.Wait()
 }
 
-// followKnown follows seeds and seats; under the lock.
+// followKnown follows all seeds and seats. The caller must hold the lock.
 func (m *Mesh) followKnown() {
 	for _, a := range m.seeds {
 		m.follow(a)
@@ -120,7 +120,7 @@
 	}
 }
 
-// prune lets controllers go that were not heard for long; under the lock.
+// prune stops following controllers that have not answered for long. The caller must hold the lock.
 func (m *Mesh) prune() {
 	now := m.Clock.Now()
 	seats := m.Core().Seats
@@ -140,7 +140,8 @@
 	return b
 }
 
-// follow starts to follow the controller at addr, where it isn't yet; under the lock.
+// follow starts following the controller at addr unless it is followed already. The caller
+// must hold the lock.
 func (m *Mesh) follow(addr string) {
 	if m.ctx == nil || m.ctx.Err() != nil || addr == "" || addr == m.Me().Inner || m.peers[addr] != nil || len(m.peers) >= maxControllers {
 		return
@@ -154,13 +155,13 @@
 	m.wg.Go(func() { m.followPeer(ctx, p) })
 }
 
-// OnController is told of a controller that asks this one.
+// OnController is called for a controller that polls this one.
 func (m *Mesh) OnController(x Member) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.follow(x.Inner)
 	if p := m.peers[x.Inner]; p != nil && p.controller.Inc != x.Inc {
-		// It is up: whoever pauses after a failure need not wait any longer.
+		// It is running: a follower in its pause after a failure can retry now.
 		select {
 		case p.retry <- struct{}{}:
 		default:
@@ -202,14 +203,14 @@
 	}
 }
 
-// applyAnswer notes an answer to an ask that began at begun.
+// applyAnswer records the answer to a request that was sent at start.
 func (m *Mesh) applyAnswer(p *peer, state followState, t WatchTold, start time.Time) {
 	if t.Core.Epoch > 0 {
 		m.LearnCore(t.Core)
 	}
 	if t.Firm && !t.More {
-		// Before this answer counts as a proof: what others are told by a fresh controller must
-		// not be what it already has reason to doubt.
+		// This comes before the answer counts as a proof: a fresh controller must not report
+		// runs to others that it already has reason to suspect.
 		m.Replica.MarkRunsComplete()
 	}
 	m.mu.Lock()
@@ -235,7 +236,7 @@
 	}
 }
 
-// triggerRecheck has the guard look again.
+// triggerRecheck makes monitorFreshness check again.
 func (m *Mesh) triggerRecheck() {
 	select {
 	case m.recheck <- struct{}{}:
@@ -243,23 +244,23 @@
 	}
 }
 
-// SpeaksForSeat tells whether a node that votes in the core of epoch votes, by a disk, speaks
-// for a seat of c. One that still votes in the core right before is a seat that stays
-// and has not been told; one further behind had left, and has yet to pull what was
-// acknowledged without it.
+// SpeaksForSeat reports whether a node with the given disk, which votes in the core of
+// votingEpoch, represents a seat of c. A node that still votes in the previous core has a
+// seat that remains and has not been notified yet. A node further behind had left the core
+// and still has to fetch what was acknowledged without it.
 func SpeaksForSeat(c quorum.Core, id, disk string, votingEpoch uint64) bool {
 	s, ok := c.Seat(id)
 	return ok && disk != "" && s.Disk == disk && votingEpoch > 0 && votingEpoch+1 >= c.Epoch
 }
 
-// lag is how long ago this controller held everything that was acknowledged until then: the
-// age of the proofs of so many voters that every majority has one of them. ok is
-// false where there are not so many proofs at all. Under the lock.
+// lag returns how long ago this controller had every change acknowledged until then. That
+// is the age of the proofs of enough voters that every majority includes one of them. ok is
+// false if there are too few proofs. The caller must hold the lock.
 //
-// Why one core will do: a core takes over only after so many seats of the one before
-// were sealed that one of those heard here was among them. If it was sealed when it
-// answered, it told of the next core, and that is the newest known here; if not,
-// nothing was acknowledged in the next core up to then.
+// One core suffices: a core takes over only after enough seats of the previous core were
+// sealed that at least one of the seats heard here was among them. If that seat was sealed
+// when it answered, it reported the next core, which is then the newest core known here. If
+// it was not, nothing had been acknowledged in the next core by then.
 func (m *Mesh) lag() (time.Duration, bool) {
 	c := m.Core()
 	need := c.BlockingSize()
@@ -283,14 +284,14 @@
 	return ages[need-1], true
 }
 
-// ownDiskVotes tells whether the own disk speaks for a seat of c.
+// ownDiskVotes reports whether this node's disk represents a seat of c.
 func (m *Mesh) ownDiskVotes(c quorum.Core) bool {
 	me := m.Me()
 	return SpeaksForSeat(c, me.ID, me.Seat.Disk, m.VotingEpoch())
 }
 
-// Fresh tells whether this controller misses nothing that was acknowledged up to lag ago,
-// which is lately.
+// Fresh reports whether this controller misses no change acknowledged up to lag ago, with a
+// lag of at most maxProofAge.
 func (m *Mesh) Fresh() (lag time.Duration, fresh bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -298,14 +299,14 @@
 	return lag, ok && lag <= maxProofAge
 }
 
-// Synced tells whether this controller was fresh at some time of its life.
+// Synced reports whether this controller has been fresh since it started.
 func (m *Mesh) Synced() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.everFresh
 }
 
-// monitorFreshness tells the waiting watchers when freshness begins and ends.
+// monitorFreshness wakes the waiting requests when freshness begins or ends.
 func (m *Mesh) monitorFreshness(ctx context.Context) {
 	for ctx.Err() == nil {
 		m.mu.Lock()
@@ -317,7 +318,7 @@
 		if changed {
 			m.Replica.Wake()
 		}
-		// It can't end before the proofs known now are too old.
+		// Freshness can't end before the current proofs are too old.
 		recheckAfter := maintenanceInterval
 		if fresh {
 			recheckAfter = max(maxProofAge-lag, 0) + time.Millisecond
@@ -332,9 +333,9 @@
 	}
 }
 
-// Sync polls all voters now. It returns once so many have answered completely, to asks
-// that began after the call, that everything acknowledged before the call is on the
-// board.
+// Sync polls all voters now. It returns once enough of them have answered completely, to
+// requests sent after the call, that the replica has everything that was acknowledged before
+// the call.
 func (m *Mesh) Sync(ctx context.Context) error {
 	for {
 		core := m.Core()
@@ -387,7 +388,7 @@
 	return false
 }
 
-// syncSeat polls one seat until it has told everything.
+// syncSeat polls one seat until everything was received.
 func (m *Mesh) syncSeat(ctx context.Context, core quorum.Core, s quorum.Seat) bool {
 	state := followState{addr: s.Addr}
 	m.mu.Lock()
@@ -410,7 +411,7 @@
 	}
 }
 
-// Others are the other controllers that answered lately, with how long ago that was.
+// Others returns the other controllers that answered recently, with the age of their last answer.
 func (m *Mesh) Others() []Member {
 	return m.others(func(*peer) bool { return true })
 }
@@ -429,15 +430,15 @@
 	return out
 }
 
-// Available are the controllers that may be given work: those that answered just now and are not
-// about to stop, and this.
+// Available returns the controllers that may be assigned work: those that answered within
+// maxAvailableAge and are not about to stop, and this one.
 func (m *Mesh) Available() []Member {
 	out := lo.Filter(m.others(func(p *peer) bool { return !p.stopping }), func(x Member, _ int) bool { return x.Age < maxAvailableAge })
 	return append(out, m.Me())
 }
 
-// Gateways are the zones of the gateways that follow the other controllers, by ID. Those of a controller
-// that is no longer heard count until it is forgotten: they may go on without it.
+// Gateways returns the zones of the gateways that follow other controllers, by gateway ID. The gateways of a controller
+// that no longer answers count until peerRetention has passed, as they may run on without it.
 func (m *Mesh) Gateways() map[string]string {
 	now := m.Clock.Now()
 	m.mu.Lock()
@@ -451,7 +452,7 @@
 	return out
 }
 
-// DiskContacts are the disks of the controllers that answered, with how long ago, and the own one.
+// DiskContacts returns the disks of the controllers that answered, with the age of the last answer, and this node's disk.
 func (m *Mesh) DiskContacts() []quorum.DiskContact {
 	now := m.Clock.Now()
 	m.mu.Lock()
--- a/internal/watch/neighbour.go
+++ b/internal/watch/neighbour.go
@@ -6,20 +6,20 @@
 	"slices"
 )
 
-// PeerInfo is another controller that this one follows, as people are told of it.
+// PeerInfo describes another controller that this one follows, for operators.
 type PeerInfo struct {
-	// Member is as it introduced itself, with how long ago it answered last; of one that
-	// never did there is only Inner.
+	// Member is the controller's introduction, with Age set to the age of its last answer. If
+	// it never answered, only Inner is set.
 	Member
 	Answered bool
-	// Votes is the epoch of the core in which its disk has a seat, or 0.
+	// VotingEpoch is the epoch of the core in which its disk has a seat, or 0.
 	VotingEpoch uint64
 	Stopping    bool
-	// Gateways are the zones of the gateways that follow it, by ID.
+	// Gateways holds the zones of the gateways that follow it, by gateway ID.
 	Gateways map[string]string
 }
 
-// Peers are the other controllers, by inner address.
+// Peers returns the other controllers, ordered by inner address.
 func (m *Mesh) Peers() []PeerInfo {
 	now := m.Clock.Now()
 	m.mu.Lock()
--- a/internal/watch/pack.go
+++ b/internal/watch/pack.go
@@ -14,16 +14,16 @@
 )
 
 const (
-	// packThreshold is the size from which news are packed: a node that starts hears
-	// thousands of items that are much alike, and links are slow and priced.
+	// packThreshold is the size from which changes are compressed. A starting node receives
+	// thousands of similar items, and links are slow and metered.
 	packThreshold = 16 << 10
-	// maxUnpacked bounds what an answer may unpack to.
+	// maxUnpacked limits the uncompressed size of an answer.
 	maxUnpacked = 16 << 20
 )
 
 var errUnpackedTooLarge = errors.New("unpacks to more than the limit")
 
-// packed is what an answer's Packed holds.
+// packed is the content of WatchTold.Packed.
 type packed struct {
 	Items []item.Item
 	Runs  []target.Run
@@ -32,13 +32,13 @@
 var flateWriters = sync.Pool{New: func() any {
 	w, err := flate.NewWriter(io.Discard, flate.BestSpeed)
 	if err != nil {
-		// The level is a constant of the library's.
+		// The level is a constant of the flate package, so this can't fail.
 		panic(err)
 	}
 	return w
 }}
 
-// pack moves many items and runs of an answer into its Packed.
+// pack compresses the items and runs of a large answer into Packed.
 func (t *WatchTold) pack() error {
 	n := 0
 	for _, i := range t.Items {
@@ -64,7 +64,7 @@
 	return nil
 }
 
-// limitedReader gives up on a stream that unpacks to more than it may.
+// limitedReader fails once a stream unpacks to more than the limit.
 type limitedReader struct {
 	r         io.Reader
 	remaining int
@@ -79,7 +79,7 @@
 	return n, err
 }
 
-// unpack puts them back.
+// unpack restores Items and Runs from Packed.
 func (t *WatchTold) unpack() error {
 	if len(t.Packed) == 0 {
 		return nil
--- a/internal/watch/report.go
+++ b/internal/watch/report.go
@@ -2,15 +2,15 @@
 
 import "walkrudder/internal/item"
 
-// Report is what a gateway tells people of the controllers it follows and of what they told.
+// Report describes, for operators, the controllers that a gateway follows and what it received.
 type Report struct {
 	Synced bool `json:"synced"`
-	// BehindMS is how long ago everything acknowledged until then was known here; -1 is
-	// never yet.
+	// BehindMS is how long ago everything acknowledged until then was known here; -1 means
+	// never.
 	BehindMS int64                `json:"behind_ms"`
 	Follows  []FollowedController `json:"follows"`
-	// Newest is the item that changed last here, and Items and Runs how many changes of
-	// each came.
+	// Newest is the item that changed last here. Items and Runs are the numbers of changes
+	// received.
 	Newest  string `json:"newest_item"`
 	Version uint64 `json:"newest_version"`
 	Dropped bool   `json:"newest_dropped"`
@@ -18,19 +18,19 @@
 	Runs    uint64 `json:"run_changes"`
 }
 
-// FollowedController is one controller that is followed now.
+// FollowedController describes a controller that is currently followed.
 type FollowedController struct {
 	Controller string `json:"controller"` // "" before its first answer
 	Inner      string `json:"inner"`
 	Zone       string `json:"zone"`
 	SinceMS    int64  `json:"since_ms"`
 	Fresh      bool   `json:"fresh"`
-	// Items and Runs are how far this controller was heard out, by its own counting.
+	// Items and Runs are the received changes of this controller, in its own sequence numbers.
 	Items uint64 `json:"items"`
 	Runs  uint64 `json:"runs"`
 }
 
-// Report tells of the controllers followed.
+// Report describes the followed controllers.
 func (s *Subscriber) Report() Report {
 	now := s.Clock.Now()
 	r := Report{BehindMS: -1, Follows: []FollowedController{}}
--- a/internal/watch/subscriber.go
+++ b/internal/watch/subscriber.go
@@ -17,89 +17,89 @@
 )
 
 const (
-	// gatewayWait is how long a gateway's ask waits for news at most, and gatewayAnswer how long
-	// it may take in all.
+	// gatewayWait is how long a gateway's request waits for changes at most, and
+	// gatewayAnswerTimeout how long it may take in total.
 	gatewayWait          = time.Second
 	gatewayAnswerTimeout = 1700 * time.Millisecond
-	// maxGatewayLag is how old what a gateway knows may grow before it looks for another controller.
+	// maxGatewayLag is how old a gateway's state may become before it looks for another controller.
 	maxGatewayLag = 1900 * time.Millisecond
-	// minAnswerTimeout is what an ask is given at least, and answerSlack what it is given on
-	// top of its wait.
+	// minAnswerTimeout is the minimum timeout of a request, and answerMargin the time a request
+	// is given beyond its wait.
 	minAnswerTimeout = 800 * time.Millisecond
 	answerMargin     = 600 * time.Millisecond
-	// firstAnswerTimeout is what the first ask of a controller is given, doubled with each failure in
-	// a row: a gateway that lost its controller must not wait long for a second dead one.
+	// firstAnswerTimeout is the timeout of the first request to a controller, doubled with each consecutive
+	// failure: a gateway that lost its controller must not wait long for a second failed one.
 	firstAnswerTimeout = 500 * time.Millisecond
-	// minBackoff is how long a controller is passed over after a failure, doubled with each in a
-	// row up to mostShun; one that answers but is not fresh for staleShun.
+	// minBackoff is how long a controller is avoided after a failure, doubled with each consecutive
+	// failure up to maxBackoff. One that answers but is not fresh is avoided for staleBackoff.
 	minBackoff   = 300 * time.Millisecond
 	maxBackoff   = time.Second
 	staleBackoff = 400 * time.Millisecond
-	// staleWait is how long an ask waits at a controller that is not fresh, where none is.
+	// staleWait is how long a request waits at a controller that is not fresh, if no fresh one is known.
 	staleWait = 400 * time.Millisecond
-	// ownZoneRetryInterval is how often a gateway that follows a controller of another zone tries its own.
+	// ownZoneRetryInterval is how often a gateway that follows a controller of another zone tries its own zone.
 	ownZoneRetryInterval = 2 * time.Second
-	// initialSyncTick is how long a gateway that starts waits for the first word of one controller before it
-	// asks a second, and waitMost for each further word.
+	// initialSyncTick is how long a starting gateway waits for the first answer of one controller before it
+	// asks a second, and initialSyncMaxIdle for each further answer.
 	initialSyncTick, initialSyncMaxIdle = 100 * time.Millisecond, time.Second
-	// expireInterval is how often runs that are over are forgotten.
+	// expireInterval is how often expired runs are removed.
 	expireInterval = time.Minute
-	// usualChangeDeadline is the time for a change that gatewayWait and gatewayBehind are made for, and
-	// leastWithin the shortest that asks are made more often for.
+	// usualChangeDeadline is the deadline of changes for which gatewayWait and maxGatewayLag are chosen, and
+	// minChangeDeadline the shortest for which requests are made more often.
 	usualChangeDeadline, minChangeDeadline = 2 * time.Second, time.Second
 	slowLinkDialTimeout                    = 1200 * time.Millisecond
 	slowLinkWait, slowLinkAnswerTimeout    = 500 * time.Millisecond, 3500 * time.Millisecond
 )
 
-// followSlots is how many controllers a gateway follows at once. With one alone, what it missed while
-// it looked for the next could be older than may be: a controller that is cut off from the
-// others takes over a second to notice, and on a narrow link the first answer of another
-// one three round trips.
+// followSlots is how many controllers a gateway follows at once. With only one, the changes
+// missed during the search for the next could exceed the allowed age: a controller that is
+// partitioned from the others takes over a second to notice, and on a slow link the first
+// answer of another controller takes three round trips.
 const followSlots = 2
 
-// Subscriber is a gateway's view of the control plane: it follows a controller of its own zone
-// where it can, and one of another zone beside it, and goes to the next when one is
-// silent, fails, or may miss something acknowledged.
+// Subscriber is a gateway's view of the control plane. It follows a controller of its own zone
+// if possible and a second one of another zone, and switches to the next when one is
+// silent, fails, or may miss an acknowledged change.
 type Subscriber struct {
 	Me    Member
 	Line  link.Line
 	Clock clock.Clock
 	Log   *log.Logger
-	// Within is in what time a change has to be in force; 0 is usual. In less a gateway asks
-	// more often, so that it never knows what is older.
+	// ChangeDeadline is the time in which a change has to take effect; 0 means the usual. With a
+	// shorter one, a gateway polls more often, so that its state is never older.
 	ChangeDeadline time.Duration
-	// Narrow says that messages may wait for long behind others on the node's own link.
+	// SlowLink means that messages may be queued for long behind others on this node's link.
 	SlowLink bool
-	// OnNews is told, in order and one call at a time, of what was news here: Items and
-	// Runs hold what changed, as it stands now. Gateways counts come with each answer.
+	// OnUpdate is called, in order and one call at a time, with the changes of an answer: Items and
+	// Runs hold the current state of what changed here. The numbers of gateways are in each answer.
 	OnUpdate func(WatchTold)
 
 	replica    *Replica
-	deliveryMu sync.Mutex // held from the merging of an answer until OnNews has run
+	deliveryMu sync.Mutex // held from the merge of an answer until OnUpdate has returned
 
 	mu               sync.Mutex
-	states           map[string]followState // how far each controller was heard out, by inner address
-	following        [followSlots]string    // the controllers followed now
-	followedSince    [followSlots]time.Time // from when on
+	states           map[string]followState // by the controller's inner address
+	following        [followSlots]string    // inner addresses of the followed controllers
+	followedSince    [followSlots]time.Time // when following began
 	seeds            []string
 	peers            map[string]Member // by inner address
 	backoffs         map[string]backoff
-	answers          [followSlots]WatchTold // the last complete answers, without their news
-	asOf             time.Time              // until when all that was acknowledged is known here
-	roundTrip        time.Duration          // that the last question and its answer needed
+	answers          [followSlots]WatchTold // the last complete answers, without their changes
+	asOf             time.Time              // everything acknowledged up to here is known
+	roundTrip        time.Duration          // of the last request and its answer, without the wait
 	synced           bool
-	firstSlotAnswers int           // answers to the first slot
-	seedsChanged     chan struct{} // the seeds changed
+	firstSlotAnswers int           // number of answers to the first slot
+	seedsChanged     chan struct{} // signals a change of the seeds
 }
 
-// backoff is a controller passed over for now.
+// backoff is the state of a controller that is temporarily avoided.
 type backoff struct {
 	until    time.Time
 	failures int
-	stale    bool // it answers
+	stale    bool // it answers but is not fresh
 }
 
-// Init makes the subscriber ready.
+// Init prepares the subscriber for use.
 func (s *Subscriber) Init(seeds []string) {
 	s.replica = NewReplica(s.Clock)
 	s.seeds, s.peers, s.backoffs = slices.Clone(seeds), map[string]Member{}, map[string]backoff{}
@@ -120,7 +120,7 @@
 	}
 }
 
-// scaled is d where changes have the usual time, and less where they have less.
+// scaled returns d, shortened in proportion if the deadline of changes is shorter than usual.
 func (s *Subscriber) scaled(d time.Duration) time.Duration {
 	if s.ChangeDeadline <= 0 || s.ChangeDeadline >= usualChangeDeadline {
 		return d
@@ -128,40 +128,40 @@
 	return d * max(s.ChangeDeadline, minChangeDeadline) / usualChangeDeadline
 }
 
-// DialTimeout is how long a connect to a controller may take; 0 is usual.
+// DialTimeout returns how long connecting to a controller may take; 0 means the default.
 func (s *Subscriber) DialTimeout() time.Duration {
 	return lo.Ternary(s.SlowLink, slowLinkDialTimeout, 0)
 }
 
-// Synced tells whether a fresh controller has told everything once in this life.
+// Synced reports whether a fresh controller has sent everything once since the start.
 func (s *Subscriber) Synced() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.synced
 }
 
-// Fresh tells whether the controller followed is fresh and was heard lately.
+// Fresh reports whether a followed controller is fresh and answered recently.
 func (s *Subscriber) Fresh() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.bestAnswer().Fresh && s.Clock.Now().Sub(s.asOf) <= s.scaled(maxGatewayLag)+minAnswerTimeout
 }
 
-// AsOf is until when all that was acknowledged is known here.
+// AsOf returns the time up to which every acknowledged change is known here.
 func (s *Subscriber) AsOf() time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.asOf
 }
 
-// RoundTrip is how long the last question to a fresh controller and its answer were on their way.
+// RoundTrip returns the time that the last request to a fresh controller took, without the wait for changes.
 func (s *Subscriber) RoundTrip() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.roundTrip
 }
 
-// Gateways is how many gateways there are, in all and in the own zone, by the last answer.
+// Gateways returns the number of gateways, in total and in this gateway's zone, from the last answer.
 func (s *Subscriber) Gateways() (all, near int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -169,22 +169,22 @@
 	return t.Gateways, t.GatewaysNear
 }
 
-// Controllers are the inner addresses of the controllers known, by ID.
+// Controllers returns the inner addresses of the known controllers, by ID.
 func (s *Subscriber) Controllers() map[string]string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return lo.MapEntries(s.peers, func(addr string, m Member) (string, string) { return m.ID, addr })
 }
 
-// Following is the controller followed now.
+// Following returns the followed controller.
 func (s *Subscriber) Following() Member {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.bestAnswer().Me
 }
 
-// bestAnswer is the last answer of the first slot whose controller is fresh, else of the first. Under
-// the lock.
+// bestAnswer returns the last answer of the first slot whose controller is fresh, or else of the
+// first slot. The caller must hold the lock.
 func (s *Subscriber) bestAnswer() WatchTold {
 	for _, t := range s.answers {
 		if t.Fresh {
@@ -194,7 +194,7 @@
 	return s.answers[0]
 }
 
-// Replica is what this gateway knows.
+// Replica returns this gateway's state.
 func (s *Subscriber) Replica() *Replica { return s.replica }
 
 // Run follows controllers until ctx ends.
@@ -206,8 +206,8 @@
 	wg.Wait()
 }
 
-// runSlot follows one controller after the other. The first slot is of the own zone where it can
-// be, and goes by that; the others keep to controllers that no other slot follows.
+// runSlot follows one controller after the other. The first slot prefers controllers of this
+// gateway's zone and determines the zone; the others use controllers that no other slot follows.
 func (s *Subscriber) runSlot(ctx context.Context, slot int) {
 	if slot > 0 {
 		s.awaitInitialSync(ctx)
@@ -218,7 +218,7 @@
 		if addr != "" {
 			s.follow(ctx, slot, addr, ok)
 		} else {
-			// Nobody answers: look again soon, but not all the time.
+			// No controller answers: retry soon, but not in a busy loop.
 			expired, stop := s.Clock.After(max(retryIn, minRetryPause))
 			select {
 			case <-ctx.Done():
@@ -234,9 +234,9 @@
 	}
 }
 
-// candidates lists the addresses to try, the best first: controllers of the own zone, then those of
-// others, then seeds of which nothing is known, each by rendezvous, so that gateways
-// spread and few move when controllers come and go. Under the lock.
+// candidates returns the addresses to try in order of preference: controllers of this zone, then of
+// other zones, then seeds about which nothing is known. Each group is ordered by rendezvous hashing, so that
+// gateways spread out and few switch when controllers come and go. The caller must hold the lock.
 func (s *Subscriber) candidates() []string {
 	rank := func(a string) int {
 		switch p, ok := s.peers[a]; {
@@ -255,8 +255,8 @@
 	return out
 }
 
-// nextController is the controller to try: the best that is not passed over. Where all are, ok is
-// false, the one that answers is taken, and back is when the first is to be tried again.
+// nextController selects the best controller that is not in backoff. If all are, ok is
+// false, the first that answers is selected, and retryIn is the time until the first backoff ends.
 func (s *Subscriber) nextController(slot int) (addr string, ok bool, retryIn time.Duration) {
 	now := s.Clock.Now()
 	s.mu.Lock()
@@ -265,8 +265,8 @@
 	s.following[slot], s.answers[slot].Fresh = "", false
 	all := s.candidates()
 	if slot > 0 {
-		// Of another zone than the first slot's, so that one fault seldom takes both; and
-		// the own zone is the first slot's to take.
+		// A zone other than the first slot's is preferred, so that one fault rarely affects both
+		// slots. Controllers of this gateway's zone are left to the first slot.
 		zone := s.peers[s.following[0]].Zone
 		last := func(a string) int {
 			z := s.peers[a].Zone
@@ -296,8 +296,8 @@
 	return addr, false, retryIn
 }
 
-// awaitInitialSync returns once a gateway that starts knows everything, or hears nothing more: what it does
-// not hold yet is to be told once, and not by two controllers at the same time.
+// awaitInitialSync returns once a starting gateway has received everything, or receives no more answers: the
+// initial state should be sent once, and not by two controllers at the same time.
 func (s *Subscriber) awaitInitialSync(ctx context.Context) {
 	for idleTicks := 0; idleTicks*int(initialSyncTick) < int(initialSyncMaxIdle); idleTicks++ {
 		s.mu.Lock()
@@ -320,7 +320,7 @@
 
 func boolToInt(b bool) int { return lo.Ternary(b, 1, 0) }
 
-// backOff passes a controller over for a while.
+// backOff avoids a controller for a while.
 func (s *Subscriber) backOff(addr string, stale bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -339,7 +339,7 @@
 	s.backoffs[addr] = x
 }
 
-// timeouts is how long the next ask may take, and how long it is to wait for news.
+// timeouts returns how long the next request may take and how long it should wait for changes.
 func (s *Subscriber) timeouts(slot int, state *followState, failures int) (answer, wait time.Duration) {
 	if s.SlowLink && slot > 0 {
 		return slowLinkAnswerTimeout, lo.Ternary(state.inc == 0 || state.sums != nil, 0, s.scaled(slowLinkWait))
@@ -355,8 +355,8 @@
 	return answer, min(answer-answerMargin, s.scaled(lo.Ternary(s.SlowLink, slowLinkWait, gatewayWait)))
 }
 
-// follow stays with one controller for as long as it will do; ok says that a better one than
-// that is not known to be stale.
+// follow follows one controller for as long as it is suitable. ok is false if the controller
+// was selected although it is in backoff.
 func (s *Subscriber) follow(ctx context.Context, slot int, addr string, ok bool) {
 	q := &poller{me: func() Member { return s.Me }, line: s.Line, replica: s.replica, epoch: func() uint64 { return maxEpoch }, deliveryMu: &s.deliveryMu}
 	s.mu.Lock()
@@ -370,7 +370,7 @@
 		answer, wait := s.timeouts(slot, &state, failures)
 		s.mu.Unlock()
 		if !ok && !first && state.sums == nil {
-			// None is fresh: wait here for as long as the next look at the others is off.
+			// No controller is fresh: wait here until the next attempt at the others.
 			answer, wait = staleWait+answerMargin, staleWait
 		}
 		start := s.Clock.Now()
@@ -406,7 +406,7 @@
 	}
 }
 
-// recordAnswer notes an answer.
+// recordAnswer stores an answer.
 func (s *Subscriber) recordAnswer(slot int, addr string, state followState, t WatchTold, start time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -442,13 +442,13 @@
 	}
 }
 
-// betterAvailable tells whether it is time to try a better controller than the one at addr.
+// betterAvailable reports whether to switch to a better controller than the one at addr.
 func (s *Subscriber) betterAvailable(slot int, addr string, since time.Time) bool {
 	now := s.Clock.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if slot > 0 {
-		// It makes room for the first slot, whose zone this is.
+		// It yields to the first slot, which prefers this zone.
 		return s.peers[addr].Zone == s.Me.Zone && s.peers[s.following[0]].Zone != s.Me.Zone && len(s.peers) > followSlots
 	}
 	if now.Sub(since) < ownZoneRetryInterval {
--- a/internal/watch/teller.go
+++ b/internal/watch/teller.go
@@ -17,46 +17,47 @@
 )
 
 const (
-	// maxWait bounds how long an ask is held back.
+	// maxWait limits how long a request is held back.
 	maxWait = 2 * time.Second
-	// maxAnswerBytes bounds the items and runs of one answer, before packing.
+	// maxAnswerBytes limits the items and runs of one answer, before compression.
 	maxAnswerBytes = 256 << 10
-	// maxFirstAnswerBytes bounds the answer to an ask that does not wait, so that a node which
-	// looks for a controller learns soon whether this one will do.
+	// maxFirstAnswerBytes limits the answer to a request that does not wait, so that a node
+	// which looks for a controller learns soon whether this one is suitable.
 	maxFirstAnswerBytes = 32 << 10
-	// gatewayTimeout is how long after its last ask a gateway no longer counts as attached.
+	// gatewayTimeout is how long after its last request a gateway no longer counts as attached.
 	gatewayTimeout = 2500 * time.Millisecond
-	// clientRetention is how long an asker is remembered.
+	// clientRetention is how long a client is remembered.
 	clientRetention = time.Minute
-	// maxClients bounds the askers remembered.
+	// maxClients is the maximum number of remembered clients.
 	maxClients = 1024
-	// holdUrgent and holdRest are how long after news were told to a gateway the next are held
-	// back, so that they go together: runs that leave for the first, other runs for the
-	// second, and items not at all (design 23.6). holdController is for controllers, of what is not
-	// urgent: what comes by way of two controllers is not to be held back twice.
+	// holdUrgent and holdNormal are the minimum times between two answers with changes to a
+	// gateway, so that changes are batched: holdUrgent if runs leave, holdNormal for other
+	// runs. Items are not held back (design 23.6). holdController applies to controllers, to
+	// changes that are not urgent. It is shorter, so that a change that passes two controllers
+	// is not fully delayed twice.
 	holdUrgent     = 100 * time.Millisecond
 	holdNormal     = 250 * time.Millisecond
 	holdController = 100 * time.Millisecond
 )
 
-// Publisher answers those who follow this node.
+// Publisher answers the nodes that follow this one.
 type Publisher struct {
 	Me      func() Member
 	Replica *Replica
 	Clock   clock.Clock
-	// Core is the newest core that this node knows, and Votes the epoch of the one in
-	// which its own disk has a seat, or 0.
+	// Core returns the newest core that this node knows, and VotingEpoch the epoch of the core
+	// in which its own disk has a seat, or 0.
 	Core        func() quorum.Core
 	VotingEpoch func() uint64
-	// Fresh tells whether this node misses nothing acknowledged up to lag ago.
+	// Fresh reports whether this node misses no change acknowledged up to lag ago.
 	Fresh func() (lag time.Duration, fresh bool)
-	// Going tells whether this node is about to stop; nil is never.
+	// Stopping reports whether this node is about to stop; nil means never.
 	Stopping func() bool
-	// Others are the other controllers that this node hears itself, and Elsewhere the zones of
-	// the gateways that follow them, by ID.
+	// Others returns the other controllers that this node hears from itself, and OtherGateways the zones
+	// of the gateways that follow them, by gateway ID.
 	Others        func() []Member
 	OtherGateways func() map[string]string
-	// Met is told of the controllers that ask.
+	// OnController is called for the controllers that poll this node.
 	OnController func(Member)
 
 	mu             sync.Mutex
@@ -64,24 +65,24 @@
 	pollCount      uint64
 	peers          []Member
 	ownGateways    map[string]string // zones of the gateways that follow this node, by ID
-	gatewaysByZone map[string]int    // gateways that follow any, by zone
-	peersVersion   uint64            // of peers and near
+	gatewaysByZone map[string]int    // numbers of gateways that follow any controller
+	peersVersion   uint64            // version of peers and ownGateways
 	refreshedAt    time.Time
 }
 
 type client struct {
 	Member
 	askedAt    time.Time
-	cursor     Cursor    // with its last ask
-	newsSentAt time.Time // when it was last told news
+	cursor     Cursor    // of its last request
+	newsSentAt time.Time // when changes were last sent to it
 }
 
-// Serve teaches d to answer those who follow.
+// Serve registers the handler for WatchAsk at d.
 func (t *Publisher) Serve(d *link.Desk) {
 	link.On(d, func(ctx context.Context, _ link.Who, a WatchAsk) (WatchTold, error) { return t.handleWatch(ctx, a) })
 }
 
-// handleWatch waits for news and tells them.
+// handleWatch waits for changes and returns them.
 func (t *Publisher) handleWatch(ctx context.Context, a WatchAsk) (WatchTold, error) {
 	start := t.Clock.Now()
 	me := t.Me()
@@ -107,7 +108,7 @@
 		}
 		if timedOut || r.Fresh != wasFresh || r.Going != wasStopping || r.More || news && held <= 0 || r.Core.Epoch > a.Epoch {
 			if news && wait > 0 {
-				// A question that does not wait may be asked beside one that does.
+				// A request that does not wait may run concurrently with one that does.
 				t.noteNewsSent(a.Me.ID)
 			}
 			return r, r.pack()
@@ -115,7 +116,7 @@
 		var due <-chan time.Time
 		stopHold := func() {}
 		if news {
-			// Each change would have it look again; what is urgent is seen soon enough.
+			// Each further change would trigger a new check; urgent changes are still found after holdUrgent.
 			due, stopHold = t.Clock.After(min(held, holdUrgent))
 			changed = nil
 		}
@@ -133,7 +134,7 @@
 	}
 }
 
-// holdTime is how much longer the news of an answer are to be held back.
+// holdTime returns how much longer the changes of an answer are to be held back.
 func (t *Publisher) holdTime(id string, r *WatchTold) time.Duration {
 	if len(r.Items) > 0 {
 		return 0
@@ -152,7 +153,7 @@
 	return a.newsSentAt.Add(hold).Sub(t.Clock.Now())
 }
 
-// noteNewsSent notes that an asker is told news now.
+// noteNewsSent records that changes are sent to a client now.
 func (t *Publisher) noteNewsSent(id string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -163,10 +164,10 @@
 
 func (t *Publisher) stopping() bool { return t.Stopping != nil && t.Stopping() }
 
-// fillAnswer fills in what is so now.
+// fillAnswer fills in the current state.
 func (t *Publisher) fillAnswer(r *WatchTold, a WatchAsk, me Member) {
-	// The order matters: what is said of the core and of freshness must not be newer
-	// than the news told beside it.
+	// The order matters: what is reported about the core and about freshness must not be
+	// newer than the changes reported with it.
 	if v := t.VotingEpoch(); v > 0 && a.Epoch < maxEpoch {
 		r.Votes, r.Disk = v, me.Seat.Disk
 	}
@@ -203,7 +204,7 @@
 	return a.Kind
 }
 
-// noteClient remembers who asks; false says that it must introduce itself again.
+// noteClient records a request's sender; false means that the sender must introduce itself again.
 func (t *Publisher) noteClient(m Member, introduced bool, now time.Time) bool {
 	if m.ID == "" {
 		return false
@@ -234,7 +235,7 @@
 	return true
 }
 
-// refreshPeers brings peers and the number of gateways up to date, now and then; under the lock.
+// refreshPeers updates the peers and the numbers of gateways, at most every 250 ms. The caller must hold the lock.
 func (t *Publisher) refreshPeers() {
 	now := t.Clock.Now()
 	if !t.refreshedAt.IsZero() && now.Sub(t.refreshedAt) < 250*time.Millisecond {
@@ -252,7 +253,7 @@
 	}
 	peers := t.Others()
 	slices.SortFunc(peers, func(a, b Member) int { return cmp.Compare(a.Inner, b.Inner) })
-	// A gateway that moved is told of by two controllers for a while.
+	// A gateway that switched its controller is reported by both for a while.
 	zones := t.OtherGateways()
 	maps.Copy(zones, near)
 	all := lo.CountValues(lo.Values(zones))
@@ -263,7 +264,7 @@
 	t.peers, t.ownGateways, t.gatewaysByZone = lo.Ternary(peers == nil, []Member{}, peers), near, all
 }
 
-// Clients are the nodes that asked lately, with how long ago that was.
+// Clients returns the nodes that polled this one recently, with the age of their last request.
 func (t *Publisher) Clients() []Member {
 	now := t.Clock.Now()
 	t.mu.Lock()
@@ -278,7 +279,7 @@
 	return out
 }
 
-// Attached are the zones of all gateways that follow any controller, by ID.
+// Attached returns the zones of all gateways that follow any controller, by gateway ID.
 func (t *Publisher) Attached() map[string]string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -288,7 +289,7 @@
 	return zones
 }
 
-// Gateways is how many gateways there are, in all and by zone.
+// Gateways returns the number of gateways, in total and by zone.
 func (t *Publisher) Gateways() (int, map[string]int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/watch/types.go
+++ b/internal/watch/types.go
@@ -1,5 +1,5 @@
-// Package watch brings state from the control plane to every node: a node follows
-// one or more others by long polls and takes what changed since its last look
+// Package watch distributes state from the control plane to every node: a node follows
+// one or more controllers by long polling and receives what changed since its last request
 // (design 23).
 package watch
 
@@ -13,85 +13,86 @@
 	"walkrudder/internal/target"
 )
 
-// The kinds of nodes.
+// The node kinds.
 const (
 	Controller = "controller"
 	Gateway    = "gateway"
 )
 
-// Member is a node as others know it.
+// Member describes a node to others.
 type Member struct {
 	ID    string
 	Kind  string // Controller or Gateway
-	Inner string // where it answers other nodes; "" for a gateway, which only asks
-	Door  string // where a controller answers targets and operators
+	Inner string // address for other nodes; "" for a gateway, which only sends requests
+	Door  string // address of a controller for targets and operators
 	Zone  string
-	Inc   uint64 // of this life of its process
-	// Seat is the node's disk, where it has one.
+	Inc   uint64 // incarnation of its process
+	// Seat is the node's disk, if it has one.
 	Seat quorum.Seat
-	// Age is how long ago the teller heard of it, for peers.
+	// Age is how long ago the sender heard from it; set for peers.
 	Age time.Duration
 }
 
-// maxEpoch is past every epoch.
+// maxEpoch is greater than every epoch. A gateway sends it, since it does not need the core.
 const maxEpoch = math.MaxUint64
 
-// Cursor is how far an asker has heard one life of a teller out.
+// Cursor is how far a follower has received the changes of one incarnation of a publisher.
 type Cursor struct{ Items, Runs, Peers uint64 }
 
 type (
-	// WatchAsk waits up to Wait for news past Seen of the teller's life Inc.
+	// WatchAsk requests the changes after Seen of the publisher's incarnation Inc and waits up to Wait for them.
 	WatchAsk struct {
-		// Me is whole where Sums are given; else ID and Inc alone, to save bytes.
+		// Me is complete if Sums is set; otherwise only ID and Inc are set, to save bytes.
 		Me   Member
 		Inc  uint64
 		Seen Cursor
-		// Sums are of what the asker held when it first asked this life of the teller,
-		// and come with each ask until all was told: what sums alike is left out.
+		// Sums are the checksums of what the follower held at its first request to this
+		// incarnation. They are sent with each request until everything was received:
+		// buckets with equal checksums are left out of the answers.
 		Sums []uint64
-		// Epoch is of the newest core that the asker knows; noEpoch is of one that does
-		// not care.
+		// Epoch is that of the newest core that the follower knows, or maxEpoch if it does
+		// not need the core.
 		Epoch uint64
 		Wait  time.Duration
 	}
-	// WatchTold answers it. The asker goes on at Seen; More says that there is more
-	// already.
+	// WatchTold is the answer to a WatchAsk. The next request continues at Seen; More means
+	// that further changes are already available.
 	WatchTold struct {
 		Inc  uint64
 		Seen Cursor
 		More bool
-		// Anew says that nothing is told, for the teller needs the whole Me and Sums:
-		// this is another life than the one asked for, or has forgotten the asker.
+		// Anew means that the answer has no changes, because the publisher needs the complete
+		// Me and Sums: it is a different incarnation, or it has forgotten the follower.
 		Anew bool
-		// Waited is how long the answer was held back: what it tells was so at the
-		// earliest this long after it was asked for.
+		// Waited is how long the answer was held back: its content was current no earlier than
+		// this long after the request.
 		Waited time.Duration
-		// Fresh says that the teller is in touch with so many voters that it misses
-		// nothing acknowledged up to Lag ago; who follows one that is not looks for
-		// another.
+		// Fresh means that the publisher is in contact with enough voters to miss no change
+		// acknowledged up to Lag ago. A follower of a publisher that is not fresh looks for
+		// another one.
 		Fresh bool
 		Lag   time.Duration
-		// Firm says that besides, whatever run lives is known to the teller: one that is
-		// only recalled, and that it does not tell of, is to be doubted.
+		// Firm means that, in addition, every live run is known to the publisher: a recalled run
+		// that it does not report is to be suspected.
 		Firm bool
-		// Going says that the teller is about to stop: work goes to others.
+		// Going means that the publisher is about to stop: work is assigned to others.
 		Going bool
-		// Votes is the epoch of the core in which the teller's disk, of incarnation Disk,
-		// has a seat; 0 is none. Core is told where it is newer than the asker's.
+		// Votes is the epoch of the core in which the publisher's disk, of incarnation Disk,
+		// has a seat; 0 means none. Core is set if it is newer than the follower's.
 		Votes uint64
 		Disk  string
 		Core  quorum.Core
-		// Me is the teller, told with answers to asks that carry Sums.
+		// Me is the publisher, set in answers to requests with Sums.
 		Me    Member
 		Items []item.Item
 		Runs  []target.Run
-		// Packed holds Items and Runs instead, where they are many.
+		// Packed replaces Items and Runs in a large answer.
 		Packed []byte
-		// Peers are the controllers that the teller hears, and Attached the zones of the gateways
-		// that follow it, by ID: both are told when they change, by Seen.Peers.
+		// Peers are the controllers that the publisher hears from, and Attached the zones of the gateways
+		// that follow it, by gateway ID. Both are sent when they change, as tracked by Seen.Peers.
 		Peers    []Member
 		Attached map[string]string
-		// Gateways is how many gateways the teller knows of, in all and in the asker's zone.
+		// Gateways and GatewaysNear are the numbers of gateways that the publisher knows of, in total and in the follower's zone.
 		Gateways, GatewaysNear int
 	}
 )
