--- a/internal/item/set_test.go
+++ b/internal/item/set_test.go
@@ -12,11 +12,11 @@
 	return Item{Key: Key{Route, name}, Version: version, Body: []byte(body)}
 }
 
-func gone(name string, version uint64) Item {
+func tombstone(name string, version uint64) Item {
 	return Item{Key: Key{Route, name}, Version: version, Gone: true}
 }
 
-func same(a, b Item) bool {
+func equal(a, b Item) bool {
 	return a.Key == b.Key && a.Version == b.Version && a.Gone == b.Gone && bytes.Equal(a.Body, b.Body)
 }
 
@@ -29,24 +29,24 @@
 		{route("a", 3, "x"), true},
 		{route("a", 3, "x"), false},
 		{route("a", 2, "y"), false},
-		{gone("a", 2), false},
+		{tombstone("a", 2), false},
 		{route("b", 0, ""), true},
 		{route("b", 0, ""), false},
-		{gone("a", 5), true},
+		{tombstone("a", 5), true},
 		{route("a", 4, "x"), false},
-		{gone("a", 5), false},
+		{tombstone("a", 5), false},
 		{route("a", 6, "z"), true},
 		{Item{Key: Key{Service, "a"}, Version: 1}, true},
 	} {
 		if got := s.Merge(c.in); got != c.news {
-			t.Fatalf("%v: news %v, want %v", c.in, got, c.news)
+			t.Fatalf("%v: Merge returned %v, want %v", c.in, got, c.news)
 		}
 	}
-	if it, ok := s.Get(Key{Route, "a"}); !ok || !same(it, route("a", 6, "z")) {
-		t.Errorf("stands %v %v", it, ok)
+	if it, ok := s.Get(Key{Route, "a"}); !ok || !equal(it, route("a", 6, "z")) {
+		t.Errorf("Get returned %v %v", it, ok)
 	}
 	if _, ok := s.Get(Key{Limits, "a"}); ok {
-		t.Error("an item that never came is there")
+		t.Error("Get found an item that was never merged")
 	}
 	if s.Len() != 3 {
 		t.Errorf("%d items", s.Len())
@@ -55,21 +55,21 @@
 
 func TestDroppedItemsAreRemembered(t *testing.T) {
 	s := NewSet()
-	in := gone("a", 5)
+	in := tombstone("a", 5)
 	in.Body = []byte("a body that a dropped item has no use for")
 	s.Merge(in)
 	if s.Merge(route("a", 4, "x")) {
-		t.Error("an older version came back")
+		t.Error("an older version replaced a tombstone")
 	}
 	if it, ok := s.Get(Key{Route, "a"}); !ok || !it.Gone || it.Body != nil {
-		t.Errorf("stands %v %v", it, ok)
+		t.Errorf("Get returned %v %v", it, ok)
 	}
 	if all := slices.Collect(s.All()); len(all) != 1 || !all[0].Gone {
 		t.Errorf("all: %v", all)
 	}
 }
 
-// Copies end alike in whichever order items come, also where one version has two
+// Sets converge regardless of the order in which items arrive, also if one version has two
 // contents.
 func TestMergeInAnyOrderEndsAlike(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
@@ -77,7 +77,7 @@
 	for i := range 300 {
 		it := route(fmt.Sprint(i%20), uint64(rng.IntN(5)), fmt.Sprint(rng.IntN(4)))
 		if rng.IntN(4) == 0 {
-			it = gone(it.Name, it.Version)
+			it = tombstone(it.Name, it.Version)
 		}
 		items = append(items, it)
 	}
@@ -91,16 +91,16 @@
 			want = s
 		}
 		for it := range want.All() {
-			if got, ok := s.Get(it.Key); !ok || !same(got, it) {
-				t.Fatalf("%v here, %v there", got, it)
+			if got, ok := s.Get(it.Key); !ok || !equal(got, it) {
+				t.Fatalf("sets differ: %v and %v", got, it)
 			}
 		}
 		rng.Shuffle(len(items), func(i, j int) { items[i], items[j] = items[j], items[i] })
 	}
 }
 
-// A follower that pages through what changed, while changes go on, ends with the same
-// items and hears of each change's newest content.
+// A follower that pages through the changes while further changes are made ends with the
+// same items and receives the newest content of each change.
 func TestSinceBringsAFollowerUpToDate(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 4))
 	s, follower := NewSet(), NewSet()
@@ -108,7 +108,7 @@
 	for step := range 5000 {
 		it := route(fmt.Sprint(rng.IntN(50)), uint64(step/3), fmt.Sprint(step))
 		if rng.IntN(5) == 0 {
-			it = gone(it.Name, it.Version)
+			it = tombstone(it.Name, it.Version)
 		}
 		s.Merge(it)
 		if rng.IntN(10) > 0 {
@@ -119,11 +119,11 @@
 			t.Fatalf("more %v at %d of %d", more, upTo, s.Seq())
 		}
 		for _, it := range items {
-			if now, _ := s.Get(it.Key); !same(now, it) {
-				t.Fatalf("told %v where %v stands", it, now)
+			if now, _ := s.Get(it.Key); !equal(now, it) {
+				t.Fatalf("Since returned %v, but the set holds %v", it, now)
 			}
 			if !follower.Merge(it) {
-				t.Fatalf("told %v twice", it)
+				t.Fatalf("Since returned %v twice", it)
 			}
 		}
 		seen = upTo
@@ -139,7 +139,7 @@
 		t.Fatalf("%d of %d items", follower.Len(), s.Len())
 	}
 	for it := range s.All() {
-		if got, _ := follower.Get(it.Key); !same(got, it) {
+		if got, _ := follower.Get(it.Key); !equal(got, it) {
 			t.Errorf("%v, want %v", got, it)
 		}
 	}
@@ -174,7 +174,7 @@
 		{0, 0, 1, "b", 2, true},
 		{0, 0, 2 * size, "bc", 3, true},
 		{0, 0, 2*size - 1, "b", 2, true},
-		{99, 0, 0, "bca", 4, false}, // another set's number
+		{99, 0, 0, "bca", 4, false}, // a sequence number of another set
 	} {
 		items, upTo, more := s.Since(c.seq, c.items, c.bytes)
 		if names(items) != c.want || upTo != c.upTo || more != c.more {
@@ -183,7 +183,7 @@
 		}
 	}
 	if items, upTo, more := NewSet().Since(0, 1, 1); items != nil || upTo != 0 || more {
-		t.Errorf("an empty set tells %v %d %v", items, upTo, more)
+		t.Errorf("an empty set returns %v %d %v", items, upTo, more)
 	}
 }
 
@@ -213,7 +213,7 @@
 	}
 	for i := range 100 {
 		if met[fmt.Sprint(i)] != 1 {
-			t.Fatalf("%d was met %d times", i, met[fmt.Sprint(i)])
+			t.Fatalf("item %d was visited %d times", i, met[fmt.Sprint(i)])
 		}
 	}
 }
--- a/internal/target/heard_test.go
+++ b/internal/target/heard_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// What came in here and what was only told of are two things.
+// Heartbeats received here are distinguished from information that other nodes sent.
 func TestHeardTellsOwnBeatsFromOthers(t *testing.T) {
 	tb := NewTable()
 	tb.ReceiveHeartbeat(Heartbeat{ID: "1", Service: "a", Addr: "10.0.0.1:1", Seq: 1}, time.Second, testStart)
--- a/internal/target/recalled_test.go
+++ b/internal/target/recalled_test.go
@@ -15,7 +15,7 @@
 	tb := NewTable()
 	for _, id := range []string{"1", "2", "3"} {
 		if !tb.Merge(recalledRun(id, 5, Ready), testStart) {
-			t.Fatal("no news")
+			t.Fatal("a new run is not reported as a change")
 		}
 	}
 	tb.Merge(recalledRun("4", 5, Draining), testStart)
@@ -24,19 +24,19 @@
 		t.Errorf("%+v", r)
 	}
 	before := tb.Sums()
-	// A beat here and a copy from a node that heard one confirm it, each as news: those
-	// who have yet to settle are to know.
+	// A heartbeat received here and a copy from a node that received one both confirm the
+	// run, each as a change, since nodes that are not complete yet must learn of it.
 	if _, news, _ := tb.ReceiveHeartbeat(testHeartbeat("1", "10.0.0.1:1", 6), quietTime, testStart); !news {
-		t.Error("a confirmation is no news")
+		t.Error("a confirmation is not reported as a change")
 	}
 	if tb.Sums() == before {
-		t.Error("the sums hide a confirmation")
+		t.Error("the checksums do not reflect a confirmation")
 	}
 	if !tb.Merge(testRun("2", 5, Ready), testStart) || tb.Merge(recalledRun("2", 5, Ready), testStart) {
-		t.Error("a confirmation does not stand")
+		t.Error("a confirmation was not kept")
 	}
 	if !tb.MarkComplete(testStart) || tb.MarkComplete(testStart) {
-		t.Error("settles once")
+		t.Error("MarkComplete must report a change exactly once")
 	}
 	for id, want := range map[string]bool{"1": false, "2": false, "3": true, "4": true, "5": false} {
 		if r, _ := tb.Get(id, testStart); r.Suspected() != want {
@@ -46,17 +46,17 @@
 	if r, _ := tb.Get("4", testStart); r.State != Draining {
 		t.Errorf("%+v", r)
 	}
-	// Its next beat clears one whose beats were only held up.
+	// A run whose heartbeats were only delayed is cleared by its next one.
 	if _, news, _ := tb.ReceiveHeartbeat(testHeartbeat("3", "10.0.0.1:3", 6), quietTime, testStart); !news {
-		t.Error("no news")
+		t.Error("a cleared suspicion is not reported as a change")
 	}
 	if r, _ := tb.Get("3", testStart); r.Suspected() || r.Recalled {
 		t.Errorf("%+v", r)
 	}
-	// One that never beats is forgotten as any other that is suspected.
+	// A run that never sends a heartbeat is removed like any other suspected run.
 	tb.RemoveExpired(testStart.Add(inactiveRetention + time.Second))
 	if _, ok := tb.Get("4", testStart); ok {
-		t.Error("not forgotten")
+		t.Error("not removed")
 	}
 }
 
@@ -68,51 +68,51 @@
 	at := tb.Seq()
 	for _, r := range []Run{recalledRun("here", 5, Ready), recalledRun("over", 5, Ready), recalledRun("gone", 5, Ready), recalledRun("left", 5, Draining)} {
 		if tb.Merge(r, testStart) {
-			t.Errorf("taken for news: %+v", r)
+			t.Errorf("reported as a change: %+v", r)
 		}
 	}
 	if tb.Seq() != at || tb.Len() != 2 || stateOf(tb, "over") != Ended {
 		t.Errorf("%d runs", tb.Len())
 	}
-	// An end is true whoever remembers it, also of a run that is known.
+	// An end is accepted from a recalled copy too, also for a run that is known to be live.
 	if !tb.Merge(recalledRun("here", 5, Ended), testStart) || stateOf(tb, "here") != Ended {
-		t.Error("an end was passed over")
+		t.Error("an end was ignored")
 	}
 	if !tb.Merge(recalledRun("gone", 5, Ended), testStart) || stateOf(tb, "gone") != Ended {
-		t.Error("an end was passed over")
+		t.Error("an end was ignored")
 	}
 }
 
-// A leaving that is taken in for a recalled run is no memory.
+// The end of a recalled run is not itself marked as recalled.
 func TestALeavingOfARecalledRunIsFirstHand(t *testing.T) {
 	tb := NewTable()
 	tb.Merge(recalledRun("1", 5, Ready), testStart)
 	if r, news := tb.MarkEnded("1", testStart); !news || r.Recalled || r.State != Ended {
-		t.Errorf("%+v, news %v", r, news)
+		t.Errorf("%+v, changed %v", r, news)
 	}
 	tb.Merge(recalledRun("2", 5, Ready), testStart)
 	b := testHeartbeat("2", "10.0.0.1:2", 6)
 	b.Draining = true
 	if r, news, _ := tb.ReceiveHeartbeat(b, quietTime, testStart); !news || r.Recalled || r.State != Draining {
-		t.Errorf("%+v, news %v", r, news)
+		t.Errorf("%+v, changed %v", r, news)
 	}
 }
 
-// A move is told though the beat that showed it came too soon after another.
+// A move is reported even if the heartbeat that showed it came too soon after another move.
 func TestAMoveThatCouldNotBeToldIsOwed(t *testing.T) {
 	tb := NewTable()
 	tb.Merge(testRun("1", 1, Ready), testStart)
 	if _, news, moved := tb.ReceiveHeartbeat(testHeartbeat("1", "10.0.0.1:1", 2), quietTime, testStart.Add(time.Second)); !news || !moved {
-		t.Error("a first move is not told, though the run itself was told just before")
+		t.Error("a first move is not reported if the run itself was reported just before")
 	}
 	tb.Merge(testRun("1", 3, Ready), testStart.Add(1200*time.Millisecond))
 	if _, news, _ := tb.ReceiveHeartbeat(testHeartbeat("1", "10.0.0.1:1", 4), quietTime, testStart.Add(1500*time.Millisecond)); news {
-		t.Error("each move is told")
+		t.Error("a move is reported too soon after another")
 	}
 	for i, want := range []bool{false, true, false, false} {
 		at := testStart.Add(2500*time.Millisecond + time.Duration(i)*500*time.Millisecond)
 		if _, news, _ := tb.ReceiveHeartbeat(testHeartbeat("1", "10.0.0.1:1", 5+uint64(i)), quietTime, at); news != want {
-			t.Errorf("%d beats after the move: news %v", i+1, news)
+			t.Errorf("%d heartbeats after the move: changed %v", i+1, news)
 		}
 	}
 }
--- a/internal/target/record_test.go
+++ b/internal/target/record_test.go
@@ -19,21 +19,21 @@
 		}
 		for n := range b {
 			if _, err := ReadRecord(b[:n]); err == nil {
-				t.Errorf("%d of %d bytes read as a run", n, len(b))
+				t.Errorf("%d of %d bytes were accepted as a record", n, len(b))
 			}
 		}
 		if _, err := ReadRecord(append(b, 0)); err == nil {
-			t.Error("more than a run read as one")
+			t.Error("trailing bytes were accepted")
 		}
 	}
 	for name, r := range map[string]Run{"no id": {State: Ready}, "no state": {ID: "i"}, "a later state": {ID: "i", State: Ended + 1}} {
 		if _, err := ReadRecord(r.Record()); err == nil {
-			t.Errorf("%s read as a run", name)
+			t.Errorf("%s: accepted", name)
 		}
 	}
 }
 
-// A record of a release that did not note versions is still read after an upgrade of this program.
+// A record of a release that did not record versions can still be read after an upgrade.
 func TestAnOlderRecordIsRead(t *testing.T) {
 	old := []byte{recordFormatV1, byte(Ready), 1, 'i', 1, 'a', 1, 'x', 1, 'z', 3, 7, 2}
 	want := Run{ID: "i", Service: "a", Addr: "x", Zone: "z", Slots: 3, State: Ready, Seq: 7, Silent: 2, Recalled: true}
--- a/internal/target/table.go
+++ b/internal/target/table.go
@@ -194,20 +194,20 @@
 
 // update replaces a run's copy and reports whether that is a material change.
 func (t *Table) update(e *entry, r Run, now time.Time) bool {
-	was, wasInactive := e.Run, e.State == Ended || e.Suspected()
+	previous, wasInactive := e.Run, e.State == Ended || e.Suspected()
 	if r.Addr != e.Addr {
 		t.unindexAddr(e)
 		e.Run = r
 		t.indexAddr(e)
 	}
 	e.Run = r
-	switch is := r.State == Ended || r.Suspected(); {
-	case is && !wasInactive:
+	switch inactive := r.State == Ended || r.Suspected(); {
+	case inactive && !wasInactive:
 		e.inactiveSince = now
-	case !is:
+	case !inactive:
 		e.inactiveSince = time.Time{}
 	}
-	if compareLocation(&was, &r) == 0 && was.State == r.State && was.Silent == r.Silent && was.Suspected() == r.Suspected() && was.Recalled == r.Recalled {
+	if compareLocation(&previous, &r) == 0 && previous.State == r.State && previous.Silent == r.Silent && previous.Suspected() == r.Suspected() && previous.Recalled == r.Recalled {
 		return false
 	}
 	t.recordChange(e, now)
--- a/internal/target/table_test.go
+++ b/internal/target/table_test.go
@@ -24,21 +24,21 @@
 		news bool
 	}{
 		{testRun("1", 1, Ready), true},
-		{testRun("1", 2, Ready), false}, // the ordinary beat
-		{testRun("1", 1, Ready), false}, // a late one
+		{testRun("1", 2, Ready), false}, // an ordinary heartbeat
+		{testRun("1", 1, Ready), false}, // a late heartbeat
 		{func() Run { r := testRun("1", 3, Ready); r.Slots = 3; return r }(), true},
-		{func() Run { r := testRun("1", 2, Ready); r.Slots = 9; return r }(), false},               // an older word on the slots
+		{func() Run { r := testRun("1", 2, Ready); r.Slots = 9; return r }(), false},               // older slots
 		{func() Run { r := testRun("1", 3, Ready); r.Slots, r.Silent = 3, 3; return r }(), true},   // suspected
 		{func() Run { r := testRun("1", 4, Ready); r.Slots = 3; return r }(), true},                // heard again
-		{func() Run { r := testRun("1", 5, Draining); r.Slots = 3; return r }(), true},             // drains
-		{func() Run { r := testRun("1", 6, Ready); r.Slots = 3; return r }(), false},               // and never comes back
+		{func() Run { r := testRun("1", 5, Draining); r.Slots = 3; return r }(), true},             // is draining
+		{func() Run { r := testRun("1", 6, Ready); r.Slots = 3; return r }(), false},               // does not become ready again
 		{func() Run { r := testRun("1", 2, Ended); return r }(), true},                             // has ended
-		{func() Run { r := testRun("1", 9, Draining); r.Slots = 3; return r }(), false},            // a late beat
-		{Run{ID: "", State: Ready}, false}, {Run{ID: "x"}, false}, {Run{ID: "x", State: 7}, false}, // unsound
+		{func() Run { r := testRun("1", 9, Draining); r.Slots = 3; return r }(), false},            // a late heartbeat
+		{Run{ID: "", State: Ready}, false}, {Run{ID: "x"}, false}, {Run{ID: "x", State: 7}, false}, // invalid
 	} {
 		seq := tb.Seq()
 		if got := tb.Merge(c.r, now); got != c.news || (tb.Seq() > seq) != c.news {
-			t.Errorf("%d: news %v, sequence %d -> %d, want news %v", i, got, seq, tb.Seq(), c.news)
+			t.Errorf("%d: changed %v, sequence %d -> %d, want changed %v", i, got, seq, tb.Seq(), c.news)
 		}
 	}
 	if r, _ := tb.Get("1", now); r.State != Ended || r.Slots != 3 || r.Seq != 9 || r.Suspected() || tb.Len() != 1 {
@@ -46,8 +46,8 @@
 	}
 }
 
-// Whatever the order in which copies come, tables that took the same ones end alike, and
-// say so by their sums.
+// Tables that merged the same copies converge regardless of the order, and their checksums
+// are equal.
 func TestCopiesMergeAlikeInAnyOrder(t *testing.T) {
 	for seed := range uint64(200) {
 		rnd := rand.New(rand.NewPCG(seed, 0))
@@ -77,13 +77,13 @@
 			}
 		}
 		if a.Sums() != b.Sums() {
-			t.Fatalf("seed %d: equal tables, other sums", seed)
+			t.Fatalf("seed %d: equal tables, different checksums", seed)
 		}
 		var none [Buckets]uint64
 		if a.Sums() == none {
-			t.Fatal("no sums")
+			t.Fatal("the checksums are zero")
 		}
-		// A table that follows the other by Since ends like it too.
+		// A table that follows the other by Since converges too.
 		c := NewTable()
 		for at, more := uint64(0), true; more; {
 			var rs []Run
@@ -93,7 +93,7 @@
 			}
 		}
 		if c.Sums() != a.Sums() {
-			t.Fatalf("seed %d: what Since tells is not the whole", seed)
+			t.Fatalf("seed %d: Since did not return everything", seed)
 		}
 	}
 }
@@ -117,7 +117,7 @@
 		t.Errorf("the log holds %d changes of 10 runs", len(tb.log))
 	}
 	if rs, _, _ := tb.Since(tb.Seq()+5, 0, 0, testStart); len(rs) != 10 {
-		t.Errorf("a number never given tells %d runs", len(rs))
+		t.Errorf("a sequence number that was never issued returns %d runs", len(rs))
 	}
 	if rs, _, more := tb.Since(0, 0, 100, testStart); len(rs) == 0 || len(rs) > 4 || !more {
 		t.Errorf("100 bytes hold %d runs", len(rs))
@@ -138,7 +138,7 @@
 func TestANewerRunTakesAnAddressOver(t *testing.T) {
 	tb := NewTable()
 	tb.ReceiveHeartbeat(testHeartbeat("old", "x:1", 7), quietTime, testStart)
-	// Not silent for long enough: it may be beating yet.
+	// The older run has not been silent for long enough: it may still send heartbeats.
 	tb.ReceiveHeartbeat(testHeartbeat("new", "x:1", 1), quietTime, testStart.Add(quietTime))
 	if r, _ := tb.Get("old", testStart); r.State != Ready || r.Suspected() {
 		t.Errorf("ended too early: %+v", r)
@@ -147,15 +147,15 @@
 		t.Error("ended too early")
 	}
 	if !tb.EndSuperseded(quietTime, testStart.Add(quietTime+1)) {
-		t.Error("no news")
+		t.Error("the end of the older run is not reported as a change")
 	}
 	if r, _ := tb.Get("old", testStart); r.State != Ended {
 		t.Errorf("still there: %+v", r)
 	}
 	if r, _ := tb.Get("new", testStart); r.State != Ready {
-		t.Errorf("the newer one ended: %+v", r)
+		t.Errorf("the newer run ended: %+v", r)
 	}
-	// A late beat of the older run neither brings it back nor harms the newer one.
+	// A late heartbeat of the older run neither restores it nor affects the newer one.
 	tb.ReceiveHeartbeat(testHeartbeat("old", "x:1", 8), quietTime, testStart.Add(time.Minute))
 	tb.EndSuperseded(quietTime, testStart.Add(10*time.Minute))
 	if o, n := stateOf(tb, "old"), stateOf(tb, "new"); o != Ended || n != Ready {
@@ -163,8 +163,8 @@
 	}
 }
 
-// Of a run that another node hears, this one knows no last beat: it is suspected until
-// that node says better.
+// A node does not know the last heartbeat of a run that another node hears: the run is only
+// suspected until that node corrects it.
 func TestARunHeardElsewhereIsOnlySuspected(t *testing.T) {
 	home, here := NewTable(), NewTable()
 	home.ReceiveHeartbeat(testHeartbeat("old", "x:1", 7), quietTime, testStart)
@@ -177,7 +177,7 @@
 		t.Fatalf("%+v", r)
 	}
 	if !home.Merge(r, testStart.Add(time.Second)) {
-		t.Error("the home does not answer the suspicion")
+		t.Error("the node that hears the run does not refute the suspicion")
 	}
 	r, _ = home.Get("old", testStart)
 	here.Merge(r, testStart.Add(time.Second))
@@ -195,17 +195,17 @@
 	tb.ReceiveHeartbeat(testHeartbeat("lost", "x:2", 1), quietTime, now)
 	tb.Suspect("lost", now)
 	tb.ReceiveHeartbeat(testHeartbeat("here", "x:3", 1), quietTime, now)
-	tb.Merge(testRun("4", 1, Ready), now) // heard elsewhere, and then no more
+	tb.Merge(testRun("4", 1, Ready), now) // received from another node, and then never again
 	now = now.Add(inactiveRetention)
 	tb.Maintain(now)
 	if tb.Len() != 5 {
 		t.Errorf("%d runs after %v", tb.Len(), inactiveRetention)
 	}
 	if r, _ := tb.Get("4", now); !r.Suspected() {
-		t.Error("a run that nobody tells of is not suspected")
+		t.Error("a run that no node announces is not suspected")
 	}
 	if r, _ := tb.Get("here", now); r.Suspected() {
-		t.Error("a run that is heard here is not this rule's")
+		t.Error("a run that is heard here is suspected")
 	}
 	tb.Maintain(now.Add(time.Second))
 	if ids := lo.Map(slices.Collect(tb.All(now)), func(r Run, _ int) string { return r.ID }); len(ids) != 2 || !lo.Every(ids, []string{"here", "4"}) {
@@ -216,7 +216,7 @@
 		sums.Merge(r, now)
 	}
 	if sums.Sums() != tb.Sums() {
-		t.Error("what was forgotten is still in the sums")
+		t.Error("removed runs are still in the checksums")
 	}
 }
 
@@ -226,14 +226,14 @@
 		tb.Merge(testRun(fmt.Sprint(i), 1, Ready), testStart)
 	}
 	if tb.Merge(testRun("x", 1, Ready), testStart) || tb.Len() != MaxRuns {
-		t.Errorf("a full table took more: %d", tb.Len())
+		t.Errorf("a full table accepted another run: %d", tb.Len())
 	}
 	tb.MarkEnded("7", testStart)
 	if !tb.Merge(testRun("x", 1, Ready), testStart) || tb.Len() != MaxRuns {
-		t.Error("a run that is over did not make room")
+		t.Error("an ended run was not evicted")
 	}
 	if _, ok := tb.Get("7", testStart); ok {
-		t.Error("another one went")
+		t.Error("another run was evicted")
 	}
 }
 
@@ -247,24 +247,24 @@
 	}
 }
 
-// A run that moves from one node to another is told at once, so that the first does not
-// judge it any more, but not with each beat.
+// A run that moves from one node to another is reported at once, so that the first node stops
+// judging it, but not with each heartbeat.
 func TestAMoveIsToldNowAndThen(t *testing.T) {
 	tb := NewTable()
 	tb.Merge(testRun("1", 5, Ready), testStart)
 	now := testStart.Add(moveReportInterval)
 	b := testHeartbeat("1", "10.0.0.1:1", 6)
 	if _, news, moved := tb.ReceiveHeartbeat(b, quietTime, now); !news || !moved {
-		t.Error("a move is no news")
+		t.Error("a move is not reported as a change")
 	}
 	b.Seq++
 	if _, news, moved := tb.ReceiveHeartbeat(b, quietTime, now); news || moved {
-		t.Error("the next beat is")
+		t.Error("the next heartbeat is reported as a change")
 	}
 	tb.Merge(testRun("1", 8, Ready), now)
 	b.Seq = 9
 	if _, news, moved := tb.ReceiveHeartbeat(b, quietTime, now.Add(moveReportInterval/2)); news || !moved {
-		t.Errorf("a move back right away: news %v, moved %v", news, moved)
+		t.Errorf("an immediate move back: changed %v, moved %v", news, moved)
 	}
 }
 
@@ -278,10 +278,10 @@
 	}
 	at := tb.Seq()
 	if tb.Maintain(testStart.Add(ReannounceInterval - time.Second)); tb.Seq() != at {
-		t.Error("told again too early")
+		t.Error("announced again too early")
 	}
 	if !tb.Maintain(testStart.Add(ReannounceInterval)) {
-		t.Error("not told again")
+		t.Error("not announced again")
 	}
 	rs, _, _ := tb.Since(at, 0, 0, testStart)
 	if len(rs) != 1 || rs[0].ID != "mine" || rs[0].Seq != 61 {
@@ -297,12 +297,12 @@
 	for name, b := range map[string]Heartbeat{"no id": {Service: "a", Addr: "x"}, "no service": {ID: "i", Addr: "x"}, "no address": {ID: "i", Service: "a"},
 		"long id": {ID: long, Service: "a", Addr: "x"}, "negative slots": {ID: "i", Service: "a", Addr: "x", Slots: -1}} {
 		if b.Check() == nil {
-			t.Errorf("%s taken", name)
+			t.Errorf("%s: accepted", name)
 		}
 	}
 }
 
-// An ordinary beat allocates nothing in the table.
+// An ordinary heartbeat causes no allocation in the table.
 func TestAnOrdinaryBeatAllocatesNothing(t *testing.T) {
 	tb, now := NewTable(), time.Now()
 	seq := uint64(1)
@@ -316,7 +316,7 @@
 	}
 }
 
-// Copies of one beat that differ in any part of the place end alike, whichever comes first.
+// Copies of one heartbeat that differ in any location field converge, whichever comes first.
 func TestCopiesOfOneBeatEndAlike(t *testing.T) {
 	a := Run{ID: "i", Service: "s", Addr: "x:1", Zone: "z", Slots: 2, State: Ready, Seq: 3}
 	for name, change := range map[string]func(*Run){
@@ -333,7 +333,7 @@
 		c := b
 		c.Seq++
 		if !tb.Merge(c, now) {
-			t.Errorf("%s: a later beat's is no news", name)
+			t.Errorf("%s: a later heartbeat is not reported as a change", name)
 		}
 	}
 }
--- a/internal/target/watch_test.go
+++ b/internal/target/watch_test.go
@@ -11,7 +11,7 @@
 	"walkrudder/internal/liveness"
 )
 
-// sendHeartbeats has n runs beat for d, all but those mute says.
+// sendHeartbeats makes n runs send heartbeats for d, except those for which silent returns true.
 func sendHeartbeats(tb *Table, w *Monitor, n int, seq *uint64, d time.Duration, silent func(i int) bool) {
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(250 * time.Millisecond) {
 		if time.Now().UnixMilli()%1000 < 250 {
@@ -46,7 +46,7 @@
 		var seq uint64
 		sendHeartbeats(tb, w, 7, &seq, 20*time.Second, func(int) bool { return false })
 		if n := countSuspected(tb); n != 0 {
-			t.Errorf("%d of 7 that beat are suspected", n)
+			t.Errorf("%d of 7 runs that send heartbeats are suspected", n)
 		}
 		sendHeartbeats(tb, w, 7, &seq, 5*time.Second, func(i int) bool { return i == 2 })
 		if r, _ := tb.Get("2", time.Now()); !r.Suspected() || countSuspected(tb) != 1 || r.Silent != 20 {
@@ -54,7 +54,7 @@
 		}
 		sendHeartbeats(tb, w, 7, &seq, 5*time.Second, func(i int) bool { return false })
 		if n := countSuspected(tb); n != 0 {
-			t.Errorf("%d are suspected after a newer beat", n)
+			t.Errorf("%d are suspected after a newer heartbeat", n)
 		}
 		sendHeartbeats(tb, w, 7, &seq, 10*time.Second, func(i int) bool { return true })
 		if n := countSuspected(tb); n != 3 {
@@ -63,7 +63,7 @@
 	})
 }
 
-// Where another node heard the run since, its silence here shows nothing.
+// If another node has received the run's heartbeats since, its silence here proves nothing.
 func TestOnlyTheNodeThatHearsARunJudgesIt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := liveness.NewPausesEvery(clock.Wall{}, 200*time.Millisecond)
@@ -76,13 +76,13 @@
 		tb.Merge(r, time.Now())
 		sendHeartbeats(tb, w, 4, &seq, 10*time.Second, func(i int) bool { return i == 1 })
 		if n := countSuspected(tb); n != 0 {
-			t.Error("judged though it beats elsewhere")
+			t.Error("suspected although another node receives its heartbeats")
 		}
 	})
 }
 
-// After a pause of this process, and after a run came here from another node, what would
-// look like silence may be this node's own doing.
+// After a pause of this process, and after a run moved here from another node, apparent
+// silence may be caused by this node itself.
 func TestNobodyIsJudgedRightAfterAPauseOrAMove(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := liveness.NewPausesEvery(clock.Wall{}, 200*time.Millisecond)
@@ -122,11 +122,11 @@
 		w.Observe("1", seq, moved, now)
 		sendHeartbeats(tb, w, 4, &seq, 2500*time.Millisecond, func(i int) bool { return i == 1 })
 		if n := countSuspected(tb); n != 0 {
-			t.Error("suspected right after it came here")
+			t.Error("suspected right after it moved here")
 		}
 		sendHeartbeats(tb, w, 4, &seq, 2*time.Second, func(i int) bool { return i == 1 })
 		if n := countSuspected(tb); n != 1 {
-			t.Errorf("%d suspected, want the one that fell silent after it came", n)
+			t.Errorf("%d suspected, want the one that fell silent after its move", n)
 		}
 		freeze()
 	})
--- a/internal/watch/board_test.go
+++ b/internal/watch/board_test.go
@@ -18,8 +18,8 @@
 	return target.Run{ID: id, Service: "a", Addr: "x:" + id, Zone: "z", Slots: 2, State: target.Ready, Seq: seq}
 }
 
-// fill puts random items and runs on both boards, and some on one only.
-func fill(rnd *rand.Rand, n int, both []*Replica, one *Replica) {
+// fillReplicas adds random items and runs to both replicas, and some to only one.
+func fillReplicas(rnd *rand.Rand, n int, both []*Replica, one *Replica) {
 	for i := range n {
 		it, r := testItem(fmt.Sprint(i), 1+rnd.Uint64N(9)), testRun(fmt.Sprint(i%40), 1)
 		it.Gone = rnd.IntN(5) == 0
@@ -36,13 +36,13 @@
 	}
 }
 
-// What sums alike is left out, and an asker that goes through with its first sums holds
-// all of the teller's, though the teller changes on the way.
+// Buckets with equal checksums are left out. A follower that pages with its first checksums
+// ends with all of the publisher's content, even if that changes meanwhile.
 func TestOnlyWhatDiffersIsTold(t *testing.T) {
 	for seed := range uint64(50) {
 		rnd := rand.New(rand.NewPCG(seed, 0))
 		a, b := NewReplica(clock.Wall{}), NewReplica(clock.Wall{})
-		fill(rnd, 500, []*Replica{a, b}, a)
+		fillReplicas(rnd, 500, []*Replica{a, b}, a)
 		sums := b.Sums()
 		told := 0
 		for at, more := (Cursor{}), true; more; {
@@ -57,13 +57,13 @@
 			}
 		}
 		if fmt.Sprint(a.Sums()) != fmt.Sprint(b.Sums()) {
-			t.Fatalf("seed %d: the boards differ", seed)
+			t.Fatalf("seed %d: the replicas differ", seed)
 		}
 		if told > 270 {
-			t.Errorf("seed %d: %d told of 540 for a few that differ", seed, told)
+			t.Errorf("seed %d: %d of 540 sent for a few that differ", seed, told)
 		}
 		if is, rs, _, more := a.since(Cursor{}, b.Sums(), 1<<20); len(is)+len(rs) > 0 || more {
-			t.Errorf("seed %d: %d items and %d runs told to a board that holds them", seed, len(is), len(rs))
+			t.Errorf("seed %d: %d items and %d runs sent to a replica that holds them", seed, len(is), len(rs))
 		}
 	}
 }
@@ -111,7 +111,7 @@
 	b.MergeItems([]item.Item{testItem("x", 2), testItem("x", 1)})
 	b.MergeRuns([]target.Run{testRun("1", 9)})
 	if woken(c) {
-		t.Error("woken by what is no news")
+		t.Error("woken although nothing changed")
 	}
 	b.MergeItems([]item.Item{testItem("x", 3)})
 	if !woken(c) {
@@ -138,10 +138,10 @@
 	}
 	small := WatchTold{Items: []item.Item{testItem("1", 1)}}
 	if err := small.pack(); err != nil || small.Packed != nil {
-		t.Error("a few are packed")
+		t.Error("a small answer is packed")
 	}
 	bad := WatchTold{Packed: []byte("no such thing")}
 	if bad.unpack() == nil {
-		t.Error("rubbish unpacked")
+		t.Error("invalid data was unpacked")
 	}
 }
--- a/internal/watch/follower_test.go
+++ b/internal/watch/follower_test.go
@@ -8,7 +8,7 @@
 	"walkrudder/internal/item"
 )
 
-// A follower stands where its last ask said that it was, not where the answer to it leads.
+// A follower's cursor is the one that its last request sent, not the one of the answer.
 func TestFollowersStandWhereTheyAskedFrom(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newTestPublisher()
@@ -22,14 +22,14 @@
 		if f := b.Followers(); f[0].Seen.Items != 2 || f[0].Age != time.Second || f[0].Zone != "z" || f[0].Gone() {
 			t.Errorf("%+v", f)
 		}
-		// A place of another life says nothing of this one.
+		// A cursor for another incarnation does not apply to this one.
 		b.ask(t, WatchAsk{Me: testGateway, Inc: 4, Seen: Cursor{Items: 1}, Sums: make([]uint64, sumsLen)})
 		if f := b.Followers(); f[0].Seen.Items != 0 {
 			t.Errorf("%+v", f)
 		}
 		time.Sleep(gatewayTimeout)
 		if f := b.Followers(); !f[0].Gone() || b.PollCount() != 3 {
-			t.Errorf("%+v after %d asks", f, b.PollCount())
+			t.Errorf("%+v after %d requests", f, b.PollCount())
 		}
 	})
 }
--- a/internal/watch/report_test.go
+++ b/internal/watch/report_test.go
@@ -28,7 +28,7 @@
 		s := &Subscriber{Me: Member{ID: "f", Kind: Gateway, Zone: "za", Inc: 1}, Line: f, Clock: clock.Wall{}, Log: log.New(nil), OnUpdate: func(WatchTold) {}}
 		s.Init([]string{"in-a", "in-b", "in-c"})
 		if r := s.Report(); r.Synced || r.BehindMS != -1 || len(r.Follows) > 0 || r.Newest != "" {
-			t.Errorf("before its first ask: %+v", r)
+			t.Errorf("before its first request: %+v", r)
 		}
 		ctx, end := context.WithCancel(t.Context())
 		done := make(chan struct{})
@@ -46,8 +46,8 @@
 		if own.Controller != "a" || own.Inner != "in-a" || own.Zone != "za" || !own.Fresh || own.Items != 2 || other.Controller == "a" || own.SinceMS < 5000 {
 			t.Errorf("%+v", r.Follows)
 		}
-		// The controller of its zone falls silent: it follows another one, since just now, and
-		// the second slot stays where it was.
+		// The controller of its own zone falls silent: the first slot switches to another one
+		// just now, and the second slot is unchanged.
 		f.mu.Lock()
 		f.silent["in-a"] = true
 		f.mu.Unlock()
@@ -61,7 +61,7 @@
 	})
 }
 
-// Who asks the same controller again after a look around has followed it all the time.
+// A gateway that selects the same controller again has followed it without interruption.
 func TestAGatewayThatStaysHasFollowedSinceItCame(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &delayedLine{delay: 10 * time.Millisecond, controllers: map[string]*testPublisher{}, connected: map[string]bool{}, silent: map[string]bool{}}
--- a/internal/watch/subscriber.go
+++ b/internal/watch/subscriber.go
@@ -261,7 +261,7 @@
 	now := s.Clock.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	was := s.following[slot]
+	previous := s.following[slot]
 	s.following[slot], s.answers[slot].Fresh = "", false
 	all := s.candidates()
 	if slot > 0 {
@@ -276,7 +276,7 @@
 	}
 	retryIn = maxBackoff
 	defer func() {
-		if s.following[slot] = addr; addr != was {
+		if s.following[slot] = addr; addr != previous {
 			s.followedSince[slot] = now
 		}
 	}()
--- a/internal/watch/subscriber_test.go
+++ b/internal/watch/subscriber_test.go
@@ -17,18 +17,18 @@
 	"walkrudder/internal/quorum"
 )
 
-// delayedLine is a line on which each way takes a while: a question over it and, where the link
-// is new, two more round trips first.
+// delayedLine is a link.Line with a delay in each direction. A request takes one round trip,
+// and two more on a new connection.
 type delayedLine struct {
 	delay       time.Duration
 	mu          sync.Mutex
 	controllers map[string]*testPublisher
 	connected   map[string]bool
 	silent      map[string]bool
-	bytes       int // of news
+	bytes       int // total size of the changes sent
 }
 
-// newDelayedLine has controllers that know each other, each in a zone of its own.
+// newDelayedLine creates controllers that know each other, each in a zone of its own.
 func newDelayedLine(way time.Duration, ids ...string) *delayedLine {
 	f := &delayedLine{delay: way, controllers: map[string]*testPublisher{}, connected: map[string]bool{}, silent: map[string]bool{}}
 	var all []Member
@@ -43,7 +43,7 @@
 	return f
 }
 
-// setDelay has each way take so long from now on.
+// setDelay sets the delay of each direction from now on.
 func (f *delayedLine) setDelay(way time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -70,7 +70,7 @@
 	}
 	a, ok := ask.(WatchAsk)
 	if !ok {
-		return nil, errors.New("no such question")
+		return nil, errors.New("unexpected request type")
 	}
 	r, err := b.handleWatch(ctx, a)
 	if err != nil {
@@ -85,10 +85,9 @@
 	return r, (clock.Wall{}).Sleep(ctx, way)
 }
 
-// TestNewsComeThoughTheControllerFollowedMissesThem: a controller that is cut off from the others, but
-// not from the gateway, takes over a second to notice; or it falls silent. On a slow link the
-// gateway hears all the same in time what another controller was told in the meantime, for it
-// follows two.
+// A controller that is partitioned from the others, but not from the gateway, takes over a
+// second to notice; or it falls silent. Even on a slow link, the gateway receives in time what
+// the other controllers were told meanwhile, because it follows two.
 func TestNewsComeThoughTheControllerFollowedMissesThem(t *testing.T) {
 	for name, mute := range map[string]bool{"cut off": false, "silent": true} {
 		t.Run(name, func(t *testing.T) {
@@ -131,7 +130,7 @@
 					time.Sleep(300 * time.Millisecond)
 					mu.Lock()
 					if known["x"] != v {
-						t.Errorf("version %d known 1.5 s after %d was told to all controllers but %s, which it followed", known["x"], v, at)
+						t.Errorf("version %d known 1.5 s after version %d was merged at all controllers except the followed %s", known["x"], v, at)
 					}
 					mu.Unlock()
 					f.mu.Lock()
@@ -148,8 +147,8 @@
 	}
 }
 
-// TestAGatewayKnowsWhatIsYoungEnough: where a change has less than the usual time, a gateway asks so
-// often that it never goes by what is older, also on a slow link.
+// If the deadline of changes is shorter than usual, a gateway polls often enough that its
+// state is never older than the deadline, also on a slow link.
 func TestAGatewayKnowsWhatIsYoungEnough(t *testing.T) {
 	oldest := func(t *testing.T, within time.Duration) (old time.Duration) {
 		synctest.Test(t, func(t *testing.T) {
@@ -171,16 +170,16 @@
 	}
 	for _, c := range []struct{ within, most time.Duration }{{0, usualChangeDeadline}, {5 * time.Second, usualChangeDeadline}, {1500 * time.Millisecond, 1500 * time.Millisecond}, {minChangeDeadline, minChangeDeadline}} {
 		if old := oldest(t, c.within); old >= c.most {
-			t.Errorf("within %v: went by what was %v old", c.within, old)
+			t.Errorf("deadline %v: used state that was %v old", c.within, old)
 		}
 	}
 	if old := oldest(t, 0); old < minChangeDeadline {
-		t.Errorf("asks are as frequent without need: %v at the oldest", old)
+		t.Errorf("polls just as often with the usual deadline: state at most %v old", old)
 	}
 }
 
-// Guards against incident 40: on a link that held messages up for a second a gateway gave up each question shortly before
-// its answer came, made connections that took as long, and heard nothing for seconds.
+// Guards against incident 40: on a link that delayed messages by a second, a gateway gave up each request
+// shortly before its answer came, opened connections that took as long, and received nothing for seconds.
 func TestALinkThatHoldsMessagesUpStillBringsNews(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newDelayedLine(10*time.Millisecond, "a", "b", "c")
@@ -200,15 +199,15 @@
 		}
 		end()
 		<-done
-		// A question is asked as soon as the last one is answered, waits, and is told of at once.
+		// A request is sent as soon as the previous one is answered, waits, and is answered at once.
 		if most := 4*way + slowLinkWait + 100*time.Millisecond; old > most {
-			t.Errorf("went by what was %v old, %v at the most is wanted", old, most)
+			t.Errorf("used state that was %v old, want at most %v", old, most)
 		}
 	})
 }
 
-// TestAStartIsToldOnce: a gateway that starts is told what there is by one controller and not by two
-// at once; where the first says nothing, the second is asked without a long wait.
+// A starting gateway receives the initial state from one controller and not from two at once. If
+// the first does not answer, the second is asked without a long wait.
 func TestAStartIsToldOnce(t *testing.T) {
 	start := func(mute string) (bytes int, took time.Duration) {
 		synctest.Test(t, func(t *testing.T) {
@@ -252,7 +251,7 @@
 		items += len(fmt.Sprintf("%x-%d", xxhash.Sum64String(fmt.Sprint(i)), i))
 	}
 	if one > items*3/2 {
-		t.Errorf("%d bytes of news for names of %d", one, items)
+		t.Errorf("%d bytes of changes for %d bytes of names", one, items)
 	}
 	for _, id := range []string{"a", "b", "c"} {
 		if _, took := start(id); took > 800*time.Millisecond {
--- a/internal/watch/teller.go
+++ b/internal/watch/teller.go
@@ -72,9 +72,9 @@
 
 type client struct {
 	Member
-	askedAt    time.Time
-	cursor     Cursor    // of its last request
-	newsSentAt time.Time // when changes were last sent to it
+	askedAt       time.Time
+	cursor        Cursor    // of its last request
+	changesSentAt time.Time // when changes were last sent to it
 }
 
 // Serve registers the handler for WatchAsk at d.
@@ -101,23 +101,23 @@
 		changed, woken := t.Replica.Changed(), t.Replica.Woken()
 		r := WatchTold{Inc: me.Inc, Waited: t.Clock.Now().Sub(start)}
 		t.fillAnswer(&r, a, me)
-		news := len(r.Items)+len(r.Runs) > 0
-		held := time.Duration(0)
-		if news && len(a.Sums) == 0 {
-			held = t.holdTime(a.Me.ID, &r)
+		hasChanges := len(r.Items)+len(r.Runs) > 0
+		hold := time.Duration(0)
+		if hasChanges && len(a.Sums) == 0 {
+			hold = t.holdTime(a.Me.ID, &r)
 		}
-		if timedOut || r.Fresh != wasFresh || r.Going != wasStopping || r.More || news && held <= 0 || r.Core.Epoch > a.Epoch {
-			if news && wait > 0 {
+		if timedOut || r.Fresh != wasFresh || r.Going != wasStopping || r.More || hasChanges && hold <= 0 || r.Core.Epoch > a.Epoch {
+			if hasChanges && wait > 0 {
 				// A request that does not wait may run concurrently with one that does.
-				t.noteNewsSent(a.Me.ID)
+				t.noteChangesSent(a.Me.ID)
 			}
 			return r, r.pack()
 		}
 		var due <-chan time.Time
 		stopHold := func() {}
-		if news {
+		if hasChanges {
 			// Each further change would trigger a new check; urgent changes are still found after holdUrgent.
-			due, stopHold = t.Clock.After(min(held, holdUrgent))
+			due, stopHold = t.Clock.After(min(hold, holdUrgent))
 			changed = nil
 		}
 		select {
@@ -143,22 +143,22 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	a := t.clients[id]
-	if a == nil || a.newsSentAt.IsZero() {
+	if a == nil || a.changesSentAt.IsZero() {
 		return 0
 	}
 	hold := lo.Ternary(urgent, holdUrgent, holdNormal)
 	if a.Kind == Controller {
 		hold = lo.Ternary(urgent, 0, holdController)
 	}
-	return a.newsSentAt.Add(hold).Sub(t.Clock.Now())
+	return a.changesSentAt.Add(hold).Sub(t.Clock.Now())
 }
 
-// noteNewsSent records that changes are sent to a client now.
-func (t *Publisher) noteNewsSent(id string) {
+// noteChangesSent records that changes are sent to a client now.
+func (t *Publisher) noteChangesSent(id string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if a := t.clients[id]; a != nil {
-		a.newsSentAt = t.Clock.Now()
+		a.changesSentAt = t.Clock.Now()
 	}
 }
 
--- a/internal/watch/teller_test.go
+++ b/internal/watch/teller_test.go
@@ -15,7 +15,7 @@
 	"walkrudder/internal/target"
 )
 
-// testPublisher is a teller whose freshness a test sets.
+// testPublisher is a publisher whose freshness is set by the test.
 type testPublisher struct {
 	*Publisher
 	fresh atomic.Bool
@@ -58,7 +58,7 @@
 		begun := time.Now()
 		r = b.ask(t, next(700*time.Millisecond))
 		if d := time.Since(begun); d != 700*time.Millisecond || r.Waited != d || len(r.Items)+len(r.Peers) > 0 {
-			t.Errorf("nothing new told after %v: %+v", d, r)
+			t.Errorf("answer without changes after %v: %+v", d, r)
 		}
 		if b.ask(t, next(time.Hour)); time.Since(begun) != 700*time.Millisecond+maxWait {
 			t.Errorf("held back until %v", time.Since(begun))
@@ -75,7 +75,7 @@
 			}()
 			r = b.ask(t, next(time.Second))
 			if d := time.Since(begun); d != 300*time.Millisecond || r.Waited != d {
-				t.Errorf("%s told after %v (%v)", name, d, r.Waited)
+				t.Errorf("%s reported after %v (%v)", name, d, r.Waited)
 			}
 		}
 	})
@@ -120,12 +120,12 @@
 		}
 		time.Sleep(clientRetention)
 		if _, _ = b.Gateways(); len(b.Clients()) != 0 {
-			t.Error("an asker is remembered for ever")
+			t.Error("a client is never removed")
 		}
 	})
 }
 
-// An asker whose patience ends is not kept waiting, and holds no goroutine.
+// A request whose context ends returns at once and leaves no goroutine behind.
 func TestAnAskEndsWithItsPatience(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newTestPublisher()
@@ -139,14 +139,14 @@
 	})
 }
 
-// locked reads a follower's notes.
+// locked calls read with the follower's lock held.
 func locked[T any](f *testFollower, read func(*testFollower) T) T {
 	f.Lock()
 	defer f.Unlock()
 	return read(f)
 }
 
-// testFollower asks again and again, and counts what it is told, and when.
+// testFollower polls in a loop and records what it receives, and when.
 type testFollower struct {
 	sync.Mutex
 	r       WatchTold
@@ -196,8 +196,8 @@
 	return r
 }
 
-// TestNewsAreHeldTogether: the first piece after a calm goes at once; runs behind it go
-// together, soon where they are urgent; and nothing is held for longer. Items never are.
+// The first change after an idle time is sent at once. Subsequent runs are batched, for a
+// shorter time if they are urgent, and no change is held for longer. Items are never held.
 func TestNewsAreHeldTogether(t *testing.T) {
 	for name, c := range map[string]struct {
 		kind       string
@@ -218,7 +218,7 @@
 				b := newTestPublisher()
 				b.Replica.MergeItems([]item.Item{testItem("before", 1)})
 				f := startFollower(t, b, Member{ID: "f", Kind: c.kind, Zone: "z", Inc: 1}, 3*time.Second)
-				time.Sleep(time.Second + 17*time.Millisecond) // a calm
+				time.Sleep(time.Second + 17*time.Millisecond) // idle time
 				const pieces = 1000
 				told := map[string]time.Time{}
 				begun := time.Now()
@@ -228,7 +228,7 @@
 					c.what(b, i)
 					synctest.Wait()
 					if n := locked(f, answerCount); i == 0 && n != 1 {
-						t.Errorf("the first piece is told in %d answers", n)
+						t.Errorf("the first change is sent in %d answers", n)
 					}
 					time.Sleep(c.each)
 				}
@@ -249,16 +249,16 @@
 						}
 					}
 					if !ok {
-						t.Fatalf("%s is never told", id)
+						t.Fatalf("%s is never sent", id)
 					}
 					most = max(most, got.Sub(at))
 				}
 				if most > c.most {
-					t.Errorf("a piece was told %v late, want %v at most", most, c.most)
+					t.Errorf("a change was sent %v late, want at most %v", most, c.most)
 				}
 				if c.held > 0 {
 					if want := int(time.Second/c.held) + 2; f.answers > want {
-						t.Errorf("%d answers for %d pieces in %v, want %d at most", f.answers, n, time.Since(begun), want)
+						t.Errorf("%d answers for %d changes in %v, want at most %d", f.answers, n, time.Since(begun), want)
 					}
 				}
 			})
@@ -266,8 +266,8 @@
 	}
 }
 
-// TestALeavingIsNotHeldBehindTheRest: a run that leaves is told in time though runs that
-// appeared are held for longer; and one who stops or is no longer fresh says so at once.
+// A leaving run is sent in time even if runs that appeared are held for longer. A publisher
+// that is stopping or no longer fresh reports that at once.
 func TestALeavingIsNotHeldBehindTheRest(t *testing.T) {
 	for name, c := range map[string]struct {
 		what func(*testPublisher)
@@ -291,7 +291,7 @@
 					synctest.Wait()
 				}
 				if n := locked(f, answerCount); n != 1 {
-					t.Fatalf("%d answers: the second piece is not held", n)
+					t.Fatalf("%d answers: the second change is not held back", n)
 				}
 				time.Sleep(20 * time.Millisecond)
 				c.what(b)
@@ -300,7 +300,7 @@
 				}
 				synctest.Wait()
 				if !locked(f, c.told) {
-					t.Errorf("not told after %v", c.most)
+					t.Errorf("not reported after %v", c.most)
 				}
 				time.Sleep(3 * time.Second)
 			})
