--- a/internal/item/set_test.go
+++ b/internal/item/set_test.go
@@ -42,8 +42,8 @@
 			t.Fatalf("%v: Merge returned %v, want %v", c.in, got, c.news)
 		}
 	}
-	if it, ok := s.Get(Key{Route, "a"}); !ok || !equal(it, route("a", 6, "z")) {
-		t.Errorf("Get returned %v %v", it, ok)
+	if got, ok := s.Get(Key{Route, "a"}); !ok || !equal(got, route("a", 6, "z")) {
+		t.Errorf("Get returned %v %v", got, ok)
 	}
 	if _, ok := s.Get(Key{Limits, "a"}); ok {
 		t.Error("Get found an item that was never merged")
@@ -202,18 +202,18 @@
 	for i := range 100 {
 		s.Merge(route(fmt.Sprint(i), 1, ""))
 	}
-	met := map[string]int{}
+	visited := map[string]int{}
 	v := uint64(2)
 	for it := range s.All() {
-		met[it.Name]++
+		visited[it.Name]++
 		for i := range 10 {
 			s.Merge(route(fmt.Sprint("new", i), v, ""))
 		}
 		v++
 	}
 	for i := range 100 {
-		if met[fmt.Sprint(i)] != 1 {
-			t.Fatalf("item %d was visited %d times", i, met[fmt.Sprint(i)])
+		if visited[fmt.Sprint(i)] != 1 {
+			t.Fatalf("item %d was visited %d times", i, visited[fmt.Sprint(i)])
 		}
 	}
 }
--- a/internal/target/table.go
+++ b/internal/target/table.go
@@ -20,7 +20,7 @@
 	// lostAfter is how long a run must be suspected before it counts as lost.
 	lostAfter = 60 * time.Second
 	// ReannounceInterval is how often a node announces the runs whose heartbeats it
-	// receives, even without a change. This shows the others that a node still hears them.
+	// receives, even without a change. This shows the others that a node still receives them.
 	ReannounceInterval = 60 * time.Second
 	// suspectUnheardAfter is how long a run may go unannounced before it is suspected: the
 	// node that received its heartbeats was lost together with the run.
@@ -285,8 +285,8 @@
 			continue
 		}
 		for i, o := range l[:len(l)-1] {
-			later := lo.SomeBy(l[i+1:], func(x *entry) bool { return x.State != Ended })
-			if later && o.State != Ended && o.ownSeq > 0 && o.ownSeq >= o.Seq && now.Sub(o.ownSeqAt) > quiet {
+			replaced := lo.SomeBy(l[i+1:], func(x *entry) bool { return x.State != Ended })
+			if replaced && o.State != Ended && o.ownSeq > 0 && o.ownSeq >= o.Seq && now.Sub(o.ownSeqAt) > quiet {
 				changed = t.markEnded(o, now) || changed
 			}
 		}
--- a/internal/target/table_test.go
+++ b/internal/target/table_test.go
@@ -158,13 +158,13 @@
 	// A late heartbeat of the older run neither restores it nor affects the newer one.
 	tb.ReceiveHeartbeat(testHeartbeat("old", "x:1", 8), quietTime, testStart.Add(time.Minute))
 	tb.EndSuperseded(quietTime, testStart.Add(10*time.Minute))
-	if o, n := stateOf(tb, "old"), stateOf(tb, "new"); o != Ended || n != Ready {
-		t.Errorf("states %d and %d", o, n)
+	if older, newer := stateOf(tb, "old"), stateOf(tb, "new"); older != Ended || newer != Ready {
+		t.Errorf("states %d and %d", older, newer)
 	}
 }
 
-// A node does not know the last heartbeat of a run that another node hears: the run is only
-// suspected until that node corrects it.
+// A node does not know the last heartbeat of a run whose heartbeats another node receives:
+// the run is only suspected until that node corrects it.
 func TestARunHeardElsewhereIsOnlySuspected(t *testing.T) {
 	home, here := NewTable(), NewTable()
 	home.ReceiveHeartbeat(testHeartbeat("old", "x:1", 7), quietTime, testStart)
--- a/internal/target/watch.go
+++ b/internal/target/watch.go
@@ -46,20 +46,20 @@
 	if w.detectors == nil {
 		w.detectors = map[string]*runDetector{}
 	}
-	d := w.detectors[id]
+	det := w.detectors[id]
 	switch {
-	case d == nil && len(w.detectors) >= MaxRuns:
+	case det == nil && len(w.detectors) >= MaxRuns:
 		return
-	case d == nil:
-		d = &runDetector{Detector: liveness.New(liveness.Defaults(w.HeartbeatInterval), w.Pauses, now)}
-		w.detectors[id] = d
+	case det == nil:
+		det = &runDetector{Detector: liveness.New(liveness.Defaults(w.HeartbeatInterval), w.Pauses, now)}
+		w.detectors[id] = det
 	case moved:
-		d.Restart(now)
+		det.Restart(now)
 	}
 	if moved {
-		d.suspendedUntil = now.Add(moveGraceBeats * w.HeartbeatInterval)
+		det.suspendedUntil = now.Add(moveGraceBeats * w.HeartbeatInterval)
 	}
-	d.Arrive(seq, now)
+	det.Arrive(seq, now)
 }
 
 // Evaluate marks the runs that have been silent for too long, each judged by its current
--- a/internal/watch/board_test.go
+++ b/internal/watch/board_test.go
@@ -44,12 +44,12 @@
 		a, b := NewReplica(clock.Wall{}), NewReplica(clock.Wall{})
 		fillReplicas(rnd, 500, []*Replica{a, b}, a)
 		sums := b.Sums()
-		told := 0
+		sent := 0
 		for at, more := (Cursor{}), true; more; {
 			var is []item.Item
 			var rs []target.Run
 			is, rs, at, more = a.since(at, sums, 200)
-			told += len(is) + len(rs)
+			sent += len(is) + len(rs)
 			b.MergeItems(is)
 			b.MergeRuns(rs)
 			if more && rnd.IntN(3) == 0 {
@@ -59,8 +59,8 @@
 		if fmt.Sprint(a.Sums()) != fmt.Sprint(b.Sums()) {
 			t.Fatalf("seed %d: the replicas differ", seed)
 		}
-		if told > 270 {
-			t.Errorf("seed %d: %d of 540 sent for a few that differ", seed, told)
+		if sent > 270 {
+			t.Errorf("seed %d: %d of 540 sent for a few that differ", seed, sent)
 		}
 		if is, rs, _, more := a.since(Cursor{}, b.Sums(), 1<<20); len(is)+len(rs) > 0 || more {
 			t.Errorf("seed %d: %d items and %d runs sent to a replica that holds them", seed, len(is), len(rs))
--- a/internal/watch/mesh.go
+++ b/internal/watch/mesh.go
@@ -149,8 +149,8 @@
 	if m.peers == nil {
 		m.peers = map[string]*peer{}
 	}
-	ctx, end := context.WithCancel(m.ctx)
-	p := &peer{followState: followState{addr: addr}, cancel: end, followedSince: m.Clock.Now(), retry: make(chan struct{}, 1)}
+	ctx, cancel := context.WithCancel(m.ctx)
+	p := &peer{followState: followState{addr: addr}, cancel: cancel, followedSince: m.Clock.Now(), retry: make(chan struct{}, 1)}
 	m.peers[addr] = p
 	m.wg.Go(func() { m.followPeer(ctx, p) })
 }
@@ -184,9 +184,9 @@
 			wait = 0
 		}
 		start := m.Clock.Now()
-		cx, end := context.WithTimeout(ctx, wait+peerAnswerMargin)
+		cx, cancel := context.WithTimeout(ctx, wait+peerAnswerMargin)
 		t, _, _, err := q.poll(cx, &state, wait)
-		end()
+		cancel()
 		if err != nil {
 			expired, stop := m.Clock.After(pause)
 			select {
@@ -353,35 +353,35 @@
 
 // syncSeats polls the seats of one core once.
 func (m *Mesh) syncSeats(ctx context.Context, core quorum.Core) bool {
-	need := core.BlockingSize()
+	missing := core.BlockingSize()
 	if m.ownDiskVotes(core) {
-		need--
+		missing--
 	}
-	if need <= 0 {
+	if missing <= 0 {
 		return true
 	}
 	me := m.Me()
-	cx, end := context.WithTimeout(ctx, voterWait+peerAnswerMargin)
-	defer end()
-	got := make(chan bool, len(core.Seats))
+	cx, cancel := context.WithTimeout(ctx, voterWait+peerAnswerMargin)
+	defer cancel()
+	results := make(chan bool, len(core.Seats))
 	asked := 0
 	for _, s := range core.Seats {
 		if s.ID == me.ID {
 			continue
 		}
 		asked++
-		go func() { got <- m.syncSeat(cx, core, s) }()
+		go func() { results <- m.syncSeat(cx, core, s) }()
 	}
 	for range asked {
 		select {
-		case ok := <-got:
+		case ok := <-results:
 			if ok {
-				need--
+				missing--
 			}
 		case <-ctx.Done():
 			return false
 		}
-		if need == 0 {
+		if missing == 0 {
 			return true
 		}
 	}
--- a/internal/watch/pack.go
+++ b/internal/watch/pack.go
@@ -66,7 +66,7 @@
 
 // limitedReader fails once a stream unpacks to more than the limit.
 type limitedReader struct {
-	r         io.Reader
+	src       io.Reader
 	remaining int
 }
 
@@ -74,7 +74,7 @@
 	if b.remaining <= 0 {
 		return 0, errUnpackedTooLarge
 	}
-	n, err := b.r.Read(p[:min(len(p), b.remaining)])
+	n, err := b.src.Read(p[:min(len(p), b.remaining)])
 	b.remaining -= n
 	return n, err
 }
--- a/internal/watch/subscriber.go
+++ b/internal/watch/subscriber.go
@@ -238,7 +238,7 @@
 // other zones, then seeds about which nothing is known. Each group is ordered by rendezvous hashing, so that
 // gateways spread out and few switch when controllers come and go. The caller must hold the lock.
 func (s *Subscriber) candidates() []string {
-	rank := func(a string) int {
+	zoneRank := func(a string) int {
 		switch p, ok := s.peers[a]; {
 		case ok && p.Zone == s.Me.Zone:
 			return 0
@@ -250,7 +250,7 @@
 	out := lo.Uniq(append(lo.Keys(s.peers), s.seeds...))
 	score := func(a string) uint64 { return xxhash.Sum64String(s.Me.ID + "\x00" + a) }
 	slices.SortFunc(out, func(a, b string) int {
-		return cmp.Or(cmp.Compare(rank(a), rank(b)), cmp.Compare(score(a), score(b)), cmp.Compare(a, b))
+		return cmp.Or(cmp.Compare(zoneRank(a), zoneRank(b)), cmp.Compare(score(a), score(b)), cmp.Compare(a, b))
 	})
 	return out
 }
@@ -263,16 +263,16 @@
 	defer s.mu.Unlock()
 	previous := s.following[slot]
 	s.following[slot], s.answers[slot].Fresh = "", false
-	all := s.candidates()
+	addrs := s.candidates()
 	if slot > 0 {
 		// A zone other than the first slot's is preferred, so that one fault rarely affects both
 		// slots. Controllers of this gateway's zone are left to the first slot.
 		zone := s.peers[s.following[0]].Zone
-		last := func(a string) int {
+		zoneRank := func(a string) int {
 			z := s.peers[a].Zone
 			return boolToInt(z == zone || z == s.Me.Zone)
 		}
-		slices.SortStableFunc(all, func(a, b string) int { return cmp.Compare(last(a), last(b)) })
+		slices.SortStableFunc(addrs, func(a, b string) int { return cmp.Compare(zoneRank(a), zoneRank(b)) })
 	}
 	retryIn = maxBackoff
 	defer func() {
@@ -280,7 +280,7 @@
 			s.followedSince[slot] = now
 		}
 	}()
-	for _, a := range all {
+	for _, a := range addrs {
 		if slices.Contains(s.following[:], a) {
 			continue
 		}
@@ -374,9 +374,9 @@
 			answer, wait = staleWait+answerMargin, staleWait
 		}
 		start := s.Clock.Now()
-		cx, end := context.WithTimeout(ctx, answer)
+		cx, cancel := context.WithTimeout(ctx, answer)
 		t, items, runs, err := q.poll(cx, &state, wait)
-		end()
+		cancel()
 		if err != nil {
 			if ctx.Err() == nil {
 				s.Log.Debug("controller does not answer", "step", "follow", "mate", addr, "err", err)
--- a/internal/watch/subscriber_test.go
+++ b/internal/watch/subscriber_test.go
@@ -25,19 +25,19 @@
 	controllers map[string]*testPublisher
 	connected   map[string]bool
 	silent      map[string]bool
-	bytes       int // total size of the changes sent
+	sentBytes   int // total size of the changes sent
 }
 
 // newDelayedLine creates controllers that know each other, each in a zone of its own.
 func newDelayedLine(way time.Duration, ids ...string) *delayedLine {
 	f := &delayedLine{delay: way, controllers: map[string]*testPublisher{}, connected: map[string]bool{}, silent: map[string]bool{}}
-	var all []Member
+	var members []Member
 	for _, id := range ids {
 		b := newTestPublisher()
 		me := Member{ID: id, Kind: Controller, Inner: id, Zone: "z" + id, Inc: 7, Seat: quorum.Seat{ID: id, Disk: "d" + id}}
 		b.Me = func() Member { return me }
-		b.Others = func() []Member { return all }
-		all = append(all, me)
+		b.Others = func() []Member { return members }
+		members = append(members, me)
 		f.controllers[id] = b
 	}
 	return f
@@ -77,9 +77,9 @@
 		return nil, err
 	}
 	f.mu.Lock()
-	f.bytes += len(r.Packed)
+	f.sentBytes += len(r.Packed)
 	for _, i := range r.Items {
-		f.bytes += len(i.Name) + len(i.Body)
+		f.sentBytes += len(i.Name) + len(i.Body)
 	}
 	f.mu.Unlock()
 	return r, (clock.Wall{}).Sleep(ctx, way)
@@ -87,34 +87,34 @@
 
 // A controller that is partitioned from the others, but not from the gateway, takes over a
 // second to notice; or it falls silent. Even on a slow link, the gateway receives in time what
-// the other controllers were told meanwhile, because it follows two.
+// the other controllers learned meanwhile, because it follows two.
 func TestNewsComeThoughTheControllerFollowedMissesThem(t *testing.T) {
 	for name, mute := range map[string]bool{"cut off": false, "silent": true} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				f := newDelayedLine(120*time.Millisecond, "a", "b", "c", "d", "e")
 				var mu sync.Mutex
-				known := map[string]uint64{}
+				versions := map[string]uint64{}
 				s := &Subscriber{Me: Member{ID: "f", Kind: Gateway, Zone: "za", Inc: 1}, Line: f, Clock: clock.Wall{}, Log: log.New(nil),
 					OnUpdate: func(w WatchTold) {
 						mu.Lock()
 						defer mu.Unlock()
 						for _, i := range w.Items {
-							known[i.Name] = i.Version
+							versions[i.Name] = i.Version
 						}
 					}}
 				s.Init([]string{"b", "c"})
-				ctx, end := context.WithCancel(t.Context())
+				ctx, cancel := context.WithCancel(t.Context())
 				done := make(chan struct{})
 				go func() { s.Run(ctx); close(done) }()
-				tell := func(v uint64, but string) {
+				mergeAtAll := func(v uint64, but string) {
 					for id, b := range f.controllers {
 						if id != but {
 							b.Replica.MergeItems([]item.Item{testItem("x", v)})
 						}
 					}
 				}
-				tell(1, "")
+				mergeAtAll(1, "")
 				time.Sleep(12 * time.Second)
 				for v := uint64(2); v < 8; v++ {
 					at := s.Following().Inner
@@ -123,14 +123,14 @@
 						f.silent[at] = true
 						f.mu.Unlock()
 					}
-					tell(v, at)
+					mergeAtAll(v, at)
 					time.Sleep(1200 * time.Millisecond)
 					f.controllers[at].fresh.Store(false)
 					f.controllers[at].Replica.Wake()
 					time.Sleep(300 * time.Millisecond)
 					mu.Lock()
-					if known["x"] != v {
-						t.Errorf("version %d known 1.5 s after version %d was merged at all controllers except the followed %s", known["x"], v, at)
+					if versions["x"] != v {
+						t.Errorf("version %d known 1.5 s after version %d was merged at all controllers except the followed %s", versions["x"], v, at)
 					}
 					mu.Unlock()
 					f.mu.Lock()
@@ -140,7 +140,7 @@
 					f.controllers[at].fresh.Store(true)
 					time.Sleep(10 * time.Second)
 				}
-				end()
+				cancel()
 				<-done
 			})
 		})
@@ -150,12 +150,12 @@
 // If the deadline of changes is shorter than usual, a gateway polls often enough that its
 // state is never older than the deadline, also on a slow link.
 func TestAGatewayKnowsWhatIsYoungEnough(t *testing.T) {
-	oldest := func(t *testing.T, within time.Duration) (old time.Duration) {
+	maxAge := func(t *testing.T, within time.Duration) (old time.Duration) {
 		synctest.Test(t, func(t *testing.T) {
 			f := newDelayedLine(120*time.Millisecond, "a", "b", "c")
 			s := &Subscriber{Me: Member{ID: "f", Kind: Gateway, Zone: "za", Inc: 1}, Line: f, Clock: clock.Wall{}, Log: log.New(nil), ChangeDeadline: within, OnUpdate: func(WatchTold) {}}
 			s.Init([]string{"b", "c"})
-			ctx, end := context.WithCancel(t.Context())
+			ctx, cancel := context.WithCancel(t.Context())
 			done := make(chan struct{})
 			go func() { s.Run(ctx); close(done) }()
 			time.Sleep(5 * time.Second)
@@ -163,17 +163,17 @@
 				time.Sleep(10 * time.Millisecond)
 				old = max(old, time.Since(s.AsOf()))
 			}
-			end()
+			cancel()
 			<-done
 		})
 		return old
 	}
 	for _, c := range []struct{ within, most time.Duration }{{0, usualChangeDeadline}, {5 * time.Second, usualChangeDeadline}, {1500 * time.Millisecond, 1500 * time.Millisecond}, {minChangeDeadline, minChangeDeadline}} {
-		if old := oldest(t, c.within); old >= c.most {
+		if old := maxAge(t, c.within); old >= c.most {
 			t.Errorf("deadline %v: used state that was %v old", c.within, old)
 		}
 	}
-	if old := oldest(t, 0); old < minChangeDeadline {
+	if old := maxAge(t, 0); old < minChangeDeadline {
 		t.Errorf("polls just as often with the usual deadline: state at most %v old", old)
 	}
 }
@@ -185,23 +185,23 @@
 		f := newDelayedLine(10*time.Millisecond, "a", "b", "c")
 		s := &Subscriber{Me: Member{ID: "f", Kind: Gateway, Zone: "za", Inc: 1}, Line: f, Clock: clock.Wall{}, Log: log.New(nil), SlowLink: true, OnUpdate: func(WatchTold) {}}
 		s.Init([]string{"a", "b", "c"})
-		ctx, end := context.WithCancel(t.Context())
+		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan struct{})
 		go func() { s.Run(ctx); close(done) }()
 		time.Sleep(5 * time.Second)
-		const way = 700 * time.Millisecond
-		f.setDelay(way)
+		const delay = 700 * time.Millisecond
+		f.setDelay(delay)
 		time.Sleep(5 * time.Second)
-		old := time.Duration(0)
+		maxAge := time.Duration(0)
 		for range 2000 {
 			time.Sleep(10 * time.Millisecond)
-			old = max(old, time.Since(s.AsOf()))
+			maxAge = max(maxAge, time.Since(s.AsOf()))
 		}
-		end()
+		cancel()
 		<-done
 		// A request is sent as soon as the previous one is answered, waits, and is answered at once.
-		if most := 4*way + slowLinkWait + 100*time.Millisecond; old > most {
-			t.Errorf("used state that was %v old, want at most %v", old, most)
+		if limit := 4*delay + slowLinkWait + 100*time.Millisecond; maxAge > limit {
+			t.Errorf("used state that was %v old, want at most %v", maxAge, limit)
 		}
 	})
 }
@@ -232,7 +232,7 @@
 			took = time.Since(began)
 			time.Sleep(5 * time.Second)
 			f.mu.Lock()
-			bytes = f.bytes
+			bytes = f.sentBytes
 			f.mu.Unlock()
 			if s.answers[1].Inc == 0 {
 				t.Error("no second controller is followed")
@@ -242,7 +242,7 @@
 		})
 		return bytes, took
 	}
-	one, took := start("")
+	sent, took := start("")
 	if took > time.Second {
 		t.Errorf("took %v", took)
 	}
@@ -250,8 +250,8 @@
 	for i := range 6000 {
 		items += len(fmt.Sprintf("%x-%d", xxhash.Sum64String(fmt.Sprint(i)), i))
 	}
-	if one > items*3/2 {
-		t.Errorf("%d bytes of changes for %d bytes of names", one, items)
+	if sent > items*3/2 {
+		t.Errorf("%d bytes of changes for %d bytes of names", sent, items)
 	}
 	for _, id := range []string{"a", "b", "c"} {
 		if _, took := start(id); took > 800*time.Millisecond {
--- a/internal/watch/teller.go
+++ b/internal/watch/teller.go
@@ -242,26 +242,26 @@
 		return
 	}
 	t.refreshedAt = now
-	near := map[string]string{}
+	own := map[string]string{}
 	for id, a := range t.clients {
 		switch age := now.Sub(a.askedAt); {
 		case age > clientRetention:
 			delete(t.clients, id)
 		case a.Kind == Gateway && age < gatewayTimeout:
-			near[id] = a.Zone
+			own[id] = a.Zone
 		}
 	}
 	peers := t.Others()
 	slices.SortFunc(peers, func(a, b Member) int { return cmp.Compare(a.Inner, b.Inner) })
 	// A gateway that switched its controller is reported by both for a while.
 	zones := t.OtherGateways()
-	maps.Copy(zones, near)
+	maps.Copy(zones, own)
 	all := lo.CountValues(lo.Values(zones))
 	same := slices.EqualFunc(peers, t.peers, func(a, b Member) bool { a.Age, b.Age = 0, 0; return a == b })
-	if t.peers == nil || !same || !maps.Equal(near, t.ownGateways) {
+	if t.peers == nil || !same || !maps.Equal(own, t.ownGateways) {
 		t.peersVersion++
 	}
-	t.peers, t.ownGateways, t.gatewaysByZone = lo.Ternary(peers == nil, []Member{}, peers), near, all
+	t.peers, t.ownGateways, t.gatewaysByZone = lo.Ternary(peers == nil, []Member{}, peers), own, all
 }
 
 // Clients returns the nodes that polled this one recently, with the age of their last request.
--- a/internal/watch/teller_test.go
+++ b/internal/watch/teller_test.go
@@ -55,26 +55,26 @@
 		next := func(wait time.Duration) WatchAsk {
 			return WatchAsk{Me: Member{ID: "f", Inc: 1}, Inc: 5, Seen: r.Seen, Epoch: 0, Wait: wait}
 		}
-		begun := time.Now()
+		start := time.Now()
 		r = b.ask(t, next(700*time.Millisecond))
-		if d := time.Since(begun); d != 700*time.Millisecond || r.Waited != d || len(r.Items)+len(r.Peers) > 0 {
+		if d := time.Since(start); d != 700*time.Millisecond || r.Waited != d || len(r.Items)+len(r.Peers) > 0 {
 			t.Errorf("answer without changes after %v: %+v", d, r)
 		}
-		if b.ask(t, next(time.Hour)); time.Since(begun) != 700*time.Millisecond+maxWait {
-			t.Errorf("held back until %v", time.Since(begun))
+		if b.ask(t, next(time.Hour)); time.Since(start) != 700*time.Millisecond+maxWait {
+			t.Errorf("held back until %v", time.Since(start))
 		}
 		for name, f := range map[string]func(){
 			"an item":   func() { b.Replica.MergeItems([]item.Item{testItem("x", r.Seen.Items+5)}) },
 			"a run":     func() { b.Replica.MergeRuns([]target.Run{testRun("1", 1)}) },
 			"freshness": func() { b.fresh.Store(!b.fresh.Load()); b.Replica.Wake() },
 		} {
-			begun = time.Now()
+			start = time.Now()
 			go func() {
 				time.Sleep(300 * time.Millisecond)
 				f()
 			}()
 			r = b.ask(t, next(time.Second))
-			if d := time.Since(begun); d != 300*time.Millisecond || r.Waited != d {
+			if d := time.Since(start); d != 300*time.Millisecond || r.Waited != d {
 				t.Errorf("%s reported after %v (%v)", name, d, r.Waited)
 			}
 		}
@@ -130,11 +130,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		b := newTestPublisher()
 		b.ask(t, WatchAsk{Me: testGateway, Sums: make([]uint64, sumsLen)})
-		ctx, end := context.WithTimeout(t.Context(), 100*time.Millisecond)
-		defer end()
-		begun := time.Now()
-		if _, err := b.handleWatch(ctx, WatchAsk{Me: Member{ID: "f", Inc: 1}, Inc: 5, Wait: time.Second}); err != nil || time.Since(begun) != 100*time.Millisecond {
-			t.Error(err, time.Since(begun))
+		ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
+		defer cancel()
+		start := time.Now()
+		if _, err := b.handleWatch(ctx, WatchAsk{Me: Member{ID: "f", Inc: 1}, Inc: 5, Wait: time.Second}); err != nil || time.Since(start) != 100*time.Millisecond {
+			t.Error(err, time.Since(start))
 		}
 	})
 }
@@ -149,7 +149,7 @@
 // testFollower polls in a loop and records what it receives, and when.
 type testFollower struct {
 	sync.Mutex
-	r       WatchTold
+	last    WatchTold
 	answers int
 	items   map[string]time.Time
 	runs    map[string]time.Time
@@ -157,10 +157,10 @@
 
 func startFollower(t *testing.T, b *testPublisher, me Member, until time.Duration) *testFollower {
 	f := &testFollower{items: map[string]time.Time{}, runs: map[string]time.Time{}}
-	f.r = b.ask(t, WatchAsk{Me: me, Sums: make([]uint64, sumsLen)})
+	f.last = b.ask(t, WatchAsk{Me: me, Sums: make([]uint64, sumsLen)})
 	go func() {
 		for begun := time.Now(); t.Context().Err() == nil && time.Since(begun) < until; {
-			r, err := b.handleWatch(t.Context(), WatchAsk{Me: Member{ID: me.ID, Inc: me.Inc}, Inc: 5, Seen: f.r.Seen, Wait: time.Second})
+			r, err := b.handleWatch(t.Context(), WatchAsk{Me: Member{ID: me.ID, Inc: me.Inc}, Inc: 5, Seen: f.last.Seen, Wait: time.Second})
 			if err != nil {
 				t.Error(err)
 				return
@@ -170,7 +170,7 @@
 				return
 			}
 			f.Lock()
-			f.r = r
+			f.last = r
 			if len(r.Items)+len(r.Runs) > 0 {
 				f.answers++
 			}
@@ -219,12 +219,12 @@
 				b.Replica.MergeItems([]item.Item{testItem("before", 1)})
 				f := startFollower(t, b, Member{ID: "f", Kind: c.kind, Zone: "z", Inc: 1}, 3*time.Second)
 				time.Sleep(time.Second + 17*time.Millisecond) // idle time
-				const pieces = 1000
-				told := map[string]time.Time{}
-				begun := time.Now()
-				n := int(min(pieces, time.Second/c.each))
+				const maxChanges = 1000
+				changedAt := map[string]time.Time{}
+				start := time.Now()
+				n := int(min(maxChanges, time.Second/c.each))
 				for i := range n {
-					told[fmt.Sprint(i)] = time.Now()
+					changedAt[fmt.Sprint(i)] = time.Now()
 					c.what(b, i)
 					synctest.Wait()
 					if n := locked(f, answerCount); i == 0 && n != 1 {
@@ -236,15 +236,15 @@
 				synctest.Wait()
 				f.Lock()
 				defer f.Unlock()
-				seen := f.items
+				receivedAt := f.items
 				if len(f.runs) > 0 {
-					seen = f.runs
+					receivedAt = f.runs
 				}
 				most := time.Duration(0)
-				for id, at := range told {
-					got, ok := seen[id]
+				for id, at := range changedAt {
+					got, ok := receivedAt[id]
 					for _, s := range []target.State{target.Ready, target.Draining} {
-						if x, has := seen[id+stateSuffix(s)]; has {
+						if x, has := receivedAt[id+stateSuffix(s)]; has {
 							got, ok = x, true
 						}
 					}
@@ -258,7 +258,7 @@
 				}
 				if c.held > 0 {
 					if want := int(time.Second/c.held) + 2; f.answers > want {
-						t.Errorf("%d answers for %d changes in %v, want at most %d", f.answers, n, time.Since(begun), want)
+						t.Errorf("%d answers for %d changes in %v, want at most %d", f.answers, n, time.Since(start), want)
 					}
 				}
 			})
@@ -278,7 +278,7 @@
 			func(f *testFollower) bool { return !f.runs["x"+stateSuffix(target.Ended)].IsZero() }},
 		"item": {func(b *testPublisher) { b.Replica.MergeItems([]item.Item{testItem("y", 1)}) }, holdUrgent,
 			func(f *testFollower) bool { return !f.items["y"].IsZero() }},
-		"not fresh": {func(b *testPublisher) { b.fresh.Store(false); b.Replica.Wake() }, 0, func(f *testFollower) bool { return !f.r.Fresh }},
+		"not fresh": {func(b *testPublisher) { b.fresh.Store(false); b.Replica.Wake() }, 0, func(f *testFollower) bool { return !f.last.Fresh }},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
