--- a/internal/target/record.go
+++ b/internal/target/record.go
@@ -28,7 +28,7 @@
 
 // ReadRecord decodes the output of Record. The run is marked as recalled.
 func ReadRecord(b []byte) (Run, error) {
-	errInvalid := steperr.New("read record", "", "not the record of a run")
+	errInvalid := steperr.New("read record", "", "not a valid run record")
 	if len(b) < 2 || b[0] != recordFormatV1 && b[0] != recordFormat {
 		return Run{}, errInvalid
 	}
--- a/internal/watch/pack.go
+++ b/internal/watch/pack.go
@@ -21,7 +21,7 @@
 	maxUnpacked = 16 << 20
 )
 
-var errUnpackedTooLarge = errors.New("unpacks to more than the limit")
+var errUnpackedTooLarge = errors.New("uncompressed size exceeds the limit")
 
 // packed is the content of WatchTold.Packed.
 type packed struct {
