--- a/cmd/controller/main.go
+++ b/cmd/controller/main.go
@@ -100,7 +100,7 @@
 		err = app.ShutdownWithTimeout(shell.Whole - time.Since(from) - 200*time.Millisecond)
 	}
 	cx, done := context.WithTimeout(context.Background(), 150*time.Millisecond)
-	m.Tenant.Leave(cx)
+	m.Tenant.Release(cx)
 	done()
 	end()
 	line.Close()
--- a/internal/claim/circle.go
+++ b/internal/claim/circle.go
@@ -117,7 +117,7 @@
 			return r, steperr.New("mark", "", "%d marks at once", len(a.Marks))
 		}
 		_, counts := c.Gateways()
-		return owner.Get(ctx, c.own, func() MarkTold { return c.hear(a.Marks, counts) })
+		return owner.Call(ctx, c.own, func() MarkTold { return c.hear(a.Marks, counts) })
 	})
 }
 
@@ -266,7 +266,7 @@
 			ch <- r
 		}()
 	}
-	here, _ := owner.Get(ctx, c.own, func() MarkTold { return c.hear(ms, counts) })
+	here, _ := owner.Call(ctx, c.own, func() MarkTold { return c.hear(ms, counts) })
 	ch <- here
 	ids := map[string]bool{}
 	for range len(addrs) + 1 {
@@ -363,7 +363,7 @@
 func (c *Circle) End(ctx context.Context, a EndAsk) error {
 	a.Key = name(a.Key)
 	state := lo.Ternary(a.Ran, Ended, Free)
-	done, err := owner.Get(ctx, c.own, func() bool {
+	done, err := owner.Call(ctx, c.own, func() bool {
 		e := c.marks[a.Key]
 		if e == nil || e.Call != a.Call {
 			return false
@@ -382,7 +382,7 @@
 
 // flush passes on what ended.
 func (c *Circle) flush(ctx context.Context) {
-	ms, _ := owner.Get(ctx, c.own, func() []Mark {
+	ms, _ := owner.Call(ctx, c.own, func() []Mark {
 		n := min(len(c.out), maxBatch)
 		ms := c.out[:n:n]
 		c.out = c.out[n:]
@@ -403,7 +403,7 @@
 	}
 	_, gateway := c.Gateways()
 	after := lo.Ternary(gateway, lastAfter, heirAfter)
-	ms, _ := owner.Get(ctx, c.own, func() (ms []Mark) {
+	ms, _ := owner.Call(ctx, c.own, func() (ms []Mark) {
 		if c.since.IsZero() {
 			c.since = now
 		}
--- a/internal/clock/pulse.go
+++ b/internal/clock/pulse.go
@@ -1,5 +1,5 @@
-// Package clock is the only source of time in walkrudder (design 2.4). Daemons
-// use Wall; the simulator puts a clock with pauses and jumps in its place.
+// Package clock is the only source of time in walkrudder (design 2.4). Daemons use
+// Wall; the simulator substitutes a clock that pauses and jumps.
 package clock
 
 import (
@@ -7,23 +7,24 @@
 	"time"
 )
 
-// Clock tells monotonic time and waits.
+// Clock reads monotonic time and waits.
 type Clock interface {
-	// Now is read for lengths of time only; its monotonic part counts.
+	// Now returns the current time. Only differences between two readings have a
+	// meaning; they use the monotonic reading.
 	Now() time.Time
-	// Sleep waits for d or until ctx ends, then tells which.
+	// Sleep waits for d, or until ctx ends, and then returns ctx.Err().
 	Sleep(ctx context.Context, d time.Duration) error
-	// After ticks once after d, unless stop is called first.
+	// After returns a channel that receives once after d, unless stop is called first.
 	After(d time.Duration) (c <-chan time.Time, stop func())
 }
 
-// Wall is the machine's clock.
+// Wall is the Clock of the operating system.
 type Wall struct{}
 
-// Now tells the machine's time.
+// Now returns time.Now, which carries a monotonic reading.
 func (Wall) Now() time.Time { return time.Now() }
 
-// Sleep waits on the machine's clock.
+// Sleep waits on a timer of the operating system.
 func (Wall) Sleep(ctx context.Context, d time.Duration) error {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -35,13 +36,13 @@
 	}
 }
 
-// After ticks once on the machine's clock.
+// After starts a timer of the operating system.
 func (Wall) After(d time.Duration) (<-chan time.Time, func()) {
 	t := time.NewTimer(d)
 	return t.C, func() { t.Stop() }
 }
 
-// Every calls f each d until ctx ends.
+// Every calls f after each interval d until ctx ends.
 func Every(ctx context.Context, c Clock, d time.Duration, f func()) {
 	for c.Sleep(ctx, d) == nil {
 		f()
--- a/internal/commands/beat.go
+++ b/internal/commands/beat.go
@@ -14,8 +14,8 @@
 
 // Beater hands beats on to the homes of their service.
 type Beater struct {
-	House   *registry.House
-	Tenant  *membership.Tenant
+	House   *registry.HomeTable
+	Tenant  *membership.LeaseClient
 	Line    link.Line
 	Me      string
 	Drainer *Drainer
@@ -38,7 +38,7 @@
 	for _, m := range registry.Homes(t.Service, b.Tenant.Members()) {
 		wg.Go(func() {
 			if m.ID == b.Me {
-				take(b.House.Take(ctx, t))
+				take(b.House.MergeBeat(ctx, t))
 				return
 			}
 			cx, end := context.WithTimeout(ctx, 500*time.Millisecond)
@@ -55,7 +55,7 @@
 	wg.Wait()
 	if !told.OK {
 		var err error
-		if told, err = b.House.Take(ctx, t); err != nil {
+		if told, err = b.House.MergeBeat(ctx, t); err != nil {
 			return told, steperr.At("take beat", t.ID, err)
 		}
 	}
--- a/internal/commands/drain.go
+++ b/internal/commands/drain.go
@@ -18,7 +18,7 @@
 // Drainer stops new work to target runs that are leaving or let go.
 type Drainer struct {
 	Book   *ledger.Book
-	Tenant *membership.Tenant
+	Tenant *membership.LeaseClient
 	Line   link.Line
 	Clock  clock.Clock
 	Faults *fault.Set
@@ -55,7 +55,7 @@
 	if _, err := d.Book.Once(ctx, key, n); err != nil {
 		return err
 	}
-	d.Faults.At(fault.AfterLeaveNoted)
+	d.Faults.Hit(fault.AfterLeaveDecided)
 	_, err := rollout.Everyone(ctx, d.Tenant, d.Clock, nil, func(cx context.Context, m membership.Member) bool {
 		r, err := link.Ask[registry.DrainTold](cx, d.Line, m.Inner, registry.DrainAsk{Service: t.Service, ID: t.ID, Inc: t.Inc, Gone: prefix == ledger.GonePrefix})
 		return err == nil && r.OK
@@ -63,7 +63,7 @@
 	if err != nil {
 		return err
 	}
-	d.Faults.At(fault.BeforeLeaveAck)
+	d.Faults.Hit(fault.BeforeLeaveAck)
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.done == nil || len(d.done) > maxDone {
--- a/internal/commands/trim.go
+++ b/internal/commands/trim.go
@@ -20,7 +20,7 @@
 type Trimmer struct {
 	Book    *ledger.Book
 	Prop    *quorum.Proposer
-	Tenant  *membership.Tenant
+	Tenant  *membership.LeaseClient
 	Line    link.Line
 	Drainer *Drainer
 	Keep    time.Duration
@@ -46,7 +46,7 @@
 	if err = errors.Join(err, e); err != nil {
 		return err
 	}
-	seen := lo.SliceToMap(registry.Collect(ctx, t.Line, t.Tenant.Members()), func(s registry.Seen) (ledger.Target, bool) {
+	seen := lo.SliceToMap(registry.CollectSeen(ctx, t.Line, t.Tenant.Members()), func(s registry.Seen) (ledger.Target, bool) {
 		return ledger.Target{ID: s.Beat.ID, Service: s.Beat.Service, Inc: s.Beat.Inc}, !s.Gone
 	})
 	for _, n := range ns {
--- a/internal/commands/warden.go
+++ b/internal/commands/warden.go
@@ -23,7 +23,7 @@
 const (
 	wardenEvery = 500 * time.Millisecond
 	// suspectAt is the suspicion from which a target is noted as suspected.
-	suspectAt = registry.SuspectAt
+	suspectAt = registry.SuspicionThreshold
 	// goneAt is the suspicion, and goneQuiet the silence, that all judges must see
 	// before a target run is let go.
 	goneAt    = 0.9999
@@ -40,9 +40,9 @@
 // silent targets go, and keeps the core's seats filled. It acts only while it
 // holds the duty's lease; every step is safe should two overlap.
 type Warden struct {
-	House   *registry.House
+	House   *registry.HomeTable
 	Book    *ledger.Book
-	Tenant  *membership.Tenant
+	Tenant  *membership.LeaseClient
 	Drainer *Drainer
 	Prop    *quorum.Proposer
 	Line    link.Line
@@ -61,11 +61,11 @@
 
 // Run works until ctx ends.
 func (w *Warden) Run(ctx context.Context) {
-	w.Tenant.Seek(Duty)
+	w.Tenant.RequestDuty(Duty)
 	w.absent = map[string]time.Time{}
 	for w.Clock.Sleep(ctx, wardenEvery) == nil {
-		_ = w.House.Sweep(ctx)
-		if !w.Tenant.Holds(Duty) {
+		_ = w.House.RemoveSilent(ctx)
+		if !w.Tenant.HoldsDuty(Duty) {
 			// What another warden does meanwhile is not followed here.
 			w.suspect, w.absent = nil, map[string]time.Time{}
 			continue
@@ -88,7 +88,7 @@
 		}
 		w.suspect = m
 	}
-	all := registry.Collect(ctx, w.Line, w.Tenant.Members())
+	all := registry.CollectSeen(ctx, w.Line, w.Tenant.Members())
 	total, bad := map[string]int{}, map[string]int{}
 	for _, x := range all {
 		if x.Gone {
@@ -101,7 +101,7 @@
 	}
 	// Beats may fail to reach those that are asked here. A target that answers the
 	// gateways' own probes is not silent (design 10.7).
-	var views map[ledger.Target]registry.Watched
+	var views map[ledger.Target]registry.GatewayViews
 	for _, x := range all {
 		t := ledger.Target{ID: x.Beat.ID, Service: x.Beat.Service, Inc: x.Beat.Inc}
 		if x.Gone {
@@ -110,9 +110,9 @@
 		}
 		if x.W >= suspectAt {
 			if views == nil {
-				views = registry.Views(ctx, w.Line, w.Tenant.Members())
+				views = registry.CollectViews(ctx, w.Line, w.Tenant.Members())
 			}
-			if views[t].Vouched() {
+			if views[t].TrustedByHalf() {
 				continue
 			}
 		}
@@ -131,7 +131,7 @@
 			}
 			delete(w.suspect, t)
 		}
-		if x.W >= goneAt && x.Quiet > goneQuiet && !over && w.agreed(ctx, t) && w.Tenant.Holds(Duty) {
+		if x.W >= goneAt && x.Quiet > goneQuiet && !over && w.agreed(ctx, t) && w.Tenant.HoldsDuty(Duty) {
 			if err := w.Drainer.Gone(ctx, t, x.W, fmt.Sprintf("silent for %s, a majority of its homes agree", x.Quiet.Round(time.Second))); err != nil {
 				return err
 			}
@@ -148,7 +148,7 @@
 	cx, end := context.WithTimeout(ctx, 300*time.Millisecond)
 	defer end()
 	var wg sync.WaitGroup
-	for _, m := range w.Tenant.Kind("controller") {
+	for _, m := range w.Tenant.MembersOfKind("controller") {
 		wg.Go(func() {
 			_, _ = link.Ask[registry.MarkTold](cx, w.Line, m.Inner, registry.MarkAsk{Service: t.Service, ID: t.ID, Inc: t.Inc, Suspect: suspect, Gone: gone})
 		})
@@ -188,7 +188,7 @@
 	}
 	disks := map[string]membership.Member{}
 	var spare []quorum.Seat
-	for _, m := range w.Tenant.Kind("controller") {
+	for _, m := range w.Tenant.MembersOfKind("controller") {
 		if m.Disk.Disk == "" {
 			continue
 		}
@@ -235,7 +235,7 @@
 	if _, ok := core.Seat(in); ok {
 		return steperr.New("swap", in, "has a seat already")
 	}
-	if !slices.ContainsFunc(w.Tenant.Kind("controller"), func(m membership.Member) bool { return m.ID == in && m.Disk.Disk != "" }) {
+	if !slices.ContainsFunc(w.Tenant.MembersOfKind("controller"), func(m membership.Member) bool { return m.ID == in && m.Disk.Disk != "" }) {
 		return steperr.New("swap", in, "no such disk node has a lease now")
 	}
 	raw := ledger.Encode(wish{out, in})
@@ -280,7 +280,7 @@
 
 // swap decides the next core and carries it out.
 func (w *Warden) swap(ctx context.Context, core quorum.Core, out, in quorum.Seat) error {
-	if !w.Tenant.Holds(Duty) {
+	if !w.Tenant.HoldsDuty(Duty) {
 		return nil
 	}
 	next := quorum.Core{Epoch: core.Epoch + 1}
@@ -337,7 +337,7 @@
 			from = append(from, s)
 		}
 	}
-	w.Faults.At(fault.AfterSeal)
+	w.Faults.Hit(fault.AfterSeal)
 	need := core.BlockingSize()
 	if next.Epoch == core.Epoch {
 		// Sealed before; only a joiner may still be missing. The continuing seats
--- a/internal/control/change.go
+++ b/internal/control/change.go
@@ -152,7 +152,7 @@
 // stale tells whether a change may be a copy that its caller has given up: it was refused elsewhere by
 // now, perhaps, and its cause mended.
 func (n *Node) stale(caller Caller) bool {
-	return n.pause.WokeWithin(wakeTime) || caller != nil && caller.Left()
+	return n.pause.ResumedWithin(wakeTime) || caller != nil && caller.Left()
 }
 
 // IsConflict tells whether a change was refused because another content of the version of
--- a/internal/control/node.go
+++ b/internal/control/node.go
@@ -88,7 +88,7 @@
 	bootstrapper *quorum.Bootstrapper
 	reconfigurer *quorum.Reconfigurer // nil without a disk
 	teller       *watch.Teller
-	pause        *liveness.Pauses
+	pause        *liveness.PauseMonitor
 	watch        *target.Watch // guarded by the board's lock on its table
 	book         *route.Book   // guarded by the board's lock on its items
 	ledger       ledger
@@ -117,7 +117,7 @@
 		return nil, steperr.At("settings", "", err)
 	}
 	n := &Node{Parts: p, Desk: link.NewDesk(), Prop: quorum.NewProposer(p.ID+"."+p.Fresh, p.Line, p.Clock), Board: watch.NewBoard(p.Clock),
-		book: route.NewBook(), pause: liveness.NewPausesEvery(p.Clock, pauseTick), busy: make(chan struct{}, 1),
+		book: route.NewBook(), pause: liveness.NewPauseMonitorEvery(p.Clock, pauseTick), busy: make(chan struct{}, 1),
 		asked: make(chan struct{}, mostQueries), started: p.Clock.Now()}
 	if p.Disk != nil {
 		p.Disk, n.diskMeter = storage.MeterDisk(p.Disk, p.Clock)
--- a/internal/control/recall.go
+++ b/internal/control/recall.go
@@ -63,7 +63,7 @@
 // settle ends the time in which recalled runs count, once this node misses nothing that
 // another has heard.
 func (n *Node) settle(now time.Time) {
-	if n.Board.Settled() || now.Sub(n.started) < n.confirmTime()+n.pause.At(now) {
+	if n.Board.Settled() || now.Sub(n.started) < n.confirmTime()+n.pause.TotalAt(now) {
 		return
 	}
 	if _, fresh := n.Mesh.Fresh(); fresh {
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -52,10 +52,10 @@
 	Desk    *link.Desk
 	Voter   *quorum.Voter
 	Prop    *quorum.Proposer
-	Tenant  *membership.Tenant
+	Tenant  *membership.LeaseClient
 	Book    *ledger.Book
 	Roller  *rollout.Roller
-	House   *registry.House
+	House   *registry.HomeTable
 	Changer *commands.Changer
 	Beater  *commands.Beater
 	Drainer *commands.Drainer
@@ -83,7 +83,7 @@
 	}
 	do.ProvideValue(i, v)
 	do.ProvideValue(i, link.NewDesk())
-	do.Provide(i, func(do.Injector) (*liveness.Pauses, error) { return liveness.NewPauses(p.Clock), nil })
+	do.Provide(i, func(do.Injector) (*liveness.PauseMonitor, error) { return liveness.NewPauseMonitor(p.Clock), nil })
 	do.Provide(i, func(do.Injector) (*quorum.Proposer, error) {
 		return quorum.NewProposer(p.Startup.ID+"."+p.Fresh, p.Line, p.Clock), nil
 	})
@@ -91,42 +91,42 @@
 		return &quorum.Bootstrapper{Seeds: p.Startup.Seeds, Self: p.Startup.Inner, Size: p.Startup.Core, Transport: p.Line, Clock: p.Clock,
 			Proposer: do.MustInvoke[*quorum.Proposer](i), Voter: v}, nil
 	})
-	do.Provide(i, func(i do.Injector) (*membership.Tenant, error) {
-		return &membership.Tenant{Line: p.Line, Clock: p.Clock, Core: do.MustInvoke[*quorum.Proposer](i)}, nil
+	do.Provide(i, func(i do.Injector) (*membership.LeaseClient, error) {
+		return &membership.LeaseClient{Transport: p.Line, Clock: p.Clock, Proposer: do.MustInvoke[*quorum.Proposer](i)}, nil
 	})
 	do.Provide(i, func(i do.Injector) (*ledger.Book, error) {
 		return &ledger.Book{Prop: do.MustInvoke[*quorum.Proposer](i), Clock: p.Clock, Controller: p.Startup.ID, WallMS: p.WallMS}, nil
 	})
 	do.Provide(i, func(i do.Injector) (*rollout.Roller, error) {
-		return &rollout.Roller{Book: do.MustInvoke[*ledger.Book](i), Tenant: do.MustInvoke[*membership.Tenant](i), Line: p.Line, Clock: p.Clock, Faults: p.Faults, Log: p.Log}, nil
+		return &rollout.Roller{Book: do.MustInvoke[*ledger.Book](i), Tenant: do.MustInvoke[*membership.LeaseClient](i), Line: p.Line, Clock: p.Clock, Faults: p.Faults, Log: p.Log}, nil
 	})
-	do.Provide(i, func(i do.Injector) (*registry.House, error) {
-		h := &registry.House{Clock: p.Clock, Pause: do.MustInvoke[*liveness.Pauses](i), Run: p.Inc}
+	do.Provide(i, func(i do.Injector) (*registry.HomeTable, error) {
+		h := &registry.HomeTable{Clock: p.Clock, Pauses: do.MustInvoke[*liveness.PauseMonitor](i), Incarnation: p.Inc}
 		h.Init()
 		return h, nil
 	})
 	do.Provide(i, func(i do.Injector) (*commands.Drainer, error) {
-		return &commands.Drainer{Book: do.MustInvoke[*ledger.Book](i), Tenant: do.MustInvoke[*membership.Tenant](i), Line: p.Line, Clock: p.Clock, Faults: p.Faults}, nil
+		return &commands.Drainer{Book: do.MustInvoke[*ledger.Book](i), Tenant: do.MustInvoke[*membership.LeaseClient](i), Line: p.Line, Clock: p.Clock, Faults: p.Faults}, nil
 	})
 	do.Provide(i, func(i do.Injector) (*commands.Beater, error) {
-		return &commands.Beater{House: do.MustInvoke[*registry.House](i), Tenant: do.MustInvoke[*membership.Tenant](i), Line: p.Line, Me: p.Startup.ID,
+		return &commands.Beater{House: do.MustInvoke[*registry.HomeTable](i), Tenant: do.MustInvoke[*membership.LeaseClient](i), Line: p.Line, Me: p.Startup.ID,
 			Drainer: do.MustInvoke[*commands.Drainer](i)}, nil
 	})
 	do.Provide(i, func(i do.Injector) (*commands.Changer, error) {
 		return &commands.Changer{Book: do.MustInvoke[*ledger.Book](i), Roller: do.MustInvoke[*rollout.Roller](i), Clock: p.Clock, Controller: p.Startup.ID}, nil
 	})
 	do.Provide(i, func(i do.Injector) (*commands.Warden, error) {
-		return &commands.Warden{House: do.MustInvoke[*registry.House](i), Book: do.MustInvoke[*ledger.Book](i), Tenant: do.MustInvoke[*membership.Tenant](i),
+		return &commands.Warden{House: do.MustInvoke[*registry.HomeTable](i), Book: do.MustInvoke[*ledger.Book](i), Tenant: do.MustInvoke[*membership.LeaseClient](i),
 			Drainer: do.MustInvoke[*commands.Drainer](i), Prop: do.MustInvoke[*quorum.Proposer](i), Line: p.Line, Clock: p.Clock, Faults: p.Faults, Log: p.Log}, nil
 	})
-	m := &Controller{Parts: p, Voter: v, Desk: do.MustInvoke[*link.Desk](i), Prop: do.MustInvoke[*quorum.Proposer](i), Tenant: do.MustInvoke[*membership.Tenant](i),
-		Book: do.MustInvoke[*ledger.Book](i), Roller: do.MustInvoke[*rollout.Roller](i), House: do.MustInvoke[*registry.House](i),
+	m := &Controller{Parts: p, Voter: v, Desk: do.MustInvoke[*link.Desk](i), Prop: do.MustInvoke[*quorum.Proposer](i), Tenant: do.MustInvoke[*membership.LeaseClient](i),
+		Book: do.MustInvoke[*ledger.Book](i), Roller: do.MustInvoke[*rollout.Roller](i), House: do.MustInvoke[*registry.HomeTable](i),
 		Changer: do.MustInvoke[*commands.Changer](i), Beater: do.MustInvoke[*commands.Beater](i), Drainer: do.MustInvoke[*commands.Drainer](i),
 		Warden: do.MustInvoke[*commands.Warden](i)}
 	m.Speaker = &statement.Speaker{Changer: m.Changer, Drainer: m.Drainer, Warden: m.Warden, Book: m.Book, Settle: m.Roller.Settle,
 		Asker: &queries.Asker{Book: m.Book, House: m.House, Tenant: m.Tenant, Prop: m.Prop, Line: p.Line}}
 	since := p.WallMS()
-	m.Tenant.Me = func() membership.Member {
+	m.Tenant.Self = func() membership.Member {
 		x := membership.Member{ID: p.Startup.ID, Inc: p.Inc, Kind: "controller", Inner: p.Startup.Inner, Door: p.Startup.Door, Zone: p.Startup.Zone, Since: since, Rest: m.resting.Load()}
 		if v != nil {
 			x.Disk = v.Seat()
@@ -142,14 +142,14 @@
 	m.trim = &commands.Trimmer{Book: m.Book, Prop: m.Prop, Tenant: m.Tenant, Line: p.Line, Drainer: m.Drainer, Keep: cmp.Or(p.Keep, keepDecisions)}
 	circle := &claim.Circle{Me: p.Startup.ID, Line: p.Line, Clock: p.Clock, Log: p.Log, Keep: m.Clerk, Held: m.Tenant.Held,
 		Alone: func() bool { return false }, Gateways: func() ([]string, bool) { return nil, false },
-		Members: func() []string { return m.Tenant.Others(p.Startup.ID) }, Mates: func() []string { return m.Tenant.Others(p.Startup.ID) }}
+		Members: func() []string { return m.Tenant.OtherAddrs(p.Startup.ID) }, Mates: func() []string { return m.Tenant.OtherAddrs(p.Startup.ID) }}
 	circle.Init()
 	circle.Serve(m.Desk)
-	membership.ServeRest(m.Desk, &m.resting)
-	runs := []func(context.Context){fm.Run, m.Tenant.Run, m.House.Start, m.Roller.Watch, m.Warden.Run, m.sweep, circle.Run, do.MustInvoke[*liveness.Pauses](i).Run}
+	membership.ServeDrain(m.Desk, &m.resting)
+	runs := []func(context.Context){fm.Run, m.Tenant.Run, m.House.Run, m.Roller.Watch, m.Warden.Run, m.sweep, circle.Run, do.MustInvoke[*liveness.PauseMonitor](i).Run}
 	if v != nil {
 		v.Serve(m.Desk)
-		membership.NewCourt(v, p.Clock).Serve(m.Desk)
+		membership.NewLeaseServer(v, p.Clock).Serve(m.Desk)
 		runs = append(runs, v.Run)
 	}
 	m.start = func(ctx context.Context) {
@@ -185,10 +185,10 @@
 // sweep reads every item now and then, which mends old copies (design 4.3). The
 // duty says which controller does it.
 func (m *Controller) sweep(ctx context.Context) {
-	m.Tenant.Seek("sweep")
+	m.Tenant.RequestDuty("sweep")
 	var trimmed time.Time
 	for m.Clock.Sleep(ctx, sweepEvery) == nil {
-		if !m.Tenant.Holds("sweep") {
+		if !m.Tenant.HoldsDuty("sweep") {
 			continue
 		}
 		cx, end := context.WithTimeout(ctx, sweepEvery)
--- a/internal/fault/fault.go
+++ b/internal/fault/fault.go
@@ -1,56 +1,56 @@
-// Package fault numbers the points at which tests bring failures about
-// (design 9.2). In a daemon nothing is armed and At costs one nil check.
+// Package fault numbers the points of the code at which tests inject failures (design
+// 9.2). A daemon arms none of them, and Hit then costs one nil check.
 package fault
 
 import "sync"
 
-// The numbered points, each hit in turn by the tests.
+// The numbered fault points. Tests inject a failure at each of them in turn.
 const (
-	BeforePromise   = 1  // voter: a promise is about to be synced
-	AfterPromise    = 2  // voter: a promise is on disk, not yet told
-	BeforeAccept    = 3  // voter: an accept is about to be synced
-	AfterAccept     = 4  // voter: an accept is on disk, not yet told
-	AfterDecided    = 5  // roll: the change is decided, nothing staged
-	AfterStaged     = 6  // roll: every leased gateway has staged
-	AfterHeld       = 7  // roll: every leased gateway holds
-	AfterFlipped    = 8  // roll: the flip is decided, no gateway told
-	BeforeAck       = 9  // roll: in force everywhere, operator not told
-	AfterLeaveNoted = 10 // drain: the leaving is decided, no gateway told
-	BeforeLeaveAck  = 11 // drain: gateways hold it, target not told
-	BeforeSend      = 12 // passage: target elected, nothing written
-	AfterSend       = 13 // passage: request written, no answer read
-	AfterSeal       = 14 // swap: former voters sealed, nothing pulled
-	AfterPull       = 15 // swap: items pulled, not yet voting
-	AfterTold       = 16 // roll: gateways know of the flip, none shows it
+	BeforePromise     = 1  // voter: a promise is about to be synced
+	AfterPromise      = 2  // voter: a promise is on disk, not yet answered
+	BeforeAccept      = 3  // voter: an accept is about to be synced
+	AfterAccept       = 4  // voter: an accept is on disk, not yet answered
+	AfterDecided      = 5  // rollout: the change is decided, nothing is staged
+	AfterStaged       = 6  // rollout: every gateway with a lease has staged the change
+	AfterHeld         = 7  // rollout: every gateway with a lease holds
+	AfterFlipped      = 8  // rollout: the flip is decided, no gateway is notified
+	BeforeAck         = 9  // rollout: in force at every gateway, not yet acknowledged to the operator
+	AfterLeaveDecided = 10 // drain: the leave is decided, no gateway is notified
+	BeforeLeaveAck    = 11 // drain: gateways have recorded the leave, not yet acknowledged to the target
+	BeforeSend        = 12 // passage: target elected, nothing written
+	AfterSend         = 13 // passage: request written, no answer read
+	AfterSeal         = 14 // reconfiguration: former voters sealed, no items pulled
+	AfterPull         = 15 // reconfiguration: items pulled, not yet voting
+	AfterFlipNotified = 16 // rollout: gateways are notified of the flip, none of them shows it
 )
 
-// Points is the number of fault points.
-const Points = 16
+// NumPoints is the number of fault points.
+const NumPoints = 16
 
-// Set holds what is armed at one node. A nil Set is never armed.
+// Set holds the armed fault points of one node. In a nil Set none is armed.
 type Set struct {
-	mu sync.Mutex
-	at map[int]func()
+	mu    sync.Mutex
+	armed map[int]func()
 }
 
-// Arm lets f run once, the next time point n is reached.
+// Arm makes the next Hit of point n call f, once.
 func (s *Set) Arm(n int, f func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.at == nil {
-		s.at = map[int]func(){}
+	if s.armed == nil {
+		s.armed = map[int]func(){}
 	}
-	s.at[n] = f
+	s.armed[n] = f
 }
 
-// At marks that the running code is at point n.
-func (s *Set) At(n int) {
+// Hit is called by the code at point n. It runs and disarms the armed function, if any.
+func (s *Set) Hit(n int) {
 	if s == nil {
 		return
 	}
 	s.mu.Lock()
-	f := s.at[n]
-	delete(s.at, n)
+	f := s.armed[n]
+	delete(s.armed, n)
 	s.mu.Unlock()
 	if f != nil {
 		f()
--- a/internal/gateway/door_test.go
+++ b/internal/gateway/door_test.go
@@ -61,14 +61,14 @@
 		{Name: "again", Service: "svc", Methods: []string{"GET", "HEAD", "PUT"}, Path: "/again/*", ExpiryMS: 1500, Repeatable: true},
 	}}.Sorted())
 	ctx, end := context.WithCancel(context.Background())
-	r := &registry.Roster{Clock: clock.Wall{}, Pause: liveness.NewPauses(clock.Wall{}), Controllers: nil, Every: time.Second}
+	r := &registry.GatewayTable{Clock: clock.Wall{}, Pauses: liveness.NewPauseMonitor(clock.Wall{}), Controllers: nil, ProbeInterval: time.Second}
 	r.Init()
-	go r.Alone(ctx)
-	if err := r.Learn(ctx, "svc", []registry.Entry{{Beat: httpapi.Beat{ID: "a", Service: "svc", Addr: addr, Capacity: 4, Seq: 1, Inc: 1}}}); err != nil {
+	go r.RunWithoutHomes(ctx)
+	if err := r.MergeEntries(ctx, "svc", []registry.Entry{{Beat: httpapi.Beat{ID: "a", Service: "svc", Addr: addr, Capacity: 4, Seq: 1, Inc: 1}}}); err != nil {
 		t.Fatal(err)
 	}
 	// The test lasts longer than a proof does.
-	r.Proved(r.Of("svc")[0], time.Now().Add(time.Hour))
+	r.RecordProof(r.Targets("svc")[0], time.Now().Add(time.Hour))
 	p := &passage.Passage{Clock: clock.Wall{}, Rack: open{tab}, Roster: r, Courier: passage.NewHTTP(""), ID: "f", Inc: 1, Gateways: func() int { return 1 }}
 	p.Init()
 	done := make(chan struct{})
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -51,11 +51,11 @@
 type Gateway struct {
 	Parts
 	Desk    *link.Desk
-	Tenant  *membership.Tenant
+	Tenant  *membership.LeaseClient
 	Rack    *rollout.Rack
-	Roster  *registry.Roster
+	Roster  *registry.GatewayTable
 	Passage *passage.Passage
-	Pauses  *liveness.Pauses
+	Pauses  *liveness.PauseMonitor
 
 	start    func(context.Context)
 	stopping atomic.Bool
@@ -77,28 +77,28 @@
 		return &quorum.Bootstrapper{Seeds: p.Startup.Seeds, Self: p.Startup.Inner, Transport: p.Line, Clock: p.Clock,
 			Proposer: do.MustInvoke[*quorum.Proposer](i)}, nil
 	})
-	do.Provide(i, func(do.Injector) (*liveness.Pauses, error) { return liveness.NewPauses(p.Clock), nil })
-	do.Provide(i, func(i do.Injector) (*membership.Tenant, error) {
-		return &membership.Tenant{Line: p.Line, Clock: p.Clock, Core: do.MustInvoke[*quorum.Proposer](i)}, nil
+	do.Provide(i, func(do.Injector) (*liveness.PauseMonitor, error) { return liveness.NewPauseMonitor(p.Clock), nil })
+	do.Provide(i, func(i do.Injector) (*membership.LeaseClient, error) {
+		return &membership.LeaseClient{Transport: p.Line, Clock: p.Clock, Proposer: do.MustInvoke[*quorum.Proposer](i)}, nil
 	})
 	do.Provide(i, newRoster)
 	do.Provide(i, newRack)
 	do.Provide(i, newCircle)
 	do.Provide(i, newPassage)
-	f := &Gateway{Parts: p, born: p.Clock.Now(), Desk: link.NewDesk(), Tenant: do.MustInvoke[*membership.Tenant](i), Pauses: do.MustInvoke[*liveness.Pauses](i),
-		Rack: do.MustInvoke[*rollout.Rack](i), Roster: do.MustInvoke[*registry.Roster](i), Passage: do.MustInvoke[*passage.Passage](i)}
+	f := &Gateway{Parts: p, born: p.Clock.Now(), Desk: link.NewDesk(), Tenant: do.MustInvoke[*membership.LeaseClient](i), Pauses: do.MustInvoke[*liveness.PauseMonitor](i),
+		Rack: do.MustInvoke[*rollout.Rack](i), Roster: do.MustInvoke[*registry.GatewayTable](i), Passage: do.MustInvoke[*passage.Passage](i)}
 	since := time.Now().UnixMilli()
-	f.Tenant.Me = func() membership.Member {
+	f.Tenant.Self = func() membership.Member {
 		return membership.Member{ID: p.Startup.ID, Inc: p.Inc, Kind: "gateway", Inner: p.Startup.Inner, Door: p.Startup.Door,
 			Zone: p.Startup.Zone, Spec: f.Rack.N(), Since: since, Rest: f.resting.Load()}
 	}
-	f.Roster.OnStand = f.watch
+	f.Roster.OnNewTarget = f.watch
 	f.Rack.Serve(f.Desk)
 	f.Roster.Serve(f.Desk)
 	circle := do.MustInvoke[*claim.Circle](i)
 	circle.Serve(f.Desk)
 	f.Passage.Serve(f.Desk)
-	membership.ServeRest(f.Desk, &f.resting)
+	membership.ServeDrain(f.Desk, &f.resting)
 	fm := do.MustInvoke[*quorum.Bootstrapper](i)
 	fm.Serve(f.Desk)
 	f.start = func(ctx context.Context) {
@@ -112,23 +112,23 @@
 	return f
 }
 
-func newRoster(i do.Injector) (*registry.Roster, error) {
-	p, t := do.MustInvoke[Parts](i), do.MustInvoke[*membership.Tenant](i)
-	r := &registry.Roster{Line: p.Line, Clock: p.Clock, Pause: do.MustInvoke[*liveness.Pauses](i), Me: p.Startup.ID, Zone: p.Startup.Zone,
-		Controllers: func() []membership.Member { return t.Kind("controller") }, Every: probeEvery}
+func newRoster(i do.Injector) (*registry.GatewayTable, error) {
+	p, t := do.MustInvoke[Parts](i), do.MustInvoke[*membership.LeaseClient](i)
+	r := &registry.GatewayTable{Transport: p.Line, Clock: p.Clock, Pauses: do.MustInvoke[*liveness.PauseMonitor](i), Self: p.Startup.ID, Zone: p.Startup.Zone,
+		Controllers: func() []membership.Member { return t.MembersOfKind("controller") }, ProbeInterval: probeEvery}
 	r.Init()
 	return r, nil
 }
 
 func newRack(i do.Injector) (*rollout.Rack, error) {
-	p, t, r := do.MustInvoke[Parts](i), do.MustInvoke[*membership.Tenant](i), do.MustInvoke[*registry.Roster](i)
+	p, t, r := do.MustInvoke[Parts](i), do.MustInvoke[*membership.LeaseClient](i), do.MustInvoke[*registry.GatewayTable](i)
 	k := &rollout.Rack{Tenant: t, Line: p.Line, Clock: p.Clock, ID: p.Startup.ID, Log: p.Log,
-		Controllers: func() []string { return nearest(t.Kind("controller"), p.Startup) },
+		Controllers: func() []string { return nearest(t.MembersOfKind("controller"), p.Startup) },
 		Mates: func() []string {
-			return lo.Union(t.Others(p.Startup.ID), lo.Without(p.Startup.Seeds, p.Startup.Inner))
+			return lo.Union(t.OtherAddrs(p.Startup.ID), lo.Without(p.Startup.Seeds, p.Startup.Inner))
 		},
 		OnSpec: func(t *spec.Table) {
-			r.Want(lo.Map(t.Services, func(s spec.Service, _ int) string { return s.Name }))
+			r.SetFollowed(lo.Map(t.Services, func(s spec.Service, _ int) string { return s.Name }))
 		},
 		OnLeaves: func(ls []rollout.Leave) {
 			for _, l := range ls {
@@ -162,8 +162,8 @@
 }
 
 func newPassage(i do.Injector) (*passage.Passage, error) {
-	p, t := do.MustInvoke[Parts](i), do.MustInvoke[*membership.Tenant](i)
-	g := &passage.Passage{Clock: p.Clock, Rack: do.MustInvoke[*rollout.Rack](i), Roster: do.MustInvoke[*registry.Roster](i),
+	p, t := do.MustInvoke[Parts](i), do.MustInvoke[*membership.LeaseClient](i)
+	g := &passage.Passage{Clock: p.Clock, Rack: do.MustInvoke[*rollout.Rack](i), Roster: do.MustInvoke[*registry.GatewayTable](i),
 		Courier: p.Courier, Zone: p.Startup.Zone, Chart: p.Startup.Chart, ID: p.Startup.ID, Inc: p.Inc, Faults: p.Faults, Log: p.Log, Count: p.Count,
 		Gateways: func() int {
 			// Read at every choice: counted, not listed.
@@ -175,10 +175,10 @@
 }
 
 func newCircle(i do.Injector) (*claim.Circle, error) {
-	p, t, k := do.MustInvoke[Parts](i), do.MustInvoke[*membership.Tenant](i), do.MustInvoke[*rollout.Rack](i)
+	p, t, k := do.MustInvoke[Parts](i), do.MustInvoke[*membership.LeaseClient](i), do.MustInvoke[*rollout.Rack](i)
 	c := &claim.Circle{Me: p.Startup.ID, Line: p.Line, Clock: p.Clock, Log: p.Log, Mates: k.Mates, Held: t.Held, Alone: k.Stranded, Gateways: k.Counts,
-		Members: func() []string { return t.Others(p.Startup.ID) },
-		Keep:    &claims{line: p.Line, clock: p.Clock, controllers: func() []string { return nearest(t.Kind("controller"), p.Startup) }}}
+		Members: func() []string { return t.OtherAddrs(p.Startup.ID) },
+		Keep:    &claims{line: p.Line, clock: p.Clock, controllers: func() []string { return nearest(t.MembersOfKind("controller"), p.Startup) }}}
 	c.Init()
 	return c, nil
 }
@@ -239,7 +239,7 @@
 // lapsed and they have found each other, or until the core is back and its courts have
 // waited a lease's length: calls wait at the gate, and with all gateways not ready they
 // could not even do that. Who alone is cut off knows much sooner.
-const closedTime = 2*membership.Lease + 200*time.Millisecond
+const closedTime = 2*membership.LeaseDuration + 200*time.Millisecond
 
 // Ready is what the platform is told: this node serves, and is not stopping.
 func (f *Gateway) Ready() bool {
@@ -261,7 +261,7 @@
 		// Nothing is bound yet: there are no targets to get to know.
 		return true
 	}
-	if !f.warm.Load() && (f.Roster.Warm(now) || now.Sub(f.born) > warmTime) {
+	if !f.warm.Load() && (f.Roster.Ready(now) || now.Sub(f.born) > warmTime) {
 		f.warm.Store(true)
 	}
 	return f.warm.Load()
@@ -273,7 +273,7 @@
 // Part takes leave of the others: this node serves no more, nobody need wait for
 // it, and it counts no longer among the gateways.
 func (f *Gateway) Part(ctx context.Context) {
-	f.Tenant.Leave(ctx)
+	f.Tenant.Release(ctx)
 	for _, a := range f.Rack.Controllers() {
 		if r, err := link.Ask[rollout.PartTold](ctx, f.Line, a, rollout.PartAsk{ID: f.Startup.ID}); err == nil && r.OK {
 			return
@@ -286,11 +286,11 @@
 
 // watch probes one target run until ctx ends. Probes carry this gateway's own
 // numbers; an answer that names another run proves nothing (design 10.2).
-func (f *Gateway) watch(ctx context.Context, s *registry.Stand) {
+func (f *Gateway) watch(ctx context.Context, s *registry.Target) {
 	var seq uint64
 	first := true
 	for {
-		if !s.Near() {
+		if !s.InSubset() {
 			if f.Clock.Sleep(ctx, probeEvery/8) != nil {
 				return
 			}
@@ -309,7 +309,7 @@
 	}
 }
 
-func (f *Gateway) probe(ctx context.Context, s *registry.Stand, seq uint64) {
+func (f *Gateway) probe(ctx context.Context, s *registry.Target, seq uint64) {
 	sent := f.Clock.Now()
 	cx, end := context.WithTimeout(ctx, probeTime)
 	defer end()
@@ -323,8 +323,8 @@
 	if err != nil || p.Seq != seq || p.ID != s.ID || p.Service != s.Service || p.Inc != s.Inc {
 		return
 	}
-	f.Roster.Proved(s, sent)
-	s.Det.Arrive(seq, f.Clock.Now())
+	f.Roster.RecordProof(s, sent)
+	s.Detector.RecordArrival(seq, f.Clock.Now())
 	if p.Leaving {
 		_ = f.Roster.Drain(ctx, s.Service, s.ID, s.Inc, false)
 	}
--- a/internal/liveness/detector.go
+++ b/internal/liveness/detector.go
@@ -7,186 +7,187 @@
 	"time"
 )
 
-// Options are the free choices of the detector; docs/detector.md gives figures
-// for each.
+// Options are the tunable parameters of the detector; docs/detector.md gives measurements
+// for each of them.
 type Options struct {
-	// Size of the window.
-	Size int
-	// Warm is how many gaps the prior stands in for until they have arrived.
-	Warm int
-	// Every is the interval between arrivals that the prior expects.
-	Every time.Duration
-	// Plain leaves out every extension, for measurement: no clamp, no floor, no
-	// prior, no discount of own pauses.
-	Plain bool
-	// NoFill leaves lost arrivals unfilled.
-	NoFill bool
-	// MinBeta and MaxBeta clamp the fitted shape.
+	// WindowSize is the number of gaps in the window.
+	WindowSize int
+	// PriorGaps is how many gaps drawn from the prior fill the window at first.
+	PriorGaps int
+	// Interval is the interval between arrivals that the prior expects.
+	Interval time.Duration
+	// NoExtensions turns off every extension of the published algorithm, for
+	// measurements: clamp, floor, prior and the discount of own pauses.
+	NoExtensions bool
+	// NoLossFill turns off the filling in of lost arrivals.
+	NoLossFill bool
+	// MinBeta and MaxBeta limit the fitted shape.
 	MinBeta, MaxBeta float64
-	// Floor is the least spread in time that is ever believed.
-	Floor time.Duration
+	// MinSpread is a lower bound for the spread of arrivals that the fit assumes.
+	MinSpread time.Duration
 }
 
-// Defaults are the options for arrivals about every d.
-func Defaults(d time.Duration) Options {
-	return Options{Size: 100, Warm: 10, Every: d, MinBeta: 1, MaxBeta: 12, Floor: 60 * time.Millisecond}
+// DefaultOptions returns the options for arrivals about every d.
+func DefaultOptions(d time.Duration) Options {
+	return Options{WindowSize: 100, PriorGaps: 10, Interval: d, MinBeta: 1, MaxBeta: 12, MinSpread: 60 * time.Millisecond}
 }
 
-// backlog is how long after an own pause arrivals may have waited to be read.
-const backlog = 150 * time.Millisecond
+// backlogTime is how long after a pause of this process arrivals that waited in buffers
+// may still be read.
+const backlogTime = 150 * time.Millisecond
 
-// maxFill bounds the arrivals filled in for one gap.
-const maxFill = 16
+// maxFilled bounds the arrivals filled in for one gap.
+const maxFilled = 16
 
-// priorBeta is the shape that the prior expects.
+// priorBeta is the shape of the prior.
 const priorBeta = 3
 
-// Detector watches one run of one target. Arrivals take its lock; a choice reads
-// an atomic snapshot (design 10.3).
+// Detector judges one run of one target. RecordArrival takes its lock; a request that
+// chooses a target reads an atomic snapshot (design 10.3).
 type Detector struct {
-	o     Options
-	pause *Pauses
+	opts   Options
+	pauses *PauseMonitor
 
-	mu   sync.Mutex
-	win  *Window
-	seq  uint64
-	last time.Time
-	woke time.Time // first arrival after an own pause
-	seen int
+	mu       sync.Mutex
+	window   *Window
+	seq      uint64
+	last     time.Time
+	resumed  time.Time // first arrival after a pause of this process
+	arrivals int
 
-	now atomic.Pointer[snapshot]
+	current atomic.Pointer[snapshot]
 }
 
 type snapshot struct {
 	fit    Fit
 	last   time.Time
-	paused time.Duration // own pauses up to last
-	judge  bool
+	paused time.Duration // sum of own pauses up to last
+	ready  bool
 }
 
-// New makes a detector for a target run first met at t. p may be nil.
-func New(o Options, p *Pauses, t time.Time) *Detector {
-	d := &Detector{o: o, pause: p, win: NewWindow(o.Size), last: t}
-	if !o.Plain {
-		m := o.Every.Seconds() / math.Gamma(1+1/float64(priorBeta))
-		for i := range o.Warm {
-			q := (float64(i) + 0.5) / float64(o.Warm)
-			d.win.Push(Fit{m, priorBeta}.After(q))
+// NewDetector returns a detector for a target run first seen at t. p may be nil.
+func NewDetector(o Options, p *PauseMonitor, t time.Time) *Detector {
+	d := &Detector{opts: o, pauses: p, window: NewWindow(o.WindowSize), last: t}
+	if !o.NoExtensions {
+		alpha := o.Interval.Seconds() / math.Gamma(1+1/float64(priorBeta))
+		for i := range o.PriorGaps {
+			q := (float64(i) + 0.5) / float64(o.PriorGaps)
+			d.window.Push(Fit{alpha, priorBeta}.Quantile(q))
 		}
 	}
-	d.publish()
+	d.refit()
 	return d
 }
 
-// Arrive notes arrival j at time t; one that is not newer than the largest yet
-// is no news. It tells whether it was.
-func (d *Detector) Arrive(j uint64, t time.Time) bool {
+// RecordArrival records arrival number seq at time t and reports whether it is newer than
+// all before it; an older one is ignored.
+func (d *Detector) RecordArrival(seq uint64, t time.Time) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if j <= d.seq {
+	if seq <= d.seq {
 		return false
 	}
 	gap := t.Sub(d.last)
-	old := d.now.Load()
+	old := d.current.Load()
 	pausedIn := time.Duration(0)
-	if d.pause != nil && !d.o.Plain {
-		pausedIn = d.pause.Total() - old.paused
+	if d.pauses != nil && !d.opts.NoExtensions {
+		pausedIn = d.pauses.Total() - old.paused
 	}
 	switch {
-	case d.seen == 0:
-		// The first arrival has no gap before it.
+	case d.arrivals == 0:
+		// There is no gap before the first arrival.
 	case gap < 0 || pausedIn > 0:
-		// The gap measures this process's own pause, not the target.
-		d.woke = t
-	case !d.woke.IsZero() && t.Sub(d.woke) < backlog:
-		// What came during the pause is read all at once after it.
+		// The gap measures a pause of this process, not the target.
+		d.resumed = t
+	case !d.resumed.IsZero() && t.Sub(d.resumed) < backlogTime:
+		// Arrivals of the pause are read all at once after it: their gaps mean nothing.
 	default:
-		d.push(gap.Seconds(), j-d.seq-1)
+		d.pushGap(gap.Seconds(), seq-d.seq-1)
 	}
-	d.seen++
-	d.seq, d.last = j, t
-	d.publish()
+	d.arrivals++
+	d.seq, d.last = seq, t
+	d.refit()
 	return true
 }
 
-// Restart begins the watch anew at t, with what was learnt: nobody looked before.
+// Restart resumes judging at t, after a time without probes, and keeps the learnt gaps.
 func (d *Detector) Restart(t time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.last, d.seen = t, 0
-	d.publish()
+	d.last, d.arrivals = t, 0
+	d.refit()
 }
 
-// push takes one gap in which lost arrivals were missed. Each of them is placed
-// a mean gap after the one before, d_i = Δ + d_{i-1}, as long as that leaves the
-// last gap longer than nothing; else they share the gap evenly.
-func (d *Detector) push(gap float64, lost uint64) {
-	if lost == 0 || d.o.NoFill || d.win.Len() == 0 {
-		d.win.Push(gap)
+// pushGap adds one gap in which lost arrivals went missing. Each of these is placed a mean
+// gap after the one before, d_i = Δ + d_{i-1}, if that leaves a positive last gap; else they
+// divide the gap evenly.
+func (d *Detector) pushGap(gap float64, lost uint64) {
+	if lost == 0 || d.opts.NoLossFill || d.window.Len() == 0 {
+		d.window.Push(gap)
 		return
 	}
-	k := int(min(lost, maxFill))
-	m := d.win.Mean()
-	if m*float64(k) >= gap {
-		m = gap / float64(k+1)
+	filled := int(min(lost, maxFilled))
+	mean := d.window.Mean()
+	if mean*float64(filled) >= gap {
+		mean = gap / float64(filled+1)
 	}
-	for range k {
-		d.win.Push(m)
+	for range filled {
+		d.window.Push(mean)
 	}
-	d.win.Push(gap - m*float64(k))
+	d.window.Push(gap - mean*float64(filled))
 }
 
-// publish refits and replaces the snapshot.
-func (d *Detector) publish() {
+// refit fits the window anew and replaces the snapshot.
+func (d *Detector) refit() {
 	s := &snapshot{last: d.last}
-	if d.pause != nil {
-		s.paused = d.pause.Total()
+	if d.pauses != nil {
+		s.paused = d.pauses.Total()
 	}
-	f, ok := d.win.Fit()
+	f, ok := d.window.Fit()
 	switch {
-	case d.o.Plain:
-		s.fit, s.judge = f, ok && d.win.Len() == d.o.Size
+	case d.opts.NoExtensions:
+		s.fit, s.ready = f, ok && d.window.Len() == d.opts.WindowSize
 	default:
-		s.fit, s.judge = d.tame(f, ok), d.win.Len() > 0
+		s.fit, s.ready = d.bound(f, ok), d.window.Len() > 0
 	}
-	d.now.Store(s)
+	d.current.Store(s)
 }
 
-// tame keeps the fit sound where gaps are nearly equal: the shape is clamped, and
-// its spread never believed to be below the floor. α is then taken again for the
-// clamped shape, so that the line still runs through the mean point.
-func (d *Detector) tame(f Fit, ok bool) Fit {
-	ml := d.win.MeanLog()
-	hi := d.o.MaxBeta
-	if fl := d.o.Floor.Seconds(); fl > 0 {
-		// A Weibull's ln t has the standard deviation π/(√6·β).
-		hi = min(hi, math.Exp(ml)/fl*math.Pi/math.Sqrt(6))
+// bound keeps the fit usable if gaps are nearly equal: it limits the shape, so that the
+// spread is not assumed to be below MinSpread. α is then computed anew for the limited
+// shape, so that the fitted line still passes through the mean point.
+func (d *Detector) bound(f Fit, ok bool) Fit {
+	meanLog := d.window.MeanLog()
+	maxBeta := d.opts.MaxBeta
+	if minSpread := d.opts.MinSpread.Seconds(); minSpread > 0 {
+		// ln t has the standard deviation π/(√6·β) for a Weibull-distributed t.
+		maxBeta = min(maxBeta, math.Exp(meanLog)/minSpread*math.Pi/math.Sqrt(6))
 	}
-	return d.win.clamp(f, ok, d.o.MinBeta, hi)
+	return d.window.clampShape(f, ok, d.opts.MinBeta, maxBeta)
 }
 
-// Suspicion is w_d now; it is worked out afresh at each call. Time that this
-// process itself stood still does not count as silence.
+// Suspicion returns w_d at now, computed anew at each call. Pauses of this process do not
+// count as silence of the target.
 func (d *Detector) Suspicion(now time.Time) float64 {
-	s := d.now.Load()
-	if !s.judge {
+	s := d.current.Load()
+	if !s.ready {
 		return 0
 	}
 	t := now.Sub(s.last)
-	if d.pause != nil && !d.o.Plain {
-		t -= d.pause.At(now) - s.paused
+	if d.pauses != nil && !d.opts.NoExtensions {
+		t -= d.pauses.TotalAt(now) - s.paused
 	}
 	return s.fit.Suspicion(t.Seconds())
 }
 
-// Fitted tells the fit and the last arrival, for people.
-func (d *Detector) Fitted() (Fit, time.Time) {
-	s := d.now.Load()
+// LastFit returns the latest fit and the time of the last arrival, for display.
+func (d *Detector) LastFit() (Fit, time.Time) {
+	s := d.current.Load()
 	return s.fit, s.last
 }
 
-// Seq is the largest sequence number yet.
-func (d *Detector) Seq() uint64 {
+// LastSeq returns the largest sequence number received.
+func (d *Detector) LastSeq() uint64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.seq
--- a/internal/liveness/pauses.go
+++ b/internal/liveness/pauses.go
@@ -9,78 +9,79 @@
 )
 
 const (
-	// tick is how often the process looks whether it stood still, unless told otherwise.
-	tick = 50 * time.Millisecond
-	// overdue is how late a look may come before that counts as a pause of the process.
-	overdue = 200 * time.Millisecond
-	// long is from when on a pause is one after which those who wait for this process may have turned to another.
-	long = 900 * time.Millisecond
+	// defaultInterval is the time between two checks for a pause of the process.
+	defaultInterval = 50 * time.Millisecond
+	// pauseThreshold is how late a check may come before the delay counts as a pause.
+	pauseThreshold = 200 * time.Millisecond
+	// longPause is the length from which on a pause may have made those who wait for this
+	// process turn to another one.
+	longPause = 900 * time.Millisecond
 )
 
-// Pauses adds up the time that this process itself stood still: frozen, starved
-// or suspended. A jump of the machine's wall clock is none: only the monotonic
+// PauseMonitor adds up the time for which this process did not run: frozen, without CPU
+// time or suspended. A step of the wall clock does not count, because only the monotonic
 // clock is read.
-type Pauses struct {
-	clock clock.Clock
-	tick  time.Duration
-	at    atomic.Pointer[beat]
+type PauseMonitor struct {
+	clock    clock.Clock
+	interval time.Duration
+	state    atomic.Pointer[pauseState]
 }
 
-// beat is the last tick and the time stood still before it.
-type beat struct {
-	last  time.Time
-	total time.Duration
-	woke  time.Time // when the last long pause ended; zero if there was none
-	run   bool      // Run looks; before that nobody could tell a pause from a start
+// pauseState holds the time of the last check and the sum of the pauses before it.
+type pauseState struct {
+	lastCheck time.Time
+	total     time.Duration
+	resumed   time.Time // when the last long pause ended; zero if there was none
+	running   bool      // Run has begun; before, a pause can't be told from the time before the start
 }
 
-// NewPauses starts the count at zero.
-func NewPauses(c clock.Clock) *Pauses { return NewPausesEvery(c, tick) }
+// NewPauseMonitor returns a monitor with a sum of zero.
+func NewPauseMonitor(c clock.Clock) *PauseMonitor { return NewPauseMonitorEvery(c, defaultInterval) }
 
-// NewPausesEvery looks only every d: fewer wake-ups, and pauses are told to within d.
-func NewPausesEvery(c clock.Clock, d time.Duration) *Pauses {
-	p := &Pauses{clock: c, tick: d}
-	p.at.Store(&beat{last: c.Now()})
+// NewPauseMonitorEvery checks only every d: fewer wake-ups, and pauses measured to within d.
+func NewPauseMonitorEvery(c clock.Clock, d time.Duration) *PauseMonitor {
+	p := &PauseMonitor{clock: c, interval: d}
+	p.state.Store(&pauseState{lastCheck: c.Now()})
 	return p
 }
 
-// Run looks every tick until ctx ends.
-func (p *Pauses) Run(ctx context.Context) {
+// Run checks for pauses at each interval until ctx ends.
+func (p *PauseMonitor) Run(ctx context.Context) {
 	for {
 		now := p.clock.Now()
-		p.at.Store(&beat{last: now, total: p.At(now), woke: p.woke(now), run: true})
-		if p.clock.Sleep(ctx, p.tick) != nil {
+		p.state.Store(&pauseState{lastCheck: now, total: p.TotalAt(now), resumed: p.resumedAt(now), running: true})
+		if p.clock.Sleep(ctx, p.interval) != nil {
 			return
 		}
 	}
 }
 
-// Total is the time stood still up to now.
-func (p *Pauses) Total() time.Duration { return p.At(p.clock.Now()) }
+// Total returns the sum of the pauses up to now.
+func (p *PauseMonitor) Total() time.Duration { return p.TotalAt(p.clock.Now()) }
 
-// At is the time stood still up to now, including a pause that the next tick has
-// yet to notice: the first look after a freeze is already right.
-func (p *Pauses) At(now time.Time) time.Duration {
-	b := p.at.Load()
-	if d := now.Sub(b.last); d > p.tick+overdue {
-		return b.total + d - p.tick
+// TotalAt returns the sum of the pauses up to now, with a pause that the next check has yet
+// to record: the first reading after a freeze is already right.
+func (p *PauseMonitor) TotalAt(now time.Time) time.Duration {
+	b := p.state.Load()
+	if d := now.Sub(b.lastCheck); d > p.interval+pauseThreshold {
+		return b.total + d - p.interval
 	}
 	return b.total
 }
 
-// WokeWithin tells whether a long pause of this process ended within d, one that the next tick has yet to
-// notice included.
-func (p *Pauses) WokeWithin(d time.Duration) bool {
+// ResumedWithin reports whether a long pause of this process ended within the last d. It
+// counts a pause that the next check has yet to record.
+func (p *PauseMonitor) ResumedWithin(d time.Duration) bool {
 	now := p.clock.Now()
-	woke := p.woke(now)
-	return !woke.IsZero() && now.Sub(woke) < d
+	resumed := p.resumedAt(now)
+	return !resumed.IsZero() && now.Sub(resumed) < d
 }
 
-// woke is when the last long pause ended.
-func (p *Pauses) woke(now time.Time) time.Time {
-	b := p.at.Load()
-	if b.run && now.Sub(b.last) > p.tick+long {
+// resumedAt returns when the last long pause ended.
+func (p *PauseMonitor) resumedAt(now time.Time) time.Time {
+	b := p.state.Load()
+	if b.running && now.Sub(b.lastCheck) > p.interval+longPause {
 		return now
 	}
-	return b.woke
+	return b.resumed
 }
--- a/internal/liveness/pauses_test.go
+++ b/internal/liveness/pauses_test.go
@@ -10,31 +10,31 @@
 	"walkrudder/internal/clock"
 )
 
-// stopClock sleeps longer once, as a frozen process does.
-type stopClock struct {
+// oversleepClock sleeps longer once, like the clock of a frozen process.
+type oversleepClock struct {
 	clock.Wall
 	extra atomic.Int64
 }
 
-func (c *stopClock) Sleep(ctx context.Context, d time.Duration) error {
+func (c *oversleepClock) Sleep(ctx context.Context, d time.Duration) error {
 	return c.Wall.Sleep(ctx, d+time.Duration(c.extra.Swap(0)))
 }
 
 func TestPausesAreSeenAtAnyTick(t *testing.T) {
-	for _, every := range []time.Duration{tick, 200 * time.Millisecond} {
+	for _, every := range []time.Duration{defaultInterval, 200 * time.Millisecond} {
 		synctest.Test(t, func(t *testing.T) {
 			ctx, end := context.WithCancel(t.Context())
-			c := &stopClock{}
+			c := &oversleepClock{}
 			c.extra.Store(int64(3 * time.Second))
-			p := NewPausesEvery(c, every)
+			p := NewPauseMonitorEvery(c, every)
 			go p.Run(ctx)
 			time.Sleep(10 * time.Second)
 			if d := p.Total(); d < 3*time.Second-every || d > 3*time.Second+every {
 				t.Errorf("tick %v: a pause of 3s counted as %v", every, d)
 			}
-			// A look that is a little late is no pause.
+			// A check that is only a little late does not count as a pause.
 			before := p.Total()
-			c.extra.Store(int64(overdue / 2))
+			c.extra.Store(int64(pauseThreshold / 2))
 			time.Sleep(5 * time.Second)
 			if d := p.Total(); d != before {
 				t.Errorf("tick %v: %v of lateness counted as a pause", every, d-before)
@@ -44,31 +44,31 @@
 	}
 }
 
-// A long pause is told of from the first look after it on, and for as long as is asked; a short one is not, and neither is
-// the time before anybody looks.
+// A long pause is reported from the first reading after it on, for as long as the caller asks. A
+// short pause is not, nor is the time before the monitor runs.
 func TestALongPauseIsToldOfForAWhile(t *testing.T) {
-	for pause, want := range map[time.Duration]bool{long / 2: false, 2 * long: true} {
+	for pause, want := range map[time.Duration]bool{longPause / 2: false, 2 * longPause: true} {
 		synctest.Test(t, func(t *testing.T) {
 			ctx, end := context.WithCancel(t.Context())
-			c := &stopClock{}
-			p := NewPauses(c)
+			c := &oversleepClock{}
+			p := NewPauseMonitor(c)
 			time.Sleep(time.Minute)
-			if p.WokeWithin(time.Hour) {
-				t.Error("told of a pause before anybody looked")
+			if p.ResumedWithin(time.Hour) {
+				t.Error("reported a pause before the monitor ran")
 			}
 			go p.Run(ctx)
 			time.Sleep(time.Second)
-			if p.WokeWithin(time.Hour) {
-				t.Error("told of a pause before any")
+			if p.ResumedWithin(time.Hour) {
+				t.Error("reported a pause before any")
 			}
 			c.extra.Store(int64(pause))
-			time.Sleep(tick + pause + tick)
-			if got := p.WokeWithin(time.Second); got != want {
+			time.Sleep(defaultInterval + pause + defaultInterval)
+			if got := p.ResumedWithin(time.Second); got != want {
 				t.Errorf("after %v: %v, want %v", pause, got, want)
 			}
 			time.Sleep(1100 * time.Millisecond)
-			if p.WokeWithin(time.Second) {
-				t.Errorf("told of %v a second later", pause)
+			if p.ResumedWithin(time.Second) {
+				t.Errorf("reported a pause of %v a second later", pause)
 			}
 			end()
 		})
--- a/internal/liveness/window.go
+++ b/internal/liveness/window.go
@@ -1,6 +1,6 @@
-// Package liveness is the Weibull accrual detector: from the gaps between
-// arrivals it tells how much a silence is to be suspected (design 10, and
-// docs/detector.md for what was kept and changed of its source).
+// Package liveness implements a Weibull accrual failure detector: it computes a suspicion
+// from the gaps between arrivals and the present silence (design 10; docs/detector.md lists
+// what is kept and what is changed of the published algorithm).
 package liveness
 
 import (
@@ -9,69 +9,69 @@
 	"sync"
 )
 
-// minGap keeps logarithms finite where two arrivals share an instant.
+// minGap, in seconds, keeps logarithms finite when two arrivals have the same time.
 const minGap = 1e-4
 
-// Window is a sliding window of gaps in seconds, kept in order of arrival and in
-// order of size, so that a refit sorts nothing.
+// Window is a sliding window of gaps. Their logarithms are kept both in order of arrival
+// and in ascending order, so that a refit sorts nothing.
 type Window struct {
-	ring []float64 // logarithms, by arrival
-	at   int
-	full int
-	x    []float64 // the same, ascending
+	logs   []float64 // logarithms of the gaps in seconds: a ring buffer in order of arrival
+	next   int       // the ring's next write position
+	count  int       // the gaps held
+	sorted []float64 // the same logarithms, ascending
 }
 
-// NewWindow makes a window of n gaps.
+// NewWindow returns an empty window with room for n gaps.
 func NewWindow(n int) *Window {
-	return &Window{ring: make([]float64, n), x: make([]float64, 0, n)}
+	return &Window{logs: make([]float64, n), sorted: make([]float64, 0, n)}
 }
 
-// Push takes a gap in and lets the oldest go once the window is full.
+// Push adds a gap, in seconds. A full window drops its oldest gap.
 func (w *Window) Push(gap float64) {
 	v := math.Log(max(gap, minGap))
-	if w.full == len(w.ring) {
-		i, _ := slices.BinarySearch(w.x, w.ring[w.at])
-		w.x = slices.Delete(w.x, i, i+1)
+	if w.count == len(w.logs) {
+		i, _ := slices.BinarySearch(w.sorted, w.logs[w.next])
+		w.sorted = slices.Delete(w.sorted, i, i+1)
 	} else {
-		w.full++
+		w.count++
 	}
-	w.ring[w.at] = v
-	w.at = (w.at + 1) % len(w.ring)
-	i, _ := slices.BinarySearch(w.x, v)
-	w.x = slices.Insert(w.x, i, v)
+	w.logs[w.next] = v
+	w.next = (w.next + 1) % len(w.logs)
+	i, _ := slices.BinarySearch(w.sorted, v)
+	w.sorted = slices.Insert(w.sorted, i, v)
 }
 
-// Len is the number of gaps held.
-func (w *Window) Len() int { return w.full }
+// Len returns the number of gaps held.
+func (w *Window) Len() int { return w.count }
 
-// Mean is the mean gap in seconds.
+// Mean returns the mean gap in seconds.
 func (w *Window) Mean() float64 {
 	s := 0.0
-	for _, v := range w.x {
+	for _, v := range w.sorted {
 		s += math.Exp(v)
 	}
-	return s / float64(max(1, len(w.x)))
+	return s / float64(max(1, len(w.sorted)))
 }
 
-// Fit is the Weibull distribution fitted to a window.
+// Fit holds the scale (Alpha, in seconds) and the shape (Beta) of a Weibull distribution.
 type Fit struct{ Alpha, Beta float64 }
 
-// Fit is the least-squares fit of y = ln(-ln(1-F)) over x = ln t, with
-// 1-F = 1-(i-0.5)/n for the i-th gap in ascending order. ok is false where fewer
-// than two gaps, or only equal ones, leave the slope undefined.
+// Fit fits y = ln(-ln(1-F)) over x = ln t by least squares, with 1-F = 1-(i-0.5)/n for the
+// i-th gap in ascending order. ok is false if the slope is undefined: with fewer than two
+// gaps, or only equal ones.
 func (w *Window) Fit() (f Fit, ok bool) {
-	n := len(w.x)
+	n := len(w.sorted)
 	if n < 2 {
 		return f, false
 	}
-	r := ranks(n)
+	r := positionsFor(n)
 	var sx float64
-	for _, v := range w.x {
+	for _, v := range w.sorted {
 		sx += v
 	}
 	mx := sx / float64(n)
 	var sxx, sxy float64
-	for i, v := range w.x {
+	for i, v := range w.sorted {
 		d := v - mx
 		sxx += d * d
 		sxy += d * r.y[i]
@@ -84,56 +84,57 @@
 	return f, true
 }
 
-// FitWithin is the fit with its shape clamped to lo..hi; equal gaps get hi. The window
-// must hold a gap.
+// FitWithin returns the fit with its shape clamped to lo..hi; equal gaps get the shape hi.
+// The window must hold a gap.
 func (w *Window) FitWithin(lo, hi float64) Fit {
 	f, ok := w.Fit()
-	return w.clamp(f, ok, lo, hi)
+	return w.clampShape(f, ok, lo, hi)
 }
 
-// clamp takes α again for the clamped shape, so that the line still runs through the
-// mean point.
-func (w *Window) clamp(f Fit, ok bool, lo, hi float64) Fit {
+// clampShape limits the shape to lo..hi and computes α anew for the limited shape, so that
+// the fitted line still passes through the mean point.
+func (w *Window) clampShape(f Fit, ok bool, lo, hi float64) Fit {
 	b := hi
 	if ok {
 		b = min(f.Beta, hi)
 	}
 	b = max(b, lo)
-	return Fit{Alpha: math.Exp(w.MeanLog() - ranks(w.Len()).mean/b), Beta: b}
+	return Fit{Alpha: math.Exp(w.MeanLog() - positionsFor(w.Len()).mean/b), Beta: b}
 }
 
-// MeanLog is the mean of the gaps' logarithms.
+// MeanLog returns the mean of the logarithms of the gaps.
 func (w *Window) MeanLog() float64 {
 	s := 0.0
-	for _, v := range w.x {
+	for _, v := range w.sorted {
 		s += v
 	}
-	return s / float64(max(1, len(w.x)))
+	return s / float64(max(1, len(w.sorted)))
 }
 
-type rankY struct {
+// plotPositions holds the ordinates ln(-ln(1-F)) of n ordered gaps, and their mean.
+type plotPositions struct {
 	y    []float64
 	mean float64
 }
 
-var rankTab sync.Map // n -> *rankY
+var positionsByCount sync.Map // n -> *plotPositions
 
-// ranks are the y of n ordered gaps; they depend on n alone.
-func ranks(n int) *rankY {
-	if r, ok := rankTab.Load(n); ok {
-		return r.(*rankY)
+// positionsFor returns the ordinates of n ordered gaps. They depend on n only and are cached.
+func positionsFor(n int) *plotPositions {
+	if r, ok := positionsByCount.Load(n); ok {
+		return r.(*plotPositions)
 	}
-	r := &rankY{y: make([]float64, n)}
+	r := &plotPositions{y: make([]float64, n)}
 	for i := range n {
 		rel := 1 - (float64(i+1)-0.5)/float64(n)
 		r.y[i] = math.Log(-math.Log(rel))
 		r.mean += r.y[i] / float64(n)
 	}
-	rankTab.Store(n, r)
+	positionsByCount.Store(n, r)
 	return r
 }
 
-// Suspicion is w_d after a silence of t seconds.
+// Suspicion returns w_d, the probability of a gap shorter than t seconds, after a silence of t.
 func (f Fit) Suspicion(t float64) float64 {
 	if t <= 0 {
 		return 0
@@ -141,7 +142,7 @@
 	return -math.Expm1(-math.Pow(t/f.Alpha, f.Beta))
 }
 
-// After is the silence at which the suspicion reaches w.
-func (f Fit) After(w float64) float64 {
+// Quantile returns the silence, in seconds, at which the suspicion reaches w.
+func (f Fit) Quantile(w float64) float64 {
 	return f.Alpha * math.Pow(-math.Log1p(-w), 1/f.Beta)
 }
--- a/internal/liveness/window_test.go
+++ b/internal/liveness/window_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// The figures were worked out apart from this code, by the formulas on paper.
+// The expected values were computed by hand from the formulas, independently of this code.
 func TestWindowFitAgainstFiguresWorkedOutApart(t *testing.T) {
 	for _, c := range []struct {
 		gaps              []float64
@@ -21,16 +21,16 @@
 			w.Push(g)
 		}
 		f, ok := w.Fit()
-		if !ok || !near(f.Alpha, c.alpha) || !near(f.Beta, c.beta) || !near(f.Suspicion(2.5), c.at25) {
+		if !ok || !almostEqual(f.Alpha, c.alpha) || !almostEqual(f.Beta, c.beta) || !almostEqual(f.Suspicion(2.5), c.at25) {
 			t.Errorf("%v: alpha %.6f beta %.6f w(2.5) %.6f, want %v", c.gaps, f.Alpha, f.Beta, f.Suspicion(2.5), c)
 		}
-		if g := f.After(0.99); !near(f.Suspicion(g), 0.99) {
-			t.Errorf("After is no inverse of Suspicion: %v", f.Suspicion(g))
+		if g := f.Quantile(0.99); !almostEqual(f.Suspicion(g), 0.99) {
+			t.Errorf("Quantile is not the inverse of Suspicion: %v", f.Suspicion(g))
 		}
 	}
 }
 
-func near(a, b float64) bool { return math.Abs(a-b) < 2e-6 }
+func almostEqual(a, b float64) bool { return math.Abs(a-b) < 2e-6 }
 
 func TestWindowKeepsTheLastGapsInOrder(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 2))
@@ -43,8 +43,8 @@
 		last := slices.Clone(all[max(0, len(all)-16):])
 		slices.Sort(last)
 		for i, v := range last {
-			if !near(math.Exp(w.x[i]), v) {
-				t.Fatalf("gap %d is %v, want %v", i, math.Exp(w.x[i]), v)
+			if !almostEqual(math.Exp(w.sorted[i]), v) {
+				t.Fatalf("gap %d is %v, want %v", i, math.Exp(w.sorted[i]), v)
 			}
 		}
 		if w.Len() != len(last) {
@@ -57,13 +57,13 @@
 	w := NewWindow(8)
 	for range 8 {
 		if _, ok := w.Fit(); ok {
-			t.Fatal("a fit from equal gaps")
+			t.Fatal("got a fit from equal gaps")
 		}
 		w.Push(1)
 	}
 }
 
-// The shape stays within its bounds, and the line through the mean point.
+// The shape stays within its bounds, and the fitted line passes through the mean point.
 func TestFitWithin(t *testing.T) {
 	w := NewWindow(20)
 	for range 20 {
@@ -76,13 +76,13 @@
 		w.Push(math.Pow(10, float64(i%5)))
 	}
 	if f, ok := w.Fit(); !ok || f.Beta >= 1 {
-		t.Fatalf("%+v was to be below 1", f)
+		t.Fatalf("%+v: the shape should be below 1", f)
 	}
 	if f := w.FitWithin(1, 4); f.Beta != 1 {
 		t.Errorf("wide gaps: %+v", f)
 	}
 	for i := range 20 {
-		w.Push(Fit{3, 2}.After((float64(i) + 0.5) / 20))
+		w.Push(Fit{3, 2}.Quantile((float64(i) + 0.5) / 20))
 	}
 	plain, _ := w.Fit()
 	if f := w.FitWithin(1, 4); math.Abs(f.Beta-plain.Beta) > 1e-9 || math.Abs(f.Alpha-plain.Alpha) > 1e-9 {
--- a/internal/membership/court.go
+++ b/internal/membership/court.go
@@ -1,6 +1,5 @@
-// Package membership tells which nodes are members: each holds a lease that a majority
-// of the core granted (design 7). Duties are leases of the same kind (design
-// 7.3).
+// Package membership tracks which nodes are members: each holds a lease granted by a majority
+// of the core (design 7). Duties are leases of the same kind (design 7.3).
 package membership
 
 import (
@@ -17,72 +16,72 @@
 )
 
 const (
-	// Lease is how long a member counts after its last renewal. A gateway that is cut off
-	// serves under it until the platform has noticed: that looks once a second, and the
-	// gateway needs some 0.4 s to know (design 7.1).
-	Lease = 1500 * time.Millisecond
-	// Renew is how often a member renews.
-	Renew = 250 * time.Millisecond
-	// margin is what a holder gives up of its lease: against clocks that run at
-	// slightly different speeds, and for tables, which are read at a majority one
-	// after the other (design 7.2).
-	margin = 125 * time.Millisecond
-	// tableTime is how long the reading of a table may take from first ask to last
-	// answer. It is below margin: a lease that passes from one majority of courts
-	// to another is in the old one's tables for at least margin after it entered
-	// the new one's, so a reading this short cannot miss it in both.
-	tableTime = margin * 9 / 10
-	// DutyLease is how long a duty is held after its last renewal.
-	DutyLease = 2 * time.Second
-	// maxMembers bounds the table of one court.
+	// LeaseDuration is how long a member counts after its last renewal. A gateway that is cut
+	// off serves on its lease until the platform has noticed: the platform checks once a second,
+	// and the gateway needs some 0.4 s to detect the loss (design 7.1).
+	LeaseDuration = 1500 * time.Millisecond
+	// RenewInterval is the time between two renewals of a lease.
+	RenewInterval = 250 * time.Millisecond
+	// leaseMargin is by how much a holder shortens its own lease. It covers clocks that run at
+	// slightly different speeds, and table reads, whose answers come from the servers at
+	// different times (design 7.2).
+	leaseMargin = 125 * time.Millisecond
+	// tableReadTimeout bounds the reading of a table from the first request to the last
+	// answer. It is below leaseMargin: a lease that passes from one majority of lease servers
+	// to another stays in the tables of the old one for at least leaseMargin after it entered
+	// those of the new one, so a reading this short can't miss it in both.
+	tableReadTimeout = leaseMargin * 9 / 10
+	// DutyLeaseDuration is how long a duty is held after its last renewal.
+	DutyLeaseDuration = 2 * time.Second
+	// maxMembers bounds the table of one lease server.
 	maxMembers = 4096
 )
 
-// Member is what a node says of itself with each renewal.
+// Member describes a node; it is sent with each renewal.
 type Member struct {
 	ID    string
-	Inc   uint64 // this run of the process
+	Inc   uint64 // incarnation: this run of the process
 	Kind  string // "gateway" or "controller"
 	Inner string
 	Door  string
 	Zone  string
-	Disk  quorum.Seat // where it has a disk
-	Spec  uint64      // version in force there
-	Since int64       // start, unix milliseconds, for people
-	Rest  bool        // drained by hand
+	Disk  quorum.Seat // the seat of its disk, if it has one
+	Spec  uint64      // the version of the route sheet in force there
+	Since int64       // start time in unix milliseconds, for display
+	Rest  bool        // drained by an operator
 }
 
 type (
-	// RenewAsk renews the asker's lease and duties; Gone gives them back.
+	// RenewAsk renews the sender's lease and duties; with Gone it releases them.
 	RenewAsk struct {
 		Epoch  uint64
 		Member Member
 		Duties []string
-		Seen   uint64 // table version the asker has
+		Seen   uint64 // the version of the table that the sender has
 		Gone   bool
-		Held   bool // the asker's lease stands
+		Held   bool // the sender's lease is in force
 	}
-	// DutyHolder says who holds a duty at a court.
+	// DutyHolder names the holder of a duty at one lease server.
 	DutyHolder struct{ Duty, By string }
-	// RenewTold answers it. Duties are those granted, and Taken those that another holds.
+	// RenewTold answers RenewAsk. Duties are the granted ones, Taken those that others hold.
 	RenewTold struct {
 		OK      bool
 		Epoch   uint64
-		Core    quorum.Core // where the epoch differs
+		Core    quorum.Core // set if the epoch differs
 		Version uint64
-		Members []Member // where Version differs from Seen
+		Members []Member // set if Version differs from Seen
 		Duties  []string
 		Taken   []DutyHolder
-		Warming bool // the table is withheld
+		Warming bool // the server is warming up and withholds its table
 	}
-	// RestAsk drains a node by hand, or ends that; a drained node tells the platform
-	// that it is not ready, and works on.
+	// RestAsk starts or ends the draining of a node by an operator. A drained node reports to
+	// the platform that it is not ready, and continues to serve.
 	RestAsk struct{ On bool }
-	// RestTold answers it.
+	// RestTold answers RestAsk.
 	RestTold struct{ OK bool }
-	// TableAsk asks for the lease table.
+	// TableAsk requests the lease table.
 	TableAsk struct{ Epoch uint64 }
-	// TableTold answers it.
+	// TableTold answers TableAsk.
 	TableTold struct {
 		quorum.Told
 		Members []Member
@@ -90,160 +89,159 @@
 )
 
 type grant struct {
-	m     Member
-	until time.Time
+	member Member
+	until  time.Time
 }
 
-type duty struct {
-	by    string
-	inc   uint64
-	until time.Time
+type dutyGrant struct {
+	holder string
+	inc    uint64
+	until  time.Time
 }
 
-// Court grants leases at one voter, in memory only: after a start, or after
-// taking a seat, it grants nothing and shows no table until every lease granted
-// before must have lapsed (design 7.1).
-type Court struct {
+// LeaseServer grants leases beside one voter. It keeps them in memory only: after a start,
+// or after its voter took a seat, it returns no table and grants neither duties nor new leases
+// of gateways until every lease granted before must have expired (design 7.1).
+type LeaseServer struct {
 	voter *quorum.Voter
 	clock clock.Clock
 
 	mu      sync.Mutex
-	by      map[string]grant
-	duties  map[string]duty
+	grants  map[string]grant
+	duties  map[string]dutyGrant
 	version uint64
 	epoch   uint64
-	seated  bool
-	// shown and given are from when on the table is shown and duties are granted.
-	shown, given time.Time
+	voting  bool
+	// From these times on the table is shown and duties are granted.
+	tableFrom, dutiesFrom time.Time
 }
 
-// NewCourt makes the court that sits beside v.
-func NewCourt(v *quorum.Voter, c clock.Clock) *Court {
-	return &Court{voter: v, clock: c, by: map[string]grant{}, duties: map[string]duty{}, version: uint64(c.Now().UnixNano())}
+// NewLeaseServer returns the lease server beside voter v.
+func NewLeaseServer(v *quorum.Voter, c clock.Clock) *LeaseServer {
+	return &LeaseServer{voter: v, clock: c, grants: map[string]grant{}, duties: map[string]dutyGrant{}, version: uint64(c.Now().UnixNano())}
 }
 
-// Serve teaches d to answer for this court.
-func (c *Court) Serve(d *link.Desk) {
-	link.On(d, c.renew)
-	link.On(d, c.table)
+// Serve registers the server's request handlers with d.
+func (s *LeaseServer) Serve(d *link.Desk) {
+	link.On(d, s.renew)
+	link.On(d, s.table)
 }
 
-// look follows the core, and tells whether this court may speak for epoch.
-func (c *Court) look(epoch uint64) bool {
-	co := c.voter.Core()
-	in := c.voter.Voting()
-	if co.Epoch != c.epoch {
-		// Without a seat in the epoch just before, earlier grants of this seat's
-		// former holder are unknown here.
-		if !c.seated || !co.Succeeds(c.epoch) {
-			now := c.clock.Now()
-			c.shown, c.given = now.Add(Lease), now.Add(DutyLease)
+// checkEpoch follows the core and reports whether this server may answer for epoch.
+func (s *LeaseServer) checkEpoch(epoch uint64) bool {
+	core := s.voter.Core()
+	voting := s.voter.Voting()
+	if core.Epoch != s.epoch {
+		// If this voter had no seat in the epoch just before, it does not know the leases
+		// that the seat's former holder granted.
+		if !s.voting || !core.Succeeds(s.epoch) {
+			now := s.clock.Now()
+			s.tableFrom, s.dutiesFrom = now.Add(LeaseDuration), now.Add(DutyLeaseDuration)
 		}
-		c.epoch = co.Epoch
+		s.epoch = core.Epoch
 	}
-	c.seated = in
-	return in && epoch == co.Epoch
+	s.voting = voting
+	return voting && epoch == core.Epoch
 }
 
-func (c *Court) renew(_ context.Context, _ link.Who, a RenewAsk) (r RenewTold, _ error) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	ok := c.look(a.Epoch)
-	if r.Epoch = c.epoch; !ok {
-		r.Core = c.voter.Core()
+func (s *LeaseServer) renew(_ context.Context, _ link.Who, a RenewAsk) (r RenewTold, _ error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	ok := s.checkEpoch(a.Epoch)
+	if r.Epoch = s.epoch; !ok {
+		r.Core = s.voter.Core()
 		return r, nil
 	}
-	now := c.clock.Now()
-	c.sweep(now)
+	now := s.clock.Now()
+	s.expire(now)
 	if a.Gone {
-		if g, ok := c.by[a.Member.ID]; ok && g.m.Inc == a.Member.Inc {
-			delete(c.by, a.Member.ID)
-			c.version++
+		if g, ok := s.grants[a.Member.ID]; ok && g.member.Inc == a.Member.Inc {
+			delete(s.grants, a.Member.ID)
+			s.version++
 		}
-		for n, d := range c.duties {
-			if d.by == a.Member.ID && d.inc == a.Member.Inc {
-				delete(c.duties, n)
+		for n, d := range s.duties {
+			if d.holder == a.Member.ID && d.inc == a.Member.Inc {
+				delete(s.duties, n)
 			}
 		}
 		r.OK = true
 		return r, nil
 	}
-	// An older run of the same node must not take the place of the newer.
-	g, had := c.by[a.Member.ID]
-	if had && g.m.Inc > a.Member.Inc || !had && len(c.by) >= maxMembers {
+	// An older run of a node must not replace a newer one.
+	g, had := s.grants[a.Member.ID]
+	if had && g.member.Inc > a.Member.Inc || !had && len(s.grants) >= maxMembers {
 		return r, nil
 	}
-	if !had || g.m != a.Member {
-		c.version++
+	if !had || g.member != a.Member {
+		s.version++
 	}
-	// During warm-up the table, which might lack some, is withheld, and so are duties:
-	// nothing can be brought into force. A gateway that got a lease now could not be told
-	// what is in force, and would stop serving without one (design 8.4). A lease that
-	// stands goes on.
-	r.Warming = now.Before(c.shown)
+	// During warm-up the table may be incomplete. It is withheld, and so are duties: no change
+	// can be brought into force. A gateway that got a lease now could not learn what is in
+	// force, and would have to stop serving again (design 8.4). Leases in force are renewed.
+	r.Warming = now.Before(s.tableFrom)
 	if r.Warming && !a.Held && a.Member.Kind == "gateway" {
 		return r, nil
 	}
-	c.by[a.Member.ID] = grant{a.Member, now.Add(Lease)}
-	for n, d := range c.duties {
-		// A duty that its holder no longer asks for is given back.
-		if d.by == a.Member.ID && !slices.Contains(a.Duties, n) {
-			delete(c.duties, n)
+	s.grants[a.Member.ID] = grant{a.Member, now.Add(LeaseDuration)}
+	for n, d := range s.duties {
+		// A duty that its holder no longer requests is released.
+		if d.holder == a.Member.ID && !slices.Contains(a.Duties, n) {
+			delete(s.duties, n)
 		}
 	}
-	if !now.Before(c.given) {
+	if !now.Before(s.dutiesFrom) {
 		for _, n := range a.Duties {
-			d, taken := c.duties[n]
-			if taken && (d.by != a.Member.ID || d.inc != a.Member.Inc) {
-				r.Taken = append(r.Taken, DutyHolder{n, d.by})
+			d, taken := s.duties[n]
+			if taken && (d.holder != a.Member.ID || d.inc != a.Member.Inc) {
+				r.Taken = append(r.Taken, DutyHolder{n, d.holder})
 				continue
 			}
-			c.duties[n] = duty{a.Member.ID, a.Member.Inc, now.Add(DutyLease)}
+			s.duties[n] = dutyGrant{a.Member.ID, a.Member.Inc, now.Add(DutyLeaseDuration)}
 			r.Duties = append(r.Duties, n)
 		}
 	}
-	r.OK, r.Version = true, c.version
-	if a.Seen != c.version {
-		r.Members = c.members()
+	r.OK, r.Version = true, s.version
+	if a.Seen != s.version {
+		r.Members = s.members()
 	}
 	return r, nil
 }
 
-func (c *Court) table(_ context.Context, _ link.Who, a TableAsk) (r TableTold, _ error) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	r.Disk = c.voter.Seat().Disk
-	now := c.clock.Now()
-	if !c.look(a.Epoch) {
-		r.Core = c.voter.Core()
+func (s *LeaseServer) table(_ context.Context, _ link.Who, a TableAsk) (r TableTold, _ error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	r.Disk = s.voter.Seat().Disk
+	now := s.clock.Now()
+	if !s.checkEpoch(a.Epoch) {
+		r.Core = s.voter.Core()
 		return r, nil
 	}
-	if now.Before(c.shown) {
+	if now.Before(s.tableFrom) {
 		return r, nil
 	}
-	c.sweep(now)
-	r.OK, r.Members = true, c.members()
+	s.expire(now)
+	r.OK, r.Members = true, s.members()
 	return r, nil
 }
 
-func (c *Court) sweep(now time.Time) {
-	for id, g := range c.by {
+func (s *LeaseServer) expire(now time.Time) {
+	for id, g := range s.grants {
 		if !now.Before(g.until) {
-			delete(c.by, id)
-			c.version++
+			delete(s.grants, id)
+			s.version++
 		}
 	}
-	for n, d := range c.duties {
+	for n, d := range s.duties {
 		if !now.Before(d.until) {
-			delete(c.duties, n)
+			delete(s.duties, n)
 		}
 	}
 }
 
-func (c *Court) members() []Member {
-	out := make([]Member, 0, len(c.by))
-	for _, g := range c.by {
-		out = append(out, g.m)
+func (s *LeaseServer) members() []Member {
+	out := make([]Member, 0, len(s.grants))
+	for _, g := range s.grants {
+		out = append(out, g.member)
 	}
 	slices.SortFunc(out, byID)
 	return out
@@ -251,8 +249,8 @@
 
 func byID(a, b Member) int { return cmp.Compare(a.ID, b.ID) }
 
-// ServeRest teaches d to let a node be drained by hand.
-func ServeRest(d *link.Desk, on *atomic.Bool) {
+// ServeDrain registers with d the handler that starts and ends draining by an operator.
+func ServeDrain(d *link.Desk, on *atomic.Bool) {
 	link.On(d, func(_ context.Context, _ link.Who, a RestAsk) (RestTold, error) {
 		on.Store(a.On)
 		return RestTold{true}, nil
--- a/internal/membership/duty.go
+++ b/internal/membership/duty.go
@@ -8,146 +8,146 @@
 )
 
 const (
-	// dutyPatience is how long after its asks a renewal counts what it was granted.
-	dutyPatience = 2 * Renew
-	// concession is how long a node does not ask for a duty that it left to another: its
-	// grant is given back by its next renewal, and the other's next one finds it free.
-	concession = 3 * Renew
-	// maxPartial is how many renewals in a row may be granted a duty by a minority of the
-	// courts before the node gives it up, though no node before it wants the duty.
-	maxPartial = 4
-	// maxRest is the longest time, drawn at random, for which it then does not ask.
-	maxRest = 4 * Renew
+	// concedeTimeout is how long after its requests a renewal counts the duties granted to it.
+	concedeTimeout = 2 * RenewInterval
+	// concessionTime is how long a node does not request a duty that it left to another: its
+	// own next renewal releases what was granted to it, and the other's next one finds it free.
+	concessionTime = 3 * RenewInterval
+	// maxPartialGrants is how many renewals in a row may be granted a duty by a minority of the
+	// lease servers before the node gives the duty up, though no node before it requests it.
+	maxPartialGrants = 4
+	// maxBackoff bounds the random time for which the node then does not request the duty.
+	maxBackoff = 4 * RenewInterval
 )
 
-// duties is what a tenant knows of the duties that it seeks. The tenant's lock guards it.
-type duties struct {
-	sought  []string             // sorted
-	until   map[string]time.Time // until when a duty is held
-	rest    map[string]time.Time // until when a duty is not asked for
-	partial map[string]int       // renewals in a row that a minority granted
+// dutyState is a lease client's state of the duties that it requests. The client's lock guards it.
+type dutyState struct {
+	wanted        []string             // sorted
+	heldUntil     map[string]time.Time // when a held duty expires
+	notBefore     map[string]time.Time // until when a duty is not requested
+	partialGrants map[string]int       // renewals in a row granted by a minority only
 }
 
-// dutyRound is one renewal: how many courts granted each duty, and who holds it elsewhere.
-type dutyRound struct {
-	me     string
-	want   []string
-	quorum int
-	sent   time.Time
-	grants map[string]int
-	taken  map[DutyHolder]int // courts at which another holds a duty
+// dutyRenewal counts, for one renewal, the grants of each duty and the other nodes that hold it.
+type dutyRenewal struct {
+	self         string
+	wanted       []string
+	quorum       int
+	sent         time.Time
+	grants       map[string]int
+	heldByOthers map[DutyHolder]int // number of lease servers at which another node holds a duty
 }
 
-func newDutyRound(me string, want []string, quorum int, sent time.Time) *dutyRound {
-	return &dutyRound{me: me, want: want, quorum: quorum, sent: sent, grants: map[string]int{}, taken: map[DutyHolder]int{}}
+func newDutyRenewal(self string, wanted []string, quorum int, sent time.Time) *dutyRenewal {
+	return &dutyRenewal{self: self, wanted: wanted, quorum: quorum, sent: sent, grants: map[string]int{}, heldByOthers: map[DutyHolder]int{}}
 }
 
-// Seek asks for duty name with the next renewals.
-func (t *Tenant) Seek(name string) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if i, found := slices.BinarySearch(t.duties.sought, name); !found {
-		t.duties.sought = slices.Insert(t.duties.sought, i, name)
+// RequestDuty requests duty name with every renewal from now on.
+func (c *LeaseClient) RequestDuty(name string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if i, found := slices.BinarySearch(c.duties.wanted, name); !found {
+		c.duties.wanted = slices.Insert(c.duties.wanted, i, name)
 	}
 }
 
-// Holds tells whether a majority granted this node the duty, and it has not
-// ended.
-func (t *Tenant) Holds(name string) bool {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return t.duties.holds(name, t.Clock.Now())
+// HoldsDuty reports whether a majority granted this node the duty and the grant has not
+// expired.
+func (c *LeaseClient) HoldsDuty(name string) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.duties.holds(name, c.Clock.Now())
 }
 
-func (d *duties) holds(name string, now time.Time) bool { return now.Before(d.until[name]) }
+func (d *dutyState) holds(name string, now time.Time) bool { return now.Before(d.heldUntil[name]) }
 
-// due lists the duties to ask for.
-func (d *duties) due(now time.Time) []string {
+// toRequest lists the duties to request now.
+func (d *dutyState) toRequest(now time.Time) []string {
 	var out []string
-	for _, name := range d.sought {
-		if !now.Before(d.rest[name]) {
+	for _, name := range d.wanted {
+		if !now.Before(d.notBefore[name]) {
 			out = append(out, name)
 		}
 	}
 	return out
 }
 
-// hear counts a court's answer. What comes after the duty was given up does not count: the
-// courts take it back with the next renewal.
-func (d *duties) hear(r *dutyRound, told RenewTold) {
+// recordAnswer counts the answer of one lease server. A grant of a duty that was given up after
+// the request was sent does not count: the next renewal releases it.
+func (d *dutyState) recordAnswer(r *dutyRenewal, told RenewTold) {
 	for _, name := range told.Duties {
 		r.grants[name]++
-		if r.grants[name] != r.quorum || r.sent.Before(d.rest[name]) {
+		if r.grants[name] != r.quorum || r.sent.Before(d.notBefore[name]) {
 			continue
 		}
-		if d.until == nil {
-			d.until = map[string]time.Time{}
+		if d.heldUntil == nil {
+			d.heldUntil = map[string]time.Time{}
 		}
-		d.until[name] = r.sent.Add(DutyLease - margin)
+		d.heldUntil[name] = r.sent.Add(DutyLeaseDuration - leaseMargin)
 	}
 	for _, h := range told.Taken {
-		r.taken[h]++
+		r.heldByOthers[h]++
 	}
 }
 
-// behind tells whether others hold parts of a duty, none of them a majority, and one of them
-// comes before this node: the lowest ID does.
-func (r *dutyRound) behind(name string) bool {
+// mustYield reports whether other nodes hold parts of a duty, none of them a majority, and one of
+// them has a lower ID than this node.
+func (r *dutyRenewal) mustYield(name string) bool {
 	before := false
-	for h, courts := range r.taken {
+	for h, courts := range r.heldByOthers {
 		if h.Duty != name {
 			continue
 		}
 		if courts >= r.quorum {
 			return false
 		}
-		before = before || h.By < r.me
+		before = before || h.By < r.self
 	}
 	return before
 }
 
-// concede waits until all courts answered a renewal, or for long enough, and then gives up what
-// only a minority granted. Else several nodes could each keep a part of a duty and none ever
-// hold it.
-func (t *Tenant) concede(ctx context.Context, r *dutyRound, answered <-chan struct{}) {
-	patience, end := context.WithCancel(ctx)
-	defer end()
+// concede waits until all servers answered a renewal, at most concedeTimeout, and then gives up
+// the duties that only a minority granted. Without that several nodes could each keep a part of a
+// duty, and none would ever hold it.
+func (c *LeaseClient) concede(ctx context.Context, r *dutyRenewal, answered <-chan struct{}) {
+	waitCtx, cancel := context.WithCancel(ctx)
+	defer cancel()
 	go func() {
-		defer end()
-		_ = t.Clock.Sleep(patience, dutyPatience)
+		defer cancel()
+		_ = c.Clock.Sleep(waitCtx, concedeTimeout)
 	}()
 	select {
 	case <-answered:
-	case <-patience.Done():
+	case <-waitCtx.Done():
 	}
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.duties.concede(r, t.Clock.Now())
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.duties.concede(r, c.Clock.Now())
 }
 
-// concede gives up what only a minority granted: the node with the lowest ID of those that
-// hold a part keeps its part, and all others leave the duty to it. A node that gets no further all
-// the same rests for a time drawn at random.
-func (d *duties) concede(r *dutyRound, now time.Time) {
-	if d.rest == nil {
-		d.rest, d.partial = map[string]time.Time{}, map[string]int{}
+// concede gives up what only a minority granted: of the nodes that hold a part of a duty the one
+// with the lowest ID keeps its part, and the others stop requesting it. A node that still gets no
+// majority stops requesting the duty for a random time.
+func (d *dutyState) concede(r *dutyRenewal, now time.Time) {
+	if d.notBefore == nil {
+		d.notBefore, d.partialGrants = map[string]time.Time{}, map[string]int{}
 	}
-	for _, name := range r.want {
+	for _, name := range r.wanted {
 		grants := r.grants[name]
-		if grants >= r.quorum || d.holds(name, now) || r.sent.Before(d.rest[name]) {
-			d.partial[name] = 0
+		if grants >= r.quorum || d.holds(name, now) || r.sent.Before(d.notBefore[name]) {
+			d.partialGrants[name] = 0
 			continue
 		}
-		if r.behind(name) {
-			d.rest[name] = now.Add(concession)
+		if r.mustYield(name) {
+			d.notBefore[name] = now.Add(concessionTime)
 			continue
 		}
 		if grants == 0 {
 			continue
 		}
-		if d.partial[name]++; d.partial[name] >= maxPartial {
-			d.partial[name] = 0
-			d.rest[name] = now.Add(rand.N(maxRest))
+		if d.partialGrants[name]++; d.partialGrants[name] >= maxPartialGrants {
+			d.partialGrants[name] = 0
+			d.notBefore[name] = now.Add(rand.N(maxBackoff))
 		}
 	}
 }
--- a/internal/membership/duty_test.go
+++ b/internal/membership/duty_test.go
@@ -7,48 +7,48 @@
 	"time"
 )
 
-// maxTakeover is how long after the end of a holder's lease the next one has the duty,
-// while a majority of the courts answers.
+// maxTakeover is how long after the expiry of a holder's lease another node has the duty, while a
+// majority of the lease servers answers.
 const maxTakeover = 1500 * time.Millisecond
 
-// The machine that held a duty is lost, and a court with it: the others take the duty over
-// soon after its lease has lapsed, however their asks fall.
+// The holder of a duty and one lease server fail together. One of the other nodes must take the
+// duty over soon after its lease has expired, in whatever order their requests arrive.
 func TestADutyIsTakenOverThoughACourtIsSilent(t *testing.T) {
 	for trial := range 150 {
 		synctest.Test(t, func(t *testing.T) {
 			ctx, end := context.WithCancel(t.Context())
 			defer end()
-			l := newLab(ctx, t)
-			holder := l.tenant("w", &lab{desks: l.desks, slow: map[string]time.Duration{}})
-			holder.Seek("duty")
-			holding, lose := context.WithCancel(ctx)
-			go holder.Run(holding)
-			time.Sleep(DutyLease + 2*Renew) // the courts' warm-up
-			if !holder.Holds("duty") {
+			l := newCluster(ctx, t)
+			holder := l.leaseClient("w", &cluster{servers: l.servers, delay: map[string]time.Duration{}})
+			holder.RequestDuty("duty")
+			holderCtx, stopHolder := context.WithCancel(ctx)
+			go holder.Run(holderCtx)
+			time.Sleep(DutyLeaseDuration + 2*RenewInterval) // warm-up of the lease servers
+			if !holder.HoldsDuty("duty") {
 				t.Fatal("nobody holds the duty at first")
 			}
-			var others []*Tenant
-			var ways []*lab
+			var others []*LeaseClient
+			var networks []*cluster
 			for i, id := range []string{"x", "y", "z"} {
-				// None begins with the others.
-				way := l.nearestTo(i)
-				other := l.tenant(id, way)
-				other.Seek("duty")
-				others, ways = append(others, other), append(ways, way)
+				// The nodes don't start at the same time.
+				network := l.nearestTo(i)
+				other := l.leaseClient(id, network)
+				other.RequestDuty("duty")
+				others, networks = append(others, other), append(networks, network)
 				time.Sleep(time.Duration(trial*7%250) * time.Millisecond / 3)
 				go other.Run(ctx)
 			}
 			time.Sleep(time.Second)
-			lose()
-			for _, way := range ways {
-				way.pace("c", time.Hour)
+			stopHolder()
+			for _, network := range networks {
+				network.setDelay("c", time.Hour)
 			}
 			began := time.Now()
-			for time.Since(began) < DutyLease+maxTakeover {
+			for time.Since(began) < DutyLeaseDuration+maxTakeover {
 				time.Sleep(10 * time.Millisecond)
 				holders := 0
 				for _, o := range others {
-					if o.Holds("duty") {
+					if o.HoldsDuty("duty") {
 						holders++
 					}
 				}
@@ -59,7 +59,7 @@
 					return
 				}
 			}
-			t.Errorf("trial %d: nobody holds the duty %s after its holder was lost", trial, time.Since(began))
+			t.Errorf("trial %d: nobody holds the duty %s after its holder failed", trial, time.Since(began))
 		})
 	}
 }
--- a/internal/membership/tenant.go
+++ b/internal/membership/tenant.go
@@ -15,179 +15,179 @@
 	"walkrudder/internal/steperr"
 )
 
-// Tenant keeps this node's lease renewed and knows the other members.
-type Tenant struct {
-	Line  link.Line
-	Clock clock.Clock
-	// Core knows the voters; newer cores are learned into it.
-	Core *quorum.Proposer
-	// Me describes this node at each renewal.
-	Me func() Member
+// LeaseClient renews this node's lease and tracks the other members.
+type LeaseClient struct {
+	Transport link.Line
+	Clock     clock.Clock
+	// Proposer knows the voters of the core; it is told of newer cores.
+	Proposer *quorum.Proposer
+	// Self describes this node; it is called for each renewal.
+	Self func() Member
 
-	lease   atomic.Pointer[lease]
-	calm    atomic.Bool
-	members atomic.Pointer[[]Member]
+	lease       atomic.Pointer[lease]
+	tablesKnown atomic.Bool
+	members     atomic.Pointer[[]Member]
 
 	mu     sync.Mutex
 	tables map[string]table // by disk
-	duties duties
+	duties dutyState
 }
 
-// lease is an unbroken lease: when it was first granted, and its end. The two are
-// read together: a new end must never be taken for one of the lease before.
+// lease is an unbroken lease: when it was first granted, and when it expires. Both are read
+// together: the expiry of a later lease must never be combined with the start of an earlier one.
 type lease struct{ since, until time.Time }
 
 type table struct {
 	version uint64
 	members []Member
-	at      time.Time
+	asOf    time.Time
 }
 
-// Held tells whether this node's lease stands now. It reads the clock each time:
-// after a freeze the first look already says no.
-func (t *Tenant) Held() bool {
-	_, ok := t.HeldSince()
+// Held reports whether this node's lease is in force. It reads the clock each time: after a
+// freeze the first call already returns false.
+func (c *LeaseClient) Held() bool {
+	_, ok := c.HeldSince()
 	return ok
 }
 
-// HeldSince is when the unbroken lease began; ok is false where none stands.
-func (t *Tenant) HeldSince() (time.Time, bool) {
-	l := t.lease.Load()
-	if l == nil || !t.Clock.Now().Before(l.until) {
+// HeldSince returns when the unbroken lease began; ok is false if none is in force.
+func (c *LeaseClient) HeldSince() (time.Time, bool) {
+	l := c.lease.Load()
+	if l == nil || !c.Clock.Now().Before(l.until) {
 		return time.Time{}, false
 	}
 	return l.since, true
 }
 
-// Calm tells whether this node holds a lease, and a majority showed its tables with
-// the last renewal: only then can anything be brought into force.
-func (t *Tenant) Calm() bool { return t.calm.Load() && t.Held() }
+// TablesKnown reports whether this node holds a lease and a majority showed their tables with
+// the last renewal. Only then can a change be brought into force.
+func (c *LeaseClient) TablesKnown() bool { return c.tablesKnown.Load() && c.Held() }
 
-// Left is how long the lease lasts unless it is renewed; not above 0 where none
-// stands.
-func (t *Tenant) Left() time.Duration {
-	l := t.lease.Load()
+// Remaining returns how long the lease lasts without a renewal. It is not above 0 if no
+// lease is in force.
+func (c *LeaseClient) Remaining() time.Duration {
+	l := c.lease.Load()
 	if l == nil {
 		return 0
 	}
-	return l.until.Sub(t.Clock.Now())
+	return l.until.Sub(c.Clock.Now())
 }
 
-// Doubt is what is left of a lease when a renewal has not come through.
-const Doubt = Lease - margin - Renew - Renew/5
+// OverdueThreshold is the remaining time of a lease from which on a renewal counts as missed.
+const OverdueThreshold = LeaseDuration - leaseMargin - RenewInterval - RenewInterval/5
 
-// Members is the last known membership, sorted by ID.
-func (t *Tenant) Members() []Member {
-	if p := t.members.Load(); p != nil {
+// Members returns the last known members, sorted by ID.
+func (c *LeaseClient) Members() []Member {
+	if p := c.members.Load(); p != nil {
 		return *p
 	}
 	return nil
 }
 
-// Others lists the inner addresses of the known members but one.
-func (t *Tenant) Others(me string) []string {
-	return lo.FilterMap(t.Members(), func(m Member, _ int) (string, bool) { return m.Inner, m.ID != me })
+// OtherAddrs lists the inner addresses of the known members except self.
+func (c *LeaseClient) OtherAddrs(self string) []string {
+	return lo.FilterMap(c.Members(), func(m Member, _ int) (string, bool) { return m.Inner, m.ID != self })
 }
 
-// Kind is the known members of one kind.
-func (t *Tenant) Kind(kind string) []Member {
-	return lo.Filter(t.Members(), func(m Member, _ int) bool { return m.Kind == kind })
+// MembersOfKind returns the known members of one kind.
+func (c *LeaseClient) MembersOfKind(kind string) []Member {
+	return lo.Filter(c.Members(), func(m Member, _ int) bool { return m.Kind == kind })
 }
 
-// Run renews until ctx ends.
-func (t *Tenant) Run(ctx context.Context) {
+// Run renews the lease until ctx ends.
+func (c *LeaseClient) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		// Also where a voter does not answer, one renewal begins every Renew.
-		next := t.Clock.Now().Add(Renew)
-		t.renew(ctx)
-		if t.Clock.Sleep(ctx, max(next.Sub(t.Clock.Now()), Renew/10)) != nil {
+		// A renewal begins every RenewInterval, even if a voter does not answer.
+		next := c.Clock.Now().Add(RenewInterval)
+		c.renew(ctx)
+		if c.Clock.Sleep(ctx, max(next.Sub(c.Clock.Now()), RenewInterval/10)) != nil {
 			return
 		}
 	}
 }
 
-// renew asks every voter once. The lease counts from before the first ask left.
-func (t *Tenant) renew(ctx context.Context) {
-	core := t.Core.Core()
+// renew asks every voter once. The lease counts from the time before the first request.
+func (c *LeaseClient) renew(ctx context.Context) {
+	core := c.Proposer.Core()
 	if core.Epoch == 0 {
 		return
 	}
-	me := t.Me()
-	sent := t.Clock.Now()
-	t.mu.Lock()
-	want := t.duties.due(sent)
-	seen := lo.MapValues(t.tables, func(x table, _ string) uint64 { return x.version })
-	t.mu.Unlock()
-	cx, end := context.WithTimeout(ctx, Lease-Renew)
-	type back struct {
+	self := c.Self()
+	sent := c.Clock.Now()
+	c.mu.Lock()
+	wanted := c.duties.toRequest(sent)
+	seen := lo.MapValues(c.tables, func(x table, _ string) uint64 { return x.version })
+	c.mu.Unlock()
+	askCtx, cancel := context.WithTimeout(ctx, LeaseDuration-RenewInterval)
+	type answer struct {
 		s   quorum.Seat
 		r   RenewTold
 		err error
 	}
-	ch := make(chan back, len(core.Seats))
+	answers := make(chan answer, len(core.Seats))
 	for _, s := range core.Seats {
 		go func() {
-			r, err := link.Ask[RenewTold](cx, t.Line, s.Addr, RenewAsk{Epoch: core.Epoch, Member: me, Duties: want, Seen: seen[s.Disk], Held: t.Held()})
-			ch <- back{s, r, err}
+			r, err := link.Ask[RenewTold](askCtx, c.Transport, s.Addr, RenewAsk{Epoch: core.Epoch, Member: self, Duties: wanted, Seen: seen[s.Disk], Held: c.Held()})
+			answers <- answer{s, r, err}
 		}()
 	}
-	yes, calm := 0, 0
-	round := newDutyRound(me.ID, want, core.QuorumSize(), sent)
-	fin := make(chan struct{})
-	take := func(b back) {
+	granted, tablesShown := 0, 0
+	renewal := newDutyRenewal(self.ID, wanted, core.QuorumSize(), sent)
+	allAnswered := make(chan struct{})
+	record := func(b answer) {
 		if b.err != nil {
 			return
 		}
 		if !b.r.OK {
-			t.Core.Learn(b.r.Core)
+			c.Proposer.Learn(b.r.Core)
 			return
 		}
-		if yes++; !b.r.Warming {
-			calm++
+		if granted++; !b.r.Warming {
+			tablesShown++
 		}
-		t.mu.Lock()
-		if t.tables == nil {
-			t.tables = map[string]table{}
+		c.mu.Lock()
+		if c.tables == nil {
+			c.tables = map[string]table{}
 		}
-		x := t.tables[b.s.Disk]
+		x := c.tables[b.s.Disk]
 		if x.version != b.r.Version {
 			x.members = b.r.Members
 		}
-		x.version, x.at = b.r.Version, sent
-		t.tables[b.s.Disk] = x
-		t.mu.Unlock()
-		if yes == core.QuorumSize() {
-			t.granted(sent)
+		x.version, x.asOf = b.r.Version, sent
+		c.tables[b.s.Disk] = x
+		c.mu.Unlock()
+		if granted == core.QuorumSize() {
+			c.recordGrant(sent)
 		}
-		t.mu.Lock()
-		t.duties.hear(round, b.r)
-		t.mu.Unlock()
+		c.mu.Lock()
+		c.duties.recordAnswer(renewal, b.r)
+		c.mu.Unlock()
 	}
 	// A slow voter must not delay the next renewal at the others.
 	go func() {
-		defer end()
-		defer close(fin)
+		defer cancel()
+		defer close(allAnswered)
 		for range core.Seats {
-			take(<-ch)
+			record(<-answers)
 		}
-		t.calm.Store(calm >= core.QuorumSize())
-		t.merge(core)
+		c.tablesKnown.Store(tablesShown >= core.QuorumSize())
+		c.mergeTables(core)
 	}()
-	go t.concede(ctx, round, fin)
-	cx2, end2 := context.WithTimeout(ctx, Renew)
-	defer end2()
+	go c.concede(ctx, renewal, allAnswered)
+	waitCtx, cancelWait := context.WithTimeout(ctx, RenewInterval)
+	defer cancelWait()
 	select {
-	case <-fin:
-	case <-cx2.Done():
+	case <-allAnswered:
+	case <-waitCtx.Done():
 	}
 }
 
-func (t *Tenant) granted(sent time.Time) {
-	n := lease{until: sent.Add(Lease - margin)}
+func (c *LeaseClient) recordGrant(sent time.Time) {
+	n := lease{until: sent.Add(LeaseDuration - leaseMargin)}
 	for {
-		old, now := t.lease.Load(), t.Clock.Now()
-		// The lease is unbroken only if this answer came before the one before
-		// ended: else some voter may have dropped it and taken it up again.
+		old, now := c.lease.Load(), c.Clock.Now()
+		// The lease is unbroken only if this answer came before the previous lease expired.
+		// Otherwise a voter may have dropped it and granted it anew.
 		switch {
 		case old == nil || !now.Before(old.until):
 			n.since = now
@@ -196,72 +196,72 @@
 		default:
 			n.since = old.since
 		}
-		if t.lease.CompareAndSwap(old, &n) {
+		if c.lease.CompareAndSwap(old, &n) {
 			return
 		}
 	}
 }
 
-// merge takes the union of the newest tables.
-func (t *Tenant) merge(core quorum.Core) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
+// mergeTables replaces the members by the union of the latest tables.
+func (c *LeaseClient) mergeTables(core quorum.Core) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	by := map[string]Member{}
-	now := t.Clock.Now()
-	any := false
+	now := c.Clock.Now()
+	found := false
 	for _, s := range core.Seats {
-		x, ok := t.tables[s.Disk]
-		if !ok || now.Sub(x.at) > Lease {
+		x, ok := c.tables[s.Disk]
+		if !ok || now.Sub(x.asOf) > LeaseDuration {
 			continue
 		}
-		any = true
+		found = true
 		for _, m := range x.members {
 			if o, ok := by[m.ID]; !ok || m.Inc > o.Inc || m.Inc == o.Inc && m.Spec > o.Spec {
 				by[m.ID] = m
 			}
 		}
 	}
-	if !any {
+	if !found {
 		return
 	}
 	out := lo.Values(by)
 	slices.SortFunc(out, byID)
-	t.members.Store(&out)
+	c.members.Store(&out)
 }
 
-// Leave gives the lease back, so that nobody waits for it to lapse.
-func (t *Tenant) Leave(ctx context.Context) {
-	core := t.Core.Core()
-	t.lease.Store(nil)
+// Release gives the lease back, so that no node waits for it to expire.
+func (c *LeaseClient) Release(ctx context.Context) {
+	core := c.Proposer.Core()
+	c.lease.Store(nil)
 	var wg sync.WaitGroup
 	for _, s := range core.Seats {
 		wg.Go(func() {
-			_, _ = link.Ask[RenewTold](ctx, t.Line, s.Addr, RenewAsk{Epoch: core.Epoch, Member: t.Me(), Gone: true})
+			_, _ = link.Ask[RenewTold](ctx, c.Transport, s.Addr, RenewAsk{Epoch: core.Epoch, Member: c.Self(), Gone: true})
 		})
 	}
 	wg.Wait()
 }
 
-// Table reads the lease tables of a majority of voters now: every lease granted
-// by a majority before the call, and not lapsed, is in it (design 7.1).
-func (t *Tenant) Table(ctx context.Context) ([]Member, error) {
-	core := t.Core.Core()
+// ReadTable reads the lease tables of a majority of voters. The result has every lease that a
+// majority granted before the call and that has not expired (design 7.1).
+func (c *LeaseClient) ReadTable(ctx context.Context) ([]Member, error) {
+	core := c.Proposer.Core()
 	if core.Epoch == 0 {
 		return nil, quorum.ErrNoCore
 	}
-	cx, end := context.WithTimeout(ctx, tableTime)
-	defer end()
-	from := t.Clock.Now()
+	askCtx, cancel := context.WithTimeout(ctx, tableReadTimeout)
+	defer cancel()
+	started := c.Clock.Now()
 	ch := make(chan *TableTold, len(core.Seats))
 	for _, s := range core.Seats {
 		go func() {
-			r, err := link.Ask[TableTold](cx, t.Line, s.Addr, TableAsk{Epoch: core.Epoch})
+			r, err := link.Ask[TableTold](askCtx, c.Transport, s.Addr, TableAsk{Epoch: core.Epoch})
 			if err != nil {
 				ch <- nil
 				return
 			}
 			if !r.OK {
-				t.Core.Learn(r.Core)
+				c.Proposer.Learn(r.Core)
 			}
 			if !r.OK || r.Disk != s.Disk {
 				ch <- nil
@@ -271,7 +271,7 @@
 		}()
 	}
 	by := map[string]Member{}
-	n := 0
+	answered := 0
 	for range core.Seats {
 		r := <-ch
 		if r == nil {
@@ -282,8 +282,8 @@
 				by[m.ID] = m
 			}
 		}
-		if n++; n == core.QuorumSize() {
-			if t.Clock.Now().Sub(from) > tableTime {
+		if answered++; answered == core.QuorumSize() {
+			if c.Clock.Now().Sub(started) > tableReadTimeout {
 				break
 			}
 			out := lo.Values(by)
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -1,5 +1,5 @@
-// Package owner gives a table its one owner: a goroutine that works through a
-// bounded queue of commands (design 2.3).
+// Package owner serialises access to a table: one goroutine owns it and executes the
+// commands of a bounded queue (design 2.3).
 package owner
 
 import (
@@ -7,64 +7,64 @@
 	"errors"
 )
 
-// ErrShut says that the owner has stopped.
-var ErrShut = errors.New("owner stopped")
+// ErrStopped is returned when the owner goroutine has stopped.
+var ErrStopped = errors.New("owner stopped")
 
-// Owner runs commands one after the other.
+// Owner executes commands one at a time.
 type Owner struct {
-	q    chan func()
-	done chan struct{}
+	queue chan func()
+	done  chan struct{}
 }
 
-// New makes an owner with a queue of n commands; Run starts it.
-func New(n int) *Owner { return &Owner{q: make(chan func(), n), done: make(chan struct{})} }
+// New returns an owner whose queue holds n commands. Run starts executing them.
+func New(n int) *Owner { return &Owner{queue: make(chan func(), n), done: make(chan struct{})} }
 
-// Run works until ctx ends.
+// Run executes commands until ctx ends.
 func (o *Owner) Run(ctx context.Context) {
 	defer close(o.done)
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case f := <-o.q:
+		case f := <-o.queue:
 			f()
 		}
 	}
 }
 
-// Do runs f in the owner and waits for it. After an error f may still run.
+// Do executes f in the owner goroutine and waits for it. After an error f may still run.
 func (o *Owner) Do(ctx context.Context, f func()) error {
-	fin := make(chan struct{})
+	finished := make(chan struct{})
 	select {
-	case o.q <- func() { f(); close(fin) }:
+	case o.queue <- func() { f(); close(finished) }:
 	case <-ctx.Done():
 		return ctx.Err()
 	case <-o.done:
-		return ErrShut
+		return ErrStopped
 	}
 	select {
-	case <-fin:
+	case <-finished:
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
 	case <-o.done:
-		return ErrShut
+		return ErrStopped
 	}
 }
 
-// Post queues f and does not wait; false says that the queue is full.
+// Post queues f without waiting for it. It returns false if the queue is full.
 func (o *Owner) Post(f func()) bool {
 	select {
-	case o.q <- f:
+	case o.queue <- f:
 		return true
 	default:
 		return false
 	}
 }
 
-// Get runs f in the owner and hands its result on. When ctx ends first, f may
-// still run, but what it returns goes nowhere.
-func Get[T any](ctx context.Context, o *Owner, f func() T) (T, error) {
+// Call executes f in the owner goroutine and returns its result. If ctx ends first, f
+// may still run, and its result is discarded.
+func Call[T any](ctx context.Context, o *Owner, f func() T) (T, error) {
 	ch := make(chan T, 1)
 	if err := o.Do(ctx, func() { ch <- f() }); err != nil {
 		var z T
--- a/internal/passage/elect.go
+++ b/internal/passage/elect.go
@@ -11,8 +11,8 @@
 
 const (
 	// Fresh and suspectAt are what all who read the gateways' proofs go by.
-	Fresh     = registry.Fresh
-	suspectAt = registry.SuspectAt
+	Fresh     = registry.MaxProofAge
+	suspectAt = registry.SuspicionThreshold
 	// suspectCap is the share of a service's targets that may be passed over for
 	// suspicion together; beyond it the least suspected stay in (design 10.5).
 	suspectCap = 0.5
@@ -23,7 +23,7 @@
 
 // candidate is a target with what the choice reads of it, taken once.
 type candidate struct {
-	s *registry.Stand
+	s *registry.Target
 	w float64
 }
 
@@ -32,15 +32,15 @@
 // random the least busy for its capacity, the own zone first. Suspicion is read fresh
 // for every target at every choice. It tells also how much room the targets have in
 // all, and whether there was one but for its room.
-func (p *Passage) elect(service string, limit float64, tried []*registry.Stand, left time.Duration) (s *registry.Stand, rooms float64, full bool) {
+func (p *Passage) elect(service string, limit float64, tried []*registry.Target, left time.Duration) (s *registry.Target, rooms float64, full bool) {
 	now, gateways := p.Clock.Now(), p.Gateways()
-	all := p.Roster.Of(service)
+	all := p.Roster.Targets(service)
 	var ok, bad []candidate
 	for _, s := range all {
-		if s.Leaving.Load() || s.Gone.Load() || slices.Contains(tried, s) || p.Roster.Age(s, now) >= Fresh {
+		if s.Leaving.Load() || s.Gone.Load() || slices.Contains(tried, s) || p.Roster.ProofAge(s, now) >= Fresh {
 			continue
 		}
-		if w := s.Det.Suspicion(now); w < limit {
+		if w := s.Detector.Suspicion(now); w < limit {
 			ok = append(ok, candidate{s, w})
 		} else {
 			bad = append(bad, candidate{s, w})
@@ -60,7 +60,7 @@
 	for _, c := range ok {
 		r := room(c.s, left, gateways)
 		rooms += r
-		if float64(c.s.Flying.Load()) < math.Max(1, r) {
+		if float64(c.s.InFlight.Load()) < math.Max(1, r) {
 			free = append(free, c)
 		}
 	}
@@ -79,8 +79,8 @@
 
 // load is how busy a target is for its capacity; a target in another zone counts
 // as busier.
-func (p *Passage) load(s *registry.Stand) float64 {
-	l := (float64(s.Flying.Load()) + 1) / float64(max(1, s.Capacity.Load()))
+func (p *Passage) load(s *registry.Target) float64 {
+	l := (float64(s.InFlight.Load()) + 1) / float64(max(1, s.Capacity.Load()))
 	if s.Zone != p.Zone {
 		l *= farther * p.Chart.Far(p.Zone, s.Zone)
 	}
--- a/internal/passage/elect_test.go
+++ b/internal/passage/elect_test.go
@@ -15,34 +15,34 @@
 )
 
 // crowd is a passage with n proved targets, each heard of every 400 ms so far.
-func crowd(ctx context.Context, t *testing.T, n int) (*Passage, []*registry.Stand) {
+func crowd(ctx context.Context, t *testing.T, n int) (*Passage, []*registry.Target) {
 	t.Helper()
-	pz := liveness.NewPauses(clock.Wall{})
+	pz := liveness.NewPauseMonitor(clock.Wall{})
 	go pz.Run(ctx)
-	r := &registry.Roster{Clock: clock.Wall{}, Pause: pz, Every: 400 * time.Millisecond}
+	r := &registry.GatewayTable{Clock: clock.Wall{}, Pauses: pz, ProbeInterval: 400 * time.Millisecond}
 	r.Init()
-	go r.Alone(ctx)
+	go r.RunWithoutHomes(ctx)
 	var es []registry.Entry
 	for i := range n {
 		es = append(es, registry.Entry{Beat: httpapi.Beat{ID: fmt.Sprint("t", i), Service: "s", Zone: "z1", Addr: fmt.Sprintf("127.0.0.1:%d", i+1), Capacity: 4, Seq: 1, Inc: 1}})
 	}
-	if err := r.Learn(ctx, "s", es); err != nil {
+	if err := r.MergeEntries(ctx, "s", es); err != nil {
 		t.Fatal(err)
 	}
 	p := &Passage{Clock: clock.Wall{}, Roster: r, Zone: "z1", Gateways: func() int { return 1 }}
 	p.Init()
-	return p, r.Of("s")
+	return p, r.Targets("s")
 }
 
 // hear lets the first k targets answer for a while; the rest stay silent.
-func hear(p *Passage, ss []*registry.Stand, k int, from uint64, times int) {
+func hear(p *Passage, ss []*registry.Target, k int, from uint64, times int) {
 	for j := range times {
 		time.Sleep(400 * time.Millisecond)
 		for _, s := range ss[:k] {
-			s.Det.Arrive(from+uint64(j), time.Now())
+			s.Detector.RecordArrival(from+uint64(j), time.Now())
 		}
 		for _, s := range ss {
-			p.Roster.Proved(s, time.Now())
+			p.Roster.RecordProof(s, time.Now())
 		}
 	}
 }
@@ -94,7 +94,7 @@
 				t.Fatal("elected a target that is leaving, or none")
 			}
 		}
-		if s, _, _ := p.elect("s", suspectAt, []*registry.Stand{ss[1]}, time.Second); s != nil {
+		if s, _, _ := p.elect("s", suspectAt, []*registry.Target{ss[1]}, time.Second); s != nil {
 			t.Error("elected a target that was tried before")
 		}
 		time.Sleep(Fresh)
--- a/internal/passage/passage.go
+++ b/internal/passage/passage.go
@@ -60,7 +60,7 @@
 type Passage struct {
 	Clock    clock.Clock
 	Rack     Gate
-	Roster   *registry.Roster
+	Roster   *registry.GatewayTable
 	Courier  Courier
 	Claims   Claims
 	Zone     string
@@ -305,8 +305,8 @@
 	}
 	lane := p.lane(s.Name)
 	to, rooms, full := p.elect(s.Name, limit, tried, t.Left(now))
-	x := &Try{Trip: t, Stand: to, No: tries + 1, Table: t.Table, Bound: t.Bound, lane: lane, paused: p.Roster.Pause.Total(), end: make(chan struct{})}
-	if more && x.Stand != nil && x.Stand.Det.Suspicion(now) >= limit {
+	x := &Try{Trip: t, Stand: to, No: tries + 1, Table: t.Table, Bound: t.Bound, lane: lane, paused: p.Roster.Pauses.Total(), end: make(chan struct{})}
+	if more && x.Stand != nil && x.Stand.Detector.Suspicion(now) >= limit {
 		// Where most are suspected the fault is here: no target is better than the one
 		// that is waited for.
 		x.Stand = nil
@@ -333,7 +333,7 @@
 		return
 	}
 	lane.note(now, true)
-	x.Stand.Flying.Add(1)
+	x.Stand.InFlight.Add(1)
 	t.mu.Lock()
 	t.Tries++
 	t.Tried = append(t.Tried, x.Stand)
@@ -373,8 +373,8 @@
 
 // unproved tells whether a target of a service lacks nothing but a recent proof.
 func (p *Passage) unproved(service string, now time.Time) bool {
-	return lo.SomeBy(p.Roster.Of(service), func(s *registry.Stand) bool {
-		return !s.Leaving.Load() && !s.Gone.Load() && p.Roster.Age(s, now) >= Fresh
+	return lo.SomeBy(p.Roster.Targets(service), func(s *registry.Target) bool {
+		return !s.Leaving.Load() && !s.Gone.Load() && p.Roster.ProofAge(s, now) >= Fresh
 	})
 }
 
@@ -383,12 +383,12 @@
 	if l := p.told.Load(); p.Log == nil || now.UnixNano()-l < int64(time.Second) || !p.told.CompareAndSwap(l, now.UnixNano()) {
 		return
 	}
-	all := p.Roster.Of(service)
+	all := p.Roster.Targets(service)
 	left, old, oldest := 0, 0, time.Duration(0)
 	for _, s := range all {
 		if s.Leaving.Load() || s.Gone.Load() {
 			left++
-		} else if a := p.Roster.Age(s, now); a >= Fresh {
+		} else if a := p.Roster.ProofAge(s, now); a >= Fresh {
 			old++
 			oldest = max(oldest, a)
 		}
@@ -416,13 +416,13 @@
 		Number: t.Call + "." + strconv.Itoa(x.No), Fresh: !b.Repeatable}
 	charged, dead, begun := false, false, false
 	n.Last = func() bool {
-		p.Faults.At(fault.BeforeSend)
+		p.Faults.Hit(fault.BeforeSend)
 		// Everything that allows this sending is looked at again, now that the
 		// next step writes: the sheet, the proof of identity, leaving, the expiry.
 		at := p.Clock.Now()
 		tab, open := p.Rack.Gate()
 		if !open || t.over.Load() || tab != x.Table && !p.still(x, tab) || s.Leaving.Load() || s.Gone.Load() ||
-			p.Roster.Age(s, at) >= Fresh || t.Left(at) <= slack {
+			p.Roster.ProofAge(s, at) >= Fresh || t.Left(at) <= slack {
 			return false
 		}
 		t.mu.Lock()
@@ -469,7 +469,7 @@
 	}
 	if left {
 		p.step(t, "send", s.Key(), n.Number)
-		p.Faults.At(fault.AfterSend)
+		p.Faults.Hit(fault.AfterSend)
 	}
 	if t.over.Load() {
 		return
@@ -578,7 +578,7 @@
 		return
 	}
 	// A proper answer proves who stood at the address when the request left.
-	p.Roster.Proved(s, x.Sent)
+	p.Roster.RecordProof(s, x.Sent)
 	if a.Status == 503 && a.NotRun {
 		p.step(t, "check", s.Key(), "the target says: busy, not run")
 		t.mu.Lock()
--- a/internal/passage/passage_test.go
+++ b/internal/passage/passage_test.go
@@ -47,10 +47,10 @@
 		defer end()
 		p, _ := crowd(ctx, t, 2)
 		b := httpapi.Beat{ID: "u", Service: "u", Zone: "z1", Addr: "127.0.0.1:9", Capacity: slots, Seq: 1, Inc: 1}
-		if err := p.Roster.Learn(ctx, "u", []registry.Entry{{Beat: b}}); err != nil {
+		if err := p.Roster.MergeEntries(ctx, "u", []registry.Entry{{Beat: b}}); err != nil {
 			t.Fatal(err)
 		}
-		hear(p, append(p.Roster.Of("s"), p.Roster.Of("u")...), 3, 1, 3)
+		hear(p, append(p.Roster.Targets("s"), p.Roster.Targets("u")...), 3, 1, 3)
 		var bs []spec.Binding
 		for _, n := range []string{"s", "u"} {
 			bs = append(bs, spec.Binding{Name: n, Service: n, Methods: []string{"POST"}, Path: "/" + n, ExpiryMS: 1200})
@@ -122,8 +122,8 @@
 			t.Errorf("of a crowd of 100 %d were served and %d refused", crowded, turnedAway)
 		}
 		// Nothing is left counted.
-		for _, s := range append(p.Roster.Of("s"), p.Roster.Of("u")...) {
-			if n := s.Flying.Load(); n != 0 {
+		for _, s := range append(p.Roster.Targets("s"), p.Roster.Targets("u")...) {
+			if n := s.InFlight.Load(); n != 0 {
 				t.Errorf("%s still counts %d sendings", s.ID, n)
 			}
 		}
--- a/internal/passage/room.go
+++ b/internal/passage/room.go
@@ -32,9 +32,9 @@
 // to be done within d: what the target's announced capacity finishes in that time, at
 // the pace seen, shared with all other gateways alike. Of a target that never answered
 // not much is expected.
-func room(s *registry.Stand, d time.Duration, gateways int) float64 {
+func room(s *registry.Target, d time.Duration, gateways int) float64 {
 	may := useful * float64(d)
-	took := float64(s.Took())
+	took := float64(s.MeanLatency())
 	if took <= 0 {
 		took = may / unmet
 	}
--- a/internal/passage/story.go
+++ b/internal/passage/story.go
@@ -82,7 +82,7 @@
 // Serve teaches d to tell stories.
 func (p *Passage) Serve(d *link.Desk) {
 	link.On(d, func(ctx context.Context, _ link.Who, a StoryAsk) (StoryTold, error) {
-		return owner.Get(ctx, p.stories.own, func() StoryTold {
+		return owner.Call(ctx, p.stories.own, func() StoryTold {
 			x, ok := p.stories.by[a.Call]
 			return StoryTold{ok, x}
 		})
--- a/internal/passage/trip.go
+++ b/internal/passage/trip.go
@@ -37,7 +37,7 @@
 
 	// mu guards what several sendings under way share.
 	mu       sync.Mutex
-	Tried    []*registry.Stand
+	Tried    []*registry.Target
 	Tries    int
 	begun    int  // sendings that were allowed to write
 	open     int  // sendings under way
--- a/internal/passage/try.go
+++ b/internal/passage/try.go
@@ -11,7 +11,7 @@
 // have several under way (design 13.14).
 type Try struct {
 	Trip   *Trip
-	Stand  *registry.Stand
+	Stand  *registry.Target
 	No     int // of the trip's tries, from 1
 	Table  *spec.Table
 	Bound  *spec.Bound
@@ -26,14 +26,14 @@
 // timed takes in how long the target took, unless this process itself stood still
 // meanwhile.
 func (p *Passage) timed(x *Try) {
-	if p.Roster.Pause.Total() == x.paused {
-		x.Stand.Answered(p.Clock.Now().Sub(x.Sent), slower, sooner)
+	if p.Roster.Pauses.Total() == x.paused {
+		x.Stand.ObserveLatency(p.Clock.Now().Sub(x.Sent), slower, sooner)
 	}
 }
 
 // landed ends the counting of a sending.
 func (x *Try) landed() {
-	x.Stand.Flying.Add(-1)
+	x.Stand.InFlight.Add(-1)
 	x.lane.leave(x.Bound.Name)
 }
 
@@ -65,7 +65,7 @@
 		}
 		now := p.Clock.Now()
 		why := ""
-		switch w := x.Stand.Det.Suspicion(now); {
+		switch w := x.Stand.Detector.Suspicion(now); {
 		case now.Before(next):
 		case w >= limit:
 			why = "the target is suspected while it is waited for"
--- a/internal/passage/try_test.go
+++ b/internal/passage/try_test.go
@@ -52,12 +52,12 @@
 		}
 		// Proofs go on: silence alone is what is tried.
 		for _, s := range ss {
-			p.Roster.Proved(s, time.Now().Add(time.Hour))
+			p.Roster.RecordProof(s, time.Now().Add(time.Hour))
 		}
 		go func() {
 			for j := uint64(100); p.Clock.Sleep(ctx, 400*time.Millisecond) == nil; j++ {
 				for _, s := range ss[k:] {
-					s.Det.Arrive(j, time.Now())
+					s.Detector.RecordArrival(j, time.Now())
 				}
 			}
 		}()
@@ -97,7 +97,7 @@
 		<-done
 		time.Sleep(time.Second)
 		for _, s := range ss {
-			if s.Flying.Load() != 0 {
+			if s.InFlight.Load() != 0 {
 				t.Errorf("%s still counts a sending", s.ID)
 			}
 		}
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -33,11 +33,11 @@
 func (n *Node) attempt(x *exchange, g grant) (o outcome) {
 	x.try(g.e)
 	began := n.clock.Now()
-	paused := n.pauses.At(began)
+	paused := n.pauses.TotalAt(began)
 	o = n.send(x, g.e, began)
 	now := n.clock.Now()
 	// Time in which this node itself stood still tells nothing of the run.
-	still := n.pauses.At(now) - paused
+	still := n.pauses.TotalAt(now) - paused
 	took := max(0, now.Sub(began)-still)
 	if o == cutShort && still == 0 {
 		g.e.svc.mu.Lock()
@@ -92,11 +92,11 @@
 	}
 	if err == nil {
 		if !x.once && x.attempts > 1 {
-			paused := n.pauses.At(now)
+			paused := n.pauses.TotalAt(now)
 			c.soft, c.slow = now.Add(after), func() time.Time {
 				now := n.clock.Now()
 				next := now.Add(max(after/2, 50*time.Millisecond))
-				if p := n.pauses.At(now); p != paused {
+				if p := n.pauses.TotalAt(now); p != paused {
 					paused = p
 					return next
 				}
--- a/internal/proxy/endpoint.go
+++ b/internal/proxy/endpoint.go
@@ -148,7 +148,7 @@
 	e.times.Push(d.Seconds())
 	if e.seen++; e.seen%refit == 0 && e.times.Len() >= enough {
 		if f, ok := e.times.Fit(); ok {
-			e.q99 = time.Duration(min(f.After(suspectAt), 60) * float64(time.Second))
+			e.q99 = time.Duration(min(f.Quantile(suspectAt), 60) * float64(time.Second))
 		}
 	}
 }
--- a/internal/proxy/fates.go
+++ b/internal/proxy/fates.go
@@ -121,7 +121,7 @@
 	m.win.Push(gap)
 	if m.seen++; m.seen%normRefit == 0 && m.win.Len() >= normEnough {
 		m.fit = m.win.FitWithin(normMinBeta, normMaxBeta)
-		m.late = max(leastLate, m.fit.After(suspectAt))
+		m.late = max(leastLate, m.fit.Quantile(suspectAt))
 	}
 }
 
--- a/internal/proxy/node.go
+++ b/internal/proxy/node.go
@@ -56,7 +56,7 @@
 	stats  stats
 	budget *budget.Budget
 	call   func(ctx context.Context, addr string) (net.Conn, error)
-	pauses *liveness.Pauses
+	pauses *liveness.PauseMonitor
 	rhythm rhythm
 	in     bulk       // large bodies from targets
 	out    bulk       // and to callers
@@ -110,7 +110,7 @@
 		mem:        memory{most: int64(s.MemoryMB) << 20 / 5},
 		room:       newAnswerRoom(s.MemoryMB),
 		budget:     budget.New(s.BudgetRatio, s.BudgetWindow, s.BudgetSlack, p.Clock),
-		pauses:     liveness.NewPausesEvery(p.Clock, pauseTick),
+		pauses:     liveness.NewPauseMonitorEvery(p.Clock, pauseTick),
 		maxCallers: int64(s.MaxFiles) * 5 / 8,
 		items:      item.NewSet(), services: map[string]*service{}, runs: map[string]*known{},
 		callers: map[*caller]struct{}{}, lastCall: make(chan struct{}),
--- a/internal/proxy/probe.go
+++ b/internal/proxy/probe.go
@@ -136,7 +136,7 @@
 func (e *endpoint) arrive() {
 	e.seq++
 	e.svc.n.stats.probesSaved.Add(1)
-	e.det.Arrive(e.seq, e.proof)
+	e.det.RecordArrival(e.seq, e.proof)
 	e.proof = time.Time{}
 }
 
@@ -176,7 +176,7 @@
 	if well {
 		n.stats.probesAnswered.Add(1)
 		s.mu.Lock()
-		if e.det.Arrive(p.seq, n.clock.Now()) {
+		if e.det.RecordArrival(p.seq, n.clock.Now()) {
 			// Answers before it are no news any more.
 			e.proof = time.Time{}
 		}
--- a/internal/proxy/probe_test.go
+++ b/internal/proxy/probe_test.go
@@ -176,8 +176,8 @@
 				if probes < 10 || worst < suspectAt {
 					t.Errorf("without: %d probes, suspicion %v", probes, worst)
 				}
-			} else if probes > 2 || worst >= suspectAt || e.det.Seq() < 10 {
-				t.Errorf("%d probes, suspicion %v, %d arrivals", probes, worst, e.det.Seq())
+			} else if probes > 2 || worst >= suspectAt || e.det.LastSeq() < 10 {
+				t.Errorf("%d probes, suspicion %v, %d arrivals", probes, worst, e.det.LastSeq())
 			}
 			l.close()
 		})
--- a/internal/proxy/rhythm.go
+++ b/internal/proxy/rhythm.go
@@ -101,7 +101,7 @@
 func (e *endpoint) watch(now time.Time) {
 	n := e.svc.n
 	if every := n.rhythm.interval(); e.det == nil || e.detEvery != every {
-		e.det, e.detEvery = liveness.New(liveness.Defaults(every), n.pauses, now), every
+		e.det, e.detEvery = liveness.NewDetector(liveness.DefaultOptions(every), n.pauses, now), every
 		return
 	}
 	e.det.Restart(now)
--- a/internal/queries/queries.go
+++ b/internal/queries/queries.go
@@ -27,8 +27,8 @@
 // Asker answers queries at one controller.
 type Asker struct {
 	Book   *ledger.Book
-	House  *registry.House
-	Tenant *membership.Tenant
+	House  *registry.HomeTable
+	Tenant *membership.LeaseClient
 	Prop   *quorum.Proposer
 	Line   link.Line
 }
@@ -49,7 +49,7 @@
 
 // Nodes lists the members by a majority's lease tables.
 func (a *Asker) Nodes(ctx context.Context) ([]NodeRow, error) {
-	ms, err := a.Tenant.Table(ctx)
+	ms, err := a.Tenant.ReadTable(ctx)
 	if err != nil {
 		return nil, err
 	}
@@ -83,8 +83,8 @@
 
 // Targets lists the targets, of one service or of all.
 func (a *Asker) Targets(ctx context.Context, service string) ([]TargetRow, error) {
-	views := registry.Views(ctx, a.Line, a.Tenant.Members())
-	return lo.FilterMap(registry.Collect(ctx, a.Line, a.Tenant.Members()), func(s registry.Seen, _ int) (TargetRow, bool) {
+	views := registry.CollectViews(ctx, a.Line, a.Tenant.Members())
+	return lo.FilterMap(registry.CollectSeen(ctx, a.Line, a.Tenant.Members()), func(s registry.Seen, _ int) (TargetRow, bool) {
 		v := views[ledger.Target{ID: s.Beat.ID, Service: s.Beat.Service, Inc: s.Beat.Inc}]
 		state := "serving"
 		switch {
@@ -92,9 +92,9 @@
 			state = "let go"
 		case s.Beat.Leaving:
 			state = "leaving"
-		case s.W >= registry.SuspectAt && v.Vouched():
+		case s.W >= registry.SuspicionThreshold && v.TrustedByHalf():
 			state = "serving, beats missed"
-		case s.W >= registry.SuspectAt:
+		case s.W >= registry.SuspicionThreshold:
 			state = "suspected"
 		}
 		return TargetRow{Service: s.Beat.Service, ID: s.Beat.ID, Zone: s.Beat.Zone, Addr: s.Beat.Addr, Inc: s.Beat.Inc, Capacity: s.Beat.Capacity, State: state,
--- a/internal/quorum/handover.go
+++ b/internal/quorum/handover.go
@@ -44,7 +44,7 @@
 	}
 	sealed := rc.sealVoters(ctx, v, next)
 	if next.Epoch > v.core.Epoch {
-		rc.Faults.At(fault.AfterSeal)
+		rc.Faults.Hit(fault.AfterSeal)
 	}
 	from, err := pullSources(next, sealed)
 	if err != nil {
--- a/internal/quorum/voter.go
+++ b/internal/quorum/voter.go
@@ -199,7 +199,7 @@
 		}
 	}
 	for _, n := range v.faultsAfterSync {
-		v.faults.At(n)
+		v.faults.Hit(n)
 	}
 	// OnMerge must run before coreCopy is updated: whoever sees that this disk votes must find
 	// the merge items that it pulled for the new core in memory.
--- a/internal/quorum/voterdecision.go
+++ b/internal/quorum/voterdecision.go
@@ -128,7 +128,7 @@
 		if r.Over = v.highestBallot(req.Keys); req.Ballot.Compare(r.Over) <= 0 {
 			return r
 		}
-		v.faults.At(fault.BeforePromise)
+		v.faults.Hit(fault.BeforePromise)
 		v.faultsAfterSync = append(v.faultsAfterSync, fault.AfterPromise)
 		r.Yes = true
 		for _, k := range req.Keys {
@@ -172,7 +172,7 @@
 		if r.Over = v.highestBallot(req.Keys); req.Ballot.Compare(r.Over) < 0 {
 			return r
 		}
-		v.faults.At(fault.BeforeAccept)
+		v.faults.Hit(fault.BeforeAccept)
 		v.faultsAfterSync = append(v.faultsAfterSync, fault.AfterAccept)
 		r.Yes = true
 		for i, k := range req.Keys {
--- a/internal/quorum/voterjoin.go
+++ b/internal/quorum/voterjoin.go
@@ -65,7 +65,7 @@
 	if err != nil {
 		return r, err
 	}
-	v.faults.At(fault.AfterPull)
+	v.faults.Hit(fault.AfterPull)
 	return doResult(ctx, v, func() (r JoinTold) {
 		if v.core.Epoch >= req.Next.Epoch && v.hasSeatIn(v.core) {
 			r.OK = v.core.Epoch == req.Next.Epoch
--- a/internal/quorum/voterregister.go
+++ b/internal/quorum/voterregister.go
@@ -39,7 +39,7 @@
 		}
 		it := v.registers[req.Key]
 		if req.Ballot.Compare(it.Promised) > 0 && req.Ballot.Compare(it.Accepted) > 0 {
-			v.faults.At(fault.BeforePromise)
+			v.faults.Hit(fault.BeforePromise)
 			v.faultsAfterSync = append(v.faultsAfterSync, fault.AfterPromise)
 			it.Promised = req.Ballot
 			v.setRegister(req.Key, it)
@@ -62,7 +62,7 @@
 		}
 		it := v.registers[req.Key]
 		if r.Promised = it.Promised; req.Ballot.Compare(it.Promised) >= 0 && req.Ballot.Compare(it.Accepted) >= 0 {
-			v.faults.At(fault.BeforeAccept)
+			v.faults.Hit(fault.BeforeAccept)
 			v.faultsAfterSync = append(v.faultsAfterSync, fault.AfterAccept)
 			v.setRegister(req.Key, Item{Promised: req.Ballot, Accepted: req.Ballot, Value: req.Value})
 			r.Yes = true
--- a/internal/registry/house.go
+++ b/internal/registry/house.go
@@ -19,25 +19,24 @@
 )
 
 const (
-	// maxTargets bounds the table of one house.
-	maxTargets = 8192
-	// forget is how long a run is kept after its last beat once it is gone or was
-	// followed by a later run.
-	forget = 10 * time.Minute
+	// maxHomeTargets bounds the table of one home controller.
+	maxHomeTargets = 8192
+	// silentRetention is how long a run is kept after its last beat.
+	silentRetention = 10 * time.Minute
 )
 
-// Homes lists the home controllers of a service: one in each zone, by rendezvous over
+// Homes lists the home controllers of a service: one in each zone, by rendezvous hashing over
 // the members (design 12.1).
 func Homes(service string, ms []membership.Member) []membership.Member {
 	best := map[string]membership.Member{}
-	top := map[string]uint64{}
+	bestScore := map[string]uint64{}
 	for _, m := range ms {
 		if m.Kind != "controller" {
 			continue
 		}
-		s := score(service, m.ID)
-		if _, ok := best[m.Zone]; !ok || s > top[m.Zone] {
-			best[m.Zone], top[m.Zone] = m, s
+		s := rendezvousScore(service, m.ID)
+		if _, ok := best[m.Zone]; !ok || s > bestScore[m.Zone] {
+			best[m.Zone], bestScore[m.Zone] = m, s
 		}
 	}
 	out := lo.Values(best)
@@ -45,8 +44,8 @@
 	return out
 }
 
-// score is the rendezvous of two names; FNV's weak low bits are spread.
-func score(a, b string) uint64 {
+// rendezvousScore hashes two names. The low bits of FNV mix poorly and are mixed once more.
+func rendezvousScore(a, b string) uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(a + "\x00" + b))
 	x := h.Sum64()
@@ -56,177 +55,177 @@
 	return x
 }
 
-// row is one target's place in a house.
-type row struct {
-	e    Entry
-	det  *liveness.Detector
-	seen time.Time
-	// stood is this process's own pauses up to seen.
-	stood time.Duration
+// homeRecord is one target in a home controller's table.
+type homeRecord struct {
+	entry    Entry
+	detector *liveness.Detector
+	lastBeat time.Time
+	// pausedAtBeat is the sum of this process's own pauses at lastBeat.
+	pausedAtBeat time.Duration
 }
 
-// House is a controller's table of targets. One owner works through its commands.
-type House struct {
-	Clock clock.Clock
-	Pause *liveness.Pauses
-	Run   uint64 // this run of the controller
+// HomeTable is a home controller's table of targets. Its owner goroutine executes all accesses.
+type HomeTable struct {
+	Clock       clock.Clock
+	Pauses      *liveness.PauseMonitor
+	Incarnation uint64 // of the controller process
 
-	own     *owner.Owner
-	rows    map[string]map[string]*row // by service, target
-	n       int
-	version map[string]uint64
-	news    map[string]chan struct{}
+	owner    *owner.Owner
+	runs     map[string]map[string]*homeRecord // by service and target ID
+	count    int
+	versions map[string]uint64
+	waiters  map[string]chan struct{}
 }
 
-// Init makes the house ready.
-func (h *House) Init() {
-	h.own = owner.New(1024)
-	h.rows = map[string]map[string]*row{}
-	h.version = map[string]uint64{}
-	h.news = map[string]chan struct{}{}
+// Init prepares the table for use.
+func (h *HomeTable) Init() {
+	h.owner = owner.New(1024)
+	h.runs = map[string]map[string]*homeRecord{}
+	h.versions = map[string]uint64{}
+	h.waiters = map[string]chan struct{}{}
 }
 
-// Start runs the owner until ctx ends.
-func (h *House) Start(ctx context.Context) { h.own.Run(ctx) }
+// Run executes the table's commands until ctx ends.
+func (h *HomeTable) Run(ctx context.Context) { h.owner.Run(ctx) }
 
-func (h *House) changed(service string) {
-	h.version[service]++
-	if c := h.news[service]; c != nil {
+func (h *HomeTable) notify(service string) {
+	h.versions[service]++
+	if c := h.waiters[service]; c != nil {
 		close(c)
-		delete(h.news, service)
+		delete(h.waiters, service)
 	}
 }
 
-// Take merges a beat: the largest number of the latest run counts.
-func (h *House) Take(ctx context.Context, b httpapi.Beat) (r BeatTold, err error) {
-	return owner.Get(ctx, h.own, func() (r BeatTold) {
+// MergeBeat merges a beat. The largest sequence number of the latest run wins.
+func (h *HomeTable) MergeBeat(ctx context.Context, b httpapi.Beat) (r BeatTold, err error) {
+	return owner.Call(ctx, h.owner, func() (r BeatTold) {
 		now := h.Clock.Now()
-		s := h.rows[b.Service]
+		s := h.runs[b.Service]
 		if s == nil {
-			s = map[string]*row{}
-			h.rows[b.Service] = s
+			s = map[string]*homeRecord{}
+			h.runs[b.Service] = s
 		}
 		x := s[b.ID]
-		if x == nil && h.n >= maxTargets {
+		if x == nil && h.count >= maxHomeTargets {
 			return r
 		}
 		switch {
-		case x == nil || b.Inc > x.e.Beat.Inc:
+		case x == nil || b.Inc > x.entry.Beat.Inc:
 			if x == nil {
-				h.n++
+				h.count++
 			}
-			x = &row{det: liveness.New(liveness.Defaults(time.Duration(b.EveryMS)*time.Millisecond), h.Pause, now)}
+			x = &homeRecord{detector: liveness.NewDetector(liveness.DefaultOptions(time.Duration(b.EveryMS)*time.Millisecond), h.Pauses, now)}
 			s[b.ID] = x
-		case !later(b, x.e.Beat):
-			r = BeatTold{OK: true, Seq: x.e.Beat.Seq, Gone: x.e.Gone && b.Inc == x.e.Beat.Inc}
+		case !isNewer(b, x.entry.Beat):
+			r = BeatTold{OK: true, Seq: x.entry.Beat.Seq, Gone: x.entry.Gone && b.Inc == x.entry.Beat.Inc}
 			return r
 		}
-		x.det.Arrive(b.Seq, now)
-		x.seen, x.stood = now, h.Pause.At(now)
-		old := x.e.Beat
-		// Leaving binds a run to its end.
+		x.detector.RecordArrival(b.Seq, now)
+		x.lastBeat, x.pausedAtBeat = now, h.Pauses.TotalAt(now)
+		old := x.entry.Beat
+		// A run that is leaving does not return to service.
 		b.Leaving = b.Leaving || old.Leaving && old.Inc == b.Inc
-		x.e.Beat = b
+		x.entry.Beat = b
 		old.Seq = b.Seq
-		if old != b || x.e.Suspect {
-			x.e.Suspect = false
-			h.changed(b.Service)
+		if old != b || x.entry.Suspect {
+			x.entry.Suspect = false
+			h.notify(b.Service)
 		}
-		r = BeatTold{OK: true, Seq: b.Seq, Gone: x.e.Gone}
+		r = BeatTold{OK: true, Seq: b.Seq, Gone: x.entry.Gone}
 		return r
 	})
 }
 
-// Watch waits for news of a service.
-func (h *House) Watch(ctx context.Context, a WatchAsk) (WatchTold, error) {
-	cx, end := context.WithTimeout(ctx, time.Duration(min(max(a.WaitMS, 0), 2000))*time.Millisecond)
-	defer end()
-	type look struct {
-		told WatchTold
-		wait chan struct{}
+// Watch waits for a change of a service's table and returns the table.
+func (h *HomeTable) Watch(ctx context.Context, a WatchAsk) (WatchTold, error) {
+	waitCtx, cancel := context.WithTimeout(ctx, time.Duration(min(max(a.WaitMS, 0), 2000))*time.Millisecond)
+	defer cancel()
+	type result struct {
+		reply WatchTold
+		wait  chan struct{}
 	}
 	for {
-		l, err := owner.Get(ctx, h.own, func() (l look) {
-			l.told = WatchTold{Run: h.Run, Version: h.version[a.Service]}
-			if a.Run == h.Run && a.Seen == l.told.Version {
-				l.told.Same = true
-				if l.wait = h.news[a.Service]; l.wait == nil {
+		l, err := owner.Call(ctx, h.owner, func() (l result) {
+			l.reply = WatchTold{Run: h.Incarnation, Version: h.versions[a.Service]}
+			if a.Run == h.Incarnation && a.Seen == l.reply.Version {
+				l.reply.Same = true
+				if l.wait = h.waiters[a.Service]; l.wait == nil {
 					l.wait = make(chan struct{})
-					h.news[a.Service] = l.wait
+					h.waiters[a.Service] = l.wait
 				}
 				return l
 			}
-			for _, x := range h.rows[a.Service] {
-				l.told.Entries = append(l.told.Entries, x.e)
+			for _, x := range h.runs[a.Service] {
+				l.reply.Entries = append(l.reply.Entries, x.entry)
 			}
 			return l
 		})
-		if err != nil || !l.told.Same {
-			return l.told, err
+		if err != nil || !l.reply.Same {
+			return l.reply, err
 		}
 		select {
-		case <-cx.Done():
-			return l.told, nil
+		case <-waitCtx.Done():
+			return l.reply, nil
 		case <-l.wait:
 		}
 	}
 }
 
-// Judge is this controller's own suspicion of a target run.
-func (h *House) Judge(ctx context.Context, a JudgeAsk) (r JudgeTold, err error) {
-	return owner.Get(ctx, h.own, func() (r JudgeTold) {
-		x := h.rows[a.Service][a.ID]
-		if x == nil || x.e.Beat.Inc != a.Inc {
+// Judge returns this controller's own suspicion of a target run.
+func (h *HomeTable) Judge(ctx context.Context, a JudgeAsk) (r JudgeTold, err error) {
+	return owner.Call(ctx, h.owner, func() (r JudgeTold) {
+		x := h.runs[a.Service][a.ID]
+		if x == nil || x.entry.Beat.Inc != a.Inc {
 			return r
 		}
 		now := h.Clock.Now()
-		r = JudgeTold{Known: true, Seq: x.e.Beat.Seq, W: x.det.Suspicion(now), Quiet: int64(h.quiet(x, now))}
+		r = JudgeTold{Known: true, Seq: x.entry.Beat.Seq, W: x.detector.Suspicion(now), Quiet: int64(h.silence(x, now))}
 		return r
 	})
 }
 
-// quiet is the silence less this process's own pauses.
-func (h *House) quiet(x *row, now time.Time) time.Duration {
-	return now.Sub(x.seen) - (h.Pause.At(now) - x.stood)
+// silence returns the time since the last beat less this process's own pauses.
+func (h *HomeTable) silence(x *homeRecord, now time.Time) time.Duration {
+	return now.Sub(x.lastBeat) - (h.Pauses.TotalAt(now) - x.pausedAtBeat)
 }
 
-// Seen is one target as a controller sees it.
+// Seen is one target run as a controller sees it.
 type Seen struct {
 	Entry
 	Quiet time.Duration
 	Fit   liveness.Fit
 }
 
-// All lists every target with a fresh suspicion.
-func (h *House) All(ctx context.Context) (out []Seen, err error) {
-	return owner.Get(ctx, h.own, func() (out []Seen) {
+// List returns every target with its present suspicion.
+func (h *HomeTable) List(ctx context.Context) (out []Seen, err error) {
+	return owner.Call(ctx, h.owner, func() (out []Seen) {
 		now := h.Clock.Now()
-		for _, s := range h.rows {
+		for _, s := range h.runs {
 			for _, x := range s {
-				e := x.e
-				e.W = x.det.Suspicion(now)
-				f, _ := x.det.Fitted()
-				out = append(out, Seen{e, h.quiet(x, now), f})
+				e := x.entry
+				e.W = x.detector.Suspicion(now)
+				f, _ := x.detector.LastFit()
+				out = append(out, Seen{e, h.silence(x, now), f})
 			}
 		}
 		return out
 	})
 }
 
-// Collect gathers what all controllers hold, each target run by its newest beat and
-// the least silence that any of them has met.
-func Collect(ctx context.Context, l link.Line, ms []membership.Member) []Seen {
+// CollectSeen merges the tables of all controllers: for each target its latest run, the newest
+// beat of that run, and the shortest silence that any controller measured.
+func CollectSeen(ctx context.Context, l link.Line, ms []membership.Member) []Seen {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
-	by := map[string]Seen{}
-	cx, end := context.WithTimeout(ctx, 500*time.Millisecond)
-	defer end()
+	byKey := map[string]Seen{}
+	askCtx, cancel := context.WithTimeout(ctx, 500*time.Millisecond)
+	defer cancel()
 	for _, m := range ms {
 		if m.Kind != "controller" {
 			continue
 		}
 		wg.Go(func() {
-			r, err := link.Ask[SeenTold](cx, l, m.Inner, SeenAsk{})
+			r, err := link.Ask[SeenTold](askCtx, l, m.Inner, SeenAsk{})
 			if err != nil {
 				return
 			}
@@ -234,72 +233,72 @@
 			defer mu.Unlock()
 			for _, x := range r.Seen {
 				k := x.Beat.Service + "/" + x.Beat.ID
-				o, ok := by[k]
+				held, ok := byKey[k]
 				switch {
-				case !ok || x.Beat.Inc > o.Beat.Inc:
-					by[k] = x
-				case x.Beat.Inc == o.Beat.Inc:
-					if later(o.Beat, x.Beat) {
-						x.Beat = o.Beat
+				case !ok || x.Beat.Inc > held.Beat.Inc:
+					byKey[k] = x
+				case x.Beat.Inc == held.Beat.Inc:
+					if isNewer(held.Beat, x.Beat) {
+						x.Beat = held.Beat
 					}
-					if o.Quiet < x.Quiet {
-						x.Quiet, x.W, x.Fit = o.Quiet, o.W, o.Fit
+					if held.Quiet < x.Quiet {
+						x.Quiet, x.W, x.Fit = held.Quiet, held.W, held.Fit
 					}
-					x.Gone, x.Suspect, x.Beat.Leaving = x.Gone || o.Gone, x.Suspect || o.Suspect, x.Beat.Leaving || o.Beat.Leaving
-					by[k] = x
+					x.Gone, x.Suspect, x.Beat.Leaving = x.Gone || held.Gone, x.Suspect || held.Suspect, x.Beat.Leaving || held.Beat.Leaving
+					byKey[k] = x
 				}
 			}
 		})
 	}
 	wg.Wait()
-	out := lo.Values(by)
+	out := lo.Values(byKey)
 	slices.SortFunc(out, func(a, b Seen) int {
 		return cmp.Compare(a.Beat.Service+"/"+a.Beat.ID, b.Beat.Service+"/"+b.Beat.ID)
 	})
 	return out
 }
 
-// Mark notes on a target run that it is suspected, leaving or gone.
-func (h *House) Mark(ctx context.Context, service, id string, inc uint64, f func(*Entry)) error {
-	return h.own.Do(ctx, func() {
-		if x := h.rows[service][id]; x != nil && x.e.Beat.Inc == inc {
-			old := x.e
-			if f(&x.e); x.e != old {
-				h.changed(service)
+// Mark updates the entry of a target run: suspected, leaving or gone.
+func (h *HomeTable) Mark(ctx context.Context, service, id string, inc uint64, f func(*Entry)) error {
+	return h.owner.Do(ctx, func() {
+		if x := h.runs[service][id]; x != nil && x.entry.Beat.Inc == inc {
+			old := x.entry
+			if f(&x.entry); x.entry != old {
+				h.notify(service)
 			}
 		}
 	})
 }
 
-// Sweep forgets runs that were silent for long: let go, or told to another home.
-func (h *House) Sweep(ctx context.Context) error {
-	return h.own.Do(ctx, func() {
+// RemoveSilent removes runs without a beat for silentRetention: gone, or sent to another home.
+func (h *HomeTable) RemoveSilent(ctx context.Context) error {
+	return h.owner.Do(ctx, func() {
 		now := h.Clock.Now()
-		for svc, s := range h.rows {
+		for svc, s := range h.runs {
 			for id, x := range s {
-				if now.Sub(x.seen) > forget {
+				if now.Sub(x.lastBeat) > silentRetention {
 					delete(s, id)
-					h.n--
-					h.changed(svc)
+					h.count--
+					h.notify(svc)
 				}
 			}
 			if len(s) == 0 {
-				delete(h.rows, svc)
+				delete(h.runs, svc)
 			}
 		}
 	})
 }
 
-// Serve teaches d to answer for this house.
-func (h *House) Serve(d *link.Desk) {
-	link.On(d, func(ctx context.Context, _ link.Who, a BeatAsk) (BeatTold, error) { return h.Take(ctx, a.Beat) })
+// Serve registers the table's request handlers with d.
+func (h *HomeTable) Serve(d *link.Desk) {
+	link.On(d, func(ctx context.Context, _ link.Who, a BeatAsk) (BeatTold, error) { return h.MergeBeat(ctx, a.Beat) })
 	link.On(d, func(ctx context.Context, _ link.Who, a WatchAsk) (WatchTold, error) { return h.Watch(ctx, a) })
 	link.On(d, func(ctx context.Context, _ link.Who, a MarkAsk) (MarkTold, error) {
 		err := h.Mark(ctx, a.Service, a.ID, a.Inc, func(e *Entry) { e.Suspect, e.Gone = a.Suspect, e.Gone || a.Gone })
 		return MarkTold{OK: err == nil}, err
 	})
 	link.On(d, func(ctx context.Context, _ link.Who, _ SeenAsk) (SeenTold, error) {
-		s, err := h.All(ctx)
+		s, err := h.List(ctx)
 		return SeenTold{s}, err
 	})
 	link.On(d, func(ctx context.Context, _ link.Who, a JudgeAsk) (JudgeTold, error) { return h.Judge(ctx, a) })
--- a/internal/registry/near.go
+++ b/internal/registry/near.go
@@ -9,61 +9,61 @@
 )
 
 const (
-	// nearMost is how many targets of a service a gateway keeps proved: each costs it
-	// probes, so that with all of them the probes would grow with the square of a
+	// subsetSize is how many targets of a service a gateway probes. Each costs it probes: if
+	// every gateway probed all targets, the probes would grow with the square of the
 	// deployment (design 12.4).
-	nearMost = 24
-	// nearTrial is how long a target that has just been taken near is not judged.
-	nearTrial = 2 * time.Second
-	// nearBad is the suspicion from which another is taken near besides.
-	nearBad = SuspectAt
+	subsetSize = 24
+	// subsetGrace is how long a target that has just entered the subset is not judged.
+	subsetGrace = 2 * time.Second
+	// subsetSuspicion is the suspicion from which on another target is added to the subset.
+	subsetSuspicion = SuspicionThreshold
 )
 
-// Near tells whether this gateway probes the target, and may choose it.
-func (s *Stand) Near() bool { return s.near.Load() }
+// InSubset reports whether this gateway probes the target, and may choose it.
+func (t *Target) InSubset() bool { return t.inSubset.Load() }
 
-// nearest picks the stands of one service that this gateway works with: all where they
-// are few; else as many as nearMost that are well, up to half of them from the own
-// zone, in an order that differs from gateway to gateway and hardly changes when targets
-// come and go. Those that are not well stay near besides, for they may come back.
-func (r *Roster) nearest(all []*Stand) []*Stand {
-	if len(all) <= nearMost {
+// chooseSubset picks the targets of one service that this gateway uses: all of them if they are
+// few, else subsetSize healthy ones, up to half of them from its own zone. The order differs
+// between gateways and hardly changes when targets come and go. Unhealthy targets stay in the
+// subset in addition, for they may recover.
+func (g *GatewayTable) chooseSubset(all []*Target) []*Target {
+	if len(all) <= subsetSize {
 		return all
 	}
-	rank := lo.SliceToMap(all, func(s *Stand) (*Stand, uint64) { return s, score(r.Me, s.Key()) })
-	slices.SortFunc(all, func(a, b *Stand) int { return cmp.Compare(rank[a], rank[b]) })
-	own, rest := lo.FilterReject(all, func(s *Stand, _ int) bool { return s.Zone == r.Zone })
-	own, more := lo.Subset(own, 0, nearMost/2), lo.Slice(own, nearMost/2, len(own))
+	rank := lo.SliceToMap(all, func(s *Target) (*Target, uint64) { return s, rendezvousScore(g.Self, s.Key()) })
+	slices.SortFunc(all, func(a, b *Target) int { return cmp.Compare(rank[a], rank[b]) })
+	own, rest := lo.FilterReject(all, func(s *Target, _ int) bool { return s.Zone == g.Zone })
+	own, more := lo.Subset(own, 0, subsetSize/2), lo.Slice(own, subsetSize/2, len(own))
 	rest = append(rest, more...)
-	slices.SortFunc(rest, func(a, b *Stand) int { return cmp.Compare(rank[a], rank[b]) })
-	now := r.Clock.Now()
-	var out []*Stand
-	well := 0
+	slices.SortFunc(rest, func(a, b *Target) int { return cmp.Compare(rank[a], rank[b]) })
+	now := g.Clock.Now()
+	var out []*Target
+	healthy := 0
 	for _, s := range append(own, rest...) {
-		if well >= nearMost || len(out) >= 3*nearMost {
+		if healthy >= subsetSize || len(out) >= 3*subsetSize {
 			break
 		}
 		out = append(out, s)
-		left := s.Leaving.Load() || s.Gone.Load()
-		bad := s.Near() && now.Sub(s.nearAt) > nearTrial && s.Det.Suspicion(now) >= nearBad
-		if !left && !bad {
-			well++
+		leaving := s.Leaving.Load() || s.Gone.Load()
+		suspected := s.InSubset() && now.Sub(s.subsetSince) > subsetGrace && s.Detector.Suspicion(now) >= subsetSuspicion
+		if !leaving && !suspected {
+			healthy++
 		}
 	}
 	return out
 }
 
-// settle marks which stands are near. One that was not is judged from now on.
-func (r *Roster) settle(near map[*Stand]bool) {
-	now := r.Clock.Now()
-	for _, s := range r.by {
+// markSubset marks which targets are in the subset. Those that enter it are judged from now on.
+func (g *GatewayTable) markSubset(subset map[*Target]bool) {
+	now := g.Clock.Now()
+	for _, s := range g.targets {
 		switch {
-		case near[s] && !s.Near():
-			s.nearAt = now
-			s.Det.Restart(now)
-			s.near.Store(true)
-		case !near[s]:
-			s.near.Store(false)
+		case subset[s] && !s.InSubset():
+			s.subsetSince = now
+			s.Detector.Restart(now)
+			s.inSubset.Store(true)
+		case !subset[s]:
+			s.inSubset.Store(false)
 		}
 	}
 }
--- a/internal/registry/roster.go
+++ b/internal/registry/roster.go
@@ -15,9 +15,9 @@
 	"walkrudder/internal/owner"
 )
 
-// Stand is one target run as a gateway knows it. Its fields are set once; what
-// changes is atomic, for the request path.
-type Stand struct {
+// Target is one target run as a gateway knows it. Plain fields are set once; what changes is
+// atomic, because the request path reads it.
+type Target struct {
 	ID      string
 	Service string
 	Inc     uint64
@@ -27,307 +27,308 @@
 	Capacity atomic.Int64
 	Leaving  atomic.Bool
 	Gone     atomic.Bool
-	// Flying counts requests under way there.
-	Flying atomic.Int64
-	// took is the mean time of the last answers, in nanoseconds.
-	took atomic.Int64
-	// proof is when the last probe or request left that proved the identity, in
-	// nanoseconds of the roster's epoch.
-	proof  atomic.Int64
-	Det    *liveness.Detector
-	near   atomic.Bool
-	beat   httpapi.Beat // owned by the roster
-	nearAt time.Time    // owned by the roster
-	listed atomic.Int64
+	// InFlight counts the requests in progress at the target.
+	InFlight atomic.Int64
+	// meanLatency is the moving average of the response times, in nanoseconds.
+	meanLatency atomic.Int64
+	// lastProof is when the last probe or request was sent that proved the target's identity,
+	// in nanoseconds since the table's epoch.
+	lastProof   atomic.Int64
+	Detector    *liveness.Detector
+	inSubset    atomic.Bool
+	lastBeat    httpapi.Beat // accessed by the table's owner only
+	subsetSince time.Time    // accessed by the table's owner only
+	lastListed  atomic.Int64
 }
 
-// Key names the target run.
-func (s *Stand) Key() string { return s.Service + "/" + s.ID }
+// Key returns the service and ID of the target.
+func (t *Target) Key() string { return t.Service + "/" + t.ID }
 
-// Took is how long the target's last answers took in the mean, 0 where none came.
-func (s *Stand) Took() time.Duration { return time.Duration(s.took.Load()) }
+// MeanLatency returns the moving average of the response times, 0 before the first one.
+func (t *Target) MeanLatency() time.Duration { return time.Duration(t.meanLatency.Load()) }
 
-// Answered takes the time of an answer in, with the weight slower where it took longer
-// than the mean, else with sooner.
-func (s *Stand) Answered(d time.Duration, slower, sooner float64) {
+// ObserveLatency adds a response time to the moving average, with slowerWeight if it is above
+// the average, else with fasterWeight.
+func (t *Target) ObserveLatency(d time.Duration, slowerWeight, fasterWeight float64) {
 	for {
-		o := s.took.Load()
-		n := int64(d)
+		old := t.meanLatency.Load()
+		updated := int64(d)
 		switch {
-		case o > 0 && n > o:
-			n = o + int64(slower*float64(n-o))
-		case o > 0:
-			n = o + int64(sooner*float64(n-o))
+		case old > 0 && updated > old:
+			updated = old + int64(slowerWeight*float64(updated-old))
+		case old > 0:
+			updated = old + int64(fasterWeight*float64(updated-old))
 		}
-		if s.took.CompareAndSwap(o, max(n, 1)) {
+		if t.meanLatency.CompareAndSwap(old, max(updated, 1)) {
 			return
 		}
 	}
 }
 
-// Roster is a gateway's table of targets, by service. Its owner replaces the
+// GatewayTable is a gateway's table of targets, by service. Its owner goroutine replaces the
 // snapshot that the request path reads.
-type Roster struct {
-	Line        link.Line
+type GatewayTable struct {
+	Transport   link.Line
 	Clock       clock.Clock
-	Pause       *liveness.Pauses
-	Me          string
+	Pauses      *liveness.PauseMonitor
+	Self        string
 	Zone        string
 	Controllers func() []membership.Member
-	// Every is the interval of probes.
-	Every time.Duration
-	// OnStand is told of each new stand, to start probing it; ctx ends with it.
-	OnStand func(ctx context.Context, s *Stand)
-
-	own   *owner.Owner
-	epoch time.Time
-	snap  atomic.Pointer[map[string][]*Stand]
-	want  atomic.Pointer[map[string]bool]
-	heard atomic.Pointer[map[string]bool] // services some home has told of
-
-	// Owned by own.
-	by   map[string]*Stand // by service/id
-	stop map[string]context.CancelFunc
-	left map[string]leave // by service/id
-	many bool             // of some service not all targets are near
-	ctx  context.Context
+	// ProbeInterval is the interval of probes.
+	ProbeInterval time.Duration
+	// OnNewTarget is called for each new target, to start probing it. ctx ends when the table
+	// drops the target.
+	OnNewTarget func(ctx context.Context, s *Target)
+
+	owner    *owner.Owner
+	epoch    time.Time
+	snapshot atomic.Pointer[map[string][]*Target]
+	followed atomic.Pointer[map[string]bool]
+	reported atomic.Pointer[map[string]bool] // services of which some home sent its table
+
+	// The owner goroutine alone accesses these.
+	targets    map[string]*Target // by service/id
+	cancels    map[string]context.CancelFunc
+	leaving    map[string]leaveMark // by service/id
+	subsetting bool                 // the targets of some service are not all in the subset
+	ctx        context.Context
 }
 
-// leave is the latest run of a target that may get no new work.
-type leave struct {
+// leaveMark is the latest run of a target that may get no new requests.
+type leaveMark struct {
 	inc  uint64
 	gone bool
 }
 
 const (
-	// maxStands bounds a gateway's table.
-	maxStands = 8192
-	// unseen is how long a target that no home lists any more is kept while it
-	// proves no identity.
-	unseen = 30 * time.Second
+	// maxGatewayTargets bounds a gateway's table.
+	maxGatewayTargets = 8192
+	// unlistedRetention is how long a target that no home lists any more is kept without a
+	// proof of its identity.
+	unlistedRetention = 30 * time.Second
 )
 
-// Init makes the roster ready.
-func (r *Roster) Init() {
-	r.own = owner.New(1024)
-	r.epoch = r.Clock.Now()
-	r.by, r.stop, r.left = map[string]*Stand{}, map[string]context.CancelFunc{}, map[string]leave{}
-	r.snap.Store(&map[string][]*Stand{})
-	r.want.Store(&map[string]bool{})
-	r.heard.Store(&map[string]bool{})
+// Init prepares the table for use.
+func (g *GatewayTable) Init() {
+	g.owner = owner.New(1024)
+	g.epoch = g.Clock.Now()
+	g.targets, g.cancels, g.leaving = map[string]*Target{}, map[string]context.CancelFunc{}, map[string]leaveMark{}
+	g.snapshot.Store(&map[string][]*Target{})
+	g.followed.Store(&map[string]bool{})
+	g.reported.Store(&map[string]bool{})
 }
 
-// Of lists the targets of a service.
-func (r *Roster) Of(service string) []*Stand { return (*r.snap.Load())[service] }
+// Targets lists the targets of a service that the gateway uses.
+func (g *GatewayTable) Targets(service string) []*Target { return (*g.snapshot.Load())[service] }
 
-// All is the whole table.
-func (r *Roster) All() map[string][]*Stand { return *r.snap.Load() }
+// All returns the snapshot: the targets that the gateway uses, by service.
+func (g *GatewayTable) All() map[string][]*Target { return *g.snapshot.Load() }
 
-// Warm tells whether a home has told of every service followed, and some target
-// of each has proved its identity. Where a home knows none it may just have begun:
-// who calls this waits for a while only.
-func (r *Roster) Warm(now time.Time) bool {
-	h := *r.heard.Load()
-	for n := range *r.want.Load() {
+// Ready reports whether a home has sent its table of every followed service, and a target of
+// each service has proved its identity. A home that knows no targets may only just have started,
+// so callers wait for a limited time only.
+func (g *GatewayTable) Ready(now time.Time) bool {
+	h := *g.reported.Load()
+	for n := range *g.followed.Load() {
 		if !h[n] {
 			return false
 		}
-		if !lo.SomeBy(r.Of(n), func(s *Stand) bool { return !s.Leaving.Load() && r.Age(s, now) < time.Second }) {
+		if !lo.SomeBy(g.Targets(n), func(s *Target) bool { return !s.Leaving.Load() && g.ProofAge(s, now) < time.Second }) {
 			return false
 		}
 	}
 	return true
 }
 
-// Want says which services are followed.
-func (r *Roster) Want(names []string) {
+// SetFollowed sets the services to follow.
+func (g *GatewayTable) SetFollowed(names []string) {
 	m := make(map[string]bool, len(names))
 	for _, n := range names {
 		m[n] = true
 	}
-	r.want.Store(&m)
+	g.followed.Store(&m)
 }
 
-// Proved notes that a probe or request sent at t proved s's identity.
-func (r *Roster) Proved(s *Stand, t time.Time) {
-	n := int64(t.Sub(r.epoch))
+// RecordProof records that a probe or request sent at t proved the identity of s.
+func (g *GatewayTable) RecordProof(s *Target, t time.Time) {
+	n := int64(t.Sub(g.epoch))
 	for {
-		o := s.proof.Load()
-		if n <= o || s.proof.CompareAndSwap(o, n) {
+		old := s.lastProof.Load()
+		if n <= old || s.lastProof.CompareAndSwap(old, n) {
 			return
 		}
 	}
 }
 
-// Age is how long ago the last proof of s's identity left.
-func (r *Roster) Age(s *Stand, now time.Time) time.Duration {
-	p := s.proof.Load()
+// ProofAge returns the time since the last proof of the identity of s was sent.
+func (g *GatewayTable) ProofAge(s *Target, now time.Time) time.Duration {
+	p := s.lastProof.Load()
 	if p == 0 {
 		return time.Duration(1<<63 - 1)
 	}
-	return now.Sub(r.epoch.Add(time.Duration(p)))
+	return now.Sub(g.epoch.Add(time.Duration(p)))
 }
 
-// Alone runs the owner alone, for a roster that follows no home.
-func (r *Roster) Alone(ctx context.Context) {
-	r.ctx = ctx
-	r.own.Run(ctx)
+// RunWithoutHomes executes the table's commands until ctx ends, and follows no home.
+func (g *GatewayTable) RunWithoutHomes(ctx context.Context) {
+	g.ctx = ctx
+	g.owner.Run(ctx)
 }
 
-// Run follows the wanted services until ctx ends.
-func (r *Roster) Run(ctx context.Context) {
-	r.ctx = ctx
-	go r.own.Run(ctx)
-	subs := map[string]context.CancelFunc{}
+// Run follows the services of SetFollowed until ctx ends.
+func (g *GatewayTable) Run(ctx context.Context) {
+	g.ctx = ctx
+	go g.owner.Run(ctx)
+	subscriptions := map[string]context.CancelFunc{}
 	for {
-		w := *r.want.Load()
-		for n := range w {
-			if subs[n] == nil {
+		followed := *g.followed.Load()
+		for n := range followed {
+			if subscriptions[n] == nil {
 				cx, end := context.WithCancel(ctx)
-				subs[n] = end
-				go r.follow(cx, n)
+				subscriptions[n] = end
+				go g.follow(cx, n)
 			}
 		}
-		for n, end := range subs {
-			if !w[n] {
+		for n, end := range subscriptions {
+			if !followed[n] {
 				end()
-				delete(subs, n)
-				r.drop(ctx, n)
+				delete(subscriptions, n)
+				g.dropService(ctx, n)
 			}
 		}
-		_ = r.own.Do(ctx, r.sweep)
-		if r.Clock.Sleep(ctx, 100*time.Millisecond) != nil {
+		_ = g.owner.Do(ctx, g.sweep)
+		if g.Clock.Sleep(ctx, 100*time.Millisecond) != nil {
 			return
 		}
 	}
 }
 
-// follow subscribes to one service at its home in the nearest zone; when that
-// fails, at the next one. Entries merge by run and beat, so a change of home
-// never steps back, and what is held stays while none answers (design 12.2).
-func (r *Roster) follow(ctx context.Context, service string) {
-	var run, seen uint64
-	at, fails := "", 0
+// follow subscribes to one service at its home in the gateway's own zone, or, after a failure,
+// at the next home. Entries merge by run and beat, so a change of home never brings old state
+// back, and the table is kept while no home answers (design 12.2).
+func (g *GatewayTable) follow(ctx context.Context, service string) {
+	var incarnation, seen uint64
+	addr, failures := "", 0
 	for ctx.Err() == nil {
-		hs := Homes(service, r.Controllers())
-		for i, h := range hs {
-			if h.Zone == r.Zone {
-				hs[0], hs[i] = hs[i], hs[0]
+		homes := Homes(service, g.Controllers())
+		for i, home := range homes {
+			if home.Zone == g.Zone {
+				homes[0], homes[i] = homes[i], homes[0]
 			}
 		}
-		if len(hs) == 0 {
-			if r.Clock.Sleep(ctx, 100*time.Millisecond) != nil {
+		if len(homes) == 0 {
+			if g.Clock.Sleep(ctx, 100*time.Millisecond) != nil {
 				return
 			}
 			continue
 		}
-		h := hs[fails%len(hs)]
-		if h.Inner != at {
-			at, run, seen = h.Inner, 0, 0
+		home := homes[failures%len(homes)]
+		if home.Inner != addr {
+			addr, incarnation, seen = home.Inner, 0, 0
 		}
-		cx, end := context.WithTimeout(ctx, 900*time.Millisecond)
-		t, err := link.Ask[WatchTold](cx, r.Line, h.Inner, WatchAsk{Service: service, Run: run, Seen: seen, WaitMS: 500})
-		end()
+		askCtx, cancel := context.WithTimeout(ctx, 900*time.Millisecond)
+		t, err := link.Ask[WatchTold](askCtx, g.Transport, home.Inner, WatchAsk{Service: service, Run: incarnation, Seen: seen, WaitMS: 500})
+		cancel()
 		if err != nil {
-			fails++
-			if r.Clock.Sleep(ctx, 50*time.Millisecond) != nil {
+			failures++
+			if g.Clock.Sleep(ctx, 50*time.Millisecond) != nil {
 				return
 			}
 			continue
 		}
 		if t.Same {
-			_ = r.own.Do(ctx, func() {
-				n := int64(r.Clock.Now().Sub(r.epoch))
-				for _, s := range r.Of(service) {
-					s.listed.Store(n)
+			_ = g.owner.Do(ctx, func() {
+				n := int64(g.Clock.Now().Sub(g.epoch))
+				for _, s := range g.Targets(service) {
+					s.lastListed.Store(n)
 				}
 			})
 		} else {
-			_ = r.Learn(ctx, service, t.Entries)
-			run, seen = t.Run, t.Version
+			_ = g.MergeEntries(ctx, service, t.Entries)
+			incarnation, seen = t.Run, t.Version
 		}
-		// Now and then the nearest home is tried again.
-		if fails > 0 && fails%len(hs) != 0 {
-			fails += len(hs) - fails%len(hs)
+		// After a success at another home the one in the own zone is tried again.
+		if failures > 0 && failures%len(homes) != 0 {
+			failures += len(homes) - failures%len(homes)
 		}
 	}
 }
 
-// Learn takes in what a home tells of a service.
-func (r *Roster) Learn(ctx context.Context, service string, es []Entry) error {
-	return r.own.Do(ctx, func() {
+// MergeEntries merges a home's table of a service.
+func (g *GatewayTable) MergeEntries(ctx context.Context, service string, es []Entry) error {
+	return g.owner.Do(ctx, func() {
 		for _, e := range es {
-			r.merge(e)
+			g.merge(e)
 		}
-		r.publish()
-		if h := *r.heard.Load(); !h[service] {
+		g.publish()
+		if h := *g.reported.Load(); !h[service] {
 			n := map[string]bool{service: true}
 			for k := range h {
 				n[k] = true
 			}
-			r.heard.Store(&n)
+			g.reported.Store(&n)
 		}
 	})
 }
 
-// merge takes an entry in if it is news.
-func (r *Roster) merge(e Entry) {
+// merge adds an entry unless a newer one of the same target is known.
+func (g *GatewayTable) merge(e Entry) {
 	b := e.Beat
 	k := b.Service + "/" + b.ID
-	s := r.by[k]
+	s := g.targets[k]
 	if s != nil && b.Inc < s.Inc {
 		return
 	}
 	if s == nil || b.Inc > s.Inc || b.Addr != s.Addr {
-		if s != nil && b.Inc == s.Inc && b.Seq <= s.beat.Seq {
+		if s != nil && b.Inc == s.Inc && b.Seq <= s.lastBeat.Seq {
 			return
 		}
-		if s == nil && len(r.by) >= maxStands {
+		if s == nil && len(g.targets) >= maxGatewayTargets {
 			return
 		}
-		r.unstand(k)
-		now := r.Clock.Now()
-		s = &Stand{ID: b.ID, Service: b.Service, Inc: b.Inc, Addr: b.Addr, Zone: b.Zone,
-			Det: liveness.New(liveness.Defaults(r.Every), r.Pause, now)}
-		cx, end := context.WithCancel(r.ctx)
-		r.by[k], r.stop[k] = s, end
-		if l := r.left[k]; l.inc >= s.Inc {
+		g.remove(k)
+		now := g.Clock.Now()
+		s = &Target{ID: b.ID, Service: b.Service, Inc: b.Inc, Addr: b.Addr, Zone: b.Zone,
+			Detector: liveness.NewDetector(liveness.DefaultOptions(g.ProbeInterval), g.Pauses, now)}
+		targetCtx, cancel := context.WithCancel(g.ctx)
+		g.targets[k], g.cancels[k] = s, cancel
+		if l := g.leaving[k]; l.inc >= s.Inc {
 			s.Leaving.Store(true)
 			s.Gone.Store(l.gone)
 		}
-		if r.OnStand != nil {
-			go r.OnStand(cx, s)
+		if g.OnNewTarget != nil {
+			go g.OnNewTarget(targetCtx, s)
 		}
 	}
-	if b.Seq >= s.beat.Seq {
-		s.beat = b
+	if b.Seq >= s.lastBeat.Seq {
+		s.lastBeat = b
 		s.Capacity.Store(int64(b.Capacity))
 	}
-	s.listed.Store(int64(r.Clock.Now().Sub(r.epoch)))
+	s.lastListed.Store(int64(g.Clock.Now().Sub(g.epoch)))
 	if b.Leaving || e.Gone {
-		r.mark(k, b.Inc, e.Gone)
+		g.markLeaving(k, b.Inc, e.Gone)
 	}
 }
 
-func (r *Roster) unstand(k string) {
-	if end := r.stop[k]; end != nil {
+func (g *GatewayTable) remove(k string) {
+	if end := g.cancels[k]; end != nil {
 		end()
-		delete(r.stop, k)
+		delete(g.cancels, k)
 	}
-	delete(r.by, k)
+	delete(g.targets, k)
 }
 
-// mark binds the run inc of target k, and all before it, to get no new work.
-func (r *Roster) mark(k string, inc uint64, gone bool) {
-	l := r.left[k]
+// markLeaving excludes run inc of target k, and all runs before it, from new requests.
+func (g *GatewayTable) markLeaving(k string, inc uint64, gone bool) {
+	l := g.leaving[k]
 	if inc > l.inc {
-		l = leave{inc: inc}
+		l = leaveMark{inc: inc}
 	}
 	if inc == l.inc {
 		l.gone = l.gone || gone
 	}
-	r.left[k] = l
-	if s := r.by[k]; s != nil && s.Inc <= l.inc {
+	g.leaving[k] = l
+	if s := g.targets[k]; s != nil && s.Inc <= l.inc {
 		s.Leaving.Store(true)
 		if l.gone {
 			s.Gone.Store(true)
@@ -335,70 +336,70 @@
 	}
 }
 
-// Drain binds a target run to get no new work; once it returned, none is
-// elected there.
-func (r *Roster) Drain(ctx context.Context, service, id string, inc uint64, gone bool) error {
-	return r.own.Do(ctx, func() { r.mark(service+"/"+id, inc, gone) })
+// Drain excludes a target run from new requests. Once it has returned, no request is assigned
+// to the run.
+func (g *GatewayTable) Drain(ctx context.Context, service, id string, inc uint64, gone bool) error {
+	return g.owner.Do(ctx, func() { g.markLeaving(service+"/"+id, inc, gone) })
 }
 
-func (r *Roster) publish() {
-	m := map[string][]*Stand{}
-	for _, s := range r.by {
+func (g *GatewayTable) publish() {
+	m := map[string][]*Target{}
+	for _, s := range g.targets {
 		m[s.Service] = append(m[s.Service], s)
 	}
-	near := map[*Stand]bool{}
-	r.many = false
+	subset := map[*Target]bool{}
+	g.subsetting = false
 	for n, ss := range m {
-		r.many = r.many || len(ss) > nearMost
-		m[n] = r.nearest(ss)
+		g.subsetting = g.subsetting || len(ss) > subsetSize
+		m[n] = g.chooseSubset(ss)
 		for _, s := range m[n] {
-			near[s] = true
+			subset[s] = true
 		}
 	}
-	r.settle(near)
-	r.snap.Store(&m)
+	g.markSubset(subset)
+	g.snapshot.Store(&m)
 }
 
-// drop forgets a service that no binding names any more.
-func (r *Roster) drop(ctx context.Context, service string) {
-	_ = r.own.Do(ctx, func() {
-		for k, s := range r.by {
+// dropService removes a service that no binding names any more.
+func (g *GatewayTable) dropService(ctx context.Context, service string) {
+	_ = g.owner.Do(ctx, func() {
+		for k, s := range g.targets {
 			if s.Service == service {
-				r.unstand(k)
+				g.remove(k)
 			}
 		}
-		r.publish()
+		g.publish()
 	})
 }
 
-// sweep lets go of targets that are gone, or that no home lists and no probe
-// reaches any more.
-func (r *Roster) sweep() {
-	now := r.Clock.Now()
+// sweep removes targets that are gone, and those that no home lists and that prove no identity
+// any more. A target with requests in progress stays.
+func (g *GatewayTable) sweep() {
+	now := g.Clock.Now()
 	n := 0
-	for k, s := range r.by {
-		if s.Flying.Load() > 0 {
+	for k, s := range g.targets {
+		if s.InFlight.Load() > 0 {
 			continue
 		}
-		quiet := now.Sub(r.epoch.Add(time.Duration(s.listed.Load()))) > unseen && r.Age(s, now) > unseen
-		if quiet || s.Gone.Load() {
-			r.unstand(k)
+		unlisted := now.Sub(g.epoch.Add(time.Duration(s.lastListed.Load()))) > unlistedRetention && g.ProofAge(s, now) > unlistedRetention
+		if unlisted || s.Gone.Load() {
+			g.remove(k)
 			n++
 		}
 	}
-	if n > 0 || r.many {
-		r.publish()
+	if n > 0 || g.subsetting {
+		g.publish()
 	}
-	if len(r.left) > 2*maxStands {
-		r.left = map[string]leave{}
+	if len(g.leaving) > 2*maxGatewayTargets {
+		g.leaving = map[string]leaveMark{}
 	}
 }
 
-// Serve teaches d to take word of leaving targets, and to tell how all are seen.
-func (r *Roster) Serve(d *link.Desk) {
+// Serve registers the handlers for leave notifications and for queries of the gateway's views.
+func (g *GatewayTable) Serve(d *link.Desk) {
 	link.On(d, func(ctx context.Context, _ link.Who, a DrainAsk) (DrainTold, error) {
-		err := r.Drain(ctx, a.Service, a.ID, a.Inc, a.Gone)
+		err := g.Drain(ctx, a.Service, a.ID, a.Inc, a.Gone)
 		return DrainTold{OK: err == nil}, err
 	})
-	link.On(d, func(context.Context, link.Who, ViewAsk) (ViewTold, error) { return ViewTold{r.Views()}, nil })
+	link.On(d, func(context.Context, link.Who, ViewAsk) (ViewTold, error) { return ViewTold{g.Views()}, nil })
 }
--- a/internal/registry/roster_test.go
+++ b/internal/registry/roster_test.go
@@ -15,19 +15,19 @@
 	"walkrudder/internal/membership"
 )
 
-// lab is two homes in two zones and a way to each that can be shut.
-type lab struct {
-	mu    sync.Mutex
-	desks map[string]*link.Desk
-	shut  map[string]bool
+// network connects to the tables of two homes in two zones; each can be made unreachable.
+type network struct {
+	mu          sync.Mutex
+	homes       map[string]*link.Desk
+	unreachable map[string]bool
 }
 
-func (l *lab) Call(ctx context.Context, addr string, ask any) (any, error) {
+func (l *network) Call(ctx context.Context, addr string, ask any) (any, error) {
 	l.mu.Lock()
-	d, shut := l.desks[addr], l.shut[addr]
+	d, shut := l.homes[addr], l.unreachable[addr]
 	l.mu.Unlock()
 	if d == nil || shut {
-		return nil, errors.New("no way")
+		return nil, errors.New("unreachable")
 	}
 	if err := (clock.Wall{}).Sleep(ctx, time.Millisecond); err != nil {
 		return nil, err
@@ -35,16 +35,16 @@
 	v, err := d.Answer(ctx, link.Who{}, ask)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.shut[addr] {
-		return nil, errors.New("no way")
+	if l.unreachable[addr] {
+		return nil, errors.New("unreachable")
 	}
 	return v, err
 }
 
-func (l *lab) set(addr string, shut bool) {
+func (l *network) setUnreachable(addr string, shut bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.shut[addr] = shut
+	l.unreachable[addr] = shut
 }
 
 func beat(id string, seq, inc uint64, leaving bool) httpapi.Beat {
@@ -54,55 +54,55 @@
 func TestGatewayKeepsItsTargetsWhileHomesChange(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, end := context.WithCancel(t.Context())
-		l := &lab{desks: map[string]*link.Desk{}, shut: map[string]bool{}}
-		p := liveness.NewPauses(clock.Wall{})
+		l := &network{homes: map[string]*link.Desk{}, unreachable: map[string]bool{}}
+		p := liveness.NewPauseMonitor(clock.Wall{})
 		go p.Run(ctx)
-		house := func(addr string, run uint64) *House {
-			h := &House{Clock: clock.Wall{}, Pause: p, Run: run}
+		newHome := func(addr string, run uint64) *HomeTable {
+			h := &HomeTable{Clock: clock.Wall{}, Pauses: p, Incarnation: run}
 			h.Init()
-			go h.Start(ctx)
+			go h.Run(ctx)
 			d := link.NewDesk()
 			h.Serve(d)
 			l.mu.Lock()
-			l.desks[addr] = d
+			l.homes[addr] = d
 			l.mu.Unlock()
 			return h
 		}
-		h1, h2 := house("m1", 1), house("m2", 1)
-		both := func(b httpapi.Beat) {
-			for _, h := range []*House{h1, h2} {
-				if _, err := h.Take(ctx, b); err != nil {
+		h1, h2 := newHome("m1", 1), newHome("m2", 1)
+		beatBoth := func(b httpapi.Beat) {
+			for _, h := range []*HomeTable{h1, h2} {
+				if _, err := h.MergeBeat(ctx, b); err != nil {
 					t.Error(err)
 				}
 			}
 		}
-		r := &Roster{Line: l, Clock: clock.Wall{}, Pause: p, Zone: "z1", Every: time.Second, Controllers: func() []membership.Member {
+		r := &GatewayTable{Transport: l, Clock: clock.Wall{}, Pauses: p, Zone: "z1", ProbeInterval: time.Second, Controllers: func() []membership.Member {
 			return []membership.Member{{ID: "m1", Kind: "controller", Inner: "m1", Zone: "z1"}, {ID: "m2", Kind: "controller", Inner: "m2", Zone: "z2"}}
 		}}
 		r.Init()
-		r.Want([]string{"s"})
+		r.SetFollowed([]string{"s"})
 		go r.Run(ctx)
-		both(beat("1", 1, 1, false))
-		both(beat("2", 1, 1, false))
+		beatBoth(beat("1", 1, 1, false))
+		beatBoth(beat("2", 1, 1, false))
 		time.Sleep(time.Second)
-		if n := len(r.Of("s")); n != 2 {
+		if n := len(r.Targets("s")); n != 2 {
 			t.Fatalf("%d targets known", n)
 		}
-		look := func(when string) {
+		checkTwo := func(when string) {
 			t.Helper()
-			if n := len(r.Of("s")); n != 2 {
+			if n := len(r.Targets("s")); n != 2 {
 				t.Errorf("%s: %d targets known, want 2", when, n)
 			}
 		}
-		// The near home is lost; leaving is still heard of through the other.
-		l.set("m1", true)
-		both(beat("1", 2, 1, true))
+		// The home in the own zone is lost; the leaving flag still arrives through the other.
+		l.setUnreachable("m1", true)
+		beatBoth(beat("1", 2, 1, true))
 		for range 20 {
 			time.Sleep(100 * time.Millisecond)
-			look("near home lost")
+			checkTwo("home in the own zone lost")
 		}
-		find := func(id string) *Stand {
-			for _, s := range r.Of("s") {
+		find := func(id string) *Target {
+			for _, s := range r.Targets("s") {
 				if s.ID == id {
 					return s
 				}
@@ -110,45 +110,46 @@
 			return nil
 		}
 		if !find("1").Leaving.Load() || find("2").Leaving.Load() {
-			t.Error("leaving was not heard through the other home")
+			t.Error("the leaving flag did not arrive through the other home")
 		}
-		// The near home comes back empty and knows only an old beat: no step back.
-		house("m1", 2)
-		l.set("m1", false)
-		l.set("m2", true)
+		// The home in the own zone restarts empty and knows only an old beat: old state does not
+		// come back.
+		newHome("m1", 2)
+		l.setUnreachable("m1", false)
+		l.setUnreachable("m2", true)
 		for range 20 {
 			time.Sleep(100 * time.Millisecond)
-			look("home back and empty")
+			checkTwo("home restarted empty")
 		}
-		if err := r.Learn(ctx, "s", []Entry{{Beat: beat("1", 1, 1, false)}}); err != nil {
+		if err := r.MergeEntries(ctx, "s", []Entry{{Beat: beat("1", 1, 1, false)}}); err != nil {
 			t.Fatal(err)
 		}
 		if !find("1").Leaving.Load() {
-			t.Error("an old beat took back a leaving")
+			t.Error("an old beat reset the leaving flag")
 		}
-		// A later run is another target, and not leaving.
+		// A later run is another target and is not leaving.
 		old := find("1")
-		if err := r.Learn(ctx, "s", []Entry{{Beat: beat("1", 1, 2, false)}}); err != nil {
+		if err := r.MergeEntries(ctx, "s", []Entry{{Beat: beat("1", 1, 2, false)}}); err != nil {
 			t.Fatal(err)
 		}
 		if n := find("1"); n == old || n.Leaving.Load() || n.Inc != 2 {
-			t.Error("the later run was taken for the one that left")
+			t.Error("the later run was taken for the one that is leaving")
 		}
-		if err := r.Learn(ctx, "s", []Entry{{Beat: beat("1", 9, 1, false)}}); err != nil {
+		if err := r.MergeEntries(ctx, "s", []Entry{{Beat: beat("1", 9, 1, false)}}); err != nil {
 			t.Fatal(err)
 		}
 		if find("1").Inc != 2 {
-			t.Error("a beat of the earlier run took the later one's place")
+			t.Error("a beat of the earlier run replaced the later run")
 		}
-		// Word of a leaving that came before the run was known binds it.
+		// A leave notification that arrives before the run is known applies to it.
 		if err := r.Drain(ctx, "s", "3", 5, false); err != nil {
 			t.Fatal(err)
 		}
-		if err := r.Learn(ctx, "s", []Entry{{Beat: beat("3", 1, 5, false)}, {Beat: beat("4", 1, 5, false)}}); err != nil {
+		if err := r.MergeEntries(ctx, "s", []Entry{{Beat: beat("3", 1, 5, false)}, {Beat: beat("4", 1, 5, false)}}); err != nil {
 			t.Fatal(err)
 		}
 		if !find("3").Leaving.Load() || find("4").Leaving.Load() {
-			t.Error("word that came early was lost")
+			t.Error("the early leave notification was lost")
 		}
 		end()
 		time.Sleep(5 * time.Second)
@@ -186,28 +187,28 @@
 func TestHouseMergesByLargestNumberOfTheLatestRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, end := context.WithCancel(t.Context())
-		p := liveness.NewPauses(clock.Wall{})
+		p := liveness.NewPauseMonitor(clock.Wall{})
 		go p.Run(ctx)
-		h := &House{Clock: clock.Wall{}, Pause: p, Run: 1}
+		h := &HomeTable{Clock: clock.Wall{}, Pauses: p, Incarnation: 1}
 		h.Init()
-		go h.Start(ctx)
+		go h.Run(ctx)
 		for _, b := range []httpapi.Beat{beat("1", 5, 2, false), beat("1", 4, 2, true), beat("1", 9, 1, true), beat("1", 5, 2, true)} {
-			if _, err := h.Take(ctx, b); err != nil {
+			if _, err := h.MergeBeat(ctx, b); err != nil {
 				t.Fatal(err)
 			}
 		}
-		all, err := h.All(ctx)
+		all, err := h.List(ctx)
 		if err != nil || len(all) != 1 || all[0].Beat.Seq != 5 || all[0].Beat.Inc != 2 || all[0].Beat.Leaving {
 			t.Errorf("%+v %v", all, err)
 		}
-		if _, err := h.Take(ctx, beat("1", 6, 2, true)); err != nil {
+		if _, err := h.MergeBeat(ctx, beat("1", 6, 2, true)); err != nil {
 			t.Fatal(err)
 		}
-		if _, err := h.Take(ctx, beat("1", 7, 2, false)); err != nil {
+		if _, err := h.MergeBeat(ctx, beat("1", 7, 2, false)); err != nil {
 			t.Fatal(err)
 		}
-		if all, _ = h.All(ctx); !all[0].Beat.Leaving {
-			t.Error("a run took its leaving back")
+		if all, _ = h.List(ctx); !all[0].Beat.Leaving {
+			t.Error("a run reset its leaving flag")
 		}
 		end()
 		time.Sleep(time.Second)
--- a/internal/registry/views.go
+++ b/internal/registry/views.go
@@ -11,38 +11,38 @@
 )
 
 const (
-	// SuspectAt is the suspicion from which a target counts as suspected, unless its
-	// service says otherwise to the gateways.
-	SuspectAt = 0.99
-	// Fresh is how old a proof of a target's identity may be when a request is
-	// written: addresses pass to another service after about 2 s.
-	Fresh = 1500 * time.Millisecond
-	// viewTime bounds the wait for the gateways' views.
-	viewTime = 300 * time.Millisecond
+	// SuspicionThreshold is the suspicion from which on a target counts as suspected, unless
+	// its service sets another threshold for the gateways.
+	SuspicionThreshold = 0.99
+	// MaxProofAge bounds the age of the proof of a target's identity when a request is
+	// written: an address may pass to another service after about 2 s.
+	MaxProofAge = 1500 * time.Millisecond
+	// viewTimeout bounds the wait for the gateways' views.
+	viewTimeout = 300 * time.Millisecond
 )
 
-// Watched is how the gateways that answered see one target run.
-type Watched struct {
-	Gateways int // that probe it
-	Trusting int // that it answers, unsuspected
+// GatewayViews sums up how the gateways that answered see one target run.
+type GatewayViews struct {
+	Gateways int // gateways that probe it
+	Trusting int // gateways for which it answers and is not suspected
 }
 
-// Vouched tells whether at least half of the gateways that probe a target trust it.
-func (w Watched) Vouched() bool { return w.Gateways > 0 && 2*w.Trusting >= w.Gateways }
+// TrustedByHalf reports whether at least half of the gateways that probe a target trust it.
+func (w GatewayViews) TrustedByHalf() bool { return w.Gateways > 0 && 2*w.Trusting >= w.Gateways }
 
-// Views gathers how the gateways among ms see the targets (design 10.7).
-func Views(ctx context.Context, l link.Line, ms []membership.Member) map[ledger.Target]Watched {
+// CollectViews asks the gateways among ms for their views of the targets (design 10.7).
+func CollectViews(ctx context.Context, l link.Line, ms []membership.Member) map[ledger.Target]GatewayViews {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
-	out := map[ledger.Target]Watched{}
-	cx, end := context.WithTimeout(ctx, viewTime)
-	defer end()
+	out := map[ledger.Target]GatewayViews{}
+	askCtx, cancel := context.WithTimeout(ctx, viewTimeout)
+	defer cancel()
 	for _, m := range ms {
 		if m.Kind != "gateway" {
 			continue
 		}
 		wg.Go(func() {
-			r, err := link.Ask[ViewTold](cx, l, m.Inner, ViewAsk{})
+			r, err := link.Ask[ViewTold](askCtx, l, m.Inner, ViewAsk{})
 			if err != nil {
 				return
 			}
@@ -51,7 +51,7 @@
 			for _, v := range r.Views {
 				t := ledger.Target{ID: v.ID, Service: v.Service, Inc: v.Inc}
 				x := out[t]
-				if x.Gateways++; v.Proved && v.W < SuspectAt {
+				if x.Gateways++; v.Proved && v.W < SuspicionThreshold {
 					x.Trusting++
 				}
 				out[t] = x
@@ -62,13 +62,13 @@
 	return out
 }
 
-// Views tells how this gateway sees the targets that it probes.
-func (r *Roster) Views() (out []View) {
-	now := r.Clock.Now()
-	for _, ss := range r.All() {
+// Views returns this gateway's view of the targets that it probes.
+func (g *GatewayTable) Views() (out []View) {
+	now := g.Clock.Now()
+	for _, ss := range g.All() {
 		for _, s := range ss {
-			if s.Near() {
-				out = append(out, View{s.Service, s.ID, s.Inc, s.Det.Suspicion(now), r.Age(s, now) < Fresh})
+			if s.InSubset() {
+				out = append(out, View{s.Service, s.ID, s.Inc, s.Detector.Suspicion(now), g.ProofAge(s, now) < MaxProofAge})
 			}
 		}
 	}
--- a/internal/rollout/rack.go
+++ b/internal/rollout/rack.go
@@ -46,7 +46,7 @@
 
 // Rack holds a gateway's sheets: the one in force, and those staged.
 type Rack struct {
-	Tenant *membership.Tenant
+	Tenant *membership.LeaseClient
 	Line   link.Line
 	Clock  clock.Clock
 	ID     string
@@ -185,7 +185,7 @@
 // Serve teaches d to answer for this rack.
 func (k *Rack) Serve(d *link.Desk) {
 	link.On(d, func(ctx context.Context, _ link.Who, a StageAsk) (r GatewayTold, err error) {
-		return owner.Get(ctx, k.own, func() (r GatewayTold) {
+		return owner.Call(ctx, k.own, func() (r GatewayTold) {
 			if a.N > k.N() && k.staged[a.N] == nil && len(k.staged) < 64 {
 				k.staged[a.N] = spec.NewTable(a.N, a.Sheet)
 			}
@@ -194,7 +194,7 @@
 		})
 	})
 	link.On(d, func(ctx context.Context, _ link.Who, a HoldAsk) (r GatewayTold, err error) {
-		return owner.Get(ctx, k.own, func() (r GatewayTold) {
+		return owner.Call(ctx, k.own, func() (r GatewayTold) {
 			// A run that began after the staging holds too, and fetches the sheet with
 			// its confirmation.
 			if a.N > k.N() && k.held[a.By] < a.N {
@@ -208,7 +208,7 @@
 		})
 	})
 	link.On(d, func(ctx context.Context, _ link.Who, a FreeAsk) (r GatewayTold, err error) {
-		return owner.Get(ctx, k.own, func() (r GatewayTold) {
+		return owner.Call(ctx, k.own, func() (r GatewayTold) {
 			if k.held[a.By] == a.N && a.N > k.N() {
 				delete(k.held, a.By)
 				k.set(func(s *state) { s.open = !s.since.IsZero() })
@@ -217,7 +217,7 @@
 		})
 	})
 	link.On(d, func(ctx context.Context, _ link.Who, a FlipAsk) (r GatewayTold, err error) {
-		return owner.Get(ctx, k.own, func() (r GatewayTold) {
+		return owner.Call(ctx, k.own, func() (r GatewayTold) {
 			if t := k.staged[a.N]; a.N > k.N() && t != nil {
 				k.confirmed, k.shut = true, a.N
 				k.set(func(s *state) { s.table, s.loose = t, time.Time{} })
@@ -234,14 +234,14 @@
 		})
 	})
 	link.On(d, func(ctx context.Context, _ link.Who, a CountAsk) (r GatewayTold, err error) {
-		return owner.Get(ctx, k.own, func() (r GatewayTold) {
+		return owner.Call(ctx, k.own, func() (r GatewayTold) {
 			k.count(a.Round, a.Gateways, a.Sure)
 			return GatewayTold{OK: k.round == a.Round && slices.Equal(k.gateways, a.Gateways), N: k.N()}
 		})
 	})
 	link.On(d, func(ctx context.Context, _ link.Who, a LastAsk) (r LastTold, err error) {
-		return owner.Get(ctx, k.own, func() (r LastTold) {
-			r = LastTold{ID: k.ID, Held: k.Tenant.Held(), Fresh: k.Tenant.Calm() && k.Tenant.Left() > membership.Doubt, Confirmed: k.confirmed, Shut: k.isShut(k.N()), N: k.N(), Round: k.round, Gateways: k.gateways}
+		return owner.Call(ctx, k.own, func() (r LastTold) {
+			r = LastTold{ID: k.ID, Held: k.Tenant.Held(), Fresh: k.Tenant.TablesKnown() && k.Tenant.Remaining() > membership.OverdueThreshold, Confirmed: k.confirmed, Shut: k.isShut(k.N()), N: k.N(), Round: k.round, Gateways: k.gateways}
 			if s := k.cur.Load().table.Sheet; r.Confirmed && a.Have != r.N {
 				r.Sheet = &s
 			}
@@ -341,7 +341,7 @@
 	good := 0
 	for ctx.Err() == nil {
 		switch {
-		case k.Tenant.Left() > membership.Doubt:
+		case k.Tenant.Remaining() > membership.OverdueThreshold:
 			good = 0
 			k.lone.Store(false)
 		case k.look(ctx, good+1 >= looseRounds && !k.Tenant.Held()):
@@ -360,15 +360,15 @@
 // interval of each other; when it comes back, some have a lease a moment before others.
 // Only own calls it.
 func (k *Rack) behind(fresh bool) bool {
-	left, now := k.Tenant.Left(), k.Clock.Now()
-	if !fresh || left >= membership.Doubt-membership.Renew-lookTime {
+	left, now := k.Tenant.Remaining(), k.Clock.Now()
+	if !fresh || left >= membership.OverdueThreshold-membership.RenewInterval-lookTime {
 		k.late = time.Time{}
 		return false
 	}
 	if k.late.IsZero() {
 		k.late = now
 	}
-	return left > 0 || now.Sub(k.late) > 4*membership.Renew
+	return left > 0 || now.Sub(k.late) > 4*membership.RenewInterval
 }
 
 // look asks all mates once; allow lets a good look open the gate for a while. It
@@ -400,7 +400,7 @@
 			silent++
 		}
 	}
-	good, _ = owner.Get(ctx, k.own, func() (good bool) {
+	good, _ = owner.Call(ctx, k.own, func() (good bool) {
 		var best *LastTold
 		ids := map[string]bool{}
 		held, fresh := false, false
--- a/internal/rollout/roller.go
+++ b/internal/rollout/roller.go
@@ -34,7 +34,7 @@
 // at once do no harm: every step is safe to repeat (design 8.2).
 type Roller struct {
 	Book   *ledger.Book
-	Tenant *membership.Tenant
+	Tenant *membership.LeaseClient
 	Line   link.Line
 	Clock  clock.Clock
 	Faults *fault.Set
@@ -101,19 +101,19 @@
 	if f.N == 0 {
 		return 0, nil
 	}
-	r.Faults.At(fault.AfterDecided)
+	r.Faults.Hit(fault.AfterDecided)
 	now := was
 	if was.N < f.N {
 		ids, err := r.held(ctx, f, was)
 		if err != nil {
 			return 0, err
 		}
-		r.Faults.At(fault.AfterHeld)
+		r.Faults.Hit(fault.AfterHeld)
 		slices.Sort(ids)
 		if now, err = r.Book.SetFlipped(ctx, f.N, ids); err != nil {
 			return 0, err
 		}
-		r.Faults.At(fault.AfterFlipped)
+		r.Faults.Hit(fault.AfterFlipped)
 	}
 	if now.Open < f.N {
 		// Gateways that are cut off with more than half of those that count may serve on
@@ -123,7 +123,7 @@
 		if _, err := r.most(ctx, "flip", now, FlipAsk{f.N, false, now.Round, now.Gateways}, now.More); err != nil {
 			return 0, err
 		}
-		r.Faults.At(fault.AfterTold)
+		r.Faults.Hit(fault.AfterFlipNotified)
 	}
 	// Told again even where it was found open: who opened it may not have come so
 	// far.
@@ -133,7 +133,7 @@
 	if err = errors.Join(err, <-note); err != nil {
 		return 0, err
 	}
-	r.Faults.At(fault.BeforeAck)
+	r.Faults.Hit(fault.BeforeAck)
 	return f.N, nil
 }
 
@@ -147,7 +147,7 @@
 		if _, err := r.most(ctx, "stage", was, StageAsk{f.N, f.Sheet}, nil); err != nil {
 			return nil, err
 		}
-		r.Faults.At(fault.AfterStaged)
+		r.Faults.Hit(fault.AfterStaged)
 		// A hold of its own each time: only who holds lets go, so that none of two
 		// roll-outs undoes the other's.
 		a := HoldAsk{N: f.N, By: fmt.Sprintf("%s-%d", r.Book.Controller, r.holds.Add(1))}
@@ -158,7 +158,7 @@
 			return ids, nil
 		}
 		go func() {
-			cx, end := context.WithTimeout(context.WithoutCancel(ctx), membership.Lease)
+			cx, end := context.WithTimeout(context.WithoutCancel(ctx), membership.LeaseDuration)
 			defer end()
 			_, _ = r.all(cx, "let go on", FreeAsk(a), nil)
 		}()
@@ -187,7 +187,7 @@
 // wanted lists the gateways that are to count: those that do, less those that have
 // long had no lease, and those that have one.
 func (r *Roller) wanted(ctx context.Context, was []string) ([]string, error) {
-	ms, err := r.Tenant.Table(ctx)
+	ms, err := r.Tenant.ReadTable(ctx)
 	if err != nil {
 		return nil, err
 	}
@@ -206,7 +206,7 @@
 func (r *Roller) note(count []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	here := lo.SliceToMap(r.Tenant.Kind("gateway"), func(m membership.Member) (string, bool) { return m.ID, true })
+	here := lo.SliceToMap(r.Tenant.MembersOfKind("gateway"), func(m membership.Member) (string, bool) { return m.ID, true })
 	old := r.absent
 	r.absent = map[string]time.Time{}
 	for _, id := range count {
@@ -279,7 +279,7 @@
 // lease has lapsed, or those that agreed are enough, where enough is given. It names
 // them. A gateway that takes a lease meanwhile is asked too, though a confirmation would
 // have told it.
-func Everyone(ctx context.Context, t *membership.Tenant, c clock.Clock, enough func([]string) bool, f func(context.Context, membership.Member) bool) ([]string, error) {
+func Everyone(ctx context.Context, t *membership.LeaseClient, c clock.Clock, enough func([]string) bool, f func(context.Context, membership.Member) bool) ([]string, error) {
 	type run struct {
 		id  string
 		inc uint64
@@ -290,7 +290,7 @@
 		return lo.Uniq(lo.Map(lo.Keys(ok), func(k run, _ int) string { return k.id }))
 	}
 	for {
-		ms, err := t.Table(ctx)
+		ms, err := t.ReadTable(ctx)
 		if err != nil {
 			// Those that are known can be told meanwhile; who is missing is not known.
 			ms = t.Members()
@@ -379,16 +379,16 @@
 	})
 	link.On(d, func(context.Context, link.Who, LastAsk) (LastTold, error) {
 		// A controller's own memory of what is in force may be old; only its lease counts.
-		return LastTold{Held: r.Tenant.Calm(), Fresh: r.Tenant.Calm() && r.Tenant.Left() > membership.Doubt}, nil
+		return LastTold{Held: r.Tenant.TablesKnown(), Fresh: r.Tenant.TablesKnown() && r.Tenant.Remaining() > membership.OverdueThreshold}, nil
 	})
 }
 
 // Watch finishes what another controller left undone, until ctx ends: the duty "roll"
 // says which controller looks (design 8.2).
 func (r *Roller) Watch(ctx context.Context) {
-	r.Tenant.Seek("roll")
+	r.Tenant.RequestDuty("roll")
 	for r.Clock.Sleep(ctx, 400*time.Millisecond) == nil {
-		if !r.Tenant.Holds("roll") {
+		if !r.Tenant.HoldsDuty("roll") {
 			continue
 		}
 		cx, end := context.WithTimeout(ctx, 4*time.Second)
--- a/internal/sim/flip_test.go
+++ b/internal/sim/flip_test.go
@@ -13,7 +13,7 @@
 // into force when the core is back.
 func TestCoreLostInRollOut(t *testing.T) {
 	t.Parallel()
-	for _, n := range []int{fault.AfterDecided, fault.AfterStaged, fault.AfterHeld, fault.AfterFlipped, fault.AfterTold, fault.BeforeAck} {
+	for _, n := range []int{fault.AfterDecided, fault.AfterStaged, fault.AfterHeld, fault.AfterFlipped, fault.AfterFlipNotified, fault.BeforeAck} {
 		for _, how := range []string{"kill", "cut"} {
 			t.Run(fmt.Sprintf("%d-%s", n, how), func(t *testing.T) {
 				t.Parallel()
--- a/internal/sim/points_test.go
+++ b/internal/sim/points_test.go
@@ -18,7 +18,7 @@
 // numbered point, with calls, changes and a leaving target under way.
 func TestPoints(t *testing.T) {
 	t.Parallel()
-	for n := 1; n <= fault.Points; n++ {
+	for n := 1; n <= fault.NumPoints; n++ {
 		for _, how := range []string{"kill", "freeze"} {
 			t.Run(fmt.Sprintf("%d-%s", n, how), func(t *testing.T) {
 				t.Parallel()
--- a/internal/sim/suspect_test.go
+++ b/internal/sim/suspect_test.go
@@ -42,7 +42,7 @@
 // warden is the controller that holds the duty.
 func (w *World) warden() *Node {
 	for _, n := range w.Of("controller") {
-		if m := n.Controller(); m != nil && m.Tenant.Holds(commands.Duty) {
+		if m := n.Controller(); m != nil && m.Tenant.HoldsDuty(commands.Duty) {
 			return n
 		}
 	}
@@ -176,7 +176,7 @@
 			t.Errorf("lost for good, and let go %d times", n)
 		}
 		for _, n := range w.Of("gateway") {
-			for _, s := range append(n.Gateway().Roster.Of("orders"), n.Gateway().Roster.Of("records")...) {
+			for _, s := range append(n.Gateway().Roster.Targets("orders"), n.Gateway().Roster.Targets("records")...) {
 				if s.ID == lost.ID {
 					t.Errorf("%s still knows %s", n.ID, s.ID)
 				}
--- a/internal/sim/world.go
+++ b/internal/sim/world.go
@@ -373,7 +373,7 @@
 		m.Stop()
 		time.Sleep(linger / 2)
 		cx, end := context.WithTimeout(up, 150*time.Millisecond)
-		m.Tenant.Leave(cx)
+		m.Tenant.Release(cx)
 		end()
 	}
 	n.awake()
--- a/internal/target/watch.go
+++ b/internal/target/watch.go
@@ -26,7 +26,7 @@
 // clears it for all. It is guarded by the owner of the table.
 type Watch struct {
 	Every time.Duration // between a run's beats
-	Pause *liveness.Pauses
+	Pause *liveness.PauseMonitor
 
 	det    map[string]*watched
 	paused time.Duration // own pauses at the last look
@@ -49,7 +49,7 @@
 	case d == nil && len(w.det) >= MaxRuns:
 		return
 	case d == nil:
-		d = &watched{Detector: liveness.New(liveness.Defaults(w.Every), w.Pause, now)}
+		d = &watched{Detector: liveness.NewDetector(liveness.DefaultOptions(w.Every), w.Pause, now)}
 		w.det[id] = d
 	case moved:
 		d.Restart(now)
@@ -57,7 +57,7 @@
 	if moved {
 		d.until = now.Add(settle * w.Every)
 	}
-	d.Arrive(seq, now)
+	d.RecordArrival(seq, now)
 }
 
 // Judge marks the runs that have been silent for too long, with a fresh suspicion for
@@ -68,7 +68,7 @@
 		run Run
 		w   float64
 	}
-	if p := w.Pause.At(now); p > w.paused {
+	if p := w.Pause.TotalAt(now); p > w.paused {
 		w.paused, w.until = p, now.Add(calm)
 	}
 	var out []doubt
--- a/internal/target/watch_test.go
+++ b/internal/target/watch_test.go
@@ -40,7 +40,7 @@
 
 func TestSilenceIsSuspectedUpToHalf(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := liveness.NewPausesEvery(clock.Wall{}, 200*time.Millisecond)
+		p := liveness.NewPauseMonitorEvery(clock.Wall{}, 200*time.Millisecond)
 		go p.Run(t.Context())
 		tb, w := NewTable(), &Watch{Every: time.Second, Pause: p}
 		var seq uint64
@@ -66,7 +66,7 @@
 // Where another node heard the run since, its silence here shows nothing.
 func TestOnlyTheNodeThatHearsARunJudgesIt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := liveness.NewPausesEvery(clock.Wall{}, 200*time.Millisecond)
+		p := liveness.NewPauseMonitorEvery(clock.Wall{}, 200*time.Millisecond)
 		go p.Run(t.Context())
 		tb, w := NewTable(), &Watch{Every: time.Second, Pause: p}
 		var seq uint64
@@ -85,7 +85,7 @@
 // look like silence may be this node's own doing.
 func TestNobodyIsJudgedRightAfterAPauseOrAMove(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := liveness.NewPausesEvery(clock.Wall{}, 200*time.Millisecond)
+		p := liveness.NewPauseMonitorEvery(clock.Wall{}, 200*time.Millisecond)
 		run := func() context.CancelFunc {
 			ctx, end := context.WithCancel(t.Context())
 			go p.Run(ctx)
