--- a/cmd/gateway/main.go
+++ b/cmd/gateway/main.go
@@ -37,14 +37,14 @@
 		return err
 	}
 	line := link.NewTCP(link.Who{ID: s.ID, Kind: "gateway"}, s.Bind, lg)
-	courier := passage.NewHTTP(s.Bind)
+	courier := passage.NewHTTPTransport(s.Bind)
 	count := metrics.New("gateway")
 	f := gateway.New(gateway.Parts{Startup: s, Inc: shell.Incarnation(), Line: line, Clock: clock.Wall{}, Courier: courier, Log: lg, Count: count.Add})
 	go line.Serve(inner, f.Desk)
 	life, end := context.WithCancel(context.Background())
 	fin := make(chan struct{})
 	go func() { f.Run(life); close(fin) }()
-	go clock.Every(life, clock.Wall{}, time.Second, courier.Sweep)
+	go clock.Every(life, clock.Wall{}, time.Second, courier.CloseIdle)
 	app := f.Door(count.Handler())
 	served := shell.Serve(app, door)
 	lg.Info("started", "inner", s.Inner, "door", s.Door, "version", startup.Version)
@@ -55,7 +55,7 @@
 		// the platform notices, then finishing all that is inside.
 		from := time.Now()
 		f.Stop()
-		lg.Info("stopping", "step", "stop", "inside", f.Passage.Flying())
+		lg.Info("stopping", "step", "stop", "inside", f.Passage.InFlight())
 		time.Sleep(shell.Linger)
 		err = app.ShutdownWithTimeout(shell.Whole - time.Since(from) - 200*time.Millisecond)
 		if err == nil {
--- a/internal/claim/circle.go
+++ b/internal/claim/circle.go
@@ -15,29 +15,29 @@
 )
 
 const (
-	// tellTime bounds the wait for what the others know of a key.
-	tellTime = 100 * time.Millisecond
-	// flushEvery is how often ends of claims are passed on, and those that no disk
-	// has are handed to the controllers.
-	flushEvery = 200 * time.Millisecond
-	// heirAfter is how long after the core's return those claims whose own node has
-	// not brought them to the disks are brought there by the others: controllers first, for
-	// they are few and gateways may have been killed together, then whoever is left.
-	heirAfter = 300 * time.Millisecond
-	lastAfter = 1500 * time.Millisecond
-	// maxMarks bounds what a node remembers, maxBatch what it passes on at once.
+	// broadcastTimeout bounds the wait for the other nodes' answers on a key.
+	broadcastTimeout = 100 * time.Millisecond
+	// flushInterval is the interval at which the ends of claims are broadcast, and claims
+	// that are on no disk are uploaded to the controllers.
+	flushInterval = 200 * time.Millisecond
+	// Claims whose own node has not uploaded them after the core's return are uploaded by
+	// other nodes: by controllers after controllerUploadDelay, since they are few and many
+	// gateways may have been killed at once, and by gateways after gatewayUploadDelay.
+	controllerUploadDelay = 300 * time.Millisecond
+	gatewayUploadDelay    = 1500 * time.Millisecond
+	// maxMarks bounds the claims a node remembers, maxBatch those sent in one message.
 	maxMarks = 100000
 	maxBatch = 500
-	// rounds is how many rounds of questions are under way at once.
-	rounds = 4
-	// uploads is how many claims are brought to the disks side by side.
-	uploads = 32
-	// maxUploads is how often that is tried against a claim of another call.
-	maxUploads = 25
+	// roundWorkers is the number of concurrent broadcast rounds.
+	roundWorkers = 4
+	// uploadWorkers is the number of concurrent uploads of claims.
+	uploadWorkers = 32
+	// maxUploadAttempts bounds the attempts to upload against a claim of another call.
+	maxUploadAttempts = 25
 )
 
-// Mark is what the nodes tell each other of one claim. Backed says that the disks
-// have the say over it; without that, only the nodes' memories hold it.
+// Mark is the state of one claim as exchanged between nodes. Backed means that the disks
+// decide on it; otherwise only the nodes' memories hold it.
 type Mark struct {
 	Key    string
 	Call   string
@@ -45,14 +45,14 @@
 	State  string
 	Status int
 	Backed bool
-	By     string // node of the call
+	By     string // node that handles the call
 }
 
 type (
-	// MarkAsk passes marks on.
+	// MarkAsk sends marks to another node.
 	MarkAsk struct{ Marks []Mark }
-	// MarkTold answers with the marks of other calls that stand under the same
-	// keys. Counts says that ID is a gateway confirmed in its present run.
+	// MarkTold returns the conflicting marks: those of other calls under the same keys.
+	// Counts means that ID is a voting gateway confirmed in its present run.
 	MarkTold struct {
 		ID     string
 		Counts bool
@@ -62,68 +62,68 @@
 
 func init() { link.Pair[MarkAsk, MarkTold]() }
 
-// Keeper keeps claims at a majority of the disks.
-type Keeper interface {
+// Store keeps claims on a majority of the disks.
+type Store interface {
 	Take(ctx context.Context, a TakeAsk) (TakeTold, error)
 	End(ctx context.Context, a EndAsk) error
 }
 
-// mark is a remembered claim.
-type mark struct {
+// entry is a remembered claim.
+type entry struct {
 	Mark
-	at    time.Time
-	tried bool // the disks may have been asked for it
-	fails int
+	addedAt    time.Time
+	storeAsked bool // the store may have been asked for it
+	uploads    int
 }
 
-// Circle is the nodes' common memory of claims: every claim is told to all. While
-// the core is there, the disks decide; while it is away, more than half of the
-// gateways that count do, and what they decided is brought to the disks when the core
-// is back (design 17.2).
-type Circle struct {
-	Me    string
-	Line  link.Line
+// Coordinator shares claims between the nodes: every claim is broadcast to all. While the
+// core is reachable, the disks decide on a claim. While it is not, more than half of the
+// voting gateways decide, and their decisions are uploaded to the disks when the core is
+// back (design 17.2).
+type Coordinator struct {
+	Self  string
+	Link  link.Line
 	Clock clock.Clock
-	Keep  Keeper
+	Store Store
 	Log   *log.Logger
-	// Members lists the inner addresses of the others with a lease, Mates those of
-	// all others known.
-	Members, Mates func() []string
-	// Held: this node has a lease. Alone: it serves without the core.
-	Held, Alone func() bool
-	// Gateways lists the gateways that count; counts says that this node is a gateway that
-	// was confirmed in its present run.
-	Gateways func() (ids []string, counts bool)
+	// LeasedPeers lists the inner addresses of the other nodes that hold a lease, Peers
+	// those of all other known nodes.
+	LeasedPeers, Peers func() []string
+	// HasLease: this node holds a lease. CoreLost: it serves without the core.
+	HasLease, CoreLost func() bool
+	// Voters lists the voting gateways; counts reports whether this node is a gateway
+	// that was confirmed in its present run.
+	Voters func() (ids []string, counts bool)
 
-	own  *owner.Owner
-	asks chan *query
-	// Owned by own.
-	marks map[string]*mark
-	order []string // keys by age
-	out   []Mark   // to be passed on
-	since time.Time
+	owner   *owner.Owner
+	pending chan *pendingMark
+	// Accessed only by owner.
+	marks      map[string]*entry
+	keysByAge  []string // oldest first
+	outgoing   []Mark   // to be broadcast
+	leaseSince time.Time
 }
 
-// Init makes the circle ready.
-func (c *Circle) Init() {
-	c.own = owner.New(256)
-	c.marks, c.asks = map[string]*mark{}, make(chan *query, maxBatch)
+// Init initializes the coordinator.
+func (c *Coordinator) Init() {
+	c.owner = owner.New(256)
+	c.marks, c.pending = map[string]*entry{}, make(chan *pendingMark, maxBatch)
 }
 
-// Serve teaches d to answer for this node's memory.
-func (c *Circle) Serve(d *link.Desk) {
+// Serve registers the handler for MarkAsk.
+func (c *Coordinator) Serve(d *link.Desk) {
 	link.On(d, func(ctx context.Context, _ link.Who, a MarkAsk) (r MarkTold, err error) {
 		if len(a.Marks) > 2*maxBatch {
-			return r, steperr.New("mark", "", "%d marks at once", len(a.Marks))
+			return r, steperr.New("mark", "", "message carries too many marks: %d", len(a.Marks))
 		}
-		_, counts := c.Gateways()
-		return owner.Get(ctx, c.own, func() MarkTold { return c.hear(a.Marks, counts) })
+		_, counts := c.Voters()
+		return owner.Get(ctx, c.owner, func() MarkTold { return c.merge(a.Marks, counts) })
 	})
 }
 
-// hear takes marks in and answers as others do; only own calls it.
-func (c *Circle) hear(ms []Mark, counts bool) MarkTold {
-	r := MarkTold{ID: c.Me, Counts: counts}
+// merge applies marks and returns the conflicting ones; only owner calls it.
+func (c *Coordinator) merge(ms []Mark, selfVotes bool) MarkTold {
+	r := MarkTold{ID: c.Self, Counts: selfVotes}
 	for _, m := range ms {
 		if o, ok := c.apply(m); ok {
 			r.Others = append(r.Others, o)
@@ -132,47 +132,47 @@
 	return r
 }
 
-// Run passes on and hands over until ctx ends.
-func (c *Circle) Run(ctx context.Context) {
-	go c.own.Run(ctx)
-	for range rounds {
-		go c.round(ctx)
+// Run broadcasts and uploads claims until ctx ends.
+func (c *Coordinator) Run(ctx context.Context) {
+	go c.owner.Run(ctx)
+	for range roundWorkers {
+		go c.runRounds(ctx)
 	}
-	clock.Every(ctx, c.Clock, flushEvery, func() {
+	clock.Every(ctx, c.Clock, flushInterval, func() {
 		c.flush(ctx)
 		c.upload(ctx)
 	})
 }
 
-// apply takes a mark in; ok says that another call's stands in its way.
-func (c *Circle) apply(m Mark) (other Mark, ok bool) {
+// apply applies a mark; ok reports that a claim of another call conflicts with it.
+func (c *Coordinator) apply(m Mark) (other Mark, ok bool) {
 	now := c.Clock.Now()
-	for len(c.order) > 0 {
-		k := c.order[0]
-		if e := c.marks[k]; e != nil && now.Sub(e.at) < Span && len(c.marks) < maxMarks {
+	for len(c.keysByAge) > 0 {
+		k := c.keysByAge[0]
+		if e := c.marks[k]; e != nil && now.Sub(e.addedAt) < BucketSpan && len(c.marks) < maxMarks {
 			break
 		}
 		delete(c.marks, k)
-		c.order = c.order[1:]
+		c.keysByAge = c.keysByAge[1:]
 	}
 	e := c.marks[m.Key]
 	switch {
 	case e == nil:
 		if m.State != Free {
-			c.marks[m.Key] = &mark{Mark: m, at: now}
-			c.order = append(c.order, m.Key)
+			c.marks[m.Key] = &entry{Mark: m, addedAt: now}
+			c.keysByAge = append(c.keysByAge, m.Key)
 		}
 	case e.Call == m.Call:
 		if e.State == Taken {
 			e.State, e.Status = m.State, m.Status
 		}
-		// Who asks the disks in vain asks the others next.
+		// A call that asks the disks without success asks the other nodes next.
 		if m.Backed || m.State == Taken {
 			e.Backed = m.Backed
 		}
 	case e.State == Free:
 		if m.State != Free {
-			*e = mark{Mark: m, at: e.at}
+			*e = entry{Mark: m, addedAt: e.addedAt}
 		}
 	case m.State == Free:
 	default:
@@ -181,93 +181,93 @@
 	return other, false
 }
 
-// query is a mark that waits for the others' word.
-type query struct {
-	m     Mark
-	alone bool
-	back  chan heard
+// pendingMark is a mark waiting for the other nodes' answers.
+type pendingMark struct {
+	mark     Mark
+	coreLost bool
+	reply    chan peerReply
 }
 
-// ask has the others told of a mark and hands on their word. What comes while
-// other rounds are under way goes out together.
-func (c *Circle) ask(ctx context.Context, m Mark, alone bool) (h heard) {
-	q := &query{m, alone, make(chan heard, 1)}
+// consult broadcasts a mark and returns the other nodes' answers. Marks that arrive while
+// other rounds are under way are sent together.
+func (c *Coordinator) consult(ctx context.Context, m Mark, coreLost bool) (reply peerReply) {
+	pending := &pendingMark{m, coreLost, make(chan peerReply, 1)}
 	select {
-	case c.asks <- q:
+	case c.pending <- pending:
 	case <-ctx.Done():
-		return h
+		return reply
 	}
 	select {
-	case h = <-q.back:
+	case reply = <-pending.reply:
 	case <-ctx.Done():
 	}
-	return h
+	return reply
 }
 
-// round asks for whatever is queued, until ctx ends.
-func (c *Circle) round(ctx context.Context) {
+// runRounds broadcasts queued marks until ctx ends.
+func (c *Coordinator) runRounds(ctx context.Context) {
 	for {
-		var qs []*query
+		var batch []*pendingMark
 		select {
 		case <-ctx.Done():
 			return
-		case q := <-c.asks:
-			qs = append(qs, q)
+		case q := <-c.pending:
+			batch = append(batch, q)
 		}
 	fill:
-		for len(qs) < maxBatch {
+		for len(batch) < maxBatch {
 			select {
-			case q := <-c.asks:
-				qs = append(qs, q)
+			case q := <-c.pending:
+				batch = append(batch, q)
 			default:
 				break fill
 			}
 		}
-		addrs := c.Members()
-		if lo.SomeBy(qs, func(q *query) bool { return q.alone }) {
-			addrs = lo.Union(addrs, c.Mates())
+		addrs := c.LeasedPeers()
+		if lo.SomeBy(batch, func(q *pendingMark) bool { return q.coreLost }) {
+			addrs = lo.Union(addrs, c.Peers())
 		}
-		most, others := c.tell(ctx, addrs, lo.Map(qs, func(q *query, _ int) Mark { return q.m }))
-		by := lo.GroupBy(others, func(m Mark) string { return m.Key })
-		for _, q := range qs {
-			h := heard{most: most}
-			for _, o := range by[q.m.Key] {
-				if o.Call == q.m.Call {
+		majority, others := c.broadcast(ctx, addrs, lo.Map(batch, func(q *pendingMark, _ int) Mark { return q.mark }))
+		othersByKey := lo.GroupBy(others, func(m Mark) string { return m.Key })
+		for _, q := range batch {
+			h := peerReply{majority: majority}
+			for _, o := range othersByKey[q.mark.Key] {
+				if o.Call == q.mark.Call {
 					continue
 				}
-				h.any = &o
+				h.conflict = &o
 				if !o.Backed {
-					h.loose = &o
+					h.unbacked = &o
 				}
 			}
-			q.back <- h
+			q.reply <- h
 		}
 	}
 }
 
-// heard is what the others said of a mark.
-type heard struct {
-	loose *Mark // another call's, which the disks do not have
-	any   *Mark // another call's
-	most  bool  // more than half of the gateways that count have answered
+// peerReply summarizes the other nodes' answers on a mark.
+type peerReply struct {
+	unbacked *Mark // of another call, not on the disks
+	conflict *Mark // of another call
+	majority bool  // more than half of the voting gateways have answered
 }
 
-// tell passes marks on to addrs and to this node's own memory, and waits for their
-// word: whether more than half of the gateways that count gave it, and what stands in
-// the way.
-func (c *Circle) tell(ctx context.Context, addrs []string, ms []Mark) (most bool, others []Mark) {
-	gateways, counts := c.Gateways()
-	cx, end := context.WithTimeout(ctx, tellTime)
+// broadcast sends marks to addrs, applies them to this node's own memory and waits for the
+// answers. It returns whether more than half of the voting gateways answered, and the
+// conflicting marks.
+func (c *Coordinator) broadcast(ctx context.Context, addrs []string, ms []Mark) (majority bool, others []Mark) {
+	voters, selfVotes := c.Voters()
+	cx, end := context.WithTimeout(ctx, broadcastTimeout)
 	defer end()
 	ch := make(chan MarkTold, len(addrs)+1)
 	for _, a := range addrs {
 		go func() {
-			r, _ := link.Ask[MarkTold](cx, c.Line, a, MarkAsk{Marks: ms})
+			r, _ := link.Ask[MarkTold](cx, c.Link, a, MarkAsk{Marks: ms})
 			ch <- r
 		}()
 	}
-	here, _ := owner.Get(ctx, c.own, func() MarkTold { return c.hear(ms, counts) })
-	ch <- here
+	own, _ := owner.Get(ctx, c.owner, func() MarkTold { return c.merge(ms, selfVotes) })
+	ch <- own
 	ids := map[string]bool{}
 	for range len(addrs) + 1 {
 		r := <-ch
@@ -276,18 +276,18 @@
 		}
 		others = append(others, r.Others...)
 	}
-	return 2*lo.CountBy(gateways, func(f string) bool { return ids[f] }) > len(gateways), others
+	return 2*lo.CountBy(voters, func(f string) bool { return ids[f] }) > len(voters), others
 }
 
-// Take claims a key for a call, or tells who has it; it tries until ctx ends.
-func (c *Circle) Take(ctx context.Context, a TakeAsk) (r TakeTold, err error) {
-	m := Mark{Key: name(a.Key), Call: a.Call, Print: a.Print, State: Taken, By: c.Me}
+// Take claims a key for a call, or returns the state of another call's claim; it retries until ctx ends.
+func (c *Coordinator) Take(ctx context.Context, a TakeAsk) (r TakeTold, err error) {
+	m := Mark{Key: keyHash(a.Key), Call: a.Call, Print: a.Print, State: Taken, By: c.Self}
 	a.Key = m.Key
 	for {
-		if c.Alone() {
-			r, err = c.alone(ctx, m)
+		if c.CoreLost() {
+			r, err = c.takeFromVoters(ctx, m)
 		} else {
-			r, err = c.backed(ctx, a, m)
+			r, err = c.takeFromStore(ctx, a, m)
 		}
 		if err == nil || c.Clock.Sleep(ctx, 20*time.Millisecond) != nil {
 			return r, err
@@ -295,53 +295,53 @@
 	}
 }
 
-// alone lets the gateways decide.
-func (c *Circle) alone(ctx context.Context, m Mark) (TakeTold, error) {
-	h := c.ask(ctx, m, true)
+// takeFromVoters lets the voting gateways decide.
+func (c *Coordinator) takeFromVoters(ctx context.Context, m Mark) (TakeTold, error) {
+	reply := c.consult(ctx, m, true)
 	switch {
-	case h.any != nil:
+	case reply.conflict != nil:
 		c.release(ctx, m)
-		return TakeTold{State: h.any.state()}, nil
-	case !h.most:
-		return TakeTold{}, steperr.New("claim", "", "not more than half of the gateways were heard")
+		return TakeTold{State: reply.conflict.state()}, nil
+	case !reply.majority:
+		return TakeTold{}, steperr.New("claim", "", "no answer from more than half of the voting gateways")
 	}
 	return TakeTold{OK: true, State: m.state()}, nil
 }
 
-// backed lets the disks decide; what the others remember of the core's absence
-// stands before it.
-func (c *Circle) backed(ctx context.Context, a TakeAsk, m Mark) (TakeTold, error) {
+// takeFromStore lets the disks decide; a claim that other nodes remember from a time
+// without the core takes precedence.
+func (c *Coordinator) takeFromStore(ctx context.Context, a TakeAsk, m Mark) (TakeTold, error) {
 	m.Backed = true
 	cx, end := context.WithCancel(ctx)
 	defer end()
 	go func() {
-		// No use in waiting for the disks once it is known that the core is away.
+		// Waiting for the disks is pointless once the core is known to be unreachable.
 		for c.Clock.Sleep(cx, 50*time.Millisecond) == nil {
-			if c.Alone() {
+			if c.CoreLost() {
 				end()
 			}
 		}
 	}()
-	ch := make(chan heard, 1)
-	go func() { ch <- c.ask(ctx, m, false) }()
-	r, err := c.Keep.Take(cx, a)
-	h := <-ch
+	ch := make(chan peerReply, 1)
+	go func() { ch <- c.consult(ctx, m, false) }()
+	r, err := c.Store.Take(cx, a)
+	reply := <-ch
 	switch {
 	case err != nil:
-		// The disks may have it, or get it yet; they do not have the say over it now.
-		_ = c.own.Do(ctx, func() {
+		// The disks may hold the claim, or still receive it, but they do not decide on it now.
+		_ = c.owner.Do(ctx, func() {
 			if e := c.marks[m.Key]; e != nil && e.Call == m.Call {
-				e.tried = true
+				e.storeAsked = true
 			}
 		})
 		return r, err
 	case !r.OK:
 		c.release(ctx, m)
 		return r, nil
-	case h.loose != nil:
+	case reply.unbacked != nil:
 		c.release(ctx, m)
-		_ = c.Keep.End(ctx, EndAsk{Key: a.Key, Call: a.Call})
-		return TakeTold{State: h.loose.state()}, nil
+		_ = c.Store.End(ctx, EndAsk{Key: a.Key, Call: a.Call})
+		return TakeTold{State: reply.unbacked.state()}, nil
 	}
 	return r, nil
 }
@@ -350,66 +350,66 @@
 	return State{State: m.State, Call: m.Call, Print: m.Print, Status: m.Status}
 }
 
-// release takes a mark back that stood for nothing.
-func (c *Circle) release(ctx context.Context, m Mark) {
+// release withdraws a mark that did not obtain the claim.
+func (c *Coordinator) release(ctx context.Context, m Mark) {
 	m.State = Free
-	_ = c.own.Do(ctx, func() {
+	_ = c.owner.Do(ctx, func() {
 		c.apply(m)
-		c.out = append(c.out, m)
+		c.outgoing = append(c.outgoing, m)
 	})
 }
 
-// End gives a claim back, or marks it as run to its end.
-func (c *Circle) End(ctx context.Context, a EndAsk) error {
-	a.Key = name(a.Key)
+// End releases a claim, or marks it as ended.
+func (c *Coordinator) End(ctx context.Context, a EndAsk) error {
+	a.Key = keyHash(a.Key)
 	state := lo.Ternary(a.Ran, Ended, Free)
-	done, err := owner.Get(ctx, c.own, func() bool {
+	uploadLater, err := owner.Get(ctx, c.owner, func() bool {
 		e := c.marks[a.Key]
 		if e == nil || e.Call != a.Call {
 			return false
 		}
 		e.State, e.Status = state, a.Status
-		c.out = append(c.out, e.Mark)
-		// What the disks do not have is brought to them as it then stands; what they
-		// may have, and nobody wants, is taken off them now.
-		return !e.Backed && (a.Ran || !e.tried)
+		c.outgoing = append(c.outgoing, e.Mark)
+		// A claim that is not on the disks is uploaded later in its final state; one that
+		// may be on the disks and is no longer wanted is removed from them now.
+		return !e.Backed && (a.Ran || !e.storeAsked)
 	})
-	if err != nil || done {
+	if err != nil || uploadLater {
 		return err
 	}
-	return c.Keep.End(ctx, a)
+	return c.Store.End(ctx, a)
 }
 
-// flush passes on what ended.
-func (c *Circle) flush(ctx context.Context) {
-	ms, _ := owner.Get(ctx, c.own, func() []Mark {
-		n := min(len(c.out), maxBatch)
-		ms := c.out[:n:n]
-		c.out = c.out[n:]
+// flush broadcasts claims that ended.
+func (c *Coordinator) flush(ctx context.Context) {
+	ms, _ := owner.Get(ctx, c.owner, func() []Mark {
+		n := min(len(c.outgoing), maxBatch)
+		ms := c.outgoing[:n:n]
+		c.outgoing = c.outgoing[n:]
 		return ms
 	})
 	if len(ms) > 0 {
-		c.tell(ctx, lo.Union(c.Members(), c.Mates()), ms)
+		c.broadcast(ctx, lo.Union(c.LeasedPeers(), c.Peers()), ms)
 	}
 }
 
-// upload brings to the disks what was decided without them: each node its own
-// claims, and after a while whatever is left.
-func (c *Circle) upload(ctx context.Context) {
+// upload writes to the disks what was decided without them: each node uploads its own
+// claims, and after a delay also those that are left.
+func (c *Coordinator) upload(ctx context.Context) {
 	now := c.Clock.Now()
-	if !c.Held() {
-		_ = c.own.Do(ctx, func() { c.since = time.Time{} })
+	if !c.HasLease() {
+		_ = c.owner.Do(ctx, func() { c.leaseSince = time.Time{} })
 		return
 	}
-	_, gateway := c.Gateways()
-	after := lo.Ternary(gateway, lastAfter, heirAfter)
-	ms, _ := owner.Get(ctx, c.own, func() (ms []Mark) {
-		if c.since.IsZero() {
-			c.since = now
+	_, gateway := c.Voters()
+	othersDelay := lo.Ternary(gateway, gatewayUploadDelay, controllerUploadDelay)
+	ms, _ := owner.Get(ctx, c.owner, func() (ms []Mark) {
+		if c.leaseSince.IsZero() {
+			c.leaseSince = now
 		}
-		for _, k := range c.order {
+		for _, k := range c.keysByAge {
 			e := c.marks[k]
-			if e == nil || e.Backed || e.By != c.Me && now.Sub(c.since) < after {
+			if e == nil || e.Backed || e.By != c.Self && now.Sub(c.leaseSince) < othersDelay {
 				continue
 			}
 			if e.State == Free {
@@ -428,43 +428,43 @@
 	cx, end := context.WithTimeout(ctx, 2*time.Second)
 	defer end()
 	var wg sync.WaitGroup
-	q := make(chan Mark, len(ms))
+	queue := make(chan Mark, len(ms))
 	for _, m := range ms {
-		q <- m
+		queue <- m
 	}
-	close(q)
-	for range uploads {
+	close(queue)
+	for range uploadWorkers {
 		wg.Go(func() {
-			for m := range q {
-				ok := c.bring(cx, m)
-				_ = c.own.Do(ctx, func() { c.brought(m, ok) })
+			for m := range queue {
+				ok := c.uploadOne(cx, m)
+				_ = c.owner.Do(ctx, func() { c.recordUpload(m, ok) })
 			}
 		})
 	}
 	wg.Wait()
 }
 
-// bring writes one claim to the disks as it stands.
-func (c *Circle) bring(ctx context.Context, m Mark) bool {
-	if r, err := c.Keep.Take(ctx, TakeAsk{Key: m.Key, Call: m.Call, Print: m.Print}); err != nil || !r.OK {
+// uploadOne writes the current state of one claim to the disks.
+func (c *Coordinator) uploadOne(ctx context.Context, m Mark) bool {
+	if r, err := c.Store.Take(ctx, TakeAsk{Key: m.Key, Call: m.Call, Print: m.Print}); err != nil || !r.OK {
 		return false
 	}
-	return m.State == Taken || c.Keep.End(ctx, EndAsk{Key: m.Key, Call: m.Call, Ran: true, Status: m.Status}) == nil
+	return m.State == Taken || c.Store.End(ctx, EndAsk{Key: m.Key, Call: m.Call, Ran: true, Status: m.Status}) == nil
 }
 
-// brought notes what became of it. A claim of another call that stays on the disks
-// was there first, or its end will be.
-func (c *Circle) brought(m Mark, ok bool) {
+// recordUpload records the result of an upload. If a claim of another call remains on the
+// disks, either it was there first or its end will be uploaded.
+func (c *Coordinator) recordUpload(m Mark, ok bool) {
 	e := c.marks[m.Key]
 	if e == nil || e.Call != m.Call || e.State != m.State {
 		return
 	}
-	if e.fails++; !ok && e.fails < maxUploads {
+	if e.uploads++; !ok && e.uploads < maxUploadAttempts {
 		return
 	}
 	if !ok && c.Log != nil {
-		c.Log.Warn("claim not brought to the disks", "step", "claim", "call", m.Call)
+		c.Log.Warn("claim not written to the disks", "step", "claim", "call", m.Call)
 	}
 	e.Backed = true
-	c.out = append(c.out, e.Mark)
+	c.outgoing = append(c.outgoing, e.Mark)
 }
--- a/internal/claim/claim.go
+++ b/internal/claim/claim.go
@@ -1,5 +1,5 @@
-// Package claim sees to it that a request that may not be repeated, sent again
-// by its caller under the same key, does not run twice (design 17).
+// Package claim prevents a non-repeatable request from running twice when its caller
+// sends it again under the same key (design 17).
 package claim
 
 import (
@@ -16,36 +16,36 @@
 	"walkrudder/internal/steperr"
 )
 
-// Prefix is where claims are kept among the items.
+// Prefix is the key prefix of claims in the quorum store.
 const Prefix = "claim/"
 
 const (
-	// Span is the length of one bucket of time. A key is remembered for at least
-	// one span and at most two.
-	Span = 10 * time.Minute
-	// skew is how far the controllers' wall clocks may be apart: that near to a border
-	// between buckets a key is claimed in both.
-	skew = time.Minute
-	// MaxKey bounds a caller's key.
+	// BucketSpan is the length of one time bucket. A key is remembered for at least one
+	// BucketSpan and at most two.
+	BucketSpan = 10 * time.Minute
+	// maxClockSkew is the assumed bound on the difference between the controllers' wall
+	// clocks: that close to a bucket boundary, a key is claimed in both buckets.
+	maxClockSkew = time.Minute
+	// MaxKey bounds the length of a caller's key.
 	MaxKey = 255
 )
 
 // The states of a claim.
 const (
-	// Free: nobody has it, or who had it has given it back because nothing ran and
+	// Free: nobody holds the claim, or its holder released it because nothing ran and
 	// nothing will.
 	Free = ""
-	// Taken: a call has it and may run.
+	// Taken: a call holds the claim and may run.
 	Taken = "taken"
-	// Ended: a call has run to its end.
+	// Ended: the call that held the claim has finished.
 	Ended = "ended"
 )
 
-// State is what stands under a key.
+// State is the state stored under a key.
 type State struct {
 	State  string `json:"s"`
 	Call   string `json:"c"`
-	Print  string `json:"p"` // of method, path and body: another request must not pass for it
+	Print  string `json:"p"` // fingerprint of method, path and body, so that a different request is recognized
 	Status int    `json:"a,omitempty"`
 }
 
@@ -56,19 +56,19 @@
 		Call  string
 		Print string
 	}
-	// TakeTold answers it: OK where the call has the claim, else what stands.
+	// TakeTold answers TakeAsk: OK if the call holds the claim, otherwise the state found.
 	TakeTold struct {
 		OK    bool
 		State State
 	}
-	// EndAsk gives a claim back, or marks it as run to its end.
+	// EndAsk releases a claim, or marks it as ended.
 	EndAsk struct {
 		Key    string
 		Call   string
 		Ran    bool
 		Status int
 	}
-	// EndTold answers it.
+	// EndTold answers EndAsk.
 	EndTold struct{ OK bool }
 )
 
@@ -77,32 +77,32 @@
 	link.Pair[EndAsk, EndTold]()
 }
 
-// Clerk keeps claims as items at a majority of the disks.
-type Clerk struct {
-	Prop *quorum.Proposer
+// QuorumStore keeps claims as items in the quorum store, on a majority of the disks.
+type QuorumStore struct {
+	Proposer *quorum.Proposer
 	// WallMS is the wall clock in milliseconds.
 	WallMS func() int64
 }
 
-func bucket(ms int64) int64 { return ms / Span.Milliseconds() }
+func bucket(ms int64) int64 { return ms / BucketSpan.Milliseconds() }
 
-// name is a key's short name, of one length for all.
-func name(key string) string {
+// keyHash returns a fixed-length hash of a key.
+func keyHash(key string) string {
 	h := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(h[:16])
 }
 
-func item(b int64, key string) string { return fmt.Sprintf("%s%09d/%s", Prefix, b, name(key)) }
+func itemKey(b int64, key string) string { return fmt.Sprintf("%s%09d/%s", Prefix, b, keyHash(key)) }
 
-// buckets lists, oldest first, those in which a key is to be claimed now, and the
-// one before them, in which it may stand from earlier.
-func buckets(ms int64) (before int64, claim []int64) {
+// buckets lists, oldest first, the buckets in which a key is to be claimed now, and the
+// bucket before them, in which an earlier claim may still stand.
+func buckets(ms int64) (before int64, current []int64) {
 	b := bucket(ms)
-	in := ms % Span.Milliseconds()
+	in := ms % BucketSpan.Milliseconds()
 	switch {
-	case in < skew.Milliseconds():
+	case in < maxClockSkew.Milliseconds():
 		return b - 2, []int64{b - 1, b}
-	case in >= Span.Milliseconds()-skew.Milliseconds():
+	case in >= BucketSpan.Milliseconds()-maxClockSkew.Milliseconds():
 		return b - 1, []int64{b, b + 1}
 	}
 	return b - 1, []int64{b}
@@ -110,61 +110,61 @@
 
 var errTaken = errors.New("taken")
 
-// Take claims a key for a call, or tells who has it. Asked again for the same
-// call, it answers the same.
-func (c *Clerk) Take(ctx context.Context, a TakeAsk) (TakeTold, error) {
-	before, claim := buckets(c.WallMS())
-	raw, err := c.Prop.Read(ctx, item(before, a.Key))
+// Take claims a key for a call, or returns the state of the claim of another call. It is
+// idempotent for the same call.
+func (q *QuorumStore) Take(ctx context.Context, a TakeAsk) (TakeTold, error) {
+	before, current := buckets(q.WallMS())
+	raw, err := q.Proposer.Read(ctx, itemKey(before, a.Key))
 	if err != nil && !quorum.IsNeverWritten(err) {
 		return TakeTold{}, steperr.At("claim", "", err)
 	}
-	if s := read(raw); s.State != Free && s.Call != a.Call {
+	if s := decodeState(raw); s.State != Free && s.Call != a.Call {
 		return TakeTold{State: s}, nil
 	}
-	mine, _ := json.Marshal(State{State: Taken, Call: a.Call, Print: a.Print})
-	for i, b := range claim {
-		raw, err := c.Prop.Change(ctx, item(b, a.Key), func(old []byte) ([]byte, error) {
-			switch s := read(old); {
+	taken, _ := json.Marshal(State{State: Taken, Call: a.Call, Print: a.Print})
+	for i, b := range current {
+		raw, err := q.Proposer.Change(ctx, itemKey(b, a.Key), func(old []byte) ([]byte, error) {
+			switch s := decodeState(old); {
 			case s.State == Free:
-				return mine, nil
+				return taken, nil
 			case s.Call != a.Call:
 				return nil, errTaken
 			}
 			return old, nil
 		})
 		if errors.Is(err, errTaken) {
-			// What was taken in an earlier bucket on the way goes back.
-			for _, o := range claim[:i] {
-				_ = c.free(ctx, item(o, a.Key), a.Call)
+			// The claim is released in the earlier buckets where it was just taken.
+			for _, o := range current[:i] {
+				_ = q.release(ctx, itemKey(o, a.Key), a.Call)
 			}
-			return TakeTold{State: read(raw)}, nil
+			return TakeTold{State: decodeState(raw)}, nil
 		}
 		if err != nil {
 			return TakeTold{}, steperr.At("claim", "", err)
 		}
 	}
-	return TakeTold{OK: true, State: read(mine)}, nil
+	return TakeTold{OK: true, State: decodeState(taken)}, nil
 }
 
-func read(b []byte) (s State) {
+func decodeState(b []byte) (s State) {
 	if b != nil {
 		_ = json.Unmarshal(b, &s)
 	}
 	return s
 }
 
-func (c *Clerk) free(ctx context.Context, k, call string) error {
-	return c.settle(ctx, k, call, nil)
+func (q *QuorumStore) release(ctx context.Context, k, call string) error {
+	return q.replace(ctx, k, call, nil)
 }
 
-// settle replaces a call's own claim; nil frees it.
-func (c *Clerk) settle(ctx context.Context, k, call string, to *State) error {
+// replace replaces a call's own claim; nil releases it.
+func (q *QuorumStore) replace(ctx context.Context, k, call string, to *State) error {
 	raw, _ := json.Marshal(State{})
 	if to != nil {
 		raw, _ = json.Marshal(*to)
 	}
-	_, err := c.Prop.Change(ctx, k, func(old []byte) ([]byte, error) {
-		if read(old).Call != call {
+	_, err := q.Proposer.Change(ctx, k, func(old []byte) ([]byte, error) {
+		if decodeState(old).Call != call {
 			return nil, errTaken
 		}
 		return raw, nil
@@ -175,44 +175,44 @@
 	return err
 }
 
-// End gives a claim back where nothing ran, or marks it as ended. It looks in
-// every bucket in which the call may have claimed.
-func (c *Clerk) End(ctx context.Context, a EndAsk) error {
-	b := bucket(c.WallMS())
+// End releases a claim if nothing ran, or marks it as ended. It checks every bucket in
+// which the call may have claimed.
+func (q *QuorumStore) End(ctx context.Context, a EndAsk) error {
+	b := bucket(q.WallMS())
 	for x := b - 1; x <= b+1; x++ {
-		k := item(x, a.Key)
-		raw, err := c.Prop.Read(ctx, k)
+		k := itemKey(x, a.Key)
+		raw, err := q.Proposer.Read(ctx, k)
 		if err != nil && !quorum.IsNeverWritten(err) {
 			return err
 		}
-		s := read(raw)
+		s := decodeState(raw)
 		if s.State != Taken || s.Call != a.Call {
 			continue
 		}
 		if !a.Ran {
-			if err := c.free(ctx, k, a.Call); err != nil {
+			if err := q.release(ctx, k, a.Call); err != nil {
 				return err
 			}
 			continue
 		}
 		s.State, s.Status = Ended, a.Status
-		if err := c.settle(ctx, k, a.Call, &s); err != nil {
+		if err := q.replace(ctx, k, a.Call, &s); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// Sweep lets the voters drop buckets that are out of reach.
-func (c *Clerk) Sweep(ctx context.Context) error {
-	return c.Prop.DropBelow(ctx, Prefix, fmt.Sprintf("%s%09d/", Prefix, bucket(c.WallMS())-3))
+// Sweep lets the voters drop buckets that are no longer read.
+func (q *QuorumStore) Sweep(ctx context.Context) error {
+	return q.Proposer.DropBelow(ctx, Prefix, fmt.Sprintf("%s%09d/", Prefix, bucket(q.WallMS())-3))
 }
 
-// Serve teaches d to answer for the clerk.
-func (c *Clerk) Serve(d *link.Desk) {
-	link.On(d, func(ctx context.Context, _ link.Who, a TakeAsk) (TakeTold, error) { return c.Take(ctx, a) })
+// Serve registers the handlers for TakeAsk and EndAsk.
+func (q *QuorumStore) Serve(d *link.Desk) {
+	link.On(d, func(ctx context.Context, _ link.Who, a TakeAsk) (TakeTold, error) { return q.Take(ctx, a) })
 	link.On(d, func(ctx context.Context, _ link.Who, a EndAsk) (EndTold, error) {
-		err := c.End(ctx, a)
+		err := q.End(ctx, a)
 		return EndTold{OK: err == nil}, err
 	})
 }
--- a/internal/claim/claim_test.go
+++ b/internal/claim/claim_test.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// Whatever the moments of two claims, at most Span apart and read off clocks at
-// most skew apart, the later looks at a bucket in which the earlier claimed.
+// For any two claims at most BucketSpan apart, with clocks at most maxClockSkew apart, the
+// later one must check a bucket in which the earlier one claimed.
 func TestBucketsOfTwoClaimsMeet(t *testing.T) {
-	sp, sk := Span.Milliseconds(), skew.Milliseconds()
+	sp, sk := BucketSpan.Milliseconds(), maxClockSkew.Milliseconds()
 	for a := int64(0); a < 2*sp; a += 7919 {
 		for b := a - sk; b <= a+sp-sk; b += 3571 {
 			_, ca := buckets(a + 10*sp)
--- a/internal/commands/change.go
+++ b/internal/commands/change.go
@@ -55,7 +55,7 @@
 // Changer carries orders out.
 type Changer struct {
 	Book       *ledger.Book
-	Roller     *rollout.Roller
+	Roller     *rollout.Executor
 	Clock      clock.Clock
 	Controller string
 }
@@ -93,7 +93,7 @@
 		// What is decided closes every gateway that confirms until it is in force. While
 		// the gateways to bring it to are not known, as for a second after the core's
 		// return, it waits.
-		if _, err := c.Roller.Tenant.Table(ctx); err != nil {
+		if _, err := c.Roller.Membership.Table(ctx); err != nil {
 			if c.Clock.Sleep(ctx, tablePause) != nil {
 				return undone(err, false)
 			}
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -54,14 +54,14 @@
 	Prop    *quorum.Proposer
 	Tenant  *membership.Tenant
 	Book    *ledger.Book
-	Roller  *rollout.Roller
+	Roller  *rollout.Executor
 	House   *registry.House
 	Changer *commands.Changer
 	Beater  *commands.Beater
 	Drainer *commands.Drainer
 	Warden  *commands.Warden
 	Speaker *statement.Speaker
-	Clerk   *claim.Clerk
+	Clerk   *claim.QuorumStore
 
 	trim     *commands.Trimmer
 	start    func(context.Context)
@@ -97,8 +97,8 @@
 	do.Provide(i, func(i do.Injector) (*ledger.Book, error) {
 		return &ledger.Book{Prop: do.MustInvoke[*quorum.Proposer](i), Clock: p.Clock, Controller: p.Startup.ID, WallMS: p.WallMS}, nil
 	})
-	do.Provide(i, func(i do.Injector) (*rollout.Roller, error) {
-		return &rollout.Roller{Book: do.MustInvoke[*ledger.Book](i), Tenant: do.MustInvoke[*membership.Tenant](i), Line: p.Line, Clock: p.Clock, Faults: p.Faults, Log: p.Log}, nil
+	do.Provide(i, func(i do.Injector) (*rollout.Executor, error) {
+		return &rollout.Executor{Ledger: do.MustInvoke[*ledger.Book](i), Membership: do.MustInvoke[*membership.Tenant](i), Link: p.Line, Clock: p.Clock, Faults: p.Faults, Log: p.Log}, nil
 	})
 	do.Provide(i, func(i do.Injector) (*registry.House, error) {
 		h := &registry.House{Clock: p.Clock, Pause: do.MustInvoke[*liveness.Pauses](i), Run: p.Inc}
@@ -113,14 +113,14 @@
 			Drainer: do.MustInvoke[*commands.Drainer](i)}, nil
 	})
 	do.Provide(i, func(i do.Injector) (*commands.Changer, error) {
-		return &commands.Changer{Book: do.MustInvoke[*ledger.Book](i), Roller: do.MustInvoke[*rollout.Roller](i), Clock: p.Clock, Controller: p.Startup.ID}, nil
+		return &commands.Changer{Book: do.MustInvoke[*ledger.Book](i), Roller: do.MustInvoke[*rollout.Executor](i), Clock: p.Clock, Controller: p.Startup.ID}, nil
 	})
 	do.Provide(i, func(i do.Injector) (*commands.Warden, error) {
 		return &commands.Warden{House: do.MustInvoke[*registry.House](i), Book: do.MustInvoke[*ledger.Book](i), Tenant: do.MustInvoke[*membership.Tenant](i),
 			Drainer: do.MustInvoke[*commands.Drainer](i), Prop: do.MustInvoke[*quorum.Proposer](i), Line: p.Line, Clock: p.Clock, Faults: p.Faults, Log: p.Log}, nil
 	})
 	m := &Controller{Parts: p, Voter: v, Desk: do.MustInvoke[*link.Desk](i), Prop: do.MustInvoke[*quorum.Proposer](i), Tenant: do.MustInvoke[*membership.Tenant](i),
-		Book: do.MustInvoke[*ledger.Book](i), Roller: do.MustInvoke[*rollout.Roller](i), House: do.MustInvoke[*registry.House](i),
+		Book: do.MustInvoke[*ledger.Book](i), Roller: do.MustInvoke[*rollout.Executor](i), House: do.MustInvoke[*registry.House](i),
 		Changer: do.MustInvoke[*commands.Changer](i), Beater: do.MustInvoke[*commands.Beater](i), Drainer: do.MustInvoke[*commands.Drainer](i),
 		Warden: do.MustInvoke[*commands.Warden](i)}
 	m.Speaker = &statement.Speaker{Changer: m.Changer, Drainer: m.Drainer, Warden: m.Warden, Book: m.Book, Settle: m.Roller.Settle,
@@ -137,12 +137,12 @@
 	fm.Serve(m.Desk)
 	m.Roller.Serve(m.Desk, m.Drainer.Leaves)
 	m.House.Serve(m.Desk)
-	m.Clerk = &claim.Clerk{Prop: m.Prop, WallMS: p.WallMS}
+	m.Clerk = &claim.QuorumStore{Proposer: m.Prop, WallMS: p.WallMS}
 	m.Clerk.Serve(m.Desk)
 	m.trim = &commands.Trimmer{Book: m.Book, Prop: m.Prop, Tenant: m.Tenant, Line: p.Line, Drainer: m.Drainer, Keep: cmp.Or(p.Keep, keepDecisions)}
-	circle := &claim.Circle{Me: p.Startup.ID, Line: p.Line, Clock: p.Clock, Log: p.Log, Keep: m.Clerk, Held: m.Tenant.Held,
-		Alone: func() bool { return false }, Gateways: func() ([]string, bool) { return nil, false },
-		Members: func() []string { return m.Tenant.Others(p.Startup.ID) }, Mates: func() []string { return m.Tenant.Others(p.Startup.ID) }}
+	circle := &claim.Coordinator{Self: p.Startup.ID, Link: p.Line, Clock: p.Clock, Log: p.Log, Store: m.Clerk, HasLease: m.Tenant.Held,
+		CoreLost: func() bool { return false }, Voters: func() ([]string, bool) { return nil, false },
+		LeasedPeers: func() []string { return m.Tenant.Others(p.Startup.ID) }, Peers: func() []string { return m.Tenant.Others(p.Startup.ID) }}
 	circle.Init()
 	circle.Serve(m.Desk)
 	membership.ServeRest(m.Desk, &m.resting)
--- a/internal/gateway/door.go
+++ b/internal/gateway/door.go
@@ -80,20 +80,20 @@
 		return f.verdict(c, httpapi.Verdict{Status: 400, Code: httpapi.Malformed}, "")
 	}
 	client := c.Get(httpapi.ClientField)
-	t := f.Passage.Enter(context.Background(), client, c.Get(httpapi.KeyField), r)
-	if t.Out != nil {
-		return f.verdict(c, *t.Out, t.Call)
+	t := f.Passage.Handle(context.Background(), client, c.Get(httpapi.KeyField), r)
+	if t.Verdict != nil {
+		return f.verdict(c, *t.Verdict, t.ID)
 	}
-	c.Status(t.Answer.Status)
-	for _, h := range t.Answer.Header {
+	c.Status(t.Response.Status)
+	for _, h := range t.Response.Header {
 		c.Context().Response.Header.Add(h[0], h[1])
 	}
-	c.Set(httpapi.CallField, t.Call)
+	c.Set(httpapi.CallField, t.ID)
 	if r.Method == fiber.MethodHead {
 		c.Context().Response.SkipBody = true
 		return nil
 	}
-	return c.Send(t.Answer.Body)
+	return c.Send(t.Response.Body)
 }
 
 func (f *Gateway) verdict(c *fiber.Ctx, v httpapi.Verdict, call string) error {
--- a/internal/gateway/door_test.go
+++ b/internal/gateway/door_test.go
@@ -69,7 +69,7 @@
 	}
 	// The test lasts longer than a proof does.
 	r.Proved(r.Of("svc")[0], time.Now().Add(time.Hour))
-	p := &passage.Passage{Clock: clock.Wall{}, Rack: open{tab}, Roster: r, Courier: passage.NewHTTP(""), ID: "f", Inc: 1, Gateways: func() int { return 1 }}
+	p := &passage.Pipeline{Clock: clock.Wall{}, Sheets: open{tab}, Targets: r, Transport: passage.NewHTTPTransport(""), ID: "f", Inc: 1, Gateways: func() int { return 1 }}
 	p.Init()
 	done := make(chan struct{})
 	go func() { p.Run(ctx); close(done) }()
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -41,7 +41,7 @@
 	Inc     uint64
 	Line    link.Line
 	Clock   clock.Clock
-	Courier passage.Courier
+	Courier passage.Transport
 	Log     *log.Logger
 	Faults  *fault.Set
 	Count   func(what, service string)
@@ -52,9 +52,9 @@
 	Parts
 	Desk    *link.Desk
 	Tenant  *membership.Tenant
-	Rack    *rollout.Rack
+	Rack    *rollout.SheetStore
 	Roster  *registry.Roster
-	Passage *passage.Passage
+	Passage *passage.Pipeline
 	Pauses  *liveness.Pauses
 
 	start    func(context.Context)
@@ -86,16 +86,16 @@
 	do.Provide(i, newCircle)
 	do.Provide(i, newPassage)
 	f := &Gateway{Parts: p, born: p.Clock.Now(), Desk: link.NewDesk(), Tenant: do.MustInvoke[*membership.Tenant](i), Pauses: do.MustInvoke[*liveness.Pauses](i),
-		Rack: do.MustInvoke[*rollout.Rack](i), Roster: do.MustInvoke[*registry.Roster](i), Passage: do.MustInvoke[*passage.Passage](i)}
+		Rack: do.MustInvoke[*rollout.SheetStore](i), Roster: do.MustInvoke[*registry.Roster](i), Passage: do.MustInvoke[*passage.Pipeline](i)}
 	since := time.Now().UnixMilli()
 	f.Tenant.Me = func() membership.Member {
 		return membership.Member{ID: p.Startup.ID, Inc: p.Inc, Kind: "gateway", Inner: p.Startup.Inner, Door: p.Startup.Door,
-			Zone: p.Startup.Zone, Spec: f.Rack.N(), Since: since, Rest: f.resting.Load()}
+			Zone: p.Startup.Zone, Spec: f.Rack.Version(), Since: since, Rest: f.resting.Load()}
 	}
 	f.Roster.OnStand = f.watch
 	f.Rack.Serve(f.Desk)
 	f.Roster.Serve(f.Desk)
-	circle := do.MustInvoke[*claim.Circle](i)
+	circle := do.MustInvoke[*claim.Coordinator](i)
 	circle.Serve(f.Desk)
 	f.Passage.Serve(f.Desk)
 	membership.ServeRest(f.Desk, &f.resting)
@@ -120,14 +120,14 @@
 	return r, nil
 }
 
-func newRack(i do.Injector) (*rollout.Rack, error) {
+func newRack(i do.Injector) (*rollout.SheetStore, error) {
 	p, t, r := do.MustInvoke[Parts](i), do.MustInvoke[*membership.Tenant](i), do.MustInvoke[*registry.Roster](i)
-	k := &rollout.Rack{Tenant: t, Line: p.Line, Clock: p.Clock, ID: p.Startup.ID, Log: p.Log,
+	k := &rollout.SheetStore{Membership: t, Link: p.Line, Clock: p.Clock, ID: p.Startup.ID, Log: p.Log,
 		Controllers: func() []string { return nearest(t.Kind("controller"), p.Startup) },
-		Mates: func() []string {
+		Peers: func() []string {
 			return lo.Union(t.Others(p.Startup.ID), lo.Without(p.Startup.Seeds, p.Startup.Inner))
 		},
-		OnSpec: func(t *spec.Table) {
+		OnSheet: func(t *spec.Table) {
 			r.Want(lo.Map(t.Services, func(s spec.Service, _ int) string { return s.Name }))
 		},
 		OnLeaves: func(ls []rollout.Leave) {
@@ -161,24 +161,24 @@
 	return lo.Map(append(turn(near), turn(far)...), func(m membership.Member, _ int) string { return m.Inner })
 }
 
-func newPassage(i do.Injector) (*passage.Passage, error) {
+func newPassage(i do.Injector) (*passage.Pipeline, error) {
 	p, t := do.MustInvoke[Parts](i), do.MustInvoke[*membership.Tenant](i)
-	g := &passage.Passage{Clock: p.Clock, Rack: do.MustInvoke[*rollout.Rack](i), Roster: do.MustInvoke[*registry.Roster](i),
-		Courier: p.Courier, Zone: p.Startup.Zone, Chart: p.Startup.Chart, ID: p.Startup.ID, Inc: p.Inc, Faults: p.Faults, Log: p.Log, Count: p.Count,
+	g := &passage.Pipeline{Clock: p.Clock, Sheets: do.MustInvoke[*rollout.SheetStore](i), Targets: do.MustInvoke[*registry.Roster](i),
+		Transport: p.Courier, Zone: p.Startup.Zone, ZoneMap: p.Startup.Chart, ID: p.Startup.ID, Inc: p.Inc, Faults: p.Faults, Log: p.Log, Count: p.Count,
 		Gateways: func() int {
 			// Read at every choice: counted, not listed.
 			return lo.CountBy(t.Members(), func(m membership.Member) bool { return m.Kind == "gateway" }) + 1
 		},
-		Claims: do.MustInvoke[*claim.Circle](i)}
+		Claims: do.MustInvoke[*claim.Coordinator](i)}
 	g.Init()
 	return g, nil
 }
 
-func newCircle(i do.Injector) (*claim.Circle, error) {
-	p, t, k := do.MustInvoke[Parts](i), do.MustInvoke[*membership.Tenant](i), do.MustInvoke[*rollout.Rack](i)
-	c := &claim.Circle{Me: p.Startup.ID, Line: p.Line, Clock: p.Clock, Log: p.Log, Mates: k.Mates, Held: t.Held, Alone: k.Stranded, Gateways: k.Counts,
-		Members: func() []string { return t.Others(p.Startup.ID) },
-		Keep:    &claims{line: p.Line, clock: p.Clock, controllers: func() []string { return nearest(t.Kind("controller"), p.Startup) }}}
+func newCircle(i do.Injector) (*claim.Coordinator, error) {
+	p, t, k := do.MustInvoke[Parts](i), do.MustInvoke[*membership.Tenant](i), do.MustInvoke[*rollout.SheetStore](i)
+	c := &claim.Coordinator{Self: p.Startup.ID, Link: p.Line, Clock: p.Clock, Log: p.Log, Peers: k.Peers, HasLease: t.Held, CoreLost: k.ServesWithoutLease, Voters: k.Voters,
+		LeasedPeers: func() []string { return t.Others(p.Startup.ID) },
+		Store:       &claims{line: p.Line, clock: p.Clock, controllers: func() []string { return nearest(t.Kind("controller"), p.Startup) }}}
 	c.Init()
 	return c, nil
 }
@@ -251,13 +251,13 @@
 	// not take them all out of the platform's choice.
 	// Who is cut off says so before its lease ends: the platform takes a second to
 	// notice.
-	if f.Rack.Lone() || f.resting.Load() {
+	if f.Rack.Isolated() || f.resting.Load() {
 		return false
 	}
 	if o := f.opened.Load(); o == 0 || now.Sub(f.born)-time.Duration(o) > closedTime || f.stopping.Load() {
 		return false
 	}
-	if f.Rack.N() == 0 {
+	if f.Rack.Version() == 0 {
 		// Nothing is bound yet: there are no targets to get to know.
 		return true
 	}
@@ -314,9 +314,9 @@
 	cx, end := context.WithTimeout(ctx, probeTime)
 	defer end()
 	name := httpapi.TargetName(s.ID, s.Service, s.Inc)
-	a, _, err := f.Courier.Carry(cx, &passage.Sending{Addr: s.Addr, Target: "probe:" + name, Number: httpapi.ProbeNumber(seq), Expiry: sent.Add(probeTime),
+	a, _, err := f.Courier.Carry(cx, &passage.SendRequest{Addr: s.Addr, Target: "probe:" + name, SendID: httpapi.ProbeNumber(seq), Expiry: sent.Add(probeTime),
 		Req: &passage.Request{Method: "GET", URI: httpapi.ProbeURI(seq), Host: s.Addr}})
-	if err != nil || a.Status != 200 || !a.Whole {
+	if err != nil || a.Status != 200 || !a.Complete {
 		return
 	}
 	p, err := httpapi.ReadProbe(a.Body)
--- a/internal/passage/budget.go
+++ b/internal/passage/budget.go
@@ -6,47 +6,48 @@
 )
 
 const (
-	// span is the length over which extra sends are counted.
-	span = 10 * time.Second
-	// slot is the grain of the count.
-	slot  = 250 * time.Millisecond
-	slots = int(span/slot) + 1
-	// ratio is the share of first sends that extra sends may reach, below the
-	// promised fifth.
-	ratio = 0.15
-	// common is what all gateways share besides, below the promised seventy.
-	common = 56.0
+	// window is the period over which extra sends are counted.
+	window = 10 * time.Second
+	// slotWidth is the resolution of the count.
+	slotWidth = 250 * time.Millisecond
+	slotCount = int(window/slotWidth) + 1
+	// extraRatio is the share of first sends that extra sends may reach. It is below the
+	// guaranteed limit of a fifth.
+	extraRatio = 0.15
+	// sharedExtra is a further allowance shared by all gateways, below the guaranteed
+	// limit of seventy.
+	sharedExtra = 56.0
 )
 
-// Budget bounds the extra sends of one service at one gateway. The promise is for
-// all gateways together: each has its ratio of its own requests, and an equal part
-// of the common allowance. A fresh budget begins with no part of it for one
-// span: the run before it may have spent this gateway's part (design 13.6).
+// Budget bounds the extra sends of one service at one gateway. The guarantee holds for all
+// gateways together: each has extraRatio of its own requests and an equal share of
+// sharedExtra. A new budget gets no part of sharedExtra for one window, because the run
+// before it may have spent this gateway's share (design 13.6).
 type Budget struct {
-	mu       sync.Mutex
-	born     time.Time
-	slot     [slots]struct{ at, first, extra int64 }
-	gateways func() int
+	mu        sync.Mutex
+	createdAt time.Time
+	slots     [slotCount]struct{ at, first, extra int64 }
+	gateways  func() int
 }
 
-// NewBudget makes a budget; gateways tells how many gateways share.
+// NewBudget creates a budget; gateways returns the number of gateways that share.
 func NewBudget(born time.Time, gateways func() int) *Budget {
-	return &Budget{born: born, gateways: gateways}
+	return &Budget{createdAt: born, gateways: gateways}
 }
 
-func (b *Budget) cell(now time.Time) int {
-	n := int64(now.Sub(b.born) / slot)
-	i := int(n % int64(slots))
-	if b.slot[i].at != n {
-		b.slot[i] = struct{ at, first, extra int64 }{at: n}
+func (b *Budget) slotIndex(now time.Time) int {
+	n := int64(now.Sub(b.createdAt) / slotWidth)
+	i := int(n % int64(slotCount))
+	if b.slots[i].at != n {
+		b.slots[i] = struct{ at, first, extra int64 }{at: n}
 	}
 	return i
 }
 
 func (b *Budget) sums(now time.Time) (first, extra int64) {
-	n := int64(now.Sub(b.born) / slot)
-	for _, s := range b.slot {
-		if n-s.at < int64(slots) {
+	n := int64(now.Sub(b.createdAt) / slotWidth)
+	for _, s := range b.slots {
+		if n-s.at < int64(slotCount) {
 			first += s.first
 			extra += s.extra
 		}
@@ -54,25 +55,25 @@
 	return first, extra
 }
 
-// First notes a request's first send.
-func (b *Budget) First(now time.Time) {
+// RecordFirst counts the first send of a request.
+func (b *Budget) RecordFirst(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.slot[b.cell(now)].first++
+	b.slots[b.slotIndex(now)].first++
 }
 
-// Extra takes one extra send from the budget, or tells that there is none.
-func (b *Budget) Extra(now time.Time) bool {
+// TakeExtra takes one extra send from the budget and reports whether it was available.
+func (b *Budget) TakeExtra(now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	f, x := b.sums(now)
-	can := ratio * float64(f)
-	if now.Sub(b.born) > span {
-		can += common / float64(max(1, b.gateways()))
+	allowed := extraRatio * float64(f)
+	if now.Sub(b.createdAt) > window {
+		allowed += sharedExtra / float64(max(1, b.gateways()))
 	}
-	if float64(x)+1 > can {
+	if float64(x)+1 > allowed {
 		return false
 	}
-	b.slot[b.cell(now)].extra++
+	b.slots[b.slotIndex(now)].extra++
 	return true
 }
--- a/internal/passage/budget_test.go
+++ b/internal/passage/budget_test.go
@@ -6,53 +6,53 @@
 	"time"
 )
 
-// However requests, resends, restarts and joins fall, all gateways together stay
-// under a fifth plus seventy in every ten seconds.
+// In every window of ten seconds the extra sends of all gateways together must stay below
+// a fifth of the requests plus seventy, for any order of requests, extra sends and restarts.
 func TestBudgetsTogetherKeepThePromise(t *testing.T) {
 	for seed := range uint64(20) {
 		r := rand.New(rand.NewPCG(seed, 3))
 		now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 		n := 3 + r.IntN(6)
 		gateways := func() int { return n + 1 }
-		var bs []*Budget
+		var budgets []*Budget
 		for range n {
-			bs = append(bs, NewBudget(now.Add(-time.Hour), gateways))
+			budgets = append(budgets, NewBudget(now.Add(-time.Hour), gateways))
 		}
-		type mark struct {
+		type event struct {
 			at    time.Time
 			extra bool
 		}
-		var all []mark
-		given := 0
+		var events []event
+		granted := 0
 		for range 20000 {
 			now = now.Add(time.Duration(r.IntN(6)) * time.Millisecond)
 			i := r.IntN(n)
 			switch x := r.IntN(1000); {
 			case x == 0:
-				// A restart: its predecessor may have spent its part a moment ago.
-				bs[i] = NewBudget(now, gateways)
+				// A restart: the previous run may just have spent its share.
+				budgets[i] = NewBudget(now, gateways)
 			case x < 400:
-				bs[i].First(now)
-				all = append(all, mark{now, false})
+				budgets[i].RecordFirst(now)
+				events = append(events, event{now, false})
 			default:
-				if bs[i].Extra(now) {
-					given++
-					all = append(all, mark{now, true})
+				if budgets[i].TakeExtra(now) {
+					granted++
+					events = append(events, event{now, true})
 				}
 			}
 		}
-		if given == 0 {
-			t.Fatal("no extra send was ever given")
+		if granted == 0 {
+			t.Fatal("no extra send was ever allowed")
 		}
-		j, first, extra := 0, 0, 0
-		for _, m := range all {
+		oldest, first, extra := 0, 0, 0
+		for _, m := range events {
 			if m.extra {
 				extra++
 			} else {
 				first++
 			}
-			for ; m.at.Sub(all[j].at) > 10*time.Second; j++ {
-				if all[j].extra {
+			for ; m.at.Sub(events[oldest].at) > 10*time.Second; oldest++ {
+				if events[oldest].extra {
 					extra--
 				} else {
 					first--
--- a/internal/passage/claims.go
+++ b/internal/passage/claims.go
@@ -19,75 +19,75 @@
 }
 
 const (
-	// claimWorkers bounds the claims under way at one gateway.
-	claimWorkers = 64
-	// endTime is how long a claim's end is tried for.
-	endTime = 20 * time.Second
+	// maxClaims bounds the concurrent claim requests of one gateway.
+	maxClaims = 64
+	// endClaimTimeout is how long ending a claim is retried.
+	endClaimTimeout = 20 * time.Second
 )
 
-// needsClaim tells whether t must be claimed before it may be sent.
-func (p *Passage) needsClaim(t *Trip) bool {
-	return p.Claims != nil && !t.Bound.Repeatable && t.Key != ""
+// needsClaim reports whether call must be claimed before it may be sent.
+func (p *Pipeline) needsClaim(call *Call) bool {
+	return p.Claims != nil && !call.Binding.Repeatable && call.Key != ""
 }
 
-// print tells requests apart that come under one key.
-func (r *Request) print() string {
+// fingerprint distinguishes different requests that come under the same key.
+func (r *Request) fingerprint() string {
 	h := sha256.New()
 	_, _ = fmt.Fprintf(h, "%s %s %d\n", r.Method, r.URI, len(r.Body))
 	_, _ = h.Write(r.Body)
 	return hex.EncodeToString(h.Sum(nil)[:12])
 }
 
-// doClaim claims the caller's key for this call, or tells what became of the
-// earlier call under it (design 17).
-func (p *Passage) doClaim(t *Trip) {
-	if len(t.Key) > claim.MaxKey {
-		p.verdict(t, httpapi.Verdict{Status: 400, Code: httpapi.Malformed, Why: fmt.Sprintf("%s is longer than %d", httpapi.KeyField, claim.MaxKey)})
+// doClaim claims the caller's key for this call, or reports the outcome of the earlier
+// call under it (design 17).
+func (p *Pipeline) doClaim(call *Call) {
+	if len(call.Key) > claim.MaxKey {
+		p.reject(call, httpapi.Verdict{Status: 400, Code: httpapi.Malformed, Why: fmt.Sprintf("%s is longer than %d", httpapi.KeyField, claim.MaxKey)})
 		return
 	}
-	t.Claim = t.Client + "\x00" + t.Key
-	t.asked.Store(true)
-	cx, end := context.WithDeadline(t.Ctx, t.Expiry.Add(-slack))
-	r, err := p.Claims.Take(cx, claim.TakeAsk{Key: t.Claim, Call: t.Call, Print: t.Req.print()})
+	call.ClaimKey = call.Client + "\x00" + call.Key
+	call.claimAsked.Store(true)
+	cx, end := context.WithDeadline(call.Ctx, call.Expiry.Add(-returnMargin))
+	r, err := p.Claims.Take(cx, claim.TakeAsk{Key: call.ClaimKey, Call: call.ID, Print: call.Req.fingerprint()})
 	end()
 	if r.OK {
-		t.owned.Store(true)
-		p.step(t, "claim", "", "the key is this call's")
+		call.claimOwned.Store(true)
+		p.addStep(call, "claim", "", "the key is this call's")
 	}
 	switch {
-	case t.over.Load():
-		// The caller was told "not run" meanwhile; what was claimed goes back.
-		p.endClaim(t, claim.EndAsk{Key: t.Claim, Call: t.Call})
+	case call.finished.Load():
+		// The caller was told "not run" in the meantime, so a claim obtained is released.
+		p.endClaim(call, claim.EndAsk{Key: call.ClaimKey, Call: call.ID})
 	case err != nil:
-		p.refuse(t, "its key cannot be claimed now")
+		p.refuse(call, "its key cannot be claimed now")
 	case r.OK:
-		p.toElect(t, "the queue before the choice is full")
+		p.enqueueSelection(call, "the queue before the choice is full")
 	default:
-		t.asked.Store(false)
-		p.verdict(t, earlier(r.State, t.Req.print()))
+		call.claimAsked.Store(false)
+		p.reject(call, earlierCallVerdict(r.State, call.Req.fingerprint()))
 	}
 }
 
-// notRun is the verdict on a call that was not and will not be sent. Under a key
-// whose claim is not this call's, an earlier call may have run: then "not run"
-// would be a lie about the request.
-func (p *Passage) notRun(t *Trip, why string) *httpapi.Verdict {
-	v := busy(why, cmp.Or(t.Retry, time.Second))
-	if p.Claims != nil && t.Key != "" && !t.free && !t.owned.Load() {
+// notRun returns the verdict on a call that was not and will not be sent. If the claim on
+// its key is not this call's, an earlier call may have run, and "not run" would be wrong
+// for the request.
+func (p *Pipeline) notRun(call *Call, why string) *httpapi.Verdict {
+	v := busyVerdict(why, cmp.Or(call.RetryAfter, time.Second))
+	if p.Claims != nil && call.Key != "" && !call.repeatable && !call.claimOwned.Load() {
 		v.Code, v.Why = httpapi.Unknown, why+"; whether an earlier call under this key ran is not known"
 	}
 	return v
 }
 
-// verdict ends a trip that was never sent.
-func (p *Passage) verdict(t *Trip, v httpapi.Verdict) {
-	if t.drop() {
-		t.finish(nil, &v)
+// reject ends a call that was never sent.
+func (p *Pipeline) reject(call *Call, v httpapi.Verdict) {
+	if call.claimNotRun() {
+		call.finish(nil, &v)
 	}
 }
 
-// earlier is the answer to a call whose key another call has.
-func earlier(s claim.State, print string) httpapi.Verdict {
+// earlierCallVerdict returns the verdict on a call whose key is claimed by another call.
+func earlierCallVerdict(s claim.State, print string) httpapi.Verdict {
 	switch {
 	case s.Print != print:
 		return httpapi.Verdict{Status: 422, Code: httpapi.KeyReused, Why: "this key was used for another request, call " + s.Call}
@@ -97,32 +97,32 @@
 	return httpapi.Verdict{Status: 409, Code: httpapi.Unknown, Why: "call " + s.Call + " under this key is under way, or its outcome is unknown", Retry: 2 * time.Second}
 }
 
-// closeClaim tells the controllers how a claimed call ended: given back where nothing
-// ran and nothing will, ended where it was answered; an unknown outcome keeps the
-// key for as long as keys are kept.
-func (p *Passage) closeClaim(t *Trip) {
-	if !t.asked.Load() {
+// closeClaim tells the controllers how a claimed call ended. The claim is released if
+// nothing ran and nothing will, and marked as ended if the call was answered; with an
+// unknown outcome the key stays claimed for as long as keys are kept.
+func (p *Pipeline) closeClaim(call *Call) {
+	if !call.claimAsked.Load() {
 		return
 	}
-	a := claim.EndAsk{Key: t.Claim, Call: t.Call}
+	a := claim.EndAsk{Key: call.ClaimKey, Call: call.ID}
 	switch {
-	case t.Answer != nil && t.Out == nil:
-		a.Ran, a.Status = true, t.Answer.Status
-	case t.Out != nil && (t.state.Load() == dropped || t.Out.Code == httpapi.BusyNotRun):
+	case call.Response != nil && call.Verdict == nil:
+		a.Ran, a.Status = true, call.Response.Status
+	case call.Verdict != nil && (call.state.Load() == stateNotSent || call.Verdict.Code == httpapi.BusyNotRun):
 	default:
 		return
 	}
-	p.endClaim(t, a)
+	p.endClaim(call, a)
 }
 
-// endClaim tries until it is done; the caller has his answer already.
-func (p *Passage) endClaim(t *Trip, a claim.EndAsk) {
+// endClaim retries until the claim is ended; the caller already has its answer.
+func (p *Pipeline) endClaim(call *Call, a claim.EndAsk) {
 	go func() {
-		cx, end := context.WithTimeout(t.Ctx, endTime)
+		cx, end := context.WithTimeout(call.Ctx, endClaimTimeout)
 		defer end()
 		for {
-			// A claim that was answered with an error may still arrive: what is given
-			// back is given back twice.
+			// A claim request that returned an error may still be carried out later, so a
+			// release is sent twice.
 			err := p.Claims.End(cx, a)
 			if err == nil && a.Ran {
 				return
--- a/internal/passage/courier.go
+++ b/internal/passage/courier.go
@@ -16,152 +16,152 @@
 	"walkrudder/internal/link"
 )
 
-// Sending is one sending of a request to one target run.
-type Sending struct {
+// SendRequest describes one send of a request to one target run.
+type SendRequest struct {
 	Addr   string
-	Target string // httpapi.TargetName of the run meant
-	Number string // of this sending; the stamp must repeat it
+	Target string // httpapi.TargetName of the intended run
+	SendID string // of this send; the stamp must repeat it
 	Req    *Request
 	Expiry time.Time
-	// Fresh asks for a link of its own: an idle one may be dead, and a request
-	// written to a dead link is one whose outcome is unknown.
-	Fresh bool
-	// Last runs right before the first byte is written; false stops the sending.
-	Last func() bool
+	// NewConn requests a new connection: an idle one may be dead, and the outcome of a
+	// request written to a dead connection is unknown.
+	NewConn bool
+	// BeforeWrite runs right before the first byte is written; false cancels the send.
+	BeforeWrite func() bool
 }
 
 // Request is a caller's request, copied out of the server's buffers.
 type Request struct {
 	Method string
-	URI    string // path and query as they came
+	URI    string // path and query as received
 	Host   string
 	Header [][2]string
 	Body   []byte
 }
 
-// Answer is a target's answer, copied out of the client's buffers.
-type Answer struct {
-	Status int
-	Header [][2]string
-	Body   []byte
-	Whole  bool // framed by length or chunks, and complete
-	Stamp  string
-	NotRun bool
+// Response is a target's response, copied out of the client's buffers.
+type Response struct {
+	Status   int
+	Header   [][2]string
+	Body     []byte
+	Complete bool // framed by length or chunks, and complete
+	Stamp    string
+	NotRun   bool
 }
 
-// Courier carries one sending. Left tells whether any byte of the request may
-// have left; without that the target cannot have run it.
-type Courier interface {
-	Carry(ctx context.Context, s *Sending) (a *Answer, left bool, err error)
+// Transport performs one send. left reports whether any byte of the request may have
+// been written; if not, the target cannot have run it.
+type Transport interface {
+	Carry(ctx context.Context, s *SendRequest) (a *Response, left bool, err error)
 }
 
-// ErrStopped says that Last forbade the sending.
+// ErrStopped reports that BeforeWrite cancelled the send.
 var ErrStopped = errors.New("stopped before the first byte")
 
 const (
-	// DialTime bounds the making of a link: no byte of the request has left yet.
-	DialTime = 500 * time.Millisecond
-	// idleTime is how long a link may lie idle and be used again.
-	idleTime = 800 * time.Millisecond
-	// maxIdle bounds the idle links to one target.
-	maxIdle = 8
-	// MaxAnswer bounds a target's answer.
-	MaxAnswer = 32 << 20
+	// DialTimeout bounds connecting; no byte of the request has been written at that point.
+	DialTimeout = 500 * time.Millisecond
+	// maxIdleTime is how long a connection may be idle and still be reused.
+	maxIdleTime = 800 * time.Millisecond
+	// maxIdlePerTarget bounds the idle connections to one target.
+	maxIdlePerTarget = 8
+	// MaxResponse bounds the size of a target's response.
+	MaxResponse = 32 << 20
 )
 
-// HTTP is the courier over HTTP/1.1. It uses fasthttp's requests and answers but
-// not its client, which sends again by itself and keeps links that may be dead
+// HTTPTransport is the transport over HTTP/1.1. It uses fasthttp's requests and responses
+// but not its client, which retries by itself and reuses connections that may be dead
 // (design 13.4).
-type HTTP struct {
-	from string
-	mu   sync.Mutex
-	idle map[string][]*wire
+type HTTPTransport struct {
+	localIP string
+	mu      sync.Mutex
+	idle    map[string][]*targetConn
 }
 
-// wire is one connection to a target.
-type wire struct {
-	c    *countConn
-	r    *bufio.Reader
-	w    *bufio.Writer
-	used time.Time
+// targetConn is one connection to a target.
+type targetConn struct {
+	conn     *countingConn
+	reader   *bufio.Reader
+	writer   *bufio.Writer
+	lastUsed time.Time
 }
 
-// countConn counts what left.
-type countConn struct {
+// countingConn counts the bytes written.
+type countingConn struct {
 	net.Conn
-	out atomic.Int64
+	written atomic.Int64
 }
 
-func (c *countConn) Write(b []byte) (int, error) {
-	// Counted before: a failed write may have left in part.
-	c.out.Add(int64(len(b)))
+func (c *countingConn) Write(b []byte) (int, error) {
+	// Counted before the write: a failed write may have sent part of the data.
+	c.written.Add(int64(len(b)))
 	return c.Conn.Write(b)
 }
 
-// drop closes the link and throws away what has not arrived: the system would go on
-// sending it, and a target might run, when the network is back, what its caller was
-// told about long ago.
-func (w *wire) drop() {
-	if t, ok := w.c.Conn.(*net.TCPConn); ok {
+// abort closes the connection and discards unsent data. Otherwise the kernel would keep
+// sending it, and once the network recovers a target might run a request whose caller was
+// answered long ago.
+func (tc *targetConn) abort() {
+	if t, ok := tc.conn.Conn.(*net.TCPConn); ok {
 		_ = t.SetLinger(0)
 	}
-	_ = w.c.Close()
+	_ = tc.conn.Close()
 }
 
-// NewHTTP makes a courier that calls from the IP of bind, where that is given: not
-// from the inner one else, for targets may be reached over another network.
-func NewHTTP(bind string) *HTTP {
+// NewHTTPTransport creates a transport that connects from the IP address of bind, if
+// given. It does not fall back to the inner address, since targets may be on another network.
+func NewHTTPTransport(bind string) *HTTPTransport {
 	ip, _, _ := net.SplitHostPort(bind)
-	return &HTTP{from: ip, idle: map[string][]*wire{}}
+	return &HTTPTransport{localIP: ip, idle: map[string][]*targetConn{}}
 }
 
-func (h *HTTP) wire(ctx context.Context, target, addr string, fresh bool) (*wire, error) {
-	if !fresh {
+func (h *HTTPTransport) getConn(ctx context.Context, target, addr string, newConn bool) (*targetConn, error) {
+	if !newConn {
 		h.mu.Lock()
-		ws := h.idle[target]
-		for len(ws) > 0 {
-			w := ws[len(ws)-1]
-			ws = ws[:len(ws)-1]
-			h.idle[target] = ws
-			if time.Since(w.used) < idleTime {
+		idle := h.idle[target]
+		for len(idle) > 0 {
+			w := idle[len(idle)-1]
+			idle = idle[:len(idle)-1]
+			h.idle[target] = idle
+			if time.Since(w.lastUsed) < maxIdleTime {
 				h.mu.Unlock()
 				return w, nil
 			}
-			_ = w.c.Close()
+			_ = w.conn.Close()
 		}
 		h.mu.Unlock()
 	}
-	d := link.Dialer(h.from, DialTime)
+	d := link.Dialer(h.localIP, DialTimeout)
 	c, err := d.DialContext(ctx, "tcp", addr)
 	if err != nil {
 		return nil, err
 	}
-	cc := &countConn{Conn: c}
-	return &wire{c: cc, r: bufio.NewReader(cc), w: bufio.NewWriter(cc)}, nil
+	cc := &countingConn{Conn: c}
+	return &targetConn{conn: cc, reader: bufio.NewReader(cc), writer: bufio.NewWriter(cc)}, nil
 }
 
-func (h *HTTP) keep(target string, w *wire) {
-	w.used = time.Now()
+func (h *HTTPTransport) putIdle(target string, tc *targetConn) {
+	tc.lastUsed = time.Now()
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if len(h.idle[target]) >= maxIdle {
-		_ = w.c.Close()
+	if len(h.idle[target]) >= maxIdlePerTarget {
+		_ = tc.conn.Close()
 		return
 	}
-	h.idle[target] = append(h.idle[target], w)
+	h.idle[target] = append(h.idle[target], tc)
 }
 
-// Sweep closes links that lie idle; the gateway calls it now and then.
-func (h *HTTP) Sweep() {
+// CloseIdle closes connections that were idle too long; the gateway calls it periodically.
+func (h *HTTPTransport) CloseIdle() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for t, ws := range h.idle {
-		var live []*wire
-		for _, w := range ws {
-			if time.Since(w.used) < idleTime {
-				live = append(live, w)
+	for t, idle := range h.idle {
+		var live []*targetConn
+		for _, tc := range idle {
+			if time.Since(tc.lastUsed) < maxIdleTime {
+				live = append(live, tc)
 			} else {
-				_ = w.c.Close()
+				_ = tc.conn.Close()
 			}
 		}
 		if len(live) == 0 {
@@ -172,51 +172,51 @@
 	}
 }
 
-// Carry sends s and reads the answer.
-func (h *HTTP) Carry(ctx context.Context, s *Sending) (*Answer, bool, error) {
-	w, err := h.wire(ctx, s.Target, s.Addr, s.Fresh)
+// Carry sends s and reads the response.
+func (h *HTTPTransport) Carry(ctx context.Context, s *SendRequest) (*Response, bool, error) {
+	tc, err := h.getConn(ctx, s.Target, s.Addr, s.NewConn)
 	if err != nil {
 		return nil, false, err
 	}
 	ok := false
 	defer func() {
 		if ok {
-			h.keep(s.Target, w)
+			h.putIdle(s.Target, tc)
 		} else {
-			w.drop()
+			tc.abort()
 		}
 	}()
-	// The caller may go, or this node be stopping: the link is cut, not the wait.
-	stop := context.AfterFunc(ctx, func() { _ = w.c.SetDeadline(time.Unix(1, 0)) })
+	// When the caller leaves or this node stops, an expired deadline breaks the connection.
+	stop := context.AfterFunc(ctx, func() { _ = tc.conn.SetDeadline(time.Unix(1, 0)) })
 	defer stop()
-	if err := w.c.SetDeadline(s.Expiry); err != nil {
+	if err := tc.conn.SetDeadline(s.Expiry); err != nil {
 		return nil, false, err
 	}
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
-	s.fill(req)
-	if s.Last != nil && !s.Last() {
+	s.fillRequest(req)
+	if s.BeforeWrite != nil && !s.BeforeWrite() {
 		ok = true
 		return nil, false, ErrStopped
 	}
-	was := w.c.out.Load()
-	if err = req.Write(w.w); err == nil {
-		err = w.w.Flush()
+	before := tc.conn.written.Load()
+	if err = req.Write(tc.writer); err == nil {
+		err = tc.writer.Flush()
 	}
 	if err != nil {
-		return nil, w.c.out.Load() > was, err
+		return nil, tc.conn.written.Load() > before, err
 	}
-	a, again, err := read(w.r, resp, s.Req.Method)
+	a, reusable, err := readResponse(tc.reader, resp, s.Req.Method)
 	if err != nil {
 		return nil, true, err
 	}
-	ok = again && w.r.Buffered() == 0
+	ok = reusable && tc.reader.Buffered() == 0
 	return a, true, nil
 }
 
-// fill turns the caller's request into the one for the target.
-func (s *Sending) fill(req *fasthttp.Request) {
+// fillRequest converts the caller's request into the request to the target.
+func (s *SendRequest) fillRequest(req *fasthttp.Request) {
 	req.Header.DisableNormalizing()
 	req.Header.SetNoDefaultContentType(true)
 	req.Header.SetMethod(s.Req.Method)
@@ -228,13 +228,13 @@
 	for _, f := range s.Req.Header {
 		req.Header.Add(f[0], f[1])
 	}
-	req.Header.Set(httpapi.RequestField, s.Number)
+	req.Header.Set(httpapi.RequestField, s.SendID)
 	req.Header.Set(httpapi.TargetField, s.Target)
 	req.SetBodyRaw(s.Req.Body)
 }
 
-// read takes one answer; again tells whether the link may carry another.
-func read(r *bufio.Reader, resp *fasthttp.Response, method string) (*Answer, bool, error) {
+// readResponse reads one response; again reports whether the connection can be reused.
+func readResponse(r *bufio.Reader, resp *fasthttp.Response, method string) (*Response, bool, error) {
 	h := &resp.Header
 	for {
 		if err := h.Read(r); err != nil {
@@ -244,38 +244,38 @@
 			break
 		}
 	}
-	a := &Answer{Status: h.StatusCode()}
-	n := h.ContentLength()
-	none := method == fasthttp.MethodHead || a.Status == 204 || a.Status == 304
-	a.Whole = none || n >= 0 || n == -1
-	if !none {
-		if err := resp.ReadBody(r, MaxAnswer); err != nil {
+	answer := &Response{Status: h.StatusCode()}
+	length := h.ContentLength()
+	noBody := method == fasthttp.MethodHead || answer.Status == 204 || answer.Status == 304
+	answer.Complete = noBody || length >= 0 || length == -1
+	if !noBody {
+		if err := resp.ReadBody(r, MaxResponse); err != nil {
 			return nil, false, err
 		}
-		if n == -1 {
+		if length == -1 {
 			if err := h.ReadTrailer(r); err != nil && !errors.Is(err, io.EOF) {
 				return nil, false, err
 			}
 		}
-		a.Body = append([]byte(nil), resp.Body()...)
+		answer.Body = append([]byte(nil), resp.Body()...)
 	}
 	for k, v := range h.All() {
 		f := string(k)
 		switch f {
 		case httpapi.StampField:
-			a.Stamp = string(v)
+			answer.Stamp = string(v)
 		case httpapi.NotRunField:
-			a.NotRun = string(v) == "1"
+			answer.NotRun = string(v) == "1"
 		case "Content-Length":
-			// Written anew by the server, but for HEAD, where it tells of a body
-			// that is not there.
+			// The server writes its own, except for HEAD, where it gives the length of a
+			// body that is not sent.
 			if method != fasthttp.MethodHead {
 				continue
 			}
 		}
 		if !httpapi.Hop(f) {
-			a.Header = append(a.Header, [2]string{f, string(v)})
+			answer.Header = append(answer.Header, [2]string{f, string(v)})
 		}
 	}
-	return a, a.Whole && !h.ConnectionClose(), nil
+	return answer, answer.Complete && !h.ConnectionClose(), nil
 }
--- a/internal/passage/elect.go
+++ b/internal/passage/elect.go
@@ -10,79 +10,80 @@
 )
 
 const (
-	// Fresh and suspectAt are what all who read the gateways' proofs go by.
-	Fresh     = registry.Fresh
-	suspectAt = registry.SuspectAt
-	// suspectCap is the share of a service's targets that may be passed over for
-	// suspicion together; beyond it the least suspected stay in (design 10.5).
-	suspectCap = 0.5
-	// farther is how much busier the own zone may be before the next one is used;
-	// where there is a map, those beyond count as farther still (design 18).
-	farther = 2.0
+	// MaxProofAge and defaultSuspicion are common to all readers of the gateways' identity proofs.
+	MaxProofAge      = registry.Fresh
+	defaultSuspicion = registry.SuspectAt
+	// maxSuspectedShare is the share of a service's targets that may be excluded for
+	// suspicion at once; beyond it the least suspected stay eligible (design 10.5).
+	maxSuspectedShare = 0.5
+	// zonePenalty is how many times busier the local zone may be before another zone is
+	// used; with a zone map, more distant zones get a higher penalty (design 18).
+	zonePenalty = 2.0
 )
 
-// candidate is a target with what the choice reads of it, taken once.
+// candidate is a target with its suspicion, read once per selection.
 type candidate struct {
-	s *registry.Stand
-	w float64
+	target    *registry.Stand
+	suspicion float64
 }
 
-// elect chooses a target for a service at this instant: proved, not leaving, not
-// suspected, with room for one more that is to be done within left; of three drawn at
-// random the least busy for its capacity, the own zone first. Suspicion is read fresh
-// for every target at every choice. It tells also how much room the targets have in
-// all, and whether there was one but for its room.
-func (p *Passage) elect(service string, limit float64, tried []*registry.Stand, left time.Duration) (s *registry.Stand, rooms float64, full bool) {
+// selectTarget selects a target of a service. Eligible are targets that are proved, not
+// leaving, not suspected, and have capacity for one more send to finish within left. Of
+// three eligible targets drawn at random it takes the least loaded for its capacity,
+// preferring the local zone. The suspicion of every target is read anew at each
+// selection. It also returns the total concurrency limit of the targets, and whether
+// capacity was all that was missing.
+func (p *Pipeline) selectTarget(service string, limit float64, tried []*registry.Stand, left time.Duration) (s *registry.Stand, totalLimit float64, full bool) {
 	now, gateways := p.Clock.Now(), p.Gateways()
-	all := p.Roster.Of(service)
-	var ok, bad []candidate
+	all := p.Targets.Of(service)
+	var ok, suspected []candidate
 	for _, s := range all {
-		if s.Leaving.Load() || s.Gone.Load() || slices.Contains(tried, s) || p.Roster.Age(s, now) >= Fresh {
+		if s.Leaving.Load() || s.Gone.Load() || slices.Contains(tried, s) || p.Targets.Age(s, now) >= MaxProofAge {
 			continue
 		}
 		if w := s.Det.Suspicion(now); w < limit {
 			ok = append(ok, candidate{s, w})
 		} else {
-			bad = append(bad, candidate{s, w})
+			suspected = append(suspected, candidate{s, w})
 		}
 	}
-	// Many suspected at once says more of this node or its network than of them.
-	if n := len(all); len(bad) > int(suspectCap*float64(n)) {
-		slices.SortFunc(bad, func(a, b candidate) int {
-			if a.w < b.w {
+	// Many suspected targets at once point to this node or its network rather than to them.
+	if n := len(all); len(suspected) > int(maxSuspectedShare*float64(n)) {
+		slices.SortFunc(suspected, func(a, b candidate) int {
+			if a.suspicion < b.suspicion {
 				return -1
 			}
 			return 1
 		})
-		ok = append(ok, bad[:len(bad)-int(suspectCap*float64(n))]...)
+		ok = append(ok, suspected[:len(suspected)-int(maxSuspectedShare*float64(n))]...)
 	}
 	free := ok[:0]
 	for _, c := range ok {
-		r := room(c.s, left, gateways)
-		rooms += r
-		if float64(c.s.Flying.Load()) < math.Max(1, r) {
+		r := concurrencyLimit(c.target, left, gateways)
+		totalLimit += r
+		if float64(c.target.Flying.Load()) < math.Max(1, r) {
 			free = append(free, c)
 		}
 	}
 	if len(free) == 0 {
-		return nil, rooms, len(ok) > 0
+		return nil, totalLimit, len(ok) > 0
 	}
 	ok = free
 	a := ok[rand.IntN(len(ok))]
 	for range 2 {
-		if b := ok[rand.IntN(len(ok))]; p.load(b.s) < p.load(a.s) {
+		if b := ok[rand.IntN(len(ok))]; p.relativeLoad(b.target) < p.relativeLoad(a.target) {
 			a = b
 		}
 	}
-	return a.s, rooms, false
+	return a.target, totalLimit, false
 }
 
-// load is how busy a target is for its capacity; a target in another zone counts
-// as busier.
-func (p *Passage) load(s *registry.Stand) float64 {
+// relativeLoad is a target's load relative to its capacity; a target in another zone
+// counts as busier.
+func (p *Pipeline) relativeLoad(s *registry.Stand) float64 {
 	l := (float64(s.Flying.Load()) + 1) / float64(max(1, s.Capacity.Load()))
 	if s.Zone != p.Zone {
-		l *= farther * p.Chart.Far(p.Zone, s.Zone)
+		l *= zonePenalty * p.ZoneMap.Far(p.Zone, s.Zone)
 	}
 	return l
 }
--- a/internal/passage/elect_test.go
+++ b/internal/passage/elect_test.go
@@ -14,35 +14,35 @@
 	"walkrudder/internal/topology"
 )
 
-// crowd is a passage with n proved targets, each heard of every 400 ms so far.
-func crowd(ctx context.Context, t *testing.T, n int) (*Passage, []*registry.Stand) {
+// newTestPipeline returns a pipeline with n targets that have a heartbeat interval of 400 ms.
+func newTestPipeline(ctx context.Context, t *testing.T, n int) (*Pipeline, []*registry.Stand) {
 	t.Helper()
-	pz := liveness.NewPauses(clock.Wall{})
-	go pz.Run(ctx)
-	r := &registry.Roster{Clock: clock.Wall{}, Pause: pz, Every: 400 * time.Millisecond}
-	r.Init()
-	go r.Alone(ctx)
-	var es []registry.Entry
+	pauses := liveness.NewPauses(clock.Wall{})
+	go pauses.Run(ctx)
+	roster := &registry.Roster{Clock: clock.Wall{}, Pause: pauses, Every: 400 * time.Millisecond}
+	roster.Init()
+	go roster.Alone(ctx)
+	var entries []registry.Entry
 	for i := range n {
-		es = append(es, registry.Entry{Beat: httpapi.Beat{ID: fmt.Sprint("t", i), Service: "s", Zone: "z1", Addr: fmt.Sprintf("127.0.0.1:%d", i+1), Capacity: 4, Seq: 1, Inc: 1}})
+		entries = append(entries, registry.Entry{Beat: httpapi.Beat{ID: fmt.Sprint("t", i), Service: "s", Zone: "z1", Addr: fmt.Sprintf("127.0.0.1:%d", i+1), Capacity: 4, Seq: 1, Inc: 1}})
 	}
-	if err := r.Learn(ctx, "s", es); err != nil {
+	if err := roster.Learn(ctx, "s", entries); err != nil {
 		t.Fatal(err)
 	}
-	p := &Passage{Clock: clock.Wall{}, Roster: r, Zone: "z1", Gateways: func() int { return 1 }}
+	p := &Pipeline{Clock: clock.Wall{}, Targets: roster, Zone: "z1", Gateways: func() int { return 1 }}
 	p.Init()
-	return p, r.Of("s")
+	return p, roster.Of("s")
 }
 
-// hear lets the first k targets answer for a while; the rest stay silent.
-func hear(p *Passage, ss []*registry.Stand, k int, from uint64, times int) {
+// heartbeats lets the first k targets send heartbeats for a while; the others stay silent.
+func heartbeats(p *Pipeline, targets []*registry.Stand, k int, from uint64, times int) {
 	for j := range times {
 		time.Sleep(400 * time.Millisecond)
-		for _, s := range ss[:k] {
+		for _, s := range targets[:k] {
 			s.Det.Arrive(from+uint64(j), time.Now())
 		}
-		for _, s := range ss {
-			p.Roster.Proved(s, time.Now())
+		for _, s := range targets {
+			p.Targets.Proved(s, time.Now())
 		}
 	}
 }
@@ -50,30 +50,30 @@
 func TestElectPassesOverTheSuspectedButNeverAllAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, end := context.WithCancel(t.Context())
-		p, ss := crowd(ctx, t, 10)
-		hear(p, ss, 10, 1, 20)
-		hear(p, ss, 7, 100, 5)
+		p, targets := newTestPipeline(ctx, t, 10)
+		heartbeats(p, targets, 10, 1, 20)
+		heartbeats(p, targets, 7, 100, 5)
 		for range 300 {
-			s, _, _ := p.elect("s", suspectAt, nil, time.Second)
+			s, _, _ := p.selectTarget("s", defaultSuspicion, nil, time.Second)
 			if s == nil {
-				t.Fatal("nobody elected")
+				t.Fatal("no target selected")
 			}
-			for _, bad := range ss[7:] {
+			for _, bad := range targets[7:] {
 				if s == bad {
-					t.Fatalf("%s was elected after 2 s of silence", s.ID)
+					t.Fatalf("%s was selected after 2 s of silence", s.ID)
 				}
 			}
 		}
-		// All go silent together: that says more of this side than of them.
-		hear(p, ss, 0, 0, 10)
+		// All become silent together, which points to this node rather than to the targets.
+		heartbeats(p, targets, 0, 0, 10)
 		seen := map[string]bool{}
 		for range 300 {
-			if s, _, _ := p.elect("s", suspectAt, nil, time.Second); s != nil {
+			if s, _, _ := p.selectTarget("s", defaultSuspicion, nil, time.Second); s != nil {
 				seen[s.ID] = true
 			}
 		}
 		if len(seen) == 0 || len(seen) > 5 {
-			t.Errorf("with all suspected, %d of 10 were elected: want some, half at most", len(seen))
+			t.Errorf("with all suspected, %d of 10 were selected: want at least one, half at most", len(seen))
 		}
 		end()
 		time.Sleep(time.Second)
@@ -83,51 +83,51 @@
 func TestElectTakesNoTargetWithoutAFreshProof(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, end := context.WithCancel(t.Context())
-		p, ss := crowd(ctx, t, 2)
-		if s, _, _ := p.elect("s", suspectAt, nil, time.Second); s != nil {
-			t.Error("elected a target that never proved who it is")
+		p, targets := newTestPipeline(ctx, t, 2)
+		if s, _, _ := p.selectTarget("s", defaultSuspicion, nil, time.Second); s != nil {
+			t.Error("selected a target without an identity proof")
 		}
-		hear(p, ss, 2, 1, 5)
-		ss[0].Leaving.Store(true)
+		heartbeats(p, targets, 2, 1, 5)
+		targets[0].Leaving.Store(true)
 		for range 50 {
-			if s, _, _ := p.elect("s", suspectAt, nil, time.Second); s != ss[1] {
-				t.Fatal("elected a target that is leaving, or none")
+			if s, _, _ := p.selectTarget("s", defaultSuspicion, nil, time.Second); s != targets[1] {
+				t.Fatal("selected a leaving target, or none")
 			}
 		}
-		if s, _, _ := p.elect("s", suspectAt, []*registry.Stand{ss[1]}, time.Second); s != nil {
-			t.Error("elected a target that was tried before")
+		if s, _, _ := p.selectTarget("s", defaultSuspicion, []*registry.Stand{targets[1]}, time.Second); s != nil {
+			t.Error("selected a target that was already tried")
 		}
-		time.Sleep(Fresh)
-		if s, _, _ := p.elect("s", suspectAt, nil, time.Second); s != nil {
-			t.Error("elected on a proof that has run out")
+		time.Sleep(MaxProofAge)
+		if s, _, _ := p.selectTarget("s", defaultSuspicion, nil, time.Second); s != nil {
+			t.Error("selected a target whose proof has expired")
 		}
 		end()
 		time.Sleep(time.Second)
 	})
 }
 
-// Of targets in other zones those in a near one are taken first.
+// A target in a near zone is preferred to one in a distant zone.
 func TestElectTakesTheNearerZone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, end := context.WithCancel(t.Context())
 		defer end()
-		p, ss := crowd(ctx, t, 8)
+		p, targets := newTestPipeline(ctx, t, 8)
 		var err error
-		if p.Chart, err = topology.Dot([]byte(`graph { here -- near [ms=1]; here -- far [ms=9] }`)); err != nil {
+		if p.ZoneMap, err = topology.Dot([]byte(`graph { here -- near [ms=1]; here -- far [ms=9] }`)); err != nil {
 			t.Fatal(err)
 		}
 		p.Zone = "here"
-		for i, s := range ss {
+		for i, s := range targets {
 			s.Zone = []string{"near", "far"}[i%2]
 		}
-		hear(p, ss, 8, 1, 3)
-		by := map[string]int{}
+		heartbeats(p, targets, 8, 1, 3)
+		byZone := map[string]int{}
 		for range 400 {
-			s, _, _ := p.elect("s", suspectAt, nil, time.Second)
-			by[s.Zone]++
+			s, _, _ := p.selectTarget("s", defaultSuspicion, nil, time.Second)
+			byZone[s.Zone]++
 		}
-		if by["near"] < 3*by["far"] || by["far"] == 0 {
-			t.Errorf("%v", by)
+		if byZone["near"] < 3*byZone["far"] || byZone["far"] == 0 {
+			t.Errorf("%v", byZone)
 		}
 	})
 }
--- a/internal/passage/passage.go
+++ b/internal/passage/passage.go
@@ -24,162 +24,162 @@
 
 const (
 	// queueSize bounds each queue; together with sendWorkers it bounds the
-	// requests inside one gateway.
+	// number of requests inside one gateway.
 	queueSize   = 512
 	sendWorkers = 256
-	// laneWide bounds the sendings of one service at a gateway: a service whose targets
-	// all hang leaves the others a quarter of the workers (design 13.8).
-	laneWide = sendWorkers * 3 / 4
-	// maxTries bounds the targets tried for one request.
-	maxTries = 4
-	// waitTime and maxWaits bound the wait for a target to be proved; roomWaits that for
-	// a target to have room, which no more calls may wait for than there is room: what
-	// came together, as after a hold, is served one after the other.
-	waitTime  = 40 * time.Millisecond
-	maxWaits  = 5
-	roomWaits = 15
-	// slack is kept free before the expiry, for the answer's way back.
-	slack = 20 * time.Millisecond
-	// clientRate and clientBurst limit a client that hammers, over all gateways together;
-	// each has its equal part, and no less than partRate and partBurst. Proper ones stay
-	// far below.
-	clientRate  = 60
-	clientBurst = 120
-	partRate    = 4
-	partBurst   = 8
-	maxClients  = 10000
+	// maxServiceSends bounds the concurrent sends of one service at a gateway: a service
+	// whose targets all hang leaves a quarter of the workers to the others (design 13.8).
+	maxServiceSends = sendWorkers * 3 / 4
+	// maxAttempts bounds the targets tried for one request.
+	maxAttempts = 4
+	// waitInterval and maxProofWaits bound the wait for a target to prove its identity;
+	// maxCapacityWaits bounds the wait for a target with free capacity. No more calls may
+	// wait for capacity than there is capacity, so a burst, such as after a hold, is served
+	// one call after the other.
+	waitInterval     = 40 * time.Millisecond
+	maxProofWaits    = 5
+	maxCapacityWaits = 15
+	// returnMargin is kept free before the expiry for the response to reach the caller.
+	returnMargin = 20 * time.Millisecond
+	// clientRate and clientBurst limit a client that sends too many requests, summed over
+	// all gateways. Each gateway applies an equal share, but no less than minClientRate
+	// and minClientBurst. Well-behaved clients stay far below.
+	clientRate     = 60
+	clientBurst    = 120
+	minClientRate  = 4
+	minClientBurst = 8
+	maxClients     = 10000
 )
 
-// Gate tells under which sheet work may be sent now.
+// Gate tells which route sheet requests may be sent under now.
 type Gate interface {
 	Gate() (*spec.Table, bool)
 	Wait(ctx context.Context) (*spec.Table, bool)
 }
 
-// Passage leads requests through a gateway.
-type Passage struct {
-	Clock    clock.Clock
-	Rack     Gate
-	Roster   *registry.Roster
-	Courier  Courier
-	Claims   Claims
-	Zone     string
-	Chart    *topology.Chart // nil where no map is given
-	ID       string
-	Inc      uint64
-	Gateways func() int
-	Faults   *fault.Set
-	Log      *log.Logger
-	Count    func(what, service string)
+// Pipeline takes requests through a gateway.
+type Pipeline struct {
+	Clock     clock.Clock
+	Sheets    Gate
+	Targets   *registry.Roster
+	Transport Transport
+	Claims    Claims
+	Zone      string
+	ZoneMap   *topology.Chart // nil where no map is given
+	ID        string
+	Inc       uint64
+	Gateways  func() int
+	Faults    *fault.Set
+	Log       *log.Logger
+	Count     func(what, service string)
 
-	grant, claim, choose *Stage[*Trip]
-	send, check          *Stage[*Try]
+	route, claim, selection *Stage[*Call]
+	send, check             *Stage[*Attempt]
 
-	stories *stories
-	calls   atomic.Uint64
-	mu      sync.Mutex
-	budgets map[string]*Budget
-	clients map[string]*client
-	lanes   sync.Map // by service: *Lane
-	born    time.Time
-	told    atomic.Int64
-	flying  atomic.Int64
+	stories         *storyLog
+	callSeq         atomic.Uint64
+	mu              sync.Mutex
+	budgets         map[string]*Budget
+	clients         map[string]*client
+	limiters        sync.Map // by service: *ServiceLimiter
+	startedAt       time.Time
+	lastNoTargetLog atomic.Int64
+	inFlight        atomic.Int64
 }
 
 type client struct {
-	l    *rate.Limiter
-	seen time.Time
+	limiter  *rate.Limiter
+	lastSeen time.Time
 }
 
-// Init makes the stages.
-func (p *Passage) Init() {
-	done := func(t *Trip) bool { return t.over.Load() }
-	ended := func(x *Try) bool { return x.Trip.over.Load() }
-	p.grant = NewStage("grant", queueSize, 4, p.doGrant, done)
-	p.claim = NewStage("claim", queueSize, claimWorkers, p.doClaim, done)
-	p.choose = NewStage("elect", queueSize, 4, p.doElect, done)
+// Init creates the stages.
+func (p *Pipeline) Init() {
+	done := func(t *Call) bool { return t.finished.Load() }
+	ended := func(x *Attempt) bool { return x.Call.finished.Load() }
+	p.route = NewStage("grant", queueSize, 4, p.doRoute, done)
+	p.claim = NewStage("claim", queueSize, maxClaims, p.doClaim, done)
+	p.selection = NewStage("elect", queueSize, 4, p.doSelect, done)
 	p.send = NewStage("send", queueSize, sendWorkers, p.doSend, ended)
-	p.send.drop = (*Try).landed
+	p.send.discard = (*Attempt).release
 	p.check = NewStage("check", queueSize, 4, p.doCheck, ended)
 	p.budgets, p.clients = map[string]*Budget{}, map[string]*client{}
-	p.stories = newStories()
-	p.born = p.Clock.Now()
+	p.stories = newStoryLog()
+	p.startedAt = p.Clock.Now()
 	if p.Count == nil {
 		p.Count = func(string, string) {}
 	}
 }
 
-// Run works until ctx ends.
-func (p *Passage) Run(ctx context.Context) {
+// Run runs the stages until ctx ends.
+func (p *Pipeline) Run(ctx context.Context) {
 	var wg sync.WaitGroup
-	wg.Go(func() { p.stories.own.Run(ctx) })
-	for _, run := range []func(context.Context){p.grant.Run, p.claim.Run, p.choose.Run, p.send.Run, p.check.Run} {
+	wg.Go(func() { p.stories.owner.Run(ctx) })
+	for _, run := range []func(context.Context){p.route.Run, p.claim.Run, p.selection.Run, p.send.Run, p.check.Run} {
 		wg.Go(func() { run(ctx) })
 	}
 	wg.Wait()
 }
 
-// Flying is the number of calls inside.
-func (p *Passage) Flying() int64 { return p.flying.Load() }
+// InFlight returns the number of calls inside the gateway.
+func (p *Pipeline) InFlight() int64 { return p.inFlight.Load() }
 
-// Enter is the door: it takes a call in, waits for its end or its expiry, and
-// returns the trip with Answer or Out set. key is the caller's own name for the
-// request, "" where he gave none.
-func (p *Passage) Enter(ctx context.Context, client, key string, r *Request) *Trip {
-	p.flying.Add(1)
-	defer p.flying.Add(-1)
+// Handle accepts a call, waits until it finishes or expires, and returns it with Response
+// or Verdict set. key is the caller's idempotency key, "" if there is none.
+func (p *Pipeline) Handle(ctx context.Context, client, key string, r *Request) *Call {
+	p.inFlight.Add(1)
+	defer p.inFlight.Add(-1)
 	now := p.Clock.Now()
-	t := &Trip{Ctx: ctx, Client: client, Key: key, Req: r, Came: now, done: make(chan struct{}),
-		Call: p.ID + "-" + strconv.FormatUint(p.Inc, 36) + "-" + strconv.FormatUint(p.calls.Add(1), 36)}
-	cut := false
+	call := &Call{Ctx: ctx, Client: client, Key: key, Req: r, Arrived: now, done: make(chan struct{}),
+		ID: p.ID + "-" + strconv.FormatUint(p.Inc, 36) + "-" + strconv.FormatUint(p.callSeq.Add(1), 36)}
+	stopping := false
 	defer func() {
-		if !cut {
-			p.closeClaim(t)
-			p.record(t)
+		if !stopping {
+			p.closeClaim(call)
+			p.saveStory(call)
 		}
 	}()
-	// The binding may change while the call waits at the gate; what it is under
-	// now only bounds the wait.
-	tab, open := p.Rack.Gate()
-	t.Expiry = now.Add(2 * time.Second)
-	b, m := tab.Find(r.Method, r.URI[:pathEnd(r.URI)])
+	// The binding may change while the call waits at the gate; the current one only
+	// bounds the wait.
+	table, open := p.Sheets.Gate()
+	call.Expiry = now.Add(2 * time.Second)
+	binding, match := table.Find(r.Method, r.URI[:pathEnd(r.URI)])
 	switch {
-	case m == spec.Found:
-		t.Expiry, t.free = now.Add(b.Expiry), b.Repeatable
+	case match == spec.Found:
+		call.Expiry, call.repeatable = now.Add(binding.Expiry), binding.Repeatable
 	case open:
-		t.Out = missing(m, tab, r)
-		return t
+		call.Verdict = noBindingVerdict(match, table, r)
+		return call
 	}
-	if !p.limit(client, now) {
-		t.Out = p.notRun(t, "this client sends too many requests")
-		t.Out.Status = 429
-		return t
+	if !p.allowClient(client, now) {
+		call.Verdict = p.notRun(call, "this client sends too many requests")
+		call.Verdict.Status = 429
+		return call
 	}
-	wait := t.Left(now)
-	if !p.grant.Put(t) {
-		t.Out = p.notRun(t, "the door's queue is full")
-		return t
+	wait := call.Remaining(now)
+	if !p.route.Put(call) {
+		call.Verdict = p.notRun(call, "the door's queue is full")
+		return call
 	}
 	for {
 		c, stop := p.Clock.After(wait)
 		select {
-		case <-t.done:
+		case <-call.done:
 			stop()
-			return t
+			return call
 		case <-c:
 		case <-ctx.Done():
-			// This process ends: whoever waits is cut off with it.
+			// The process is shutting down: waiting callers are cut off with it.
 			stop()
-			cut = true
-			t.over.Store(true)
-			// A stage may still hold the trip; the caller gets one of his own.
-			return &Trip{Call: t.Call, Out: &httpapi.Verdict{Status: 502, Code: httpapi.Unknown, Why: "this node was ended", Sent: true}}
+			stopping = true
+			call.finished.Store(true)
+			// A stage may still hold the call, so the caller gets a separate one.
+			return &Call{ID: call.ID, Verdict: &httpapi.Verdict{Status: 502, Code: httpapi.Unknown, Why: "this node was ended", Sent: true}}
 		}
-		if t.drop() {
-			t.finish(nil, p.notRun(t, "no target could take it before its expiry"))
-			return t
+		if call.claimNotRun() {
+			call.finish(nil, p.notRun(call, "no target could take it before its expiry"))
+			return call
 		}
-		// Under way: the sending ends at the same expiry, and says how.
+		// A send is under way: it ends at the same expiry and sets the result.
 		wait = 50 * time.Millisecond
 	}
 }
@@ -193,416 +193,418 @@
 	return len(uri)
 }
 
-func missing(m spec.Match, t *spec.Table, r *Request) *httpapi.Verdict {
+func noBindingVerdict(m spec.Match, t *spec.Table, r *Request) *httpapi.Verdict {
 	if m == spec.NoMethod {
 		return &httpapi.Verdict{Status: 405, Code: httpapi.BadMethod, Allow: t.Allows(r.URI[:pathEnd(r.URI)])}
 	}
 	return &httpapi.Verdict{Status: 404, Code: httpapi.NoBinding}
 }
 
-func busy(why string, retry time.Duration) *httpapi.Verdict {
+func busyVerdict(why string, retry time.Duration) *httpapi.Verdict {
 	return &httpapi.Verdict{Status: 503, Code: httpapi.BusyNotRun, Why: why, Retry: retry}
 }
 
-// refuse ends a trip that has not run, unless a sending is still under way: then
-// that one's end counts. Where a byte may have left already "not run" would be a lie,
-// and the outcome is unknown.
-func (p *Passage) refuse(t *Trip, why string) {
-	t.mu.Lock()
-	under, loose, tries, sends := t.open > 0 || t.electing, t.Loose, t.Tries, t.Sends
-	t.mu.Unlock()
-	if under {
+// refuse ends a call that has not run, unless a send is still under way, in which case
+// the end of that send decides. If any byte may have been written, "not run" would be
+// wrong, and the outcome is unknown.
+func (p *Pipeline) refuse(call *Call, why string) {
+	call.mu.Lock()
+	active, mayHaveRun, attempts, sends := call.inFlight > 0 || call.selecting, call.MaybeRun, call.Attempts, call.Sends
+	call.mu.Unlock()
+	if active {
 		return
 	}
-	p.step(t, "refuse", "", why)
+	p.addStep(call, "refuse", "", why)
 	if p.Log != nil {
-		p.Log.Info("call given up", "step", "refuse", "call", t.Call, "why", why, "tries", tries, "sends", sends, "loose", loose)
+		p.Log.Info("call ended without a response", "step", "refuse", "call", call.ID, "why", why, "tries", attempts, "sends", sends, "loose", mayHaveRun)
 	}
 	switch {
-	case loose > 0 && !t.Bound.Repeatable:
-		t.finish(nil, &httpapi.Verdict{Status: 502, Code: httpapi.Unknown, Why: why, Sent: true})
-	case loose > 0:
-		t.finish(nil, &httpapi.Verdict{Status: 502, Code: httpapi.BadAnswer, Why: why, Retry: time.Second, Sent: true})
-	case t.drop() || t.state.Load() == sent:
-		// Sent without a byte that left, or answered "not run" by the target.
-		t.finish(nil, p.notRun(t, why))
+	case mayHaveRun > 0 && !call.Binding.Repeatable:
+		call.finish(nil, &httpapi.Verdict{Status: 502, Code: httpapi.Unknown, Why: why, Sent: true})
+	case mayHaveRun > 0:
+		call.finish(nil, &httpapi.Verdict{Status: 502, Code: httpapi.BadAnswer, Why: why, Retry: time.Second, Sent: true})
+	case call.claimNotRun() || call.state.Load() == stateSent:
+		// Either no byte was written, or the target answered "not run".
+		call.finish(nil, p.notRun(call, why))
 	}
 }
 
-// doGrant waits for the gate, finds the binding and bounds the body.
-func (p *Passage) doGrant(t *Trip) {
-	cx, end := context.WithDeadline(t.Ctx, t.Expiry)
-	tab, ok := p.Rack.Gate()
+// doRoute waits for the gate, finds the binding and checks the body size.
+func (p *Pipeline) doRoute(call *Call) {
+	cx, end := context.WithDeadline(call.Ctx, call.Expiry)
+	table, ok := p.Sheets.Gate()
 	if !ok {
-		tab, ok = p.Rack.Wait(cx)
+		table, ok = p.Sheets.Wait(cx)
 	}
 	end()
 	if !ok {
-		if t.drop() {
-			t.finish(nil, p.notRun(t, "this node waits for the control plane"))
+		if call.claimNotRun() {
+			call.finish(nil, p.notRun(call, "this node waits for the control plane"))
 		}
 		return
 	}
-	b, m := tab.Find(t.Req.Method, t.Req.URI[:pathEnd(t.Req.URI)])
-	if m != spec.Found {
-		if t.drop() {
-			t.finish(nil, missing(m, tab, t.Req))
+	binding, match := table.Find(call.Req.Method, call.Req.URI[:pathEnd(call.Req.URI)])
+	if match != spec.Found {
+		if call.claimNotRun() {
+			call.finish(nil, noBindingVerdict(match, table, call.Req))
 		}
 		return
 	}
-	if len(t.Req.Body) > b.MaxBody {
-		if t.drop() {
-			t.finish(nil, &httpapi.Verdict{Status: 413, Code: httpapi.TooLarge, Why: fmt.Sprintf("the limit here is %d bytes", b.MaxBody)})
+	if len(call.Req.Body) > binding.MaxBody {
+		if call.claimNotRun() {
+			call.finish(nil, &httpapi.Verdict{Status: 413, Code: httpapi.TooLarge, Why: fmt.Sprintf("the limit here is %d bytes", binding.MaxBody)})
 		}
 		return
 	}
-	t.Table, t.Bound = tab, b
-	p.step(t, "grant", "", fmt.Sprintf("binding %s of version %d", b.Name, tab.N))
-	// Never longer than the caller was promised on arrival.
-	if e := t.Came.Add(b.Expiry); e.Before(t.Expiry) {
-		t.Expiry = e
+	call.Table, call.Binding = table, binding
+	p.addStep(call, "grant", "", fmt.Sprintf("binding %s of version %d", binding.Name, table.N))
+	// Never later than the expiry set on arrival.
+	if e := call.Arrived.Add(binding.Expiry); e.Before(call.Expiry) {
+		call.Expiry = e
 	}
-	if p.needsClaim(t) && !t.asked.Load() {
-		if !p.claim.Put(t) {
-			p.refuse(t, "the queue before the claim is full")
+	if p.needsClaim(call) && !call.claimAsked.Load() {
+		if !p.claim.Put(call) {
+			p.refuse(call, "the queue before the claim is full")
 		}
 		return
 	}
-	p.toElect(t, "the queue before the choice is full")
+	p.enqueueSelection(call, "the queue before the choice is full")
 }
 
-// toElect queues a trip for the choice; why is told where the queue is full.
-func (p *Passage) toElect(t *Trip, why string) {
-	t.mu.Lock()
-	t.electing = true
-	t.mu.Unlock()
-	if !p.choose.Put(t) {
-		p.unelect(t)
-		p.refuse(t, why)
+// enqueueSelection queues a call for target selection; why is the reason given if the queue is full.
+func (p *Pipeline) enqueueSelection(call *Call, why string) {
+	call.mu.Lock()
+	call.selecting = true
+	call.mu.Unlock()
+	if !p.selection.Put(call) {
+		p.endSelection(call)
+		p.refuse(call, why)
 	}
 }
 
-// doElect chooses a target, or gives up at once when there is none and waiting
-// can bring none in time.
-func (p *Passage) doElect(t *Trip) {
-	s := t.Table.Services[t.Bound.Service]
-	limit := cmp.Or(s.Suspect, suspectAt)
+// doSelect selects a target. It refuses the call at once if there is none and waiting
+// cannot provide one in time.
+func (p *Pipeline) doSelect(call *Call) {
+	service := call.Table.Services[call.Binding.Service]
+	limit := cmp.Or(service.Suspect, defaultSuspicion)
 	now := p.Clock.Now()
-	t.mu.Lock()
-	tries, tried, more := t.Tries, t.Tried, t.open > 0
-	t.mu.Unlock()
-	no := func(why string) {
-		p.unelect(t)
-		p.refuse(t, why)
-	}
-	if t.Left(now) <= slack {
-		no("no time left before its expiry")
+	call.mu.Lock()
+	attempts, tried, inFlight := call.Attempts, call.Tried, call.inFlight > 0
+	call.mu.Unlock()
+	refuse := func(why string) {
+		p.endSelection(call)
+		p.refuse(call, why)
+	}
+	if call.Remaining(now) <= returnMargin {
+		refuse("no time left before its expiry")
 		return
 	}
-	if tries >= maxTries {
-		no("every target tried failed")
+	if attempts >= maxAttempts {
+		refuse("every target tried failed")
 		return
 	}
-	lane := p.lane(s.Name)
-	to, rooms, full := p.elect(s.Name, limit, tried, t.Left(now))
-	x := &Try{Trip: t, Stand: to, No: tries + 1, Table: t.Table, Bound: t.Bound, lane: lane, paused: p.Roster.Pause.Total(), end: make(chan struct{})}
-	if more && x.Stand != nil && x.Stand.Det.Suspicion(now) >= limit {
-		// Where most are suspected the fault is here: no target is better than the one
-		// that is waited for.
-		x.Stand = nil
-	}
-	if full || x.Stand != nil && !lane.enter(t.Bound.Name, rooms, t.Table.Kinds(t.Bound.Service)) {
-		if t.Waits < roomWaits && !more && lane.wait(rooms) {
-			p.wait(t, no, lane)
+	limiter := p.limiter(service.Name)
+	target, totalLimit, full := p.selectTarget(service.Name, limit, tried, call.Remaining(now))
+	attempt := &Attempt{Call: call, Target: target, Num: attempts + 1, Table: call.Table, Binding: call.Binding, limiter: limiter, pausedBefore: p.Targets.Pause.Total(), returned: make(chan struct{})}
+	if inFlight && attempt.Target != nil && attempt.Target.Det.Suspicion(now) >= limit {
+		// With most targets suspected the fault is at this gateway: no other target is
+		// better than the one already being waited for.
+		attempt.Target = nil
+	}
+	if full || attempt.Target != nil && !limiter.acquire(call.Binding.Name, totalLimit, call.Table.Kinds(call.Binding.Service)) {
+		if call.Waits < maxCapacityWaits && !inFlight && limiter.startWait(totalLimit) {
+			p.selectLater(call, refuse, limiter)
 			return
 		}
-		lane.note(now, false)
-		t.Retry = lane.retry()
-		no("the targets of " + s.Name + " have as much to do as they can finish in time")
+		limiter.recordOffer(now, false)
+		call.RetryAfter = limiter.retryAfter()
+		refuse("the targets of " + service.Name + " have as much to do as they can finish in time")
 		return
 	}
-	if x.Stand == nil {
-		if t.Waits < maxWaits && !more && p.unproved(s.Name, now) {
-			// A probe that is under way may prove one in a moment, as after this node
-			// was frozen.
-			p.wait(t, no, nil)
+	if attempt.Target == nil {
+		if call.Waits < maxProofWaits && !inFlight && p.hasUnproved(service.Name, now) {
+			// A probe under way may prove a target shortly, for example after this
+			// process was suspended.
+			p.selectLater(call, refuse, nil)
 			return
 		}
-		no("no target of " + s.Name + " can take it now")
-		p.tell(s.Name, now)
+		refuse("no target of " + service.Name + " can take it now")
+		p.logNoTarget(service.Name, now)
 		return
 	}
-	lane.note(now, true)
-	x.Stand.Flying.Add(1)
-	t.mu.Lock()
-	t.Tries++
-	t.Tried = append(t.Tried, x.Stand)
-	t.open++
-	t.electing = false
-	t.mu.Unlock()
-	if !p.send.Put(x) {
-		x.landed()
-		p.shut(t)
-		p.refuse(t, "the queue before the sending is full")
+	limiter.recordOffer(now, true)
+	attempt.Target.Flying.Add(1)
+	call.mu.Lock()
+	call.Attempts++
+	call.Tried = append(call.Tried, attempt.Target)
+	call.inFlight++
+	call.selecting = false
+	call.mu.Unlock()
+	if !p.send.Put(attempt) {
+		attempt.release()
+		p.endAttempt(call)
+		p.refuse(call, "the queue before the sending is full")
 	}
 }
 
-// wait sends a trip to the choice again in a moment; lane, where given, counts it
-// meanwhile.
-func (p *Passage) wait(t *Trip, no func(string), lane *Lane) {
-	t.Waits++
+// selectLater queues a call for selection again after waitInterval; limiter, if not nil,
+// counts it as waiting until then.
+func (p *Pipeline) selectLater(call *Call, refuse func(string), limiter *ServiceLimiter) {
+	call.Waits++
 	go func() {
-		err := p.Clock.Sleep(t.Ctx, waitTime)
-		if lane != nil {
-			lane.waits.Add(-1)
+		err := p.Clock.Sleep(call.Ctx, waitInterval)
+		if limiter != nil {
+			limiter.waiting.Add(-1)
 		}
-		if err == nil && !p.choose.Put(t) {
-			no("the queue before the choice is full")
+		if err == nil && !p.selection.Put(call) {
+			refuse("the queue before the choice is full")
 		}
 	}()
 }
 
-// lane finds or makes the lane of a service.
-func (p *Passage) lane(service string) *Lane {
-	if l, ok := p.lanes.Load(service); ok {
-		return l.(*Lane)
+// limiter returns the limiter of a service, creating it if needed.
+func (p *Pipeline) limiter(service string) *ServiceLimiter {
+	if l, ok := p.limiters.Load(service); ok {
+		return l.(*ServiceLimiter)
 	}
-	l, _ := p.lanes.LoadOrStore(service, &Lane{})
-	return l.(*Lane)
+	l, _ := p.limiters.LoadOrStore(service, &ServiceLimiter{})
+	return l.(*ServiceLimiter)
 }
 
-// unproved tells whether a target of a service lacks nothing but a recent proof.
-func (p *Passage) unproved(service string, now time.Time) bool {
-	return lo.SomeBy(p.Roster.Of(service), func(s *registry.Stand) bool {
-		return !s.Leaving.Load() && !s.Gone.Load() && p.Roster.Age(s, now) >= Fresh
+// hasUnproved reports whether a target of a service lacks only a recent identity proof.
+func (p *Pipeline) hasUnproved(service string, now time.Time) bool {
+	return lo.SomeBy(p.Targets.Of(service), func(s *registry.Stand) bool {
+		return !s.Leaving.Load() && !s.Gone.Load() && p.Targets.Age(s, now) >= MaxProofAge
 	})
 }
 
-// tell logs, at most once a second, why no target of a service could be elected.
-func (p *Passage) tell(service string, now time.Time) {
-	if l := p.told.Load(); p.Log == nil || now.UnixNano()-l < int64(time.Second) || !p.told.CompareAndSwap(l, now.UnixNano()) {
+// logNoTarget logs, at most once a second, why no target of a service could be selected.
+func (p *Pipeline) logNoTarget(service string, now time.Time) {
+	if l := p.lastNoTargetLog.Load(); p.Log == nil || now.UnixNano()-l < int64(time.Second) || !p.lastNoTargetLog.CompareAndSwap(l, now.UnixNano()) {
 		return
 	}
-	all := p.Roster.Of(service)
-	left, old, oldest := 0, 0, time.Duration(0)
+	all := p.Targets.Of(service)
+	leaving, unproved, oldest := 0, 0, time.Duration(0)
 	for _, s := range all {
 		if s.Leaving.Load() || s.Gone.Load() {
-			left++
-		} else if a := p.Roster.Age(s, now); a >= Fresh {
-			old++
+			leaving++
+		} else if a := p.Targets.Age(s, now); a >= MaxProofAge {
+			unproved++
 			oldest = max(oldest, a)
 		}
 	}
-	p.Log.Warn("no target to elect", "step", "elect", "service", service, "known", len(all), "leaving", left, "unproved", old, "oldest", oldest.String())
+	p.Log.Warn("no target can be selected", "step", "elect", "service", service, "known", len(all), "leaving", leaving, "unproved", unproved, "oldest", oldest.String())
 }
 
-// budget finds or makes the budget of a service.
-func (p *Passage) budget(service string) *Budget {
+// budget returns the retry budget of a service, creating it if needed.
+func (p *Pipeline) budget(service string) *Budget {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	b := p.budgets[service]
 	if b == nil {
-		b = NewBudget(p.born, p.Gateways)
+		b = NewBudget(p.startedAt, p.Gateways)
 		p.budgets[service] = b
 	}
 	return b
 }
 
-// doSend sends once.
-func (p *Passage) doSend(x *Try) {
-	t, s, b := x.Trip, x.Stand, x.Bound
-	svc := x.Table.Services[b.Service]
-	n := &Sending{Addr: s.Addr, Target: httpapi.TargetName(s.ID, s.Service, s.Inc), Req: t.Req, Expiry: t.Expiry,
-		Number: t.Call + "." + strconv.Itoa(x.No), Fresh: !b.Repeatable}
-	charged, dead, begun := false, false, false
-	n.Last = func() bool {
+// doSend sends a call to one target.
+func (p *Pipeline) doSend(attempt *Attempt) {
+	call, target, binding := attempt.Call, attempt.Target, attempt.Binding
+	svc := attempt.Table.Services[binding.Service]
+	send := &SendRequest{Addr: target.Addr, Target: httpapi.TargetName(target.ID, target.Service, target.Inc), Req: call.Req, Expiry: call.Expiry,
+		SendID: call.ID + "." + strconv.Itoa(attempt.Num), NewConn: !binding.Repeatable}
+	charged, overBudget, writing := false, false, false
+	send.BeforeWrite = func() bool {
 		p.Faults.At(fault.BeforeSend)
-		// Everything that allows this sending is looked at again, now that the
-		// next step writes: the sheet, the proof of identity, leaving, the expiry.
+		// The next step writes, so every precondition of this send is checked again:
+		// the route sheet, the identity proof, leaving and the expiry.
 		at := p.Clock.Now()
-		tab, open := p.Rack.Gate()
-		if !open || t.over.Load() || tab != x.Table && !p.still(x, tab) || s.Leaving.Load() || s.Gone.Load() ||
-			p.Roster.Age(s, at) >= Fresh || t.Left(at) <= slack {
+		tab, open := p.Sheets.Gate()
+		if !open || call.finished.Load() || tab != attempt.Table && !p.stillAllowed(attempt, tab) || target.Leaving.Load() || target.Gone.Load() ||
+			p.Targets.Age(target, at) >= MaxProofAge || call.Remaining(at) <= returnMargin {
 			return false
 		}
-		t.mu.Lock()
-		defer t.mu.Unlock()
-		if t.begun > 0 && !charged {
-			if charged = p.budget(svc.Name).Extra(at); !charged {
-				dead = true
+		call.mu.Lock()
+		defer call.mu.Unlock()
+		if call.writesAllowed > 0 && !charged {
+			if charged = p.budget(svc.Name).TakeExtra(at); !charged {
+				overBudget = true
 				return false
 			}
 		}
-		if !t.take() {
+		if !call.claimWrite() {
 			return false
 		}
-		t.begun++
-		x.Sent, begun = at, true
+		call.writesAllowed++
+		attempt.SentAt, writing = at, true
 		return true
 	}
-	cx, giveUp := context.WithCancel(t.Ctx)
-	defer giveUp()
-	if b.Repeatable {
+	cx, cancel := context.WithCancel(call.Ctx)
+	defer cancel()
+	if binding.Repeatable {
 		now := p.Clock.Now()
-		go p.look(x, cmp.Or(svc.Suspect, suspectAt), now.Add(max(t.Left(now)/2, min(t.Left(now), 400*time.Millisecond))), giveUp)
-	}
-	a, left, err := p.Courier.Carry(cx, n)
-	close(x.end)
-	x.landed()
-	t.mu.Lock()
-	if left {
-		t.Loose++
-		if t.Sends++; !charged {
-			p.budget(svc.Name).First(x.Sent)
+		go p.monitorAttempt(attempt, cmp.Or(svc.Suspect, defaultSuspicion), now.Add(max(call.Remaining(now)/2, min(call.Remaining(now), 400*time.Millisecond))), cancel)
+	}
+	resp, written, err := p.Transport.Carry(cx, send)
+	close(attempt.returned)
+	attempt.release()
+	call.mu.Lock()
+	if written {
+		call.MaybeRun++
+		if call.Sends++; !charged {
+			p.budget(svc.Name).RecordFirst(attempt.SentAt)
 		}
-	} else if begun {
-		t.begun--
-	} else if dead && t.open > 1 {
-		// Not a try: what waits for another target may come here later.
-		t.Tries--
-		t.Tried = lo.Without(t.Tried, s)
-	}
-	t.mu.Unlock()
-	if left && (err == nil || cx.Err() == nil) {
-		// An answer, or none in the whole of the time; what was given up tells nothing.
-		p.timed(x)
-	}
-	if left {
-		p.step(t, "send", s.Key(), n.Number)
+	} else if writing {
+		call.writesAllowed--
+	} else if overBudget && call.inFlight > 1 {
+		// Does not count as an attempt: a call that waits for another target may be
+		// sent to this one later.
+		call.Attempts--
+		call.Tried = lo.Without(call.Tried, target)
+	}
+	call.mu.Unlock()
+	if written && (err == nil || cx.Err() == nil) {
+		// Record a response, or none within the whole time; a cancelled send says nothing
+		// about the target's latency.
+		p.recordLatency(attempt)
+	}
+	if written {
+		p.addStep(call, "send", target.Key(), send.SendID)
 		p.Faults.At(fault.AfterSend)
 	}
-	if t.over.Load() {
+	if call.finished.Load() {
 		return
 	}
 	if err == nil {
-		x.Answer = a
-		if !p.check.Put(x) {
-			p.doCheck(x)
+		attempt.Response = resp
+		if !p.check.Put(attempt) {
+			p.doCheck(attempt)
 		}
 		return
 	}
-	p.step(t, "send failed", s.Key(), err.Error())
+	p.addStep(call, "send failed", target.Key(), err.Error())
 	p.Count("send-defect", svc.Name)
 	if p.Log != nil && !errors.Is(err, ErrStopped) {
-		p.Log.Warn("sending failed", "step", "send", "mate", s.Key(), "call", t.Call, "left", left, "err", err)
+		p.Log.Warn("send failed", "step", "send", "mate", target.Key(), "call", call.ID, "left", written, "err", err)
 	}
-	p.shut(t)
+	p.endAttempt(call)
 	switch {
-	case dead:
-		p.refuse(t, "the allowance for sending again is used up")
-	case left && !b.Repeatable:
-		p.refuse(t, "the target took the request and gave no answer")
+	case overBudget:
+		p.refuse(call, "the allowance for sending again is used up")
+	case written && !binding.Repeatable:
+		p.refuse(call, "the target took the request and gave no answer")
 	default:
-		p.again(t, "no answer from the target")
+		p.retry(call, "no answer from the target")
 	}
 }
 
-// still tells whether the sheet that came into force meanwhile allows the same.
-func (p *Passage) still(x *Try, tab *spec.Table) bool {
-	b, m := tab.Find(x.Trip.Req.Method, x.Trip.Req.URI[:pathEnd(x.Trip.Req.URI)])
-	return m == spec.Found && tab.Services[b.Service].Name == x.Stand.Service && b.Repeatable == x.Bound.Repeatable
+// stillAllowed reports whether a route sheet that came into force since allows the same send.
+func (p *Pipeline) stillAllowed(attempt *Attempt, table *spec.Table) bool {
+	binding, match := table.Find(attempt.Call.Req.Method, attempt.Call.Req.URI[:pathEnd(attempt.Call.Req.URI)])
+	return match == spec.Found && table.Services[binding.Service].Name == attempt.Target.Service && binding.Repeatable == attempt.Binding.Repeatable
 }
 
-// again sends the trip back to the choice, under the sheet now in force, unless
-// another sending is under way or about to be.
-func (p *Passage) again(t *Trip, why string) {
+// retry queues the call for selection again, under the route sheet now in force, unless
+// another send is under way or about to start.
+func (p *Pipeline) retry(call *Call, why string) {
 	now := p.Clock.Now()
-	t.mu.Lock()
-	more, tries, loose := t.open > 0 || t.electing, t.Tries, t.Loose
-	t.electing = t.electing || !more
-	t.mu.Unlock()
-	if more {
+	call.mu.Lock()
+	active, attempts, mayHaveRun := call.inFlight > 0 || call.selecting, call.Attempts, call.MaybeRun
+	call.selecting = call.selecting || !active
+	call.mu.Unlock()
+	if active {
 		return
 	}
-	no := func() {
-		p.unelect(t)
-		p.refuse(t, why)
+	refuse := func() {
+		p.endSelection(call)
+		p.refuse(call, why)
 	}
-	if t.Left(now) <= slack || tries >= maxTries {
-		no()
+	if call.Remaining(now) <= returnMargin || attempts >= maxAttempts {
+		refuse()
 		return
 	}
-	tab, open := p.Rack.Gate()
-	if tab != t.Table || !open {
-		if t.state.Load() == waiting {
-			if !p.grant.Put(t) {
-				no()
+	table, open := p.Sheets.Gate()
+	if table != call.Table || !open {
+		if call.state.Load() == stateWaiting {
+			if !p.route.Put(call) {
+				refuse()
 			}
 			return
 		}
-		if b, m := tab.Find(t.Req.Method, t.Req.URI[:pathEnd(t.Req.URI)]); m == spec.Found && (b.Repeatable || loose == 0) {
-			t.Table, t.Bound = tab, b
+		if binding, match := table.Find(call.Req.Method, call.Req.URI[:pathEnd(call.Req.URI)]); match == spec.Found && (binding.Repeatable || mayHaveRun == 0) {
+			call.Table, call.Binding = table, binding
 		} else {
-			no()
+			refuse()
 			return
 		}
 	}
-	if !p.choose.Put(t) {
-		no()
+	if !p.selection.Put(call) {
+		refuse()
 	}
 }
 
-// doCheck lets only a proper answer through: the target's own stamp, to this
-// very sending, and the whole body.
-func (p *Passage) doCheck(x *Try) {
-	t, s, a := x.Trip, x.Stand, x.Answer
-	svc := s.Service
-	bad := ""
-	st, err := httpapi.ReadStamp(a.Stamp)
+// doCheck lets only a valid response through: it carries the target's own stamp for
+// exactly this send, and the body is complete.
+func (p *Pipeline) doCheck(attempt *Attempt) {
+	call, target, resp := attempt.Call, attempt.Target, attempt.Response
+	svc := target.Service
+	problem := ""
+	stamp, err := httpapi.ReadStamp(resp.Stamp)
 	switch {
-	case a.Stamp == "":
-		bad = "no stamp"
+	case resp.Stamp == "":
+		problem = "no stamp"
 	case err != nil:
-		bad = err.Error()
-	case st.ID != s.ID || st.Service != s.Service || st.Inc != s.Inc:
-		bad = "stamp of another target"
-	case st.Request != t.Call+"."+strconv.Itoa(x.No):
-		bad = "stamp for another request"
-	case !a.Whole:
-		bad = "body without a known end"
-	case st.Length >= 0 && t.Req.Method != "HEAD" && st.Length != len(a.Body):
-		bad = fmt.Sprintf("body of %d bytes, stamped %d", len(a.Body), st.Length)
-	}
-	if bad != "" {
-		p.step(t, "check", s.Key(), bad)
+		problem = err.Error()
+	case stamp.ID != target.ID || stamp.Service != target.Service || stamp.Inc != target.Inc:
+		problem = "stamp of another target"
+	case stamp.Request != call.ID+"."+strconv.Itoa(attempt.Num):
+		problem = "stamp for another request"
+	case !resp.Complete:
+		problem = "body without a known end"
+	case stamp.Length >= 0 && call.Req.Method != "HEAD" && stamp.Length != len(resp.Body):
+		problem = fmt.Sprintf("body of %d bytes, stamped %d", len(resp.Body), stamp.Length)
+	}
+	if problem != "" {
+		p.addStep(call, "check", target.Key(), problem)
 		p.Count("bad-answer", svc)
 		if p.Log != nil {
-			p.Log.Warn("answer refused", "step", "check", "mate", s.Key(), "call", t.Call, "why", bad)
+			p.Log.Warn("invalid response from a target", "step", "check", "mate", target.Key(), "call", call.ID, "why", problem)
 		}
-		p.shut(t)
-		if x.Bound.Repeatable {
-			p.again(t, "the target's answer was not proper: "+bad)
+		p.endAttempt(call)
+		if attempt.Binding.Repeatable {
+			p.retry(call, "the target's answer was not proper: "+problem)
 		} else {
-			p.refuse(t, "the target's answer was not proper: "+bad)
+			p.refuse(call, "the target's answer was not proper: "+problem)
 		}
 		return
 	}
-	// A proper answer proves who stood at the address when the request left.
-	p.Roster.Proved(s, x.Sent)
-	if a.Status == 503 && a.NotRun {
-		p.step(t, "check", s.Key(), "the target says: busy, not run")
-		t.mu.Lock()
-		t.Loose--
-		t.open--
-		t.mu.Unlock()
-		p.again(t, "the targets are busy")
+	// A valid response proves which run was at the address when the request was written.
+	p.Targets.Proved(target, attempt.SentAt)
+	if resp.Status == 503 && resp.NotRun {
+		p.addStep(call, "check", target.Key(), "the target says: busy, not run")
+		call.mu.Lock()
+		call.MaybeRun--
+		call.inFlight--
+		call.mu.Unlock()
+		p.retry(call, "the targets are busy")
 		return
 	}
-	t.finish(a, nil)
+	call.finish(resp, nil)
 }
 
-// limit bounds a client that hammers.
-func (p *Passage) limit(c string, now time.Time) bool {
-	if c == "" {
+// allowClient applies the rate limit of a client.
+func (p *Pipeline) allowClient(name string, now time.Time) bool {
+	if name == "" {
 		return true
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	x := p.clients[c]
-	if x == nil {
+	cl := p.clients[name]
+	if cl == nil {
 		if len(p.clients) >= maxClients {
 			for k, v := range p.clients {
-				if now.Sub(v.seen) > 10*time.Second {
+				if now.Sub(v.lastSeen) > 10*time.Second {
 					delete(p.clients, k)
 				}
 			}
@@ -611,9 +613,9 @@
 			}
 		}
 		n := max(1, p.Gateways())
-		x = &client{l: rate.NewLimiter(rate.Limit(max(partRate, clientRate/n)), max(partBurst, clientBurst/n))}
-		p.clients[c] = x
+		cl = &client{limiter: rate.NewLimiter(rate.Limit(max(minClientRate, clientRate/n)), max(minClientBurst, clientBurst/n))}
+		p.clients[name] = cl
 	}
-	x.seen = now
-	return x.l.AllowN(now, 1)
+	cl.lastSeen = now
+	return cl.limiter.AllowN(now, 1)
 }
--- a/internal/passage/passage_test.go
+++ b/internal/passage/passage_test.go
@@ -13,71 +13,71 @@
 	"walkrudder/internal/spec"
 )
 
-// sheet is a gate that is always open.
-type sheet struct{ t *spec.Table }
+// fixedSheet is a gate that is always open.
+type fixedSheet struct{ t *spec.Table }
 
-func (s sheet) Gate() (*spec.Table, bool)                { return s.t, true }
-func (s sheet) Wait(context.Context) (*spec.Table, bool) { return s.t, true }
+func (s fixedSheet) Gate() (*spec.Table, bool)                { return s.t, true }
+func (s fixedSheet) Wait(context.Context) (*spec.Table, bool) { return s.t, true }
 
-// halves is a courier whose targets of one service answer at once, while those of
-// the other take every request and never answer.
-type halves struct{ hang string }
+// hangingService is a transport on which the targets of one service accept every request
+// and never respond, while all others respond at once.
+type hangingService struct{ service string }
 
-func (h halves) Carry(ctx context.Context, s *Sending) (*Answer, bool, error) {
-	if !s.Last() {
+func (h hangingService) Carry(ctx context.Context, s *SendRequest) (*Response, bool, error) {
+	if !s.BeforeWrite() {
 		return nil, false, ErrStopped
 	}
 	p := strings.Split(s.Target, ";")
-	if p[1] == h.hang {
+	if p[1] == h.service {
 		cx, end := context.WithDeadline(ctx, s.Expiry)
 		defer end()
 		<-cx.Done()
 		return nil, true, cx.Err()
 	}
-	st := httpapi.Stamp{ID: p[0], Service: p[1], Inc: 1, Request: s.Number}
-	return &Answer{Status: 200, Whole: true, Stamp: st.String()}, true, nil
+	st := httpapi.Stamp{ID: p[0], Service: p[1], Inc: 1, Request: s.SendID}
+	return &Response{Status: 200, Complete: true, Stamp: st.String()}, true, nil
 }
 
-// A service whose targets all hang takes nothing from the others, and what it can
-// no longer take is refused at once, not at its expiry.
+// A service whose targets all hang must not use up the capacity of other services, and its
+// excess requests must be refused at once, not at their expiry.
 func TestHangingServiceLeavesTheOthersAlone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const slots = 4
 		ctx, end := context.WithCancel(context.Background())
 		defer end()
-		p, _ := crowd(ctx, t, 2)
+		p, _ := newTestPipeline(ctx, t, 2)
 		b := httpapi.Beat{ID: "u", Service: "u", Zone: "z1", Addr: "127.0.0.1:9", Capacity: slots, Seq: 1, Inc: 1}
-		if err := p.Roster.Learn(ctx, "u", []registry.Entry{{Beat: b}}); err != nil {
+		if err := p.Targets.Learn(ctx, "u", []registry.Entry{{Beat: b}}); err != nil {
 			t.Fatal(err)
 		}
-		hear(p, append(p.Roster.Of("s"), p.Roster.Of("u")...), 3, 1, 3)
-		var bs []spec.Binding
+		heartbeats(p, append(p.Targets.Of("s"), p.Targets.Of("u")...), 3, 1, 3)
+		var bindings []spec.Binding
 		for _, n := range []string{"s", "u"} {
-			bs = append(bs, spec.Binding{Name: n, Service: n, Methods: []string{"POST"}, Path: "/" + n, ExpiryMS: 1200})
+			bindings = append(bindings, spec.Binding{Name: n, Service: n, Methods: []string{"POST"}, Path: "/" + n, ExpiryMS: 1200})
 		}
-		p.Rack = sheet{spec.NewTable(1, spec.Sheet{Services: []spec.Service{{Name: "s"}, {Name: "u"}}, Bindings: bs}.Sorted())}
-		p.Courier, p.Gateways, p.ID = halves{"s"}, func() int { return 1 }, "f"
+		p.Sheets = fixedSheet{spec.NewTable(1, spec.Sheet{Services: []spec.Service{{Name: "s"}, {Name: "u"}}, Bindings: bindings}.Sorted())}
+		p.Transport, p.Gateways, p.ID = hangingService{"s"}, func() int { return 1 }, "f"
 		done := make(chan struct{})
 		go func() { p.Run(ctx); close(done) }()
 		var wg sync.WaitGroup
 		var mu sync.Mutex
-		atOnce, hung, served := 0, 0, 0
+		refused, hung, served := 0, 0, 0
 		enter := func(path string) {
 			wg.Go(func() {
 				from := time.Now()
-				x := p.Enter(ctx, "", "", &Request{Method: "POST", URI: path})
+				x := p.Handle(ctx, "", "", &Request{Method: "POST", URI: path})
 				took := time.Since(from)
 				mu.Lock()
 				defer mu.Unlock()
 				switch {
-				case x.Out == nil && path == "/u" && took < 10*time.Millisecond:
+				case x.Verdict == nil && path == "/u" && took < 10*time.Millisecond:
 					served++
-				case path == "/s" && x.Out.Code == httpapi.BusyNotRun && x.Out.Retry > 0 && took < roomWaits*waitTime+10*time.Millisecond:
-					atOnce++
-				case path == "/s" && x.Out.Code == httpapi.Unknown:
+				case path == "/s" && x.Verdict.Code == httpapi.BusyNotRun && x.Verdict.Retry > 0 && took < maxCapacityWaits*waitInterval+10*time.Millisecond:
+					refused++
+				case path == "/s" && x.Verdict.Code == httpapi.Unknown:
 					hung++
 				default:
-					t.Errorf("%s: %+v after %s", path, x.Out, took)
+					t.Errorf("%s: %+v after %s", path, x.Verdict, took)
 				}
 			})
 		}
@@ -85,50 +85,50 @@
 			enter("/s")
 		}
 		time.Sleep(100 * time.Millisecond)
-		// As many at once as the target has slots, and the next once those are through. Of a
-		// hundred in one instant some find the room and the places of the wait taken, and
-		// are refused at once; how many do depends on the order of the goroutines within
-		// that instant. What must hold of such a crowd is checked below.
+		// As many at once as the target has slots, and the next batch once those are done.
+		// Among a hundred in one instant, some find the limit and the waiting places taken
+		// and are refused at once; how many depends on the order of the goroutines within
+		// that instant. What must hold for such a burst is checked below.
 		for range 25 {
 			for range slots {
 				enter("/u")
 			}
 			time.Sleep(time.Millisecond)
 		}
-		// A crowd for the sound service: each is served or refused, all at once.
-		crowded, turnedAway := 0, 0
+		// A burst for the healthy service: each request is served or refused promptly.
+		burstServed, burstRefused := 0, 0
 		for range 100 {
 			wg.Go(func() {
 				from := time.Now()
-				x := p.Enter(ctx, "", "", &Request{Method: "POST", URI: "/u"})
+				x := p.Handle(ctx, "", "", &Request{Method: "POST", URI: "/u"})
 				took := time.Since(from)
 				mu.Lock()
 				defer mu.Unlock()
 				switch {
-				case x.Out == nil && took <= roomWaits*waitTime:
-					crowded++
-				case x.Out != nil && x.Out.Code == httpapi.BusyNotRun && x.Out.Retry > 0 && took <= roomWaits*waitTime:
-					turnedAway++
+				case x.Verdict == nil && took <= maxCapacityWaits*waitInterval:
+					burstServed++
+				case x.Verdict != nil && x.Verdict.Code == httpapi.BusyNotRun && x.Verdict.Retry > 0 && took <= maxCapacityWaits*waitInterval:
+					burstRefused++
 				default:
-					t.Errorf("one of a crowd: %+v after %s", x.Out, took)
+					t.Errorf("a request of the burst: %+v after %s", x.Verdict, took)
 				}
 			})
 		}
 		wg.Wait()
-		if served != 100 || hung == 0 || hung > laneWide || atOnce != 500-hung {
-			t.Errorf("%d of 100 served, %d hung, %d refused at once", served, hung, atOnce)
+		if served != 100 || hung == 0 || hung > maxServiceSends || refused != 500-hung {
+			t.Errorf("%d of 100 served, %d hung, %d refused at once", served, hung, refused)
 		}
-		if crowded < slots || crowded+turnedAway != 100 {
-			t.Errorf("of a crowd of 100 %d were served and %d refused", crowded, turnedAway)
+		if burstServed < slots || burstServed+burstRefused != 100 {
+			t.Errorf("of a burst of 100, %d were served and %d refused", burstServed, burstRefused)
 		}
-		// Nothing is left counted.
-		for _, s := range append(p.Roster.Of("s"), p.Roster.Of("u")...) {
+		// All counts must return to zero.
+		for _, s := range append(p.Targets.Of("s"), p.Targets.Of("u")...) {
 			if n := s.Flying.Load(); n != 0 {
-				t.Errorf("%s still counts %d sendings", s.ID, n)
+				t.Errorf("%s still counts %d sends", s.ID, n)
 			}
 		}
-		if n := p.lane("s").all.Load() + p.lane("u").all.Load(); n != 0 {
-			t.Errorf("the lanes still count %d", n)
+		if n := p.limiter("s").inFlight.Load() + p.limiter("u").inFlight.Load(); n != 0 {
+			t.Errorf("the limiters still count %d", n)
 		}
 		end()
 		<-done
--- a/internal/passage/room.go
+++ b/internal/passage/room.go
@@ -10,106 +10,107 @@
 )
 
 const (
-	// slower and sooner are the weights of the newest answer in the time that a target
-	// takes, where it took longer than the mean and where not: few answers come while
-	// there is little room, and one that is soon says that the queue has gone.
-	slower = 0.1
-	sooner = 0.4
-	// useful is the part of a request's time left within which its target should be
-	// done: the rest is for an answer that comes late.
-	useful = 0.8
-	// unmet is how many times faster than need be a target is taken to be that never
-	// answered.
-	unmet = 4
-	// common of a service's room is for all its bindings alike; what is beyond is only
-	// for those that have less than their equal part of the room (design 13.8).
-	commonRoom = 0.75
-	// mostRetry bounds what a refused caller is told to wait.
-	mostRetry = 10 * time.Second
+	// slowWeight and fastWeight are the weights of the newest sample in a target's mean
+	// response time: slowWeight if it is above the mean, fastWeight otherwise. Few
+	// responses arrive while the concurrency limit is low, and a fast one shows that the
+	// target's queue has drained.
+	slowWeight = 0.1
+	fastWeight = 0.4
+	// usableShare is the share of a request's remaining time within which its target
+	// should finish: the rest is a margin for late responses.
+	usableShare = 0.8
+	// unknownSpeedup is how many times faster than necessary a target without any
+	// response so far is assumed to be.
+	unknownSpeedup = 4
+	// sharedShare of a service's limit is open to all its bindings; the rest is only for
+	// bindings below their equal share of the limit (design 13.8).
+	sharedShare = 0.75
+	// maxRetryAfter bounds the Retry-After value given to a refused caller.
+	maxRetryAfter = 10 * time.Second
 )
 
-// room is how many sendings this gateway may have under way at a target of which each is
-// to be done within d: what the target's announced capacity finishes in that time, at
-// the pace seen, shared with all other gateways alike. Of a target that never answered
-// not much is expected.
-func room(s *registry.Stand, d time.Duration, gateways int) float64 {
-	may := useful * float64(d)
+// concurrencyLimit returns how many sends this gateway may have in flight at a target if
+// each is to finish within remaining: what the target's announced capacity completes in
+// that time at the measured response time, divided equally among all gateways. For a
+// target without any response so far a moderate response time is assumed.
+func concurrencyLimit(s *registry.Stand, remaining time.Duration, gateways int) float64 {
+	usable := usableShare * float64(remaining)
 	took := float64(s.Took())
 	if took <= 0 {
-		took = may / unmet
+		took = usable / unknownSpeedup
 	}
-	return float64(max(1, s.Capacity.Load())) * may / took / float64(max(1, gateways))
+	return float64(max(1, s.Capacity.Load())) * usable / took / float64(max(1, gateways))
 }
 
-// Lane counts one service's sendings, queued and under way, at this gateway, and how many
-// calls it was asked to take.
-type Lane struct {
-	all   atomic.Int64
-	waits atomic.Int64 // calls that wait a moment for room
-	by    sync.Map     // by binding: *atomic.Int64
+// ServiceLimiter counts one service's queued and running sends at this gateway, and the
+// calls offered to it.
+type ServiceLimiter struct {
+	inFlight  atomic.Int64
+	waiting   atomic.Int64 // calls waiting for capacity
+	byBinding sync.Map     // by binding: *atomic.Int64
 
-	mu    sync.Mutex
-	since time.Time
-	asked float64
-	let   float64
+	mu        sync.Mutex
+	decayedAt time.Time
+	offered   float64
+	admitted  float64
 }
 
-func (l *Lane) of(binding string) *atomic.Int64 {
-	if c, ok := l.by.Load(binding); ok {
+func (l *ServiceLimiter) counter(binding string) *atomic.Int64 {
+	if c, ok := l.byBinding.Load(binding); ok {
 		return c.(*atomic.Int64)
 	}
-	c, _ := l.by.LoadOrStore(binding, new(atomic.Int64))
+	c, _ := l.byBinding.LoadOrStore(binding, new(atomic.Int64))
 	return c.(*atomic.Int64)
 }
 
-// enter takes a place for one sending of a binding, where the room of the service and
-// the part of the binding in it allow it; kinds is how many bindings share.
-func (l *Lane) enter(binding string, room float64, kinds int) bool {
-	room = math.Min(math.Max(1, room), laneWide)
-	mine := l.of(binding)
-	all, own := float64(l.all.Add(1)), float64(mine.Add(1))
-	if all > room || all > commonRoom*room && own > math.Max(1, room/float64(max(1, kinds))) {
-		l.leave(binding)
+// acquire reserves a slot for one send of a binding if the limit of the service and the
+// binding's share of it allow that; bindings is the number of bindings that share the limit.
+func (l *ServiceLimiter) acquire(binding string, limit float64, bindings int) bool {
+	limit = math.Min(math.Max(1, limit), maxServiceSends)
+	ownCounter := l.counter(binding)
+	all, own := float64(l.inFlight.Add(1)), float64(ownCounter.Add(1))
+	if all > limit || all > sharedShare*limit && own > math.Max(1, limit/float64(max(1, bindings))) {
+		l.release(binding)
 		return false
 	}
 	return true
 }
 
-// wait takes a place among those that wait for room, of whom there are no more than
-// the room itself: whoever comes beyond in a crowd is refused at once.
-func (l *Lane) wait(room float64) bool {
-	if float64(l.waits.Add(1)) > math.Max(1, room) {
-		l.waits.Add(-1)
+// startWait reserves a place among the calls that wait for capacity. There are no more
+// places than the limit itself; further calls of a burst are refused at once.
+func (l *ServiceLimiter) startWait(limit float64) bool {
+	if float64(l.waiting.Add(1)) > math.Max(1, limit) {
+		l.waiting.Add(-1)
 		return false
 	}
 	return true
 }
 
-// leave gives the place back.
-func (l *Lane) leave(binding string) {
-	l.all.Add(-1)
-	l.of(binding).Add(-1)
+// release returns the slot.
+func (l *ServiceLimiter) release(binding string) {
+	l.inFlight.Add(-1)
+	l.counter(binding).Add(-1)
 }
 
-// note counts a call that was taken, or refused for want of room.
-func (l *Lane) note(now time.Time, let bool) {
+// recordOffer counts a call that was admitted, or refused for lack of capacity.
+func (l *ServiceLimiter) recordOffer(now time.Time, admitted bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if d := now.Sub(l.since); d > time.Second {
-		// What came before counts less and less.
+	if d := now.Sub(l.decayedAt); d > time.Second {
+		// Older counts decay with a half-life of one second.
 		f := math.Exp2(-d.Seconds())
-		l.asked, l.let, l.since = l.asked*f, l.let*f, now
+		l.offered, l.admitted, l.decayedAt = l.offered*f, l.admitted*f, now
 	}
-	l.asked++
-	if let {
-		l.let++
+	l.offered++
+	if admitted {
+		l.admitted++
 	}
 }
 
-// retry is when a refused caller had better come back: were all told the same, those
-// who come in a second would be as many as are taken in a second.
-func (l *Lane) retry() time.Duration {
+// retryAfter returns when a refused caller should come back. It grows with the ratio of
+// offered to admitted calls, so that about as many return per second as are admitted.
+func (l *ServiceLimiter) retryAfter() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return min(mostRetry, max(time.Second, time.Duration(math.Ceil(l.asked/max(1, l.let)))*time.Second))
+	return min(maxRetryAfter, max(time.Second, time.Duration(math.Ceil(l.offered/max(1, l.admitted)))*time.Second))
 }
--- a/internal/passage/stage.go
+++ b/internal/passage/stage.go
@@ -5,46 +5,46 @@
 	"sync"
 )
 
-// Stage is one step of the way: a bounded queue and the workers behind it.
+// Stage is one step of the pipeline: a bounded queue and its workers.
 type Stage[T any] struct {
-	Name string
-	q    chan T
-	n    int
-	work func(T)
-	// over tells of one that ended while it was queued; drop, where set, is told so.
-	over func(T) bool
-	drop func(T)
+	Name    string
+	queue   chan T
+	workers int
+	work    func(T)
+	// finished reports items that ended while queued; discard, if set, is called for them.
+	finished func(T) bool
+	discard  func(T)
 }
 
-// NewStage makes a stage with a queue of size and n workers.
+// NewStage creates a stage with a queue of the given size and n workers.
 func NewStage[T any](name string, size, n int, work func(T), over func(T) bool) *Stage[T] {
-	return &Stage[T]{Name: name, q: make(chan T, size), n: n, work: work, over: over}
+	return &Stage[T]{Name: name, queue: make(chan T, size), workers: n, work: work, finished: over}
 }
 
-// Put queues x, or tells that the queue is full.
+// Put queues x and reports whether there was room.
 func (s *Stage[T]) Put(x T) bool {
 	select {
-	case s.q <- x:
+	case s.queue <- x:
 		return true
 	default:
 		return false
 	}
 }
 
-// Run works until ctx ends.
+// Run runs the workers until ctx ends.
 func (s *Stage[T]) Run(ctx context.Context) {
 	var wg sync.WaitGroup
-	for range s.n {
+	for range s.workers {
 		wg.Go(func() {
 			for {
 				select {
 				case <-ctx.Done():
 					return
-				case x := <-s.q:
-					if !s.over(x) {
+				case x := <-s.queue:
+					if !s.finished(x) {
 						s.work(x)
-					} else if s.drop != nil {
-						s.drop(x)
+					} else if s.discard != nil {
+						s.discard(x)
 					}
 				}
 			}
--- a/internal/passage/story.go
+++ b/internal/passage/story.go
@@ -8,23 +8,23 @@
 )
 
 const (
-	// plainStories and oddStories are how many calls are remembered: those that
-	// went straight through, and the others.
-	plainStories = 4096
-	oddStories   = 16384
-	// maxSteps bounds the steps of one call.
+	// maxNormalStories and maxNotableStories are the numbers of calls remembered: those
+	// answered successfully at the first send, and all others.
+	maxNormalStories  = 4096
+	maxNotableStories = 16384
+	// maxSteps bounds the steps recorded per call.
 	maxSteps = 24
 )
 
-// Step is one thing that befell a call.
+// Step is one event in the processing of a call.
 type Step struct {
-	MS   int64  `json:"at_ms"` // since the call came
+	MS   int64  `json:"at_ms"` // since the call arrived
 	Step string `json:"step"`
 	Mate string `json:"mate,omitempty"`
 	What string `json:"what"`
 }
 
-// Story is what became of a call.
+// Story is the record of a call.
 type Story struct {
 	Call   string `json:"call"`
 	Method string `json:"method"`
@@ -37,9 +37,9 @@
 }
 
 type (
-	// StoryAsk asks a gateway what became of a call.
+	// StoryAsk asks a gateway for the record of a call.
 	StoryAsk struct{ Call string }
-	// StoryTold answers it.
+	// StoryTold answers StoryAsk.
 	StoryTold struct {
 		Known bool
 		Story Story
@@ -48,74 +48,74 @@
 
 func init() { link.Pair[StoryAsk, StoryTold]() }
 
-// ring keeps the names of the last so many calls.
+// ring holds the IDs of the most recent calls.
 type ring struct {
-	names []string
+	calls []string
 	next  int
 }
 
-// stories is a gateway's memory of calls (design 13.9).
-type stories struct {
-	own        *owner.Owner
-	by         map[string]Story
-	plain, odd ring
+// storyLog holds a gateway's records of recent calls (design 13.9).
+type storyLog struct {
+	owner           *owner.Owner
+	byCall          map[string]Story
+	normal, notable ring
 }
 
-func newStories() *stories {
-	return &stories{own: owner.New(1024), by: map[string]Story{}, plain: ring{names: make([]string, plainStories)}, odd: ring{names: make([]string, oddStories)}}
+func newStoryLog() *storyLog {
+	return &storyLog{owner: owner.New(1024), byCall: map[string]Story{}, normal: ring{calls: make([]string, maxNormalStories)}, notable: ring{calls: make([]string, maxNotableStories)}}
 }
 
-// keep remembers a story; when many come at once, some are not.
-func (s *stories) keep(x Story) {
-	s.own.Post(func() {
-		r := &s.odd
+// add stores a record; under load some records are dropped.
+func (s *storyLog) add(x Story) {
+	s.owner.Post(func() {
+		r := &s.notable
 		if x.Status < 300 && x.Sends == 1 && x.Code == "" {
-			r = &s.plain
+			r = &s.normal
 		}
-		delete(s.by, r.names[r.next])
-		r.names[r.next] = x.Call
-		r.next = (r.next + 1) % len(r.names)
-		s.by[x.Call] = x
+		delete(s.byCall, r.calls[r.next])
+		r.calls[r.next] = x.Call
+		r.next = (r.next + 1) % len(r.calls)
+		s.byCall[x.Call] = x
 	})
 }
 
-// Serve teaches d to tell stories.
-func (p *Passage) Serve(d *link.Desk) {
+// Serve registers the handler for StoryAsk.
+func (p *Pipeline) Serve(d *link.Desk) {
 	link.On(d, func(ctx context.Context, _ link.Who, a StoryAsk) (StoryTold, error) {
-		return owner.Get(ctx, p.stories.own, func() StoryTold {
-			x, ok := p.stories.by[a.Call]
+		return owner.Get(ctx, p.stories.owner, func() StoryTold {
+			x, ok := p.stories.byCall[a.Call]
 			return StoryTold{ok, x}
 		})
 	})
 }
 
-// step adds to the call's story.
-func (p *Passage) step(t *Trip, step, mate, what string) {
-	ms := p.Clock.Now().Sub(t.Came).Milliseconds()
-	t.smu.Lock()
-	defer t.smu.Unlock()
-	if len(t.steps) < maxSteps {
-		t.steps = append(t.steps, Step{ms, step, mate, what})
+// addStep appends a step to the call's record.
+func (p *Pipeline) addStep(call *Call, step, mate, what string) {
+	ms := p.Clock.Now().Sub(call.Arrived).Milliseconds()
+	call.stepsMu.Lock()
+	defer call.stepsMu.Unlock()
+	if len(call.steps) < maxSteps {
+		call.steps = append(call.steps, Step{ms, step, mate, what})
 	}
 }
 
-// record remembers what became of a call, now that its caller has his answer.
-func (p *Passage) record(t *Trip) {
-	x := Story{Call: t.Call, Method: t.Req.Method, URI: t.Req.URI[:min(len(t.Req.URI), 256)], Came: t.Came.UTC().Format("2006-01-02T15:04:05.000Z")}
-	t.smu.Lock()
-	x.Steps = append(x.Steps, t.steps...)
-	t.smu.Unlock()
+// saveStory stores the record of a call after its caller has been answered.
+func (p *Pipeline) saveStory(call *Call) {
+	x := Story{Call: call.ID, Method: call.Req.Method, URI: call.Req.URI[:min(len(call.Req.URI), 256)], Came: call.Arrived.UTC().Format("2006-01-02T15:04:05.000Z")}
+	call.stepsMu.Lock()
+	x.Steps = append(x.Steps, call.steps...)
+	call.stepsMu.Unlock()
 	for _, s := range x.Steps {
 		if s.Step == "send" {
 			x.Sends++
 		}
 	}
 	switch {
-	case t.Out != nil:
-		x.Status, x.Code = t.Out.Status, t.Out.Code
-		x.Steps = append(x.Steps, Step{p.Clock.Now().Sub(t.Came).Milliseconds(), "answer", "", t.Out.Code + ": " + t.Out.Why})
-	case t.Answer != nil:
-		x.Status = t.Answer.Status
+	case call.Verdict != nil:
+		x.Status, x.Code = call.Verdict.Status, call.Verdict.Code
+		x.Steps = append(x.Steps, Step{p.Clock.Now().Sub(call.Arrived).Milliseconds(), "answer", "", call.Verdict.Code + ": " + call.Verdict.Why})
+	case call.Response != nil:
+		x.Status = call.Response.Status
 	}
-	p.stories.keep(x)
+	p.stories.add(x)
 }
--- a/internal/passage/trip.go
+++ b/internal/passage/trip.go
@@ -1,5 +1,5 @@
-// Package passage is a request's way through a gateway: door, grant, elect, send,
-// check, return, joined by bounded queues (design 13).
+// Package passage is the request pipeline of a gateway: admission, routing, target
+// selection, send, response check and return, joined by bounded queues (design 13).
 package passage
 
 import (
@@ -13,78 +13,78 @@
 	"walkrudder/internal/spec"
 )
 
-// The states of a trip. Only one side can move it on: whoever wants to write a
-// byte must take it from Waiting to Sent, and whoever tells the caller "not run"
-// must take it from Waiting to Dropped.
+// The states of a call. Each transition is made by only one side: a send must move the
+// call from stateWaiting to stateSent before it writes a byte, and a "not run" verdict
+// must move it from stateWaiting to stateNotSent.
 const (
-	waiting int32 = iota
-	sent
-	dropped
+	stateWaiting int32 = iota
+	stateSent
+	stateNotSent
 )
 
-// Trip is the one context of a request, handed from stage to stage.
-type Trip struct {
+// Call is the state of one request, handed from stage to stage.
+type Call struct {
 	Ctx    context.Context
-	Call   string
+	ID     string
 	Client string
 	Key    string
 	Req    *Request
 
-	Came   time.Time
-	Expiry time.Time
-	Table  *spec.Table
-	Bound  *spec.Bound
+	Arrived time.Time
+	Expiry  time.Time
+	Table   *spec.Table
+	Binding *spec.Bound
 
-	// mu guards what several sendings under way share.
-	mu       sync.Mutex
-	Tried    []*registry.Stand
-	Tries    int
-	begun    int  // sendings that were allowed to write
-	open     int  // sendings under way
-	electing bool // a choice is under way or queued
-	// Loose counts the sendings that may have run: those that left, less those of
-	// which the target said that it did not.
-	Loose int
-	Sends int // sendings of which a byte may have left
+	// mu guards the fields shared by concurrent sends.
+	mu            sync.Mutex
+	Tried         []*registry.Stand
+	Attempts      int
+	writesAllowed int  // sends that were allowed to write
+	inFlight      int  // sends under way
+	selecting     bool // a selection is under way or queued
+	// MaybeRun counts the sends that the target may have run: those written, less those
+	// that the target answered with "not run".
+	MaybeRun int
+	Sends    int // sends of which a byte may have been written
 
-	Waits int // for a target to be proved
-	// Retry is when a refused caller had better come back; 0 says a second.
-	Retry time.Duration
+	Waits int // for a target to be proved or to have capacity
+	// RetryAfter is the delay suggested to a refused caller; 0 means one second.
+	RetryAfter time.Duration
 
-	// Claim is the key under which the call is claimed, "" where it needs none;
-	// asked says that a claim may stand.
-	Claim string
-	asked atomic.Bool
-	// owned says that the claim is this call's: only then is it known that no
+	// ClaimKey is the key that the call is claimed under, "" if it needs none.
+	// claimAsked is set while a claim may exist.
+	ClaimKey   string
+	claimAsked atomic.Bool
+	// claimOwned is set when this call holds the claim: only then is it known that no
 	// earlier call under the key ran.
-	owned atomic.Bool
-	// free says that the call's binding on arrival let it be repeated.
-	free bool
+	claimOwned atomic.Bool
+	// repeatable is set if the call's binding allowed repeats on arrival.
+	repeatable bool
 
-	smu    sync.Mutex // a stage may still work on a trip whose caller was answered
-	steps  []Step
-	state  atomic.Int32
-	Answer *Answer
-	Out    *httpapi.Verdict
-	done   chan struct{}
-	over   atomic.Bool
+	stepsMu  sync.Mutex // a stage may still work on a call after its caller was answered
+	steps    []Step
+	state    atomic.Int32
+	Response *Response
+	Verdict  *httpapi.Verdict
+	done     chan struct{}
+	finished atomic.Bool
 }
 
-// finish ends the trip with an answer or a verdict; only the first counts.
-func (t *Trip) finish(a *Answer, v *httpapi.Verdict) {
-	if t.over.CompareAndSwap(false, true) {
-		t.Answer, t.Out = a, v
-		close(t.done)
+// finish ends the call with a response or a verdict; only the first call has an effect.
+func (c *Call) finish(a *Response, v *httpapi.Verdict) {
+	if c.finished.CompareAndSwap(false, true) {
+		c.Response, c.Verdict = a, v
+		close(c.done)
 	}
 }
 
-// take claims the right to write; false says that the caller was told "not run".
-func (t *Trip) take() bool {
-	return t.state.CompareAndSwap(waiting, sent) || t.state.Load() == sent
+// claimWrite acquires the right to write; false means that the caller was told "not run".
+func (c *Call) claimWrite() bool {
+	return c.state.CompareAndSwap(stateWaiting, stateSent) || c.state.Load() == stateSent
 }
 
-// drop claims the right to say "not run".
-func (t *Trip) drop() bool { return t.state.CompareAndSwap(waiting, dropped) }
+// claimNotRun acquires the right to answer "not run".
+func (c *Call) claimNotRun() bool { return c.state.CompareAndSwap(stateWaiting, stateNotSent) }
 
-// Left is what remains until the trip's expiry.
-func (t *Trip) Left(now time.Time) time.Duration { return t.Expiry.Sub(now) }
+// Remaining returns the time until the call's expiry.
+func (c *Call) Remaining(now time.Time) time.Duration { return c.Expiry.Sub(now) }
--- a/internal/passage/try.go
+++ b/internal/passage/try.go
@@ -7,108 +7,108 @@
 	"walkrudder/internal/spec"
 )
 
-// Try is one sending of a trip to one target. A request that may be repeated can
-// have several under way (design 13.14).
-type Try struct {
-	Trip   *Trip
-	Stand  *registry.Stand
-	No     int // of the trip's tries, from 1
-	Table  *spec.Table
-	Bound  *spec.Bound
-	Answer *Answer
-	Sent   time.Time
+// Attempt is one send of a call to one target. A repeatable request can have several
+// under way (design 13.14).
+type Attempt struct {
+	Call     *Call
+	Target   *registry.Stand
+	Num      int // among the call's attempts, from 1
+	Table    *spec.Table
+	Binding  *spec.Bound
+	Response *Response
+	SentAt   time.Time
 
-	lane   *Lane
-	paused time.Duration // this process's own pauses before the sending
-	end    chan struct{} // closed once the courier is back
+	limiter      *ServiceLimiter
+	pausedBefore time.Duration // total pauses of this process before the send
+	returned     chan struct{} // closed when the transport has returned
 }
 
-// timed takes in how long the target took, unless this process itself stood still
-// meanwhile.
-func (p *Passage) timed(x *Try) {
-	if p.Roster.Pause.Total() == x.paused {
-		x.Stand.Answered(p.Clock.Now().Sub(x.Sent), slower, sooner)
+// recordLatency records how long the target took, unless this process itself was
+// suspended in the meantime.
+func (p *Pipeline) recordLatency(attempt *Attempt) {
+	if p.Targets.Pause.Total() == attempt.pausedBefore {
+		attempt.Target.Answered(p.Clock.Now().Sub(attempt.SentAt), slowWeight, fastWeight)
 	}
 }
 
-// landed ends the counting of a sending.
-func (x *Try) landed() {
-	x.Stand.Flying.Add(-1)
-	x.lane.leave(x.Bound.Name)
+// release removes a send from the counts of sends in flight.
+func (a *Attempt) release() {
+	a.Target.Flying.Add(-1)
+	a.limiter.release(a.Binding.Name)
 }
 
-// lookEvery is how often the suspicion of a target is read while a request that may
-// be repeated waits for it: it grows over hundreds of milliseconds. Where the
-// allowance gave nothing, it is asked again after lookAgain: it grows with requests.
+// suspicionPoll is the interval at which a target's suspicion is read while a repeatable
+// request waits for it; suspicion grows over hundreds of milliseconds. If the retry budget
+// refused a hedge, the next is tried after hedgeRetryDelay, since the budget grows with
+// requests.
 const (
-	lookEvery = 20 * time.Millisecond
-	lookAgain = 200 * time.Millisecond
+	suspicionPoll   = 20 * time.Millisecond
+	hedgeRetryDelay = 200 * time.Millisecond
 )
 
-// look reads the target's suspicion afresh while a request that may be repeated
-// waits for it, and sends the request elsewhere when the target is suspected, let go,
-// or has taken half of the time that was left. It gives the sending up when the trip
-// has its answer.
-func (p *Passage) look(x *Try, limit float64, half time.Time, giveUp func()) {
+// monitorAttempt reads the target's suspicion while a repeatable request waits for it, and
+// sends the request to another target if this one is suspected, has been let go, or has
+// taken half of the remaining time. It cancels the send when the call has finished.
+func (p *Pipeline) monitorAttempt(attempt *Attempt, limit float64, hedgeAt time.Time, cancel func()) {
 	var next time.Time
 	for {
-		c, stop := p.Clock.After(lookEvery)
+		c, stop := p.Clock.After(suspicionPoll)
 		select {
-		case <-x.end:
+		case <-attempt.returned:
 			stop()
 			return
-		case <-x.Trip.done:
+		case <-attempt.Call.done:
 			stop()
-			giveUp()
+			cancel()
 			return
 		case <-c:
 		}
 		now := p.Clock.Now()
 		why := ""
-		switch w := x.Stand.Det.Suspicion(now); {
+		switch w := attempt.Target.Det.Suspicion(now); {
 		case now.Before(next):
 		case w >= limit:
 			why = "the target is suspected while it is waited for"
-		case x.Stand.Gone.Load():
+		case attempt.Target.Gone.Load():
 			why = "the target was let go while it was waited for"
-		case !now.Before(half):
+		case !now.Before(hedgeAt):
 			why = "the target has taken half of the time left"
 		}
 		if why != "" {
-			next = now.Add(lookAgain)
-			p.elsewhere(x, why)
+			next = now.Add(hedgeRetryDelay)
+			p.hedge(attempt, why)
 		}
 	}
 }
 
-// elsewhere sends a trip that is under way to the choice once more, unless another
-// sending has taken the place of x already.
-func (p *Passage) elsewhere(x *Try, why string) {
-	t := x.Trip
-	t.mu.Lock()
-	ok := !t.over.Load() && !t.electing && (t.open == 1 || x.No == t.Tries) && t.Tries < maxTries && t.Left(p.Clock.Now()) > slack
-	t.electing = t.electing || ok
-	t.mu.Unlock()
+// hedge queues a call with a send under way for selection once more, unless another
+// attempt has already replaced this one.
+func (p *Pipeline) hedge(attempt *Attempt, why string) {
+	call := attempt.Call
+	call.mu.Lock()
+	ok := !call.finished.Load() && !call.selecting && (call.inFlight == 1 || attempt.Num == call.Attempts) && call.Attempts < maxAttempts && call.Remaining(p.Clock.Now()) > returnMargin
+	call.selecting = call.selecting || ok
+	call.mu.Unlock()
 	if !ok {
 		return
 	}
-	p.step(t, "elsewhere", "", why)
-	if !p.choose.Put(t) {
-		p.unelect(t)
-		p.refuse(t, why)
+	p.addStep(call, "elsewhere", "", why)
+	if !p.selection.Put(call) {
+		p.endSelection(call)
+		p.refuse(call, why)
 	}
 }
 
-// unelect ends a choice that gave no sending.
-func (p *Passage) unelect(t *Trip) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.electing = false
+// endSelection marks a selection as ended without a send.
+func (p *Pipeline) endSelection(call *Call) {
+	call.mu.Lock()
+	defer call.mu.Unlock()
+	call.selecting = false
 }
 
-// shut ends the counting of a sending under way.
-func (p *Passage) shut(t *Trip) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.open--
+// endAttempt decrements the number of sends under way.
+func (p *Pipeline) endAttempt(call *Call) {
+	call.mu.Lock()
+	defer call.mu.Unlock()
+	call.inFlight--
 }
--- a/internal/passage/try_test.go
+++ b/internal/passage/try_test.go
@@ -11,21 +11,21 @@
 	"walkrudder/internal/spec"
 )
 
-// deaf is a courier whose targets named in hang take every request and never answer,
-// while the others answer after 5 ms. It notes what it carried.
-type deaf struct {
-	hang map[string]bool
-	to   chan string
+// hangingTargets is a transport on which the targets in silent accept every request and
+// never respond, while the others respond after 5 ms. It records the targets sent to.
+type hangingTargets struct {
+	silent map[string]bool
+	sentTo chan string
 }
 
-func (d deaf) Carry(ctx context.Context, s *Sending) (*Answer, bool, error) {
-	if !s.Last() {
+func (d hangingTargets) Carry(ctx context.Context, s *SendRequest) (*Response, bool, error) {
+	if !s.BeforeWrite() {
 		return nil, false, ErrStopped
 	}
 	id, _, _ := strings.Cut(s.Target, ";")
-	d.to <- id
+	d.sentTo <- id
 	wait := 5 * time.Millisecond
-	if d.hang[id] {
+	if d.silent[id] {
 		wait = time.Hour
 	}
 	cx, end := context.WithDeadline(ctx, s.Expiry)
@@ -35,111 +35,112 @@
 		return nil, true, cx.Err()
 	case <-time.After(wait):
 	}
-	return &Answer{Status: 200, Whole: true, Stamp: httpapi.Stamp{ID: id, Service: "s", Inc: 1, Request: s.Number}.String()}, true, nil
+	return &Response{Status: 200, Complete: true, Stamp: httpapi.Stamp{ID: id, Service: "s", Inc: 1, Request: s.SendID}.String()}, true, nil
 }
 
-// retry is a passage of n targets of which the first k fall silent, in probes and
-// requests alike, 100 ms before the calls come; call makes one that may be repeated
-// or not, and tells its end, how long it took, and how many sendings there were.
-func retry(t *testing.T, n, k int, spare bool, try func(call func(method string) (*Trip, time.Duration, int))) {
+// withSilentTargets runs try on a pipeline of n targets, of which the first k become
+// silent, to probes and requests alike, 100 ms before the calls. call makes a repeatable
+// (GET) or non-repeatable (POST) call and returns its result, its duration and the number
+// of sends. Without hasBudget the retry budget is used up.
+func withSilentTargets(t *testing.T, n, k int, hasBudget bool, try func(call func(method string) (*Call, time.Duration, int))) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, end := context.WithCancel(context.Background())
-		p, ss := crowd(ctx, t, n)
-		hear(p, ss, n, 1, 30)
-		d := deaf{map[string]bool{}, make(chan string, 100)}
-		for _, s := range ss[:k] {
-			d.hang[s.ID] = true
+		p, targets := newTestPipeline(ctx, t, n)
+		heartbeats(p, targets, n, 1, 30)
+		transport := hangingTargets{map[string]bool{}, make(chan string, 100)}
+		for _, s := range targets[:k] {
+			transport.silent[s.ID] = true
 		}
-		// Proofs go on: silence alone is what is tried.
-		for _, s := range ss {
-			p.Roster.Proved(s, time.Now().Add(time.Hour))
+		// Identity proofs continue: only silence is tested.
+		for _, s := range targets {
+			p.Targets.Proved(s, time.Now().Add(time.Hour))
 		}
 		go func() {
 			for j := uint64(100); p.Clock.Sleep(ctx, 400*time.Millisecond) == nil; j++ {
-				for _, s := range ss[k:] {
+				for _, s := range targets[k:] {
 					s.Det.Arrive(j, time.Now())
 				}
 			}
 		}()
-		var bs []spec.Binding
+		var bindings []spec.Binding
 		for _, m := range []string{"GET", "POST"} {
-			bs = append(bs, spec.Binding{Name: m, Service: "s", Methods: []string{m}, Path: "/s", ExpiryMS: 4000, Repeatable: m == "GET"})
+			bindings = append(bindings, spec.Binding{Name: m, Service: "s", Methods: []string{m}, Path: "/s", ExpiryMS: 4000, Repeatable: m == "GET"})
 		}
-		p.Rack = sheet{spec.NewTable(1, spec.Sheet{Services: []spec.Service{{Name: "s"}}, Bindings: bs}.Sorted())}
-		p.Courier, p.Gateways, p.ID = d, func() int { return 1 }, "f"
-		p.born = time.Now().Add(-time.Minute)
-		if b := p.budget("s"); !spare {
+		p.Sheets = fixedSheet{spec.NewTable(1, spec.Sheet{Services: []spec.Service{{Name: "s"}}, Bindings: bindings}.Sorted())}
+		p.Transport, p.Gateways, p.ID = transport, func() int { return 1 }, "f"
+		p.startedAt = time.Now().Add(-time.Minute)
+		if b := p.budget("s"); !hasBudget {
 			b.mu.Lock()
-			b.slot[b.cell(time.Now())].extra = 1000
+			b.slots[b.slotIndex(time.Now())].extra = 1000
 			b.mu.Unlock()
 		}
 		done := make(chan struct{})
 		go func() { p.Run(ctx); close(done) }()
 		time.Sleep(100 * time.Millisecond)
-		try(func(m string) (x *Trip, took time.Duration, sends int) {
-			// Until the first choice falls on one that is silent.
+		try(func(m string) (x *Call, took time.Duration, sends int) {
+			// Repeats until the first selection falls on a silent target.
 			for range 100 {
 				from := time.Now()
-				x = p.Enter(ctx, "", "", &Request{Method: m, URI: "/s"})
-				took, sends = time.Since(from), len(d.to)
-				to := <-d.to
-				for len(d.to) > 0 {
-					<-d.to
+				x = p.Handle(ctx, "", "", &Request{Method: m, URI: "/s"})
+				took, sends = time.Since(from), len(transport.sentTo)
+				to := <-transport.sentTo
+				for len(transport.sentTo) > 0 {
+					<-transport.sentTo
 				}
-				if d.hang[to] {
+				if transport.silent[to] {
 					return x, took, sends
 				}
 			}
-			t.Fatal("no call fell on a silent target")
+			t.Fatal("no call was sent to a silent target")
 			return nil, 0, 0
 		})
 		end()
 		<-done
 		time.Sleep(time.Second)
-		for _, s := range ss {
+		for _, s := range targets {
 			if s.Flying.Load() != 0 {
-				t.Errorf("%s still counts a sending", s.ID)
+				t.Errorf("%s still counts a send", s.ID)
 			}
 		}
 	})
 }
 
-// A target that falls silent while a repeatable request waits for it is suspected, and
-// the request goes elsewhere long before half of its time is over; one that may not be
-// repeated waits for its target to the end, and its outcome is unknown.
+// A target that becomes silent while a repeatable request waits for it is suspected, and
+// the request is sent to another target well before half of its time has passed. A
+// non-repeatable request waits for its target until the expiry, and its outcome is unknown.
 func TestSilenceSendsElsewhereOnlyWhatMayBeRepeated(t *testing.T) {
-	retry(t, 6, 1, true, func(call func(string) (*Trip, time.Duration, int)) {
+	withSilentTargets(t, 6, 1, true, func(call func(string) (*Call, time.Duration, int)) {
 		x, took, sends := call("GET")
-		if x.Out != nil || sends != 2 || took > 1300*time.Millisecond || took < 100*time.Millisecond {
-			t.Errorf("a repeatable request: %+v after %s, %d sendings", x.Out, took, sends)
+		if x.Verdict != nil || sends != 2 || took > 1300*time.Millisecond || took < 100*time.Millisecond {
+			t.Errorf("a repeatable request: %+v after %s, %d sends", x.Verdict, took, sends)
 		}
 	})
-	retry(t, 6, 1, true, func(call func(string) (*Trip, time.Duration, int)) {
+	withSilentTargets(t, 6, 1, true, func(call func(string) (*Call, time.Duration, int)) {
 		x, took, sends := call("POST")
-		if x.Out == nil || x.Out.Code != httpapi.Unknown || sends != 1 || took < 3900*time.Millisecond {
-			t.Errorf("one that may not be repeated: %+v after %s, %d sendings", x.Out, took, sends)
+		if x.Verdict == nil || x.Verdict.Code != httpapi.Unknown || sends != 1 || took < 3900*time.Millisecond {
+			t.Errorf("a non-repeatable request: %+v after %s, %d sends", x.Verdict, took, sends)
 		}
 	})
 }
 
-// Where all fall silent at once, the fault is on this side: nothing is sent elsewhere
-// for suspicion, only when half of the time is over.
+// If all targets become silent at once, the fault is at this node: no request is hedged
+// for suspicion, only after half of its time.
 func TestMassSilenceSendsNothingElsewhere(t *testing.T) {
-	retry(t, 6, 6, true, func(call func(string) (*Trip, time.Duration, int)) {
+	withSilentTargets(t, 6, 6, true, func(call func(string) (*Call, time.Duration, int)) {
 		x, took, sends := call("GET")
-		if x.Out == nil || sends > 2 || took < 3900*time.Millisecond {
-			t.Errorf("%+v after %s, %d sendings", x.Out, took, sends)
+		if x.Verdict == nil || sends > 2 || took < 3900*time.Millisecond {
+			t.Errorf("%+v after %s, %d sends", x.Verdict, took, sends)
 		}
 	})
 }
 
-// What the service's allowance does not give is not sent elsewhere either, and the
-// first target's late answer would still count.
+// A request is not hedged if the retry budget of its service is used up, and it keeps
+// waiting for the first target's response.
 func TestElsewhereKeepsToTheAllowance(t *testing.T) {
-	retry(t, 6, 1, false, func(call func(string) (*Trip, time.Duration, int)) {
+	withSilentTargets(t, 6, 1, false, func(call func(string) (*Call, time.Duration, int)) {
 		x, took, sends := call("GET")
-		if x.Out == nil || sends != 1 || took < 3900*time.Millisecond {
-			t.Errorf("%+v after %s, %d sendings", x.Out, took, sends)
+		if x.Verdict == nil || sends != 1 || took < 3900*time.Millisecond {
+			t.Errorf("%+v after %s, %d sends", x.Verdict, took, sends)
 		}
 	})
 }
--- a/internal/rollout/rack.go
+++ b/internal/rollout/rack.go
@@ -19,230 +19,230 @@
 )
 
 const (
-	// confirmPause is how soon an unconfirmed gateway asks again.
-	confirmPause = 25 * time.Millisecond
-	// heldLong is how long a gateway is held before it asks what became of the flip.
-	heldLong = 250 * time.Millisecond
-	// While no lease is held, this node looks every lookPause whom it reaches, and
-	// waits lookTime for the answers. looseRounds looks in a row must allow it
-	// before the last sheet is served; each look allows it for looseTime only, so
-	// that a hold at one of them is noticed by all well within a quarter second.
-	lookPause   = 60 * time.Millisecond
-	lookTime    = 60 * time.Millisecond
-	looseRounds = 3
-	looseTime   = 180 * time.Millisecond
+	// confirmInterval is the interval at which an unconfirmed gateway asks again.
+	confirmInterval = 25 * time.Millisecond
+	// maxHold is how long a gateway is held before it asks for the state of the flip.
+	maxHold = 250 * time.Millisecond
+	// While it holds no lease, this node probes its peers every probeInterval and waits
+	// probeTimeout for the answers. leaselessRounds probes in a row must succeed before
+	// the last sheet is served without a lease; each probe allows that for leaselessTime
+	// only, so that a hold at one of the gateways is noticed by all well within 250 ms.
+	probeInterval   = 60 * time.Millisecond
+	probeTimeout    = 60 * time.Millisecond
+	leaselessRounds = 3
+	leaselessTime   = 180 * time.Millisecond
 )
 
-// state is what the request path reads; it is replaced, never changed.
+// state is read by the request path; it is replaced, never modified.
 type state struct {
 	table *spec.Table
-	// open: confirmed for the lease that began at since, and not held.
-	open  bool
-	since time.Time
-	// loose is until when the last sheet may be served without a lease.
-	loose time.Time
-	wake  chan struct{} // closed when the next state is in place
+	// open: confirmed under the lease that began at leaseStart, and not held.
+	open       bool
+	leaseStart time.Time
+	// leaselessUntil is until when the last sheet may be served without a lease.
+	leaselessUntil time.Time
+	replaced       chan struct{} // closed when the next state is in place
 }
 
-// Rack holds a gateway's sheets: the one in force, and those staged.
-type Rack struct {
-	Tenant *membership.Tenant
-	Line   link.Line
-	Clock  clock.Clock
-	ID     string
-	// Controllers lists the inner addresses of controllers to ask, nearest first.
+// SheetStore holds a gateway's route sheets: the one in force and the staged ones.
+type SheetStore struct {
+	Membership *membership.Tenant
+	Link       link.Line
+	Clock      clock.Clock
+	ID         string
+	// Controllers lists the inner addresses of the controllers, nearest first.
 	Controllers func() []string
-	// Mates lists the inner addresses of all other nodes known.
-	Mates func() []string
-	// OnLeaves takes what a confirmation says of leaving targets.
+	// Peers lists the inner addresses of all other known nodes.
+	Peers func() []string
+	// OnLeaves receives the leaving targets listed in a confirmation.
 	OnLeaves func([]Leave)
 	Log      *log.Logger
-	// OnSpec is told of each sheet that comes into force.
-	OnSpec func(*spec.Table)
+	// OnSheet is called for each sheet that comes into force.
+	OnSheet func(*spec.Table)
 
-	own *owner.Owner
-	cur atomic.Pointer[state]
+	owner   *owner.Owner
+	current atomic.Pointer[state]
 
-	// lone says that this node cannot renew its lease, and others can, or it reaches too
-	// few of the gateways that count: it is cut off, or will be when the lease ends.
-	lone atomic.Bool
-	// counts is confirmed and gateways, for others to read.
-	counts atomic.Pointer[counts]
+	// isolated: this node cannot renew its lease while others can, or it reaches too few of
+	// the voting gateways. It is cut off, or will be when the lease ends.
+	isolated atomic.Bool
+	// published holds confirmed and voters for other goroutines.
+	published atomic.Pointer[voterList]
 
-	// Owned by own.
-	staged map[uint64]*spec.Table
-	held   map[string]uint64 // by whom, below which version
-	heldAt time.Time
-	// confirmed says that a majority has told this run what is in force.
-	confirmed bool
-	gateways  []string // those that count, by the list of round
-	round     uint64
-	sure      bool // the list is decided
-	// late is since when others renew their leases and this node does not.
-	late time.Time
-	// shut is a version that is decided and not known here to be open.
-	shut uint64
+	// Accessed only by owner.
+	staged   map[uint64]*spec.Table
+	held     map[string]uint64 // by roll-out, the version below which it holds
+	lastHold time.Time
+	// confirmed: a majority has told this run what is in force.
+	confirmed     bool
+	voters        []string // voting gateways, by list voterRound
+	voterRound    uint64
+	votersDecided bool // the list is decided
+	// behindSince is when other nodes were first seen to renew their leases while this one does not.
+	behindSince time.Time
+	// closedVersion is a version that is decided and not known here to be open.
+	closedVersion uint64
 }
 
-type counts struct {
-	gateways  []string
+type voterList struct {
+	ids       []string
 	confirmed bool
 }
 
-// Counts lists the gateways that count, and tells whether a majority has told this
-// run what is in force.
-func (k *Rack) Counts() ([]string, bool) {
-	if c := k.counts.Load(); c != nil {
-		return c.gateways, c.confirmed
+// Voters lists the voting gateways, and reports whether a majority has told this run
+// what is in force.
+func (st *SheetStore) Voters() ([]string, bool) {
+	if list := st.published.Load(); list != nil {
+		return list.ids, list.confirmed
 	}
 	return nil, false
 }
 
-// count takes over a list of gateways that count, unless an older one; only own
-// calls it. Of two lists of one round the decided one stays.
-func (k *Rack) count(round uint64, gateways []string, sure bool) {
-	if round > k.round || round == k.round && (sure || !k.sure) {
-		k.gateways, k.round, k.sure = gateways, round, sure
+// setVoters stores a list of voting gateways, unless it is older than the current one;
+// only owner calls it. Of two lists of the same round the decided one is kept.
+func (st *SheetStore) setVoters(round uint64, gateways []string, decided bool) {
+	if round > st.voterRound || round == st.voterRound && (decided || !st.votersDecided) {
+		st.voters, st.voterRound, st.votersDecided = gateways, round, decided
 	}
-	k.counts.Store(&counts{k.gateways, k.confirmed})
+	st.published.Store(&voterList{st.voters, st.confirmed})
 }
 
-// isShut tells whether n is decided and not known here to be open; only own calls it.
-func (k *Rack) isShut(n uint64) bool { return n > 0 && k.shut == n }
+// isClosed reports whether n is decided and not known here to be open; only owner calls it.
+func (st *SheetStore) isClosed(n uint64) bool { return n > 0 && st.closedVersion == n }
 
-// Init makes the rack ready; it holds the empty sheet, unconfirmed.
-func (k *Rack) Init() {
-	k.own = owner.New(64)
-	k.staged, k.held = map[uint64]*spec.Table{}, map[string]uint64{}
-	k.cur.Store(&state{table: spec.NewTable(0, spec.Sheet{}), wake: make(chan struct{})})
+// Init initializes the store with the empty sheet, unconfirmed.
+func (st *SheetStore) Init() {
+	st.owner = owner.New(64)
+	st.staged, st.held = map[uint64]*spec.Table{}, map[string]uint64{}
+	st.current.Store(&state{table: spec.NewTable(0, spec.Sheet{}), replaced: make(chan struct{})})
 }
 
-// Gate is the sheet to serve under now; ok is false while work must wait.
-func (k *Rack) Gate() (*spec.Table, bool) {
-	s := k.cur.Load()
-	since, ok := k.Tenant.HeldSince()
+// Gate returns the sheet to serve under now; ok is false while requests must wait.
+func (st *SheetStore) Gate() (*spec.Table, bool) {
+	s := st.current.Load()
+	since, ok := st.Membership.HeldSince()
 	if !ok {
-		return s.table, k.Clock.Now().Before(s.loose)
+		return s.table, st.Clock.Now().Before(s.leaselessUntil)
 	}
-	return s.table, s.open && since.Equal(s.since)
+	return s.table, s.open && since.Equal(s.leaseStart)
 }
 
 // Wait waits until the gate opens or ctx ends.
-func (k *Rack) Wait(ctx context.Context) (*spec.Table, bool) {
+func (st *SheetStore) Wait(ctx context.Context) (*spec.Table, bool) {
 	for {
-		s := k.cur.Load()
-		if t, ok := k.Gate(); ok {
+		s := st.current.Load()
+		if t, ok := st.Gate(); ok {
 			return t, true
 		}
 		select {
 		case <-ctx.Done():
 			return nil, false
-		case <-s.wake:
+		case <-s.replaced:
 		}
 	}
 }
 
-// Lone tells whether this node seems to be cut off from the others.
-func (k *Rack) Lone() bool { return k.lone.Load() }
+// Isolated reports whether this node seems to be cut off from the others.
+func (st *SheetStore) Isolated() bool { return st.isolated.Load() }
 
-// N is the version in force here.
-func (k *Rack) N() uint64 { return k.cur.Load().table.N }
+// Version is the version in force at this gateway.
+func (st *SheetStore) Version() uint64 { return st.current.Load().table.N }
 
-// Stranded tells whether the last sheet is served without a lease.
-func (k *Rack) Stranded() bool {
-	_, ok := k.Gate()
-	return ok && !k.Tenant.Held()
+// ServesWithoutLease reports whether the last sheet is served without a lease.
+func (st *SheetStore) ServesWithoutLease() bool {
+	_, ok := st.Gate()
+	return ok && !st.Membership.Held()
 }
 
-// set replaces the state; only own calls it.
-func (k *Rack) set(f func(*state)) {
-	old := k.cur.Load()
-	n := *old
-	n.wake = make(chan struct{})
-	f(&n)
-	for by, v := range k.held {
-		if v <= n.table.N {
-			delete(k.held, by)
+// update replaces the state; only owner calls it.
+func (st *SheetStore) update(f func(*state)) {
+	old := st.current.Load()
+	next := *old
+	next.replaced = make(chan struct{})
+	f(&next)
+	for by, v := range st.held {
+		if v <= next.table.N {
+			delete(st.held, by)
 		}
 	}
-	if len(k.held) > 0 || k.isShut(n.table.N) {
-		n.open = false
+	if len(st.held) > 0 || st.isClosed(next.table.N) {
+		next.open = false
 	}
-	k.cur.Store(&n)
-	close(old.wake)
-	if n.table != old.table {
-		for v := range k.staged {
-			if v <= n.table.N {
-				delete(k.staged, v)
+	st.current.Store(&next)
+	close(old.replaced)
+	if next.table != old.table {
+		for v := range st.staged {
+			if v <= next.table.N {
+				delete(st.staged, v)
 			}
 		}
-		if k.OnSpec != nil {
-			k.OnSpec(n.table)
+		if st.OnSheet != nil {
+			st.OnSheet(next.table)
 		}
 	}
 }
 
-// Serve teaches d to answer for this rack.
-func (k *Rack) Serve(d *link.Desk) {
+// Serve registers the handlers for the messages of a roll-out.
+func (st *SheetStore) Serve(d *link.Desk) {
 	link.On(d, func(ctx context.Context, _ link.Who, a StageAsk) (r GatewayTold, err error) {
-		return owner.Get(ctx, k.own, func() (r GatewayTold) {
-			if a.N > k.N() && k.staged[a.N] == nil && len(k.staged) < 64 {
-				k.staged[a.N] = spec.NewTable(a.N, a.Sheet)
+		return owner.Get(ctx, st.owner, func() (r GatewayTold) {
+			if a.N > st.Version() && st.staged[a.N] == nil && len(st.staged) < 64 {
+				st.staged[a.N] = spec.NewTable(a.N, a.Sheet)
 			}
-			r = GatewayTold{OK: a.N <= k.N() || k.staged[a.N] != nil, N: k.N()}
+			r = GatewayTold{OK: a.N <= st.Version() || st.staged[a.N] != nil, N: st.Version()}
 			return r
 		})
 	})
 	link.On(d, func(ctx context.Context, _ link.Who, a HoldAsk) (r GatewayTold, err error) {
-		return owner.Get(ctx, k.own, func() (r GatewayTold) {
-			// A run that began after the staging holds too, and fetches the sheet with
-			// its confirmation.
-			if a.N > k.N() && k.held[a.By] < a.N {
-				k.held[a.By], k.heldAt = a.N, k.Clock.Now()
-				// Without a lease the hold binds as little as it does the others that serve
-				// so; the next look decides (design 8.4).
-				k.set(func(s *state) { s.open, s.loose = false, time.Time{} })
+		return owner.Get(ctx, st.owner, func() (r GatewayTold) {
+			// A process that started after the staging is held too, and receives the sheet
+			// with its confirmation.
+			if a.N > st.Version() && st.held[a.By] < a.N {
+				st.held[a.By], st.lastHold = a.N, st.Clock.Now()
+				// The hold also ends serving without a lease, which binds no more than it does
+				// other gateways in that state; the next probe decides (design 8.4).
+				st.update(func(s *state) { s.open, s.leaselessUntil = false, time.Time{} })
 			}
-			r = GatewayTold{OK: true, N: k.N()}
+			r = GatewayTold{OK: true, N: st.Version()}
 			return r
 		})
 	})
 	link.On(d, func(ctx context.Context, _ link.Who, a FreeAsk) (r GatewayTold, err error) {
-		return owner.Get(ctx, k.own, func() (r GatewayTold) {
-			if k.held[a.By] == a.N && a.N > k.N() {
-				delete(k.held, a.By)
-				k.set(func(s *state) { s.open = !s.since.IsZero() })
+		return owner.Get(ctx, st.owner, func() (r GatewayTold) {
+			if st.held[a.By] == a.N && a.N > st.Version() {
+				delete(st.held, a.By)
+				st.update(func(s *state) { s.open = !s.leaseStart.IsZero() })
 			}
-			return GatewayTold{OK: true, N: k.N()}
+			return GatewayTold{OK: true, N: st.Version()}
 		})
 	})
 	link.On(d, func(ctx context.Context, _ link.Who, a FlipAsk) (r GatewayTold, err error) {
-		return owner.Get(ctx, k.own, func() (r GatewayTold) {
-			if t := k.staged[a.N]; a.N > k.N() && t != nil {
-				k.confirmed, k.shut = true, a.N
-				k.set(func(s *state) { s.table, s.loose = t, time.Time{} })
+		return owner.Get(ctx, st.owner, func() (r GatewayTold) {
+			if t := st.staged[a.N]; a.N > st.Version() && t != nil {
+				st.confirmed, st.closedVersion = true, a.N
+				st.update(func(s *state) { s.table, s.leaselessUntil = t, time.Time{} })
 			}
-			if a.N <= k.N() {
-				k.count(a.Round, a.Gateways, true)
+			if a.N <= st.Version() {
+				st.setVoters(a.Round, a.Gateways, true)
 			}
-			if a.Open && a.N == k.N() && a.N == k.shut {
-				k.shut = 0
-				k.set(func(s *state) { s.open = !s.since.IsZero() })
+			if a.Open && a.N == st.Version() && a.N == st.closedVersion {
+				st.closedVersion = 0
+				st.update(func(s *state) { s.open = !s.leaseStart.IsZero() })
 			}
-			r = GatewayTold{OK: a.N <= k.N(), N: k.N()}
+			r = GatewayTold{OK: a.N <= st.Version(), N: st.Version()}
 			return r
 		})
 	})
 	link.On(d, func(ctx context.Context, _ link.Who, a CountAsk) (r GatewayTold, err error) {
-		return owner.Get(ctx, k.own, func() (r GatewayTold) {
-			k.count(a.Round, a.Gateways, a.Sure)
-			return GatewayTold{OK: k.round == a.Round && slices.Equal(k.gateways, a.Gateways), N: k.N()}
+		return owner.Get(ctx, st.owner, func() (r GatewayTold) {
+			st.setVoters(a.Round, a.Gateways, a.Sure)
+			return GatewayTold{OK: st.voterRound == a.Round && slices.Equal(st.voters, a.Gateways), N: st.Version()}
 		})
 	})
 	link.On(d, func(ctx context.Context, _ link.Who, a LastAsk) (r LastTold, err error) {
-		return owner.Get(ctx, k.own, func() (r LastTold) {
-			r = LastTold{ID: k.ID, Held: k.Tenant.Held(), Fresh: k.Tenant.Calm() && k.Tenant.Left() > membership.Doubt, Confirmed: k.confirmed, Shut: k.isShut(k.N()), N: k.N(), Round: k.round, Gateways: k.gateways}
-			if s := k.cur.Load().table.Sheet; r.Confirmed && a.Have != r.N {
+		return owner.Get(ctx, st.owner, func() (r LastTold) {
+			r = LastTold{ID: st.ID, Held: st.Membership.Held(), Fresh: st.Membership.Calm() && st.Membership.Left() > membership.Doubt, Confirmed: st.confirmed, Shut: st.isClosed(st.Version()), N: st.Version(), Round: st.voterRound, Gateways: st.voters}
+			if s := st.current.Load().table.Sheet; r.Confirmed && a.Have != r.N {
 				r.Sheet = &s
 			}
 			return r
@@ -250,80 +250,80 @@
 	})
 }
 
-// Run keeps the rack confirmed until ctx ends.
-func (k *Rack) Run(ctx context.Context) {
-	go k.own.Run(ctx)
-	go k.outlook(ctx)
+// Run keeps the store confirmed until ctx ends.
+func (st *SheetStore) Run(ctx context.Context) {
+	go st.owner.Run(ctx)
+	go st.monitorPeers(ctx)
 	for ctx.Err() == nil {
-		if k.due() {
-			k.confirm(ctx)
+		if st.needsConfirmation() {
+			st.confirm(ctx)
 		}
-		if k.Clock.Sleep(ctx, confirmPause) != nil {
+		if st.Clock.Sleep(ctx, confirmInterval) != nil {
 			return
 		}
 	}
 }
 
-// due tells whether a confirmation is wanted: there is a lease, and either none
-// was confirmed under it or a hold has lasted long.
-func (k *Rack) due() bool {
-	since, ok := k.Tenant.HeldSince()
+// needsConfirmation reports whether a confirmation is needed: there is a lease, and either
+// none was received under it or a hold has lasted longer than maxHold.
+func (st *SheetStore) needsConfirmation() bool {
+	since, ok := st.Membership.HeldSince()
 	if !ok {
 		return false
 	}
-	s := k.cur.Load()
-	if !s.since.Equal(since) {
+	s := st.current.Load()
+	if !s.leaseStart.Equal(since) {
 		return true
 	}
-	return !s.open && k.heldFor() > heldLong
+	return !s.open && st.sinceLastHold() > maxHold
 }
 
-func (k *Rack) heldFor() (d time.Duration) {
-	_ = k.own.Do(context.Background(), func() { d = k.Clock.Now().Sub(k.heldAt) })
+func (st *SheetStore) sinceLastHold() (d time.Duration) {
+	_ = st.owner.Do(context.Background(), func() { d = st.Clock.Now().Sub(st.lastHold) })
 	return d
 }
 
-// confirm asks a controller what is in force, after the lease was granted; what it
-// then learns holds until the lease breaks (design 8.3).
-func (k *Rack) confirm(ctx context.Context) {
-	for _, a := range k.Controllers() {
-		since, ok := k.Tenant.HeldSince()
+// confirm asks a controller what is in force, after the lease was granted; the answer is
+// valid until the lease breaks (design 8.3).
+func (st *SheetStore) confirm(ctx context.Context) {
+	for _, addr := range st.Controllers() {
+		since, ok := st.Membership.HeldSince()
 		if !ok {
 			return
 		}
 		cx, end := context.WithTimeout(ctx, 600*time.Millisecond)
-		r, err := link.Ask[ConfirmTold](cx, k.Line, a, ConfirmAsk{ID: k.ID, Have: k.N()})
+		r, err := link.Ask[ConfirmTold](cx, st.Link, addr, ConfirmAsk{ID: st.ID, Have: st.Version()})
 		end()
 		if err != nil || !r.OK {
-			if k.Log != nil {
-				k.Log.Debug("not confirmed", "step", "confirm", "mate", a, "ok", r.OK, "err", err)
+			if st.Log != nil {
+				st.Log.Debug("controller did not confirm the version in force", "step", "confirm", "mate", addr, "ok", r.OK, "err", err)
 			}
 			continue
 		}
-		if k.OnLeaves != nil {
-			k.OnLeaves(r.Leaves)
+		if st.OnLeaves != nil {
+			st.OnLeaves(r.Leaves)
 		}
-		_ = k.own.Do(ctx, func() {
-			t := k.cur.Load().table
+		_ = st.owner.Do(ctx, func() {
+			t := st.current.Load().table
 			if r.N > t.N {
 				if r.Sheet == nil {
 					return
 				}
 				t = spec.NewTable(r.N, *r.Sheet)
 			}
-			k.confirmed = true
-			k.count(r.Round, r.Gateways, true)
+			st.confirmed = true
+			st.setVoters(r.Round, r.Gateways, true)
 			switch {
-			case r.Open && k.shut == r.N:
-				k.shut = 0
-			case !r.Open && r.N > k.N():
-				k.shut = r.N
+			case r.Open && st.closedVersion == r.N:
+				st.closedVersion = 0
+			case !r.Open && r.N > st.Version():
+				st.closedVersion = r.N
 			}
-			k.set(func(s *state) {
+			st.update(func(s *state) {
 				s.table = t
 				if r.Settled {
-					s.since, s.open = since, true
-				} else if !s.since.Equal(since) {
+					s.leaseStart, s.open = since, true
+				} else if !s.leaseStart.Equal(since) {
 					s.open = false
 				}
 			})
@@ -332,122 +332,123 @@
 	}
 }
 
-// outlook finds out, while no lease is held, whom this node reaches. Nobody, or
-// too few of the gateways: it refuses. More than half of the gateways that count, or just
-// half where all others are known to be down, and nobody with a majority: it serves its
-// last sheet. No change can come into force meanwhile without one of them, for that
-// takes more than half too (design 8.4).
-func (k *Rack) outlook(ctx context.Context) {
-	good := 0
+// monitorPeers probes, while no lease is held, which nodes are reachable. If none, or too
+// few of the voting gateways, this node refuses requests. If more than half of the voting
+// gateways are reachable, or exactly half with all others known to be down, and none of
+// them holds a lease from a majority, it serves its last sheet. No change can come into
+// force meanwhile without one of these gateways, because that takes more than half of the
+// voting gateways too (design 8.4).
+func (st *SheetStore) monitorPeers(ctx context.Context) {
+	successes := 0
 	for ctx.Err() == nil {
 		switch {
-		case k.Tenant.Left() > membership.Doubt:
-			good = 0
-			k.lone.Store(false)
-		case k.look(ctx, good+1 >= looseRounds && !k.Tenant.Held()):
-			good++
+		case st.Membership.Left() > membership.Doubt:
+			successes = 0
+			st.isolated.Store(false)
+		case st.probePeers(ctx, successes+1 >= leaselessRounds && !st.Membership.Held()):
+			successes++
 		default:
-			good = 0
+			successes = 0
 		}
-		if k.Clock.Sleep(ctx, lookPause) != nil {
+		if st.Clock.Sleep(ctx, probeInterval) != nil {
 			return
 		}
 	}
 }
 
-// behind tells whether others renew their leases and this node alone does not: it is
-// the one that is cut off. When the core is lost, all are without a renewal within one
-// interval of each other; when it comes back, some have a lease a moment before others.
-// Only own calls it.
-func (k *Rack) behind(fresh bool) bool {
-	left, now := k.Tenant.Left(), k.Clock.Now()
-	if !fresh || left >= membership.Doubt-membership.Renew-lookTime {
-		k.late = time.Time{}
+// isBehind reports whether other nodes renew their leases while this node cannot, which
+// means that this node is cut off. When the core is lost, all nodes miss their renewals
+// within one interval of each other; when it returns, some have a lease a moment before
+// others. Only owner calls it.
+func (st *SheetStore) isBehind(fresh bool) bool {
+	left, now := st.Membership.Left(), st.Clock.Now()
+	if !fresh || left >= membership.Doubt-membership.Renew-probeTimeout {
+		st.behindSince = time.Time{}
 		return false
 	}
-	if k.late.IsZero() {
-		k.late = now
+	if st.behindSince.IsZero() {
+		st.behindSince = now
 	}
-	return left > 0 || now.Sub(k.late) > 4*membership.Renew
+	return left > 0 || now.Sub(st.behindSince) > 4*membership.Renew
 }
 
-// look asks all mates once; allow lets a good look open the gate for a while. It
-// takes over a later sheet that one of them has known in force.
-func (k *Rack) look(ctx context.Context, allow bool) (good bool) {
-	as := k.Mates()
-	from := k.Clock.Now()
-	cx, end := context.WithTimeout(ctx, lookTime)
+// probePeers asks all peers once; allow lets a successful probe open the gate for a limited
+// time. It adopts a later sheet that one of them knew to be in force.
+func (st *SheetStore) probePeers(ctx context.Context, allow bool) (good bool) {
+	addrs := st.Peers()
+	start := st.Clock.Now()
+	cx, end := context.WithTimeout(ctx, probeTimeout)
 	defer end()
-	have := k.N()
-	type back struct {
+	have := st.Version()
+	type result struct {
 		r   LastTold
 		err error
 	}
-	ch := make(chan back, len(as))
-	for _, a := range as {
+	ch := make(chan result, len(addrs))
+	for _, a := range addrs {
 		go func() {
-			r, err := link.Ask[LastTold](cx, k.Line, a, LastAsk{Have: have})
-			ch <- back{r, err}
+			r, err := link.Ask[LastTold](cx, st.Link, a, LastAsk{Have: have})
+			ch <- result{r, err}
 		}()
 	}
-	var rs []*LastTold
-	silent := 0 // who neither answered nor refused the link: such a process may be up
-	for range as {
+	var replies []*LastTold
+	silent := 0 // peers that neither answered nor refused the connection: such a process may be up
+	for range addrs {
 		switch b := <-ch; {
 		case b.err == nil:
-			rs = append(rs, &b.r)
+			replies = append(replies, &b.r)
 		case !errors.Is(b.err, syscall.ECONNREFUSED):
 			silent++
 		}
 	}
-	good, _ = owner.Get(ctx, k.own, func() (good bool) {
+	good, _ = owner.Get(ctx, st.owner, func() (good bool) {
 		var best *LastTold
 		ids := map[string]bool{}
 		held, fresh := false, false
-		if k.confirmed {
-			ids[k.ID] = true
+		if st.confirmed {
+			ids[st.ID] = true
 		}
-		for _, r := range rs {
+		for _, r := range replies {
 			held, fresh = held || r.Held, fresh || r.Fresh
-			// Only a run that was confirmed knows what is, or is about to be, in force;
-			// what others once knew may be long past.
+			// Only a process that was confirmed knows what is, or is about to be, in force;
+			// the knowledge of others may be long out of date.
 			if !r.Confirmed {
 				continue
 			}
 			ids[r.ID] = true
-			if r.Round > k.round {
-				k.count(r.Round, r.Gateways, false)
+			if r.Round > st.voterRound {
+				st.setVoters(r.Round, r.Gateways, false)
 			}
 			if best == nil || r.N > best.N || r.N == best.N && !r.Shut {
 				best = r
 			}
 		}
-		t := k.cur.Load().table
+		t := st.current.Load().table
 		if best != nil && best.N >= t.N {
 			switch {
 			case best.N > t.N && best.Sheet == nil:
 				return false
 			case best.N > t.N:
 				t = spec.NewTable(best.N, *best.Sheet)
-				k.shut = lo.Ternary(best.Shut, best.N, 0)
+				st.closedVersion = lo.Ternary(best.Shut, best.N, 0)
 			}
 		}
 		n := 0
-		for _, id := range k.gateways {
+		for _, id := range st.voters {
 			if ids[id] {
 				n++
 			}
 		}
-		enough := 2*n > len(k.gateways) || n > 0 && 2*n == len(k.gateways) && silent == 0
-		k.lone.Store(!enough || k.behind(fresh))
+		enough := 2*n > len(st.voters) || n > 0 && 2*n == len(st.voters) && silent == 0
+		st.isolated.Store(!enough || st.isBehind(fresh))
 		good = !held && enough
-		if good && allow || t != k.cur.Load().table {
-			k.set(func(s *state) {
+		if good && allow || t != st.current.Load().table {
+			st.update(func(s *state) {
 				if s.table != t {
-					s.table, s.loose = t, time.Time{}
+					s.table, s.leaselessUntil = t, time.Time{}
 				}
 				if good && allow {
-					s.loose = from.Add(looseTime)
+					s.leaselessUntil = start.Add(leaselessTime)
 				}
 			})
 		}
