--- a/internal/rollout/roller.go
+++ b/internal/rollout/roller.go
@@ -22,137 +22,138 @@
 )
 
 const (
-	askTime = 300 * time.Millisecond
-	retry   = 20 * time.Millisecond
-	// holdTime is how long a roll-out holds the gateways before it lets them go on under
-	// the old sheet: calls wait meanwhile. Two rounds take some 10 ms; what takes
-	// longer is a gateway that is gone, whose lease lapses no sooner for the wait.
-	holdTime = 250 * time.Millisecond
+	askTimeout    = 300 * time.Millisecond
+	retryInterval = 20 * time.Millisecond
+	// holdTimeout is how long a roll-out holds the gateways before it lets them continue
+	// under the old sheet, since calls wait in the meantime. Two rounds take about 10 ms;
+	// a longer wait is due to a gateway that is down, and its lease does not lapse any
+	// sooner for the wait.
+	holdTimeout = 250 * time.Millisecond
 )
 
-// Roller brings decided changes into force. Any controller may run one, and several
-// at once do no harm: every step is safe to repeat (design 8.2).
-type Roller struct {
-	Book   *ledger.Book
-	Tenant *membership.Tenant
-	Line   link.Line
-	Clock  clock.Clock
-	Faults *fault.Set
-	Log    *log.Logger
+// Executor brings decided changes into force. Any controller may run one, and concurrent
+// executors are safe: every step is idempotent (design 8.2).
+type Executor struct {
+	Ledger     *ledger.Book
+	Membership *membership.Tenant
+	Link       link.Line
+	Clock      clock.Clock
+	Faults     *fault.Set
+	Log        *log.Logger
 
-	mu   sync.Mutex
-	busy chan struct{} // closed when the drive under way ends
-	done uint64        // highest version known to be in force everywhere
-	// absent is since when a gateway that counts has had no lease.
-	absent map[string]time.Time
-	told   uint64 // last list of those that was told to all; Watch's alone
-	holds  atomic.Uint64
+	mu             sync.Mutex
+	running        chan struct{} // closed when the current roll-out ends
+	appliedVersion uint64        // highest version known to be in force everywhere
+	// absent is since when a voting gateway has had no lease.
+	absent         map[string]time.Time
+	announcedRound uint64 // round of the last list of voting gateways announced to all; used only by Watch
+	holdSeq        atomic.Uint64
 }
 
-// Settle brings into force all that is decided, up to at least n, and returns
+// Settle brings all decided changes into force, up to at least version n, and returns
 // the version that is then in force everywhere.
-func (r *Roller) Settle(ctx context.Context, n uint64) (uint64, error) {
+func (e *Executor) Settle(ctx context.Context, n uint64) (uint64, error) {
 	for {
-		r.mu.Lock()
-		if r.done >= n {
-			d := r.done
-			r.mu.Unlock()
-			return d, nil
-		}
-		if b := r.busy; b != nil {
-			r.mu.Unlock()
+		e.mu.Lock()
+		if e.appliedVersion >= n {
+			version := e.appliedVersion
+			e.mu.Unlock()
+			return version, nil
+		}
+		if running := e.running; running != nil {
+			e.mu.Unlock()
 			select {
-			case <-b:
+			case <-running:
 				continue
 			case <-ctx.Done():
 				return 0, ctx.Err()
 			}
 		}
-		b := make(chan struct{})
-		r.busy = b
-		r.mu.Unlock()
-		d, err := r.drive(ctx)
-		r.mu.Lock()
-		r.busy = nil
-		close(b)
+		running := make(chan struct{})
+		e.running = running
+		e.mu.Unlock()
+		version, err := e.runOnce(ctx)
+		e.mu.Lock()
+		e.running = nil
+		close(running)
 		if err == nil {
-			r.done = max(r.done, d)
+			e.appliedVersion = max(e.appliedVersion, version)
 		}
-		r.mu.Unlock()
+		e.mu.Unlock()
 		if err != nil {
 			return 0, err
 		}
-		if d < n {
-			return d, steperr.New("roll", "", "version %d wanted, %d is the last decided", n, d)
+		if version < n {
+			return version, steperr.New("roll", "", "version %d wanted, %d is the last decided", n, version)
 		}
 	}
 }
 
-// drive runs one roll-out to the last decided version.
-func (r *Roller) drive(ctx context.Context) (uint64, error) {
-	f, err := r.Book.Refresh(ctx)
+// runOnce runs one roll-out to the last decided version.
+func (e *Executor) runOnce(ctx context.Context) (uint64, error) {
+	fold, err := e.Ledger.Refresh(ctx)
 	if err != nil {
 		return 0, err
 	}
-	was, err := r.Book.Flipped(ctx)
+	before, err := e.Ledger.Flipped(ctx)
 	if err != nil {
 		return 0, err
 	}
-	if f.N == 0 {
+	if fold.N == 0 {
 		return 0, nil
 	}
-	r.Faults.At(fault.AfterDecided)
-	now := was
-	if was.N < f.N {
-		ids, err := r.held(ctx, f, was)
+	e.Faults.At(fault.AfterDecided)
+	flip := before
+	if before.N < fold.N {
+		ids, err := e.stageAndHold(ctx, fold, before)
 		if err != nil {
 			return 0, err
 		}
-		r.Faults.At(fault.AfterHeld)
+		e.Faults.At(fault.AfterHeld)
 		slices.Sort(ids)
-		if now, err = r.Book.SetFlipped(ctx, f.N, ids); err != nil {
+		if flip, err = e.Ledger.SetFlipped(ctx, fold.N, ids); err != nil {
 			return 0, err
 		}
-		r.Faults.At(fault.AfterFlipped)
+		e.Faults.At(fault.AfterFlipped)
 	}
-	if now.Open < f.N {
-		// Gateways that are cut off with more than half of those that count may serve on
-		// under the old sheet as long as none of them knows of the flip. So nobody
-		// shows the new one before more than half know; the others, held, are not
-		// waited for.
-		if _, err := r.most(ctx, "flip", now, FlipAsk{f.N, false, now.Round, now.Gateways}, now.More); err != nil {
+	if flip.Open < fold.N {
+		// Gateways that are cut off together with more than half of the voting gateways may
+		// continue to serve the old sheet as long as none of them knows of the flip. So no
+		// gateway may show the new sheet before more than half know of the flip; the
+		// others are held and are not waited for.
+		if _, err := e.askMajority(ctx, "flip", flip, FlipAsk{fold.N, false, flip.Round, flip.Gateways}, flip.More); err != nil {
 			return 0, err
 		}
-		r.Faults.At(fault.AfterTold)
+		e.Faults.At(fault.AfterTold)
 	}
-	// Told again even where it was found open: who opened it may not have come so
-	// far.
-	note := make(chan error, 1)
-	go func() { note <- r.opened(ctx, now, f.N) }()
-	_, err = r.all(ctx, "open", FlipAsk{f.N, true, now.Round, now.Gateways}, nil)
-	if err = errors.Join(err, <-note); err != nil {
+	// Sent again even if the version was already open: the controller that opened it may
+	// not have told all gateways.
+	opened := make(chan error, 1)
+	go func() { opened <- e.recordOpen(ctx, flip, fold.N) }()
+	_, err = e.askAll(ctx, "open", FlipAsk{fold.N, true, flip.Round, flip.Gateways}, nil)
+	if err = errors.Join(err, <-opened); err != nil {
 		return 0, err
 	}
-	r.Faults.At(fault.BeforeAck)
-	return f.N, nil
+	e.Faults.At(fault.BeforeAck)
+	return fold.N, nil
 }
 
-// held stages the sheet at every leased gateway and then holds them all; it names them.
-// Whom the hold does not reach at once is gone or about to be: the others are let go
-// on until that one's lease has lapsed, and then held again.
-func (r *Roller) held(ctx context.Context, f *ledger.Fold, was ledger.Force) ([]string, error) {
+// stageAndHold stages the sheet at every leased gateway, then holds all of them, and
+// returns their IDs. A gateway that the hold does not reach promptly is down or about to
+// be: the others are released until its lease has lapsed, and then held again.
+func (e *Executor) stageAndHold(ctx context.Context, fold *ledger.Fold, flip ledger.Force) ([]string, error) {
 	for {
-		// More than half of the gateways that count must take part: gateways that are cut off
-		// with as many may go on under the old sheet (design 8.4).
-		if _, err := r.most(ctx, "stage", was, StageAsk{f.N, f.Sheet}, nil); err != nil {
+		// More than half of the voting gateways must take part: gateways that are cut off
+		// together with that many may continue under the old sheet (design 8.4).
+		if _, err := e.askMajority(ctx, "stage", flip, StageAsk{fold.N, fold.Sheet}, nil); err != nil {
 			return nil, err
 		}
-		r.Faults.At(fault.AfterStaged)
-		// A hold of its own each time: only who holds lets go, so that none of two
-		// roll-outs undoes the other's.
-		a := HoldAsk{N: f.N, By: fmt.Sprintf("%s-%d", r.Book.Controller, r.holds.Add(1))}
-		cx, end := context.WithTimeout(ctx, holdTime)
-		ids, err := r.most(cx, "hold", was, a, nil)
+		e.Faults.At(fault.AfterStaged)
+		// Each attempt uses a hold of its own, and only its holder releases it, so that
+		// concurrent roll-outs do not undo each other's holds.
+		a := HoldAsk{N: fold.N, By: fmt.Sprintf("%s-%d", e.Ledger.Controller, e.holdSeq.Add(1))}
+		cx, end := context.WithTimeout(ctx, holdTimeout)
+		ids, err := e.askMajority(cx, "hold", flip, a, nil)
 		end()
 		if err == nil {
 			return ids, nil
@@ -160,7 +161,7 @@
 		go func() {
 			cx, end := context.WithTimeout(context.WithoutCancel(ctx), membership.Lease)
 			defer end()
-			_, _ = r.all(cx, "let go on", FreeAsk(a), nil)
+			_, _ = e.askAll(cx, "let go on", FreeAsk(a), nil)
 		}()
 		if ctx.Err() != nil {
 			return nil, err
@@ -168,246 +169,246 @@
 	}
 }
 
-// opened writes down that version n may show.
-func (r *Roller) opened(ctx context.Context, now ledger.Force, n uint64) error {
-	if now.Open >= n {
+// recordOpen records in the ledger that version n may be served.
+func (e *Executor) recordOpen(ctx context.Context, flip ledger.Force, n uint64) error {
+	if flip.Open >= n {
 		return nil
 	}
-	if err := r.Book.SetOpened(ctx, n); err != nil {
+	if err := e.Ledger.SetOpened(ctx, n); err != nil {
 		return err
 	}
-	_, err := r.Book.Once(ctx, ledger.FlipKey(n), ledger.Note{Kind: ledger.NoteFlip, N: n, At: r.Book.WallMS()})
+	_, err := e.Ledger.Once(ctx, ledger.FlipKey(n), ledger.Note{Kind: ledger.NoteFlip, N: n, At: e.Ledger.WallMS()})
 	return err
 }
 
-// forgetAfter is how long a gateway that counts may be without a lease before it is
-// left out.
-const forgetAfter = time.Minute
+// voterAbsenceLimit is how long a voting gateway may be without a lease before it is
+// removed from the list.
+const voterAbsenceLimit = time.Minute
 
-// wanted lists the gateways that are to count: those that do, less those that have
-// long had no lease, and those that have one.
-func (r *Roller) wanted(ctx context.Context, was []string) ([]string, error) {
-	ms, err := r.Tenant.Table(ctx)
+// desiredVoters lists the gateways that should vote: the current voters, less those
+// without a lease for voterAbsenceLimit, plus all gateways that hold a lease.
+func (e *Executor) desiredVoters(ctx context.Context, voters []string) ([]string, error) {
+	members, err := e.Membership.Table(ctx)
 	if err != nil {
 		return nil, err
 	}
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	now := r.Clock.Now()
-	out := lo.Union(lo.Filter(was, func(id string, _ int) bool {
-		t, ok := r.absent[id]
-		return !ok || now.Sub(t) < forgetAfter
-	}), lo.FilterMap(ms, func(m membership.Member, _ int) (string, bool) { return m.ID, m.Kind == "gateway" }))
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	now := e.Clock.Now()
+	out := lo.Union(lo.Filter(voters, func(id string, _ int) bool {
+		t, ok := e.absent[id]
+		return !ok || now.Sub(t) < voterAbsenceLimit
+	}), lo.FilterMap(members, func(m membership.Member, _ int) (string, bool) { return m.ID, m.Kind == "gateway" }))
 	slices.Sort(out)
 	return out, nil
 }
 
-// note follows which gateways that count hold no lease.
-func (r *Roller) note(count []string) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	here := lo.SliceToMap(r.Tenant.Kind("gateway"), func(m membership.Member) (string, bool) { return m.ID, true })
-	old := r.absent
-	r.absent = map[string]time.Time{}
-	for _, id := range count {
-		if here[id] {
+// trackAbsence records which voting gateways hold no lease.
+func (e *Executor) trackAbsence(voters []string) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	leased := lo.SliceToMap(e.Membership.Kind("gateway"), func(m membership.Member) (string, bool) { return m.ID, true })
+	before := e.absent
+	e.absent = map[string]time.Time{}
+	for _, id := range voters {
+		if leased[id] {
 			continue
 		}
-		t, ok := old[id]
+		t, ok := before[id]
 		if !ok {
-			t = r.Clock.Now()
+			t = e.Clock.Now()
 		}
-		r.absent[id] = t
+		e.absent[id] = t
 	}
 }
 
-// recount brings the list of gateways that count up to date. More than half of those
-// that count by the old list must know the new one before it is decided: so no
-// group that may serve without a lease can be without a member that knows it.
-func (r *Roller) recount(ctx context.Context, fo ledger.Force) {
-	if fo.N == 0 {
+// updateVoters brings the list of voting gateways up to date. More than half of the voters
+// of the old list must know the new one before it is decided, so that every group that
+// may serve without a lease has a member that knows it.
+func (e *Executor) updateVoters(ctx context.Context, flip ledger.Force) {
+	if flip.N == 0 {
 		return
 	}
-	all, err := r.wanted(ctx, fo.Gateways)
-	if err == nil && !slices.Equal(all, fo.Gateways) {
+	voters, err := e.desiredVoters(ctx, flip.Gateways)
+	if err == nil && !slices.Equal(voters, flip.Gateways) {
 		var ids []string
-		if ids, err = r.all(ctx, "count", CountAsk{Round: fo.Round + 1, Gateways: all}, nil); err == nil && fo.More(ids) {
-			fo, err = r.Book.Recount(ctx, fo.Round, all)
+		if ids, err = e.askAll(ctx, "count", CountAsk{Round: flip.Round + 1, Gateways: voters}, nil); err == nil && flip.More(ids) {
+			flip, err = e.Ledger.Recount(ctx, flip.Round, voters)
 		}
 	}
-	if err == nil && r.told != fo.Round {
-		if _, err = r.all(ctx, "count", CountAsk{Round: fo.Round, Gateways: fo.Gateways, Sure: true}, nil); err == nil {
-			r.told = fo.Round
+	if err == nil && e.announcedRound != flip.Round {
+		if _, err = e.askAll(ctx, "count", CountAsk{Round: flip.Round, Gateways: flip.Gateways, Sure: true}, nil); err == nil {
+			e.announcedRound = flip.Round
 		}
 	}
-	if err != nil && ctx.Err() == nil && r.Log != nil {
-		r.Log.Warn("gateways not counted anew", "step", "count", "err", err)
+	if err != nil && ctx.Err() == nil && e.Log != nil {
+		e.Log.Warn("list of voting gateways not updated", "step", "count", "err", err)
 	}
 }
 
-// most is all, repeated until more than half of the gateways that count agreed.
-func (r *Roller) most(ctx context.Context, step string, was ledger.Force, ask any, enough func([]string) bool) ([]string, error) {
+// askMajority repeats askAll until more than half of the voting gateways have agreed.
+func (e *Executor) askMajority(ctx context.Context, step string, flip ledger.Force, ask any, enough func([]string) bool) ([]string, error) {
 	for {
-		ids, err := r.all(ctx, step, ask, enough)
+		ids, err := e.askAll(ctx, step, ask, enough)
 		if err != nil {
 			return nil, err
 		}
-		if was.More(ids) {
+		if flip.More(ids) {
 			return ids, nil
 		}
-		if r.Clock.Sleep(ctx, 5*retry) != nil {
-			return nil, steperr.New(step, "", "%d of %d gateways that count take part, more than half must", len(lo.Intersect(ids, was.Gateways)), len(was.Gateways))
+		if e.Clock.Sleep(ctx, 5*retryInterval) != nil {
+			return nil, steperr.New(step, "", "%d of %d gateways that count take part, more than half must", len(lo.Intersect(ids, flip.Gateways)), len(flip.Gateways))
 		}
 	}
 }
 
-// all asks every leased gateway until each has agreed, or its lease has lapsed, or those
-// that agreed are enough; it names them.
-func (r *Roller) all(ctx context.Context, step string, ask any, enough func([]string) bool) ([]string, error) {
-	var told sync.Map
-	ids, err := Everyone(ctx, r.Tenant, r.Clock, enough, func(cx context.Context, m membership.Member) bool {
-		t, err := link.Ask[GatewayTold](cx, r.Line, m.Inner, ask)
-		if _, again := told.LoadOrStore(m.ID, true); err != nil && !again && r.Log != nil {
-			r.Log.Warn("gateway not reached, waiting for its lease to lapse", "step", step, "mate", m.ID, "err", err)
+// askAll asks every leased gateway until each has agreed or its lease has lapsed, or until
+// enough have agreed, and returns the IDs of those that agreed.
+func (e *Executor) askAll(ctx context.Context, step string, ask any, enough func([]string) bool) ([]string, error) {
+	var tried sync.Map
+	ids, err := ForEachGateway(ctx, e.Membership, e.Clock, enough, func(cx context.Context, m membership.Member) bool {
+		t, err := link.Ask[GatewayTold](cx, e.Link, m.Inner, ask)
+		if _, again := tried.LoadOrStore(m.ID, true); err != nil && !again && e.Log != nil {
+			e.Log.Warn("gateway unreachable; waiting for its lease to lapse", "step", step, "mate", m.ID, "err", err)
 		}
 		return err == nil && t.OK
 	})
 	return ids, steperr.At(step, "", err)
 }
 
-// Everyone runs f for every gateway that holds a lease until f agreed for it, or its
-// lease has lapsed, or those that agreed are enough, where enough is given. It names
-// them. A gateway that takes a lease meanwhile is asked too, though a confirmation would
-// have told it.
-func Everyone(ctx context.Context, t *membership.Tenant, c clock.Clock, enough func([]string) bool, f func(context.Context, membership.Member) bool) ([]string, error) {
+// ForEachGateway runs f for every gateway that holds a lease until f has succeeded for it
+// or its lease has lapsed, or until enough have succeeded, if enough is given. It returns
+// the IDs of those that succeeded. A gateway that obtains a lease meanwhile is asked too,
+// although its confirmation would have told it.
+func ForEachGateway(ctx context.Context, t *membership.Tenant, c clock.Clock, enough func([]string) bool, f func(context.Context, membership.Member) bool) ([]string, error) {
 	type run struct {
 		id  string
 		inc uint64
 	}
 	ok := map[run]bool{}
-	var late []string
+	var waiting []string
 	ids := func() []string {
 		return lo.Uniq(lo.Map(lo.Keys(ok), func(k run, _ int) string { return k.id }))
 	}
 	for {
-		ms, err := t.Table(ctx)
+		members, err := t.Table(ctx)
 		if err != nil {
-			// Those that are known can be told meanwhile; who is missing is not known.
-			ms = t.Members()
+			// The known gateways can be asked meanwhile, but others may be missing.
+			members = t.Members()
 		}
-		todo := lo.Filter(ms, func(m membership.Member, _ int) bool { return m.Kind == "gateway" && !ok[run{m.ID, m.Inc}] })
-		ch := make(chan *run, len(todo))
-		for _, m := range todo {
+		pending := lo.Filter(members, func(m membership.Member, _ int) bool { return m.Kind == "gateway" && !ok[run{m.ID, m.Inc}] })
+		ch := make(chan *run, len(pending))
+		for _, m := range pending {
 			go func() {
-				cx, end := context.WithTimeout(ctx, askTime)
+				cx, end := context.WithTimeout(ctx, askTimeout)
 				defer end()
 				ch <- lo.Ternary(f(cx, m), &run{m.ID, m.Inc}, nil)
 			}()
 		}
-		left := 0
-		for range todo {
+		failed := 0
+		for range pending {
 			k := <-ch
 			if k == nil {
-				left++
+				failed++
 				continue
 			}
 			if ok[*k] = true; enough != nil && enough(ids()) {
 				return ids(), nil
 			}
 		}
-		if left == 0 && err == nil {
+		if failed == 0 && err == nil {
 			return ids(), nil
 		}
-		if ctx.Err() != nil || c.Sleep(ctx, retry) != nil {
-			for _, m := range todo {
+		if ctx.Err() != nil || c.Sleep(ctx, retryInterval) != nil {
+			for _, m := range pending {
 				if !ok[run{m.ID, m.Inc}] {
-					late = append(late, m.ID)
+					waiting = append(waiting, m.ID)
 				}
 			}
 			if err != nil {
 				return nil, errors.Join(ctx.Err(), err)
 			}
-			return nil, fmt.Errorf("waiting for %s: %w", strings.Join(late, ", "), ctx.Err())
+			return nil, fmt.Errorf("waiting for %s: %w", strings.Join(waiting, ", "), ctx.Err())
 		}
 	}
 }
 
-// Serve teaches d to confirm what is in force. leaves tells the target runs that
-// may get no new work.
-func (r *Roller) Serve(d *link.Desk, leaves func(context.Context) ([]Leave, error)) {
-	link.On(d, func(ctx context.Context, w link.Who, a ConfirmAsk) (t ConfirmTold, err error) {
-		f, err := r.Book.Refresh(ctx)
+// Serve registers the handlers of a controller. leaves returns the target runs that must
+// get no new work.
+func (e *Executor) Serve(d *link.Desk, leaves func(context.Context) ([]Leave, error)) {
+	link.On(d, func(ctx context.Context, w link.Who, a ConfirmAsk) (reply ConfirmTold, err error) {
+		fold, err := e.Ledger.Refresh(ctx)
 		if err != nil {
-			return t, err
+			return reply, err
 		}
-		// Read after the changes: a flip seen here is of a change seen above, or
-		// of a later one, and then this is not settled.
-		fo, err := r.Book.Flipped(ctx)
+		// Read after the ledger: a flip seen here is of a change seen above or of a later
+		// one, and in the latter case the version is not settled.
+		fo, err := e.Ledger.Flipped(ctx)
 		if err != nil {
-			return t, err
+			return reply, err
 		}
 		n := fo.N
-		t.Gateways, t.Round = fo.Gateways, fo.Round
-		if t.Leaves, err = leaves(ctx); err != nil {
-			return t, err
+		reply.Gateways, reply.Round = fo.Gateways, fo.Round
+		if reply.Leaves, err = leaves(ctx); err != nil {
+			return reply, err
 		}
-		t.OK, t.N, t.Open = true, n, fo.Open >= n
-		t.Settled = t.Open && n == f.N
-		if !t.Settled && n <= f.N {
+		reply.OK, reply.N, reply.Open = true, n, fo.Open >= n
+		reply.Settled = reply.Open && n == fold.N
+		if !reply.Settled && n <= fold.N {
 			go func() {
 				cx, end := context.WithTimeout(context.WithoutCancel(ctx), 5*time.Second)
 				defer end()
-				_, _ = r.Settle(cx, f.N)
+				_, _ = e.Settle(cx, fold.N)
 			}()
 		}
-		if n > f.N {
-			t.OK = false
+		if n > fold.N {
+			reply.OK = false
 		} else if n != a.Have {
-			s := f.Sheet
-			if n != f.N {
-				if s, err = r.Book.At(ctx, n); err != nil {
-					return t, err
+			s := fold.Sheet
+			if n != fold.N {
+				if s, err = e.Ledger.At(ctx, n); err != nil {
+					return reply, err
 				}
 			}
-			t.Sheet = &s
+			reply.Sheet = &s
 		}
-		return t, nil
+		return reply, nil
 	})
 	link.On(d, func(ctx context.Context, _ link.Who, a PartAsk) (PartTold, error) {
-		err := r.Book.Part(ctx, a.ID)
+		err := e.Ledger.Part(ctx, a.ID)
 		return PartTold{OK: err == nil}, err
 	})
 	link.On(d, func(context.Context, link.Who, LastAsk) (LastTold, error) {
-		// A controller's own memory of what is in force may be old; only its lease counts.
-		return LastTold{Held: r.Tenant.Calm(), Fresh: r.Tenant.Calm() && r.Tenant.Left() > membership.Doubt}, nil
+		// A controller's own record of what is in force may be old; only its lease matters.
+		return LastTold{Held: e.Membership.Calm(), Fresh: e.Membership.Calm() && e.Membership.Left() > membership.Doubt}, nil
 	})
 }
 
-// Watch finishes what another controller left undone, until ctx ends: the duty "roll"
-// says which controller looks (design 8.2).
-func (r *Roller) Watch(ctx context.Context) {
-	r.Tenant.Seek("roll")
-	for r.Clock.Sleep(ctx, 400*time.Millisecond) == nil {
-		if !r.Tenant.Holds("roll") {
+// Watch completes roll-outs that another controller left unfinished, until ctx ends. The
+// holder of the duty "roll" does this (design 8.2).
+func (e *Executor) Watch(ctx context.Context) {
+	e.Membership.Seek("roll")
+	for e.Clock.Sleep(ctx, 400*time.Millisecond) == nil {
+		if !e.Membership.Holds("roll") {
 			continue
 		}
 		cx, end := context.WithTimeout(ctx, 4*time.Second)
-		f, err := r.Book.Refresh(cx)
-		if err == nil && f.N > 0 {
-			if fo, err := r.Book.Flipped(cx); err == nil {
-				r.note(fo.Gateways)
-				r.recount(cx, fo)
+		fold, err := e.Ledger.Refresh(cx)
+		if err == nil && fold.N > 0 {
+			if fo, err := e.Ledger.Flipped(cx); err == nil {
+				e.trackAbsence(fo.Gateways)
+				e.updateVoters(cx, fo)
 			}
-			r.mu.Lock()
-			behind := r.done < f.N
-			r.mu.Unlock()
+			e.mu.Lock()
+			behind := e.appliedVersion < fold.N
+			e.mu.Unlock()
 			if behind {
-				_, err = r.Settle(cx, f.N)
+				_, err = e.Settle(cx, fold.N)
 			}
 		}
 		end()
-		if err != nil && ctx.Err() == nil && r.Log != nil {
-			r.Log.Warn("roll-out not finished", "step", "watch", "err", err)
+		if err != nil && ctx.Err() == nil && e.Log != nil {
+			e.Log.Warn("roll-out not completed", "step", "watch", "err", err)
 		}
 	}
 }
--- a/internal/rollout/types.go
+++ b/internal/rollout/types.go
@@ -1,51 +1,51 @@
-// Package rollout brings a decided change into force on every gateway: stage it
-// everywhere, hold, decide the flip, release (design 8.2).
+// Package rollout brings a decided change into force on every gateway: it stages the new
+// sheet on all of them, holds them, decides the flip and opens the gates (design 8.2).
 package rollout
 
 import "walkrudder/internal/spec"
 
 type (
-	// StageAsk hands a gateway version N, to be kept ready.
+	// StageAsk sends a gateway the sheet of version N to be staged.
 	StageAsk struct {
 		N     uint64
 		Sheet spec.Sheet
 	}
-	// HoldAsk stops new sends under versions below N, on behalf of By.
+	// HoldAsk stops new sends under versions below N, on behalf of the roll-out By.
 	HoldAsk struct {
 		N  uint64
 		By string
 	}
-	// FreeAsk ends By's hold.
+	// FreeAsk releases By's hold.
 	FreeAsk HoldAsk
-	// FlipAsk says that the flip to N is decided: nothing below it is served any
-	// more. Open lets it be served. Gateways are those that count, by the list of
-	// Round.
+	// FlipAsk announces that the flip to N is decided: no lower version is served from
+	// then on. Open allows N to be served. Gateways are the voting gateways, by the list
+	// numbered Round.
 	FlipAsk struct {
 		N        uint64
 		Open     bool
 		Round    uint64
 		Gateways []string
 	}
-	// CountAsk tells which gateways count. Sure says that the list is decided; else it
-	// is about to be, and holds already for whoever agrees.
+	// CountAsk announces the list of voting gateways. Sure means that the list is decided;
+	// otherwise it is about to be, and already binds each gateway that agrees.
 	CountAsk struct {
 		Round    uint64
 		Gateways []string
 		Sure     bool
 	}
-	// GatewayTold answers the five; N is the version in force there.
+	// GatewayTold answers these five; N is the version in force at the gateway.
 	GatewayTold struct {
 		OK bool
 		N  uint64
 	}
-	// ConfirmAsk asks a controller what is in force, by a majority read begun after
-	// the ask; the asker's lease was granted before.
+	// ConfirmAsk asks a controller what is in force, by a majority read begun after the
+	// request arrived; the sender's lease was granted before.
 	ConfirmAsk struct {
 		ID   string
-		Have uint64 // version the asker has the sheet of
+		Have uint64 // version of the sheet that the sender has
 	}
-	// ConfirmTold answers it. Settled says that no decided change waits to come into
-	// force, Open that N may be served. Sheet is sent where Have differs from N.
+	// ConfirmTold answers ConfirmAsk. Settled means that no decided change waits to come
+	// into force, Open that N may be served. Sheet is sent if Have differs from N.
 	ConfirmTold struct {
 		OK       bool
 		Settled  bool
@@ -56,19 +56,19 @@
 		Sheet    *spec.Sheet
 		Leaves   []Leave
 	}
-	// Leave is a target run that was acknowledged as leaving, or let go.
+	// Leave is a target run whose leaving was acknowledged, or that was let go.
 	Leave struct {
 		Service string
 		ID      string
 		Inc     uint64
 		Gone    bool
 	}
-	// LastAsk asks any node whether it has a majority's lease, and a gateway for the
-	// last sheet that it had confirmed.
+	// LastAsk asks any node whether it holds a lease from a majority, and a gateway also
+	// for the last sheet that was confirmed to it.
 	LastAsk struct{ Have uint64 }
-	// LastTold answers it. Fresh says that the lease was renewed lately. Confirmed says that this run of a gateway has had word
-	// from a majority of what is in force; Shut, that N is decided and not known here
-	// to be open.
+	// LastTold answers LastAsk. Fresh means that the lease was renewed recently. Confirmed
+	// means that a majority told this run of the gateway what is in force; Shut, that N is
+	// decided and not known here to be open.
 	LastTold struct {
 		ID        string
 		Held      bool
@@ -80,8 +80,8 @@
 		Gateways  []string
 		Sheet     *spec.Sheet
 	}
-	// PartAsk says that a gateway stops as planned and serves no more.
+	// PartAsk announces that a gateway stops as planned and serves no more.
 	PartAsk struct{ ID string }
-	// PartTold answers it.
+	// PartTold answers PartAsk.
 	PartTold struct{ OK bool }
 )
--- a/internal/sim/orders_test.go
+++ b/internal/sim/orders_test.go
@@ -97,8 +97,8 @@
 			}
 		}
 		for _, n := range w.Of("gateway") {
-			if n.Gateway().Rack.N() != 5 {
-				t.Errorf("%s serves version %d", n.ID, n.Gateway().Rack.N())
+			if n.Gateway().Rack.Version() != 5 {
+				t.Errorf("%s serves version %d", n.ID, n.Gateway().Rack.Version())
 			}
 		}
 	})
@@ -154,8 +154,8 @@
 		}
 		time.Sleep(3 * time.Second)
 		for _, n := range w.Of("gateway") {
-			if !n.Gateway().Ready() || !n.Gateway().Rack.Stranded() {
-				t.Errorf("%s: ready %v, stranded %v without the core", n.ID, n.Gateway().Ready(), n.Gateway().Rack.Stranded())
+			if !n.Gateway().Ready() || !n.Gateway().Rack.ServesWithoutLease() {
+				t.Errorf("%s: ready %v, stranded %v without the core", n.ID, n.Gateway().Ready(), n.Gateway().Rack.ServesWithoutLease())
 			}
 		}
 		for _, n := range w.Of("gateway") {
--- a/internal/sim/target.go
+++ b/internal/sim/target.go
@@ -34,7 +34,7 @@
 	lag     time.Duration // more work in every request
 	run     context.Context
 	end     context.CancelFunc
-	last    *passage.Answer
+	last    *passage.Response
 	places  chan struct{}
 }
 
@@ -206,7 +206,7 @@
 var errReset = errors.New("connection reset")
 
 // Carry sends s: a link is made first, and only then asks Last whether to write.
-func (c *courier) Carry(ctx context.Context, s *passage.Sending) (*passage.Answer, bool, error) {
+func (c *courier) Carry(ctx context.Context, s *passage.SendRequest) (*passage.Response, bool, error) {
 	cx, end := context.WithDeadline(ctx, s.Expiry)
 	defer end()
 	stop := context.AfterFunc(c.run, end)
@@ -229,10 +229,10 @@
 		return nil, false, errDown
 	}
 	if !c.w.Net.passes(c.h.ID, t.ID) {
-		wait(passage.DialTime)
+		wait(passage.DialTimeout)
 		return nil, false, errCut
 	}
-	if s.Last != nil && !s.Last() {
+	if s.BeforeWrite != nil && !s.BeforeWrite() {
 		return nil, false, passage.ErrStopped
 	}
 	c.h.awake()
@@ -240,10 +240,10 @@
 		return nil, false, c.run.Err()
 	}
 	// From here on the request is on its way, whatever becomes of this node.
-	if s.Last != nil {
-		c.w.Rec.Arrive(stand.Arrival{At: time.Now(), Target: t.ID, Inc: t.runInc(), Service: t.Service, Order: orderOf(s.Req), Number: s.Number, Path: s.Req.URI})
+	if s.BeforeWrite != nil {
+		c.w.Rec.Arrive(stand.Arrival{At: time.Now(), Target: t.ID, Inc: t.runInc(), Service: t.Service, Order: orderOf(s.Req), Number: s.SendID, Path: s.Req.URI})
 	}
-	back := make(chan *passage.Answer, 1)
+	back := make(chan *passage.Response, 1)
 	run := t.runCtx()
 	go func() {
 		time.Sleep(c.w.Net.delay(c.h.ID, t.ID))
@@ -295,7 +295,7 @@
 }
 
 // serve runs one request; nil cuts the link.
-func (t *Target) serve(run context.Context, s *passage.Sending) *passage.Answer {
+func (t *Target) serve(run context.Context, s *passage.SendRequest) *passage.Response {
 	t.mu.Lock()
 	mode, inc, work := t.mode, t.inc, least+time.Duration(t.rnd.Int64N(int64(most-least)))+t.lag
 	places := t.places
@@ -310,14 +310,14 @@
 	}
 	if s.Req.URI[:min(len(s.Req.URI), len(httpapi.ProbePath))] == httpapi.ProbePath {
 		var n uint64
-		_, _ = fmt.Sscanf(s.Number, "p%d", &n)
+		_, _ = fmt.Sscanf(s.SendID, "p%d", &n)
 		body := fmt.Sprintf(`{"id":%q,"service":%q,"incarnation":%d,"seq":%d,"leaving":%v}`, t.ID, t.Service, inc, n, leaving)
-		return &passage.Answer{Status: 200, Body: []byte(body), Whole: true}
+		return &passage.Response{Status: 200, Body: []byte(body), Complete: true}
 	}
 	order := orderOf(s.Req)
-	st := httpapi.Stamp{ID: t.ID, Service: t.Service, Inc: inc, Request: s.Number}
+	st := httpapi.Stamp{ID: t.ID, Service: t.Service, Inc: inc, Request: s.SendID}
 	if mode == stand.Refusing {
-		return &passage.Answer{Status: 503, NotRun: true, Whole: true, Stamp: st.String()}
+		return &passage.Response{Status: 503, NotRun: true, Complete: true, Stamp: st.String()}
 	}
 	select {
 	case places <- struct{}{}:
@@ -325,7 +325,7 @@
 	case <-run.Done():
 		return nil
 	}
-	t.w.Rec.Exec(stand.Exec{At: time.Now(), Target: t.ID, Service: t.Service, Inc: inc, Order: order, Number: s.Number, Path: s.Req.URI, Meant: s.Target, Digest: stand.Digest([]byte(order + "."))})
+	t.w.Rec.Exec(stand.Exec{At: time.Now(), Target: t.ID, Service: t.Service, Inc: inc, Order: order, Number: s.SendID, Path: s.Req.URI, Meant: s.Target, Digest: stand.Digest([]byte(order + "."))})
 	if mode == stand.Slow {
 		work *= 10
 	}
@@ -336,7 +336,7 @@
 	}
 	body := order + "."
 	st.Length = len(body)
-	a := &passage.Answer{Status: 200, Body: []byte(body), Whole: true, Stamp: st.String()}
+	a := &passage.Response{Status: 200, Body: []byte(body), Complete: true, Stamp: st.String()}
 	switch mode {
 	case stand.Silent:
 		// Until the gateway's expiry has passed, and its link is closed.
--- a/internal/sim/world.go
+++ b/internal/sim/world.go
@@ -363,7 +363,7 @@
 	case f != nil:
 		f.Stop()
 		time.Sleep(linger)
-		for f.Passage.Flying() > 0 && time.Since(from) < whole-200*time.Millisecond {
+		for f.Passage.InFlight() > 0 && time.Since(from) < whole-200*time.Millisecond {
 			time.Sleep(10 * time.Millisecond)
 		}
 		cx, end := context.WithTimeout(up, 300*time.Millisecond)
@@ -568,20 +568,20 @@
 	if !k.Repeatable {
 		key = "key-" + order
 	}
-	ch := make(chan *passage.Trip, 1)
+	ch := make(chan *passage.Call, 1)
 	go func() {
 		time.Sleep(w.Net.delay("op", n.ID))
 		n.awake()
 		if up.Err() != nil {
 			return
 		}
-		t := f.Passage.Enter(up, client, key, &passage.Request{Method: k.Method, URI: k.Path, Host: "x", Header: [][2]string{{stand.OrderField, order}}})
+		t := f.Passage.Handle(up, client, key, &passage.Request{Method: k.Method, URI: k.Path, Host: "x", Header: [][2]string{{stand.OrderField, order}}})
 		n.awake()
 		if up.Err() == nil {
 			ch <- t
 		}
 	}()
-	var t *passage.Trip
+	var t *passage.Call
 	select {
 	case t = <-ch:
 	case <-up.Done():
@@ -591,16 +591,16 @@
 		o.Err = "Timeout"
 		return o
 	}
-	if t.Out != nil {
-		o.Call = t.Call
-		o.Status, o.Code, o.Why, o.SentOn = t.Out.Status, t.Out.Code, t.Out.Why, t.Out.Sent
-		if t.Out.Retry > 0 {
-			o.Retry = t.Out.RetryAfter()
+	if t.Verdict != nil {
+		o.Call = t.ID
+		o.Status, o.Code, o.Why, o.SentOn = t.Verdict.Status, t.Verdict.Code, t.Verdict.Why, t.Verdict.Sent
+		if t.Verdict.Retry > 0 {
+			o.Retry = t.Verdict.RetryAfter()
 		}
 		return o
 	}
-	o.Status, o.Stamp = t.Answer.Status, t.Answer.Stamp
-	o.BodyOrder, o.BodyWhole, o.Digest = string(t.Answer.Body), t.Answer.Whole, stand.Digest(t.Answer.Body)
+	o.Status, o.Stamp = t.Response.Status, t.Response.Stamp
+	o.BodyOrder, o.BodyWhole, o.Digest = string(t.Response.Body), t.Response.Complete, stand.Digest(t.Response.Body)
 	if len(o.BodyOrder) > 0 && o.BodyOrder[len(o.BodyOrder)-1] == '.' {
 		o.BodyOrder = o.BodyOrder[:len(o.BodyOrder)-1]
 	} else {
