--- a/internal/claim/circle.go
+++ b/internal/claim/circle.go
@@ -257,8 +257,8 @@
 // conflicting marks.
 func (c *Coordinator) broadcast(ctx context.Context, addrs []string, ms []Mark) (majority bool, others []Mark) {
 	voters, selfVotes := c.Voters()
-	cx, end := context.WithTimeout(ctx, broadcastTimeout)
-	defer end()
+	cx, cancel := context.WithTimeout(ctx, broadcastTimeout)
+	defer cancel()
 	ch := make(chan MarkTold, len(addrs)+1)
 	for _, a := range addrs {
 		go func() {
@@ -312,13 +312,13 @@
 // without the core takes precedence.
 func (c *Coordinator) takeFromStore(ctx context.Context, a TakeAsk, m Mark) (TakeTold, error) {
 	m.Backed = true
-	cx, end := context.WithCancel(ctx)
-	defer end()
+	cx, cancel := context.WithCancel(ctx)
+	defer cancel()
 	go func() {
 		// Waiting for the disks is pointless once the core is known to be unreachable.
 		for c.Clock.Sleep(cx, 50*time.Millisecond) == nil {
 			if c.CoreLost() {
-				end()
+				cancel()
 			}
 		}
 	}()
@@ -425,8 +425,8 @@
 	if len(ms) == 0 {
 		return
 	}
-	cx, end := context.WithTimeout(ctx, 2*time.Second)
-	defer end()
+	cx, cancel := context.WithTimeout(ctx, 2*time.Second)
+	defer cancel()
 	var wg sync.WaitGroup
 	queue := make(chan Mark, len(ms))
 	for _, m := range ms {
--- a/internal/claim/claim_test.go
+++ b/internal/claim/claim_test.go
@@ -8,20 +8,20 @@
 // For any two claims at most BucketSpan apart, with clocks at most maxClockSkew apart, the
 // later one must check a bucket in which the earlier one claimed.
 func TestBucketsOfTwoClaimsMeet(t *testing.T) {
-	sp, sk := BucketSpan.Milliseconds(), maxClockSkew.Milliseconds()
-	for a := int64(0); a < 2*sp; a += 7919 {
-		for b := a - sk; b <= a+sp-sk; b += 3571 {
-			_, ca := buckets(a + 10*sp)
-			bb, cb := buckets(b + 10*sp)
+	span, skew := BucketSpan.Milliseconds(), maxClockSkew.Milliseconds()
+	for a := int64(0); a < 2*span; a += 7919 {
+		for b := a - skew; b <= a+span-skew; b += 3571 {
+			_, claimedFirst := buckets(a + 10*span)
+			beforeSecond, claimedSecond := buckets(b + 10*span)
 			met := false
-			for _, x := range ca {
-				met = met || x == bb
-				for _, y := range cb {
+			for _, x := range claimedFirst {
+				met = met || x == beforeSecond
+				for _, y := range claimedSecond {
 					met = met || x == y
 				}
 			}
 			if !met {
-				t.Fatalf("claimed at %s in %v; %s later looked in %d and %v", time.Duration(a)*time.Millisecond, ca, time.Duration(b-a)*time.Millisecond, bb, cb)
+				t.Fatalf("claimed at %s in %v; %s later looked in %d and %v", time.Duration(a)*time.Millisecond, claimedFirst, time.Duration(b-a)*time.Millisecond, beforeSecond, claimedSecond)
 			}
 		}
 	}
--- a/internal/passage/budget.go
+++ b/internal/passage/budget.go
@@ -36,10 +36,10 @@
 }
 
 func (b *Budget) slotIndex(now time.Time) int {
-	n := int64(now.Sub(b.createdAt) / slotWidth)
-	i := int(n % int64(slotCount))
-	if b.slots[i].at != n {
-		b.slots[i] = struct{ at, first, extra int64 }{at: n}
+	number := int64(now.Sub(b.createdAt) / slotWidth)
+	i := int(number % int64(slotCount))
+	if b.slots[i].at != number {
+		b.slots[i] = struct{ at, first, extra int64 }{at: number}
 	}
 	return i
 }
@@ -66,12 +66,12 @@
 func (b *Budget) TakeExtra(now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	f, x := b.sums(now)
-	allowed := extraRatio * float64(f)
+	first, extra := b.sums(now)
+	allowed := extraRatio * float64(first)
 	if now.Sub(b.createdAt) > window {
 		allowed += sharedExtra / float64(max(1, b.gateways()))
 	}
-	if float64(x)+1 > allowed {
+	if float64(extra)+1 > allowed {
 		return false
 	}
 	b.slots[b.slotIndex(now)].extra++
--- a/internal/passage/claims.go
+++ b/internal/passage/claims.go
@@ -47,10 +47,10 @@
 	}
 	call.ClaimKey = call.Client + "\x00" + call.Key
 	call.claimAsked.Store(true)
-	cx, end := context.WithDeadline(call.Ctx, call.Expiry.Add(-returnMargin))
-	r, err := p.Claims.Take(cx, claim.TakeAsk{Key: call.ClaimKey, Call: call.ID, Print: call.Req.fingerprint()})
-	end()
-	if r.OK {
+	cx, cancel := context.WithDeadline(call.Ctx, call.Expiry.Add(-returnMargin))
+	told, err := p.Claims.Take(cx, claim.TakeAsk{Key: call.ClaimKey, Call: call.ID, Print: call.Req.fingerprint()})
+	cancel()
+	if told.OK {
 		call.claimOwned.Store(true)
 		p.addStep(call, "claim", "", "the key is this call's")
 	}
@@ -60,11 +60,11 @@
 		p.endClaim(call, claim.EndAsk{Key: call.ClaimKey, Call: call.ID})
 	case err != nil:
 		p.refuse(call, "its key cannot be claimed now")
-	case r.OK:
+	case told.OK:
 		p.enqueueSelection(call, "the queue before the choice is full")
 	default:
 		call.claimAsked.Store(false)
-		p.reject(call, earlierCallVerdict(r.State, call.Req.fingerprint()))
+		p.reject(call, earlierCallVerdict(told.State, call.Req.fingerprint()))
 	}
 }
 
@@ -87,9 +87,9 @@
 }
 
 // earlierCallVerdict returns the verdict on a call whose key is claimed by another call.
-func earlierCallVerdict(s claim.State, print string) httpapi.Verdict {
+func earlierCallVerdict(s claim.State, fingerprint string) httpapi.Verdict {
 	switch {
-	case s.Print != print:
+	case s.Print != fingerprint:
 		return httpapi.Verdict{Status: 422, Code: httpapi.KeyReused, Why: "this key was used for another request, call " + s.Call}
 	case s.State == claim.Ended:
 		return httpapi.Verdict{Status: 409, Code: httpapi.AlreadyRun, Why: fmt.Sprintf("call %s under this key ran and was answered with status %d", s.Call, s.Status)}
@@ -118,8 +118,8 @@
 // endClaim retries until the claim is ended; the caller already has its answer.
 func (p *Pipeline) endClaim(call *Call, a claim.EndAsk) {
 	go func() {
-		cx, end := context.WithTimeout(call.Ctx, endClaimTimeout)
-		defer end()
+		cx, cancel := context.WithTimeout(call.Ctx, endClaimTimeout)
+		defer cancel()
 		for {
 			// A claim request that returned an error may still be carried out later, so a
 			// release is sent twice.
--- a/internal/passage/courier.go
+++ b/internal/passage/courier.go
@@ -120,14 +120,14 @@
 		h.mu.Lock()
 		idle := h.idle[target]
 		for len(idle) > 0 {
-			w := idle[len(idle)-1]
+			tc := idle[len(idle)-1]
 			idle = idle[:len(idle)-1]
 			h.idle[target] = idle
-			if time.Since(w.lastUsed) < maxIdleTime {
+			if time.Since(tc.lastUsed) < maxIdleTime {
 				h.mu.Unlock()
-				return w, nil
+				return tc, nil
 			}
-			_ = w.conn.Close()
+			_ = tc.conn.Close()
 		}
 		h.mu.Unlock()
 	}
@@ -136,8 +136,8 @@
 	if err != nil {
 		return nil, err
 	}
-	cc := &countingConn{Conn: c}
-	return &targetConn{conn: cc, reader: bufio.NewReader(cc), writer: bufio.NewWriter(cc)}, nil
+	counting := &countingConn{Conn: c}
+	return &targetConn{conn: counting, reader: bufio.NewReader(counting), writer: bufio.NewWriter(counting)}, nil
 }
 
 func (h *HTTPTransport) putIdle(target string, tc *targetConn) {
@@ -207,12 +207,12 @@
 	if err != nil {
 		return nil, tc.conn.written.Load() > before, err
 	}
-	a, reusable, err := readResponse(tc.reader, resp, s.Req.Method)
+	answer, reusable, err := readResponse(tc.reader, resp, s.Req.Method)
 	if err != nil {
 		return nil, true, err
 	}
 	ok = reusable && tc.reader.Buffered() == 0
-	return a, true, nil
+	return answer, true, nil
 }
 
 // fillRequest converts the caller's request into the request to the target.
@@ -233,7 +233,7 @@
 	req.SetBodyRaw(s.Req.Body)
 }
 
-// readResponse reads one response; again reports whether the connection can be reused.
+// readResponse reads one response; the second result reports whether the connection can be reused.
 func readResponse(r *bufio.Reader, resp *fasthttp.Response, method string) (*Response, bool, error) {
 	h := &resp.Header
 	for {
--- a/internal/passage/elect.go
+++ b/internal/passage/elect.go
@@ -36,54 +36,54 @@
 func (p *Pipeline) selectTarget(service string, limit float64, tried []*registry.Stand, left time.Duration) (s *registry.Stand, totalLimit float64, full bool) {
 	now, gateways := p.Clock.Now(), p.Gateways()
 	all := p.Targets.Of(service)
-	var ok, suspected []candidate
+	var eligible, suspected []candidate
 	for _, s := range all {
 		if s.Leaving.Load() || s.Gone.Load() || slices.Contains(tried, s) || p.Targets.Age(s, now) >= MaxProofAge {
 			continue
 		}
 		if w := s.Det.Suspicion(now); w < limit {
-			ok = append(ok, candidate{s, w})
+			eligible = append(eligible, candidate{s, w})
 		} else {
 			suspected = append(suspected, candidate{s, w})
 		}
 	}
 	// Many suspected targets at once point to this node or its network rather than to them.
 	if n := len(all); len(suspected) > int(maxSuspectedShare*float64(n)) {
-		slices.SortFunc(suspected, func(a, b candidate) int {
-			if a.suspicion < b.suspicion {
+		slices.SortFunc(suspected, func(best, b candidate) int {
+			if best.suspicion < b.suspicion {
 				return -1
 			}
 			return 1
 		})
-		ok = append(ok, suspected[:len(suspected)-int(maxSuspectedShare*float64(n))]...)
+		eligible = append(eligible, suspected[:len(suspected)-int(maxSuspectedShare*float64(n))]...)
 	}
-	free := ok[:0]
-	for _, c := range ok {
-		r := concurrencyLimit(c.target, left, gateways)
-		totalLimit += r
-		if float64(c.target.Flying.Load()) < math.Max(1, r) {
+	free := eligible[:0]
+	for _, c := range eligible {
+		targetLimit := concurrencyLimit(c.target, left, gateways)
+		totalLimit += targetLimit
+		if float64(c.target.Flying.Load()) < math.Max(1, targetLimit) {
 			free = append(free, c)
 		}
 	}
 	if len(free) == 0 {
-		return nil, totalLimit, len(ok) > 0
+		return nil, totalLimit, len(eligible) > 0
 	}
-	ok = free
-	a := ok[rand.IntN(len(ok))]
+	eligible = free
+	best := eligible[rand.IntN(len(eligible))]
 	for range 2 {
-		if b := ok[rand.IntN(len(ok))]; p.relativeLoad(b.target) < p.relativeLoad(a.target) {
-			a = b
+		if b := eligible[rand.IntN(len(eligible))]; p.relativeLoad(b.target) < p.relativeLoad(best.target) {
+			best = b
 		}
 	}
-	return a.target, totalLimit, false
+	return best.target, totalLimit, false
 }
 
 // relativeLoad is a target's load relative to its capacity; a target in another zone
 // counts as busier.
 func (p *Pipeline) relativeLoad(s *registry.Stand) float64 {
-	l := (float64(s.Flying.Load()) + 1) / float64(max(1, s.Capacity.Load()))
+	load := (float64(s.Flying.Load()) + 1) / float64(max(1, s.Capacity.Load()))
 	if s.Zone != p.Zone {
-		l *= zonePenalty * p.ZoneMap.Far(p.Zone, s.Zone)
+		load *= zonePenalty * p.ZoneMap.Far(p.Zone, s.Zone)
 	}
-	return l
+	return load
 }
--- a/internal/passage/elect_test.go
+++ b/internal/passage/elect_test.go
@@ -49,7 +49,7 @@
 
 func TestElectPassesOverTheSuspectedButNeverAllAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ctx, end := context.WithCancel(t.Context())
+		ctx, cancel := context.WithCancel(t.Context())
 		p, targets := newTestPipeline(ctx, t, 10)
 		heartbeats(p, targets, 10, 1, 20)
 		heartbeats(p, targets, 7, 100, 5)
@@ -66,23 +66,23 @@
 		}
 		// All become silent together, which points to this node rather than to the targets.
 		heartbeats(p, targets, 0, 0, 10)
-		seen := map[string]bool{}
+		selected := map[string]bool{}
 		for range 300 {
 			if s, _, _ := p.selectTarget("s", defaultSuspicion, nil, time.Second); s != nil {
-				seen[s.ID] = true
+				selected[s.ID] = true
 			}
 		}
-		if len(seen) == 0 || len(seen) > 5 {
-			t.Errorf("with all suspected, %d of 10 were selected: want at least one, half at most", len(seen))
+		if len(selected) == 0 || len(selected) > 5 {
+			t.Errorf("with all suspected, %d of 10 were selected: want at least one, half at most", len(selected))
 		}
-		end()
+		cancel()
 		time.Sleep(time.Second)
 	})
 }
 
 func TestElectTakesNoTargetWithoutAFreshProof(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ctx, end := context.WithCancel(t.Context())
+		ctx, cancel := context.WithCancel(t.Context())
 		p, targets := newTestPipeline(ctx, t, 2)
 		if s, _, _ := p.selectTarget("s", defaultSuspicion, nil, time.Second); s != nil {
 			t.Error("selected a target without an identity proof")
@@ -101,7 +101,7 @@
 		if s, _, _ := p.selectTarget("s", defaultSuspicion, nil, time.Second); s != nil {
 			t.Error("selected a target whose proof has expired")
 		}
-		end()
+		cancel()
 		time.Sleep(time.Second)
 	})
 }
@@ -109,8 +109,8 @@
 // A target in a near zone is preferred to one in a distant zone.
 func TestElectTakesTheNearerZone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ctx, end := context.WithCancel(t.Context())
-		defer end()
+		ctx, cancel := context.WithCancel(t.Context())
+		defer cancel()
 		p, targets := newTestPipeline(ctx, t, 8)
 		var err error
 		if p.ZoneMap, err = topology.Dot([]byte(`graph { here -- near [ms=1]; here -- far [ms=9] }`)); err != nil {
--- a/internal/passage/passage.go
+++ b/internal/passage/passage.go
@@ -94,14 +94,14 @@
 
 // Init creates the stages.
 func (p *Pipeline) Init() {
-	done := func(t *Call) bool { return t.finished.Load() }
-	ended := func(x *Attempt) bool { return x.Call.finished.Load() }
-	p.route = NewStage("grant", queueSize, 4, p.doRoute, done)
-	p.claim = NewStage("claim", queueSize, maxClaims, p.doClaim, done)
-	p.selection = NewStage("elect", queueSize, 4, p.doSelect, done)
-	p.send = NewStage("send", queueSize, sendWorkers, p.doSend, ended)
+	finished := func(t *Call) bool { return t.finished.Load() }
+	callFinished := func(x *Attempt) bool { return x.Call.finished.Load() }
+	p.route = NewStage("grant", queueSize, 4, p.doRoute, finished)
+	p.claim = NewStage("claim", queueSize, maxClaims, p.doClaim, finished)
+	p.selection = NewStage("elect", queueSize, 4, p.doSelect, finished)
+	p.send = NewStage("send", queueSize, sendWorkers, p.doSend, callFinished)
 	p.send.discard = (*Attempt).release
-	p.check = NewStage("check", queueSize, 4, p.doCheck, ended)
+	p.check = NewStage("check", queueSize, 4, p.doCheck, callFinished)
 	p.budgets, p.clients = map[string]*Budget{}, map[string]*client{}
 	p.stories = newStoryLog()
 	p.startedAt = p.Clock.Now()
@@ -231,12 +231,12 @@
 
 // doRoute waits for the gate, finds the binding and checks the body size.
 func (p *Pipeline) doRoute(call *Call) {
-	cx, end := context.WithDeadline(call.Ctx, call.Expiry)
+	cx, cancel := context.WithDeadline(call.Ctx, call.Expiry)
 	table, ok := p.Sheets.Gate()
 	if !ok {
 		table, ok = p.Sheets.Wait(cx)
 	}
-	end()
+	cancel()
 	if !ok {
 		if call.claimNotRun() {
 			call.finish(nil, p.notRun(call, "this node waits for the control plane"))
--- a/internal/passage/passage_test.go
+++ b/internal/passage/passage_test.go
@@ -43,8 +43,8 @@
 func TestHangingServiceLeavesTheOthersAlone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const slots = 4
-		ctx, end := context.WithCancel(context.Background())
-		defer end()
+		ctx, cancel := context.WithCancel(context.Background())
+		defer cancel()
 		p, _ := newTestPipeline(ctx, t, 2)
 		b := httpapi.Beat{ID: "u", Service: "u", Zone: "z1", Addr: "127.0.0.1:9", Capacity: slots, Seq: 1, Inc: 1}
 		if err := p.Targets.Learn(ctx, "u", []registry.Entry{{Beat: b}}); err != nil {
@@ -64,20 +64,20 @@
 		refused, hung, served := 0, 0, 0
 		enter := func(path string) {
 			wg.Go(func() {
-				from := time.Now()
-				x := p.Handle(ctx, "", "", &Request{Method: "POST", URI: path})
-				took := time.Since(from)
+				start := time.Now()
+				call := p.Handle(ctx, "", "", &Request{Method: "POST", URI: path})
+				took := time.Since(start)
 				mu.Lock()
 				defer mu.Unlock()
 				switch {
-				case x.Verdict == nil && path == "/u" && took < 10*time.Millisecond:
+				case call.Verdict == nil && path == "/u" && took < 10*time.Millisecond:
 					served++
-				case path == "/s" && x.Verdict.Code == httpapi.BusyNotRun && x.Verdict.Retry > 0 && took < maxCapacityWaits*waitInterval+10*time.Millisecond:
+				case path == "/s" && call.Verdict.Code == httpapi.BusyNotRun && call.Verdict.Retry > 0 && took < maxCapacityWaits*waitInterval+10*time.Millisecond:
 					refused++
-				case path == "/s" && x.Verdict.Code == httpapi.Unknown:
+				case path == "/s" && call.Verdict.Code == httpapi.Unknown:
 					hung++
 				default:
-					t.Errorf("%s: %+v after %s", path, x.Verdict, took)
+					t.Errorf("%s: %+v after %s", path, call.Verdict, took)
 				}
 			})
 		}
@@ -99,18 +99,18 @@
 		burstServed, burstRefused := 0, 0
 		for range 100 {
 			wg.Go(func() {
-				from := time.Now()
-				x := p.Handle(ctx, "", "", &Request{Method: "POST", URI: "/u"})
-				took := time.Since(from)
+				start := time.Now()
+				call := p.Handle(ctx, "", "", &Request{Method: "POST", URI: "/u"})
+				took := time.Since(start)
 				mu.Lock()
 				defer mu.Unlock()
 				switch {
-				case x.Verdict == nil && took <= maxCapacityWaits*waitInterval:
+				case call.Verdict == nil && took <= maxCapacityWaits*waitInterval:
 					burstServed++
-				case x.Verdict != nil && x.Verdict.Code == httpapi.BusyNotRun && x.Verdict.Retry > 0 && took <= maxCapacityWaits*waitInterval:
+				case call.Verdict != nil && call.Verdict.Code == httpapi.BusyNotRun && call.Verdict.Retry > 0 && took <= maxCapacityWaits*waitInterval:
 					burstRefused++
 				default:
-					t.Errorf("a request of the burst: %+v after %s", x.Verdict, took)
+					t.Errorf("a request of the burst: %+v after %s", call.Verdict, took)
 				}
 			})
 		}
@@ -130,7 +130,7 @@
 		if n := p.limiter("s").inFlight.Load() + p.limiter("u").inFlight.Load(); n != 0 {
 			t.Errorf("the limiters still count %d", n)
 		}
-		end()
+		cancel()
 		<-done
 	})
 }
--- a/internal/passage/room.go
+++ b/internal/passage/room.go
@@ -96,10 +96,10 @@
 func (l *ServiceLimiter) recordOffer(now time.Time, admitted bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if d := now.Sub(l.decayedAt); d > time.Second {
+	if elapsed := now.Sub(l.decayedAt); elapsed > time.Second {
 		// Older counts decay with a half-life of one second.
-		f := math.Exp2(-d.Seconds())
-		l.offered, l.admitted, l.decayedAt = l.offered*f, l.admitted*f, now
+		decay := math.Exp2(-elapsed.Seconds())
+		l.offered, l.admitted, l.decayedAt = l.offered*decay, l.admitted*decay, now
 	}
 	l.offered++
 	if admitted {
--- a/internal/passage/story.go
+++ b/internal/passage/story.go
@@ -66,16 +66,16 @@
 }
 
 // add stores a record; under load some records are dropped.
-func (s *storyLog) add(x Story) {
+func (s *storyLog) add(story Story) {
 	s.owner.Post(func() {
 		r := &s.notable
-		if x.Status < 300 && x.Sends == 1 && x.Code == "" {
+		if story.Status < 300 && story.Sends == 1 && story.Code == "" {
 			r = &s.normal
 		}
 		delete(s.byCall, r.calls[r.next])
-		r.calls[r.next] = x.Call
+		r.calls[r.next] = story.Call
 		r.next = (r.next + 1) % len(r.calls)
-		s.byCall[x.Call] = x
+		s.byCall[story.Call] = story
 	})
 }
 
@@ -101,21 +101,21 @@
 
 // saveStory stores the record of a call after its caller has been answered.
 func (p *Pipeline) saveStory(call *Call) {
-	x := Story{Call: call.ID, Method: call.Req.Method, URI: call.Req.URI[:min(len(call.Req.URI), 256)], Came: call.Arrived.UTC().Format("2006-01-02T15:04:05.000Z")}
+	story := Story{Call: call.ID, Method: call.Req.Method, URI: call.Req.URI[:min(len(call.Req.URI), 256)], Came: call.Arrived.UTC().Format("2006-01-02T15:04:05.000Z")}
 	call.stepsMu.Lock()
-	x.Steps = append(x.Steps, call.steps...)
+	story.Steps = append(story.Steps, call.steps...)
 	call.stepsMu.Unlock()
-	for _, s := range x.Steps {
+	for _, s := range story.Steps {
 		if s.Step == "send" {
-			x.Sends++
+			story.Sends++
 		}
 	}
 	switch {
 	case call.Verdict != nil:
-		x.Status, x.Code = call.Verdict.Status, call.Verdict.Code
-		x.Steps = append(x.Steps, Step{p.Clock.Now().Sub(call.Arrived).Milliseconds(), "answer", "", call.Verdict.Code + ": " + call.Verdict.Why})
+		story.Status, story.Code = call.Verdict.Status, call.Verdict.Code
+		story.Steps = append(story.Steps, Step{p.Clock.Now().Sub(call.Arrived).Milliseconds(), "answer", "", call.Verdict.Code + ": " + call.Verdict.Why})
 	case call.Response != nil:
-		x.Status = call.Response.Status
+		story.Status = call.Response.Status
 	}
-	p.stories.add(x)
+	p.stories.add(story)
 }
--- a/internal/passage/try.go
+++ b/internal/passage/try.go
@@ -65,9 +65,9 @@
 		}
 		now := p.Clock.Now()
 		why := ""
-		switch w := attempt.Target.Det.Suspicion(now); {
+		switch suspicion := attempt.Target.Det.Suspicion(now); {
 		case now.Before(next):
-		case w >= limit:
+		case suspicion >= limit:
 			why = "the target is suspected while it is waited for"
 		case attempt.Target.Gone.Load():
 			why = "the target was let go while it was waited for"
--- a/internal/passage/try_test.go
+++ b/internal/passage/try_test.go
@@ -44,7 +44,7 @@
 // of sends. Without hasBudget the retry budget is used up.
 func withSilentTargets(t *testing.T, n, k int, hasBudget bool, try func(call func(method string) (*Call, time.Duration, int))) {
 	synctest.Test(t, func(t *testing.T) {
-		ctx, end := context.WithCancel(context.Background())
+		ctx, cancel := context.WithCancel(context.Background())
 		p, targets := newTestPipeline(ctx, t, n)
 		heartbeats(p, targets, n, 1, 30)
 		transport := hangingTargets{map[string]bool{}, make(chan string, 100)}
@@ -94,7 +94,7 @@
 			t.Fatal("no call was sent to a silent target")
 			return nil, 0, 0
 		})
-		end()
+		cancel()
 		<-done
 		time.Sleep(time.Second)
 		for _, s := range targets {
--- a/internal/rollout/rack.go
+++ b/internal/rollout/rack.go
@@ -199,8 +199,8 @@
 			// with its confirmation.
 			if a.N > st.Version() && st.held[a.By] < a.N {
 				st.held[a.By], st.lastHold = a.N, st.Clock.Now()
-				// The hold also ends serving without a lease, which binds no more than it does
-				// other gateways in that state; the next probe decides (design 8.4).
+				// For a gateway without a lease the hold is not binding, as it is not for the
+				// others that serve without one; the next probe decides (design 8.4).
 				st.update(func(s *state) { s.open, s.leaselessUntil = false, time.Time{} })
 			}
 			r = GatewayTold{OK: true, N: st.Version()}
@@ -291,9 +291,9 @@
 		if !ok {
 			return
 		}
-		cx, end := context.WithTimeout(ctx, 600*time.Millisecond)
+		cx, cancel := context.WithTimeout(ctx, 600*time.Millisecond)
 		r, err := link.Ask[ConfirmTold](cx, st.Link, addr, ConfirmAsk{ID: st.ID, Have: st.Version()})
-		end()
+		cancel()
 		if err != nil || !r.OK {
 			if st.Log != nil {
 				st.Log.Debug("controller did not confirm the version in force", "step", "confirm", "mate", addr, "ok", r.OK, "err", err)
@@ -377,8 +377,8 @@
 func (st *SheetStore) probePeers(ctx context.Context, allow bool) (good bool) {
 	addrs := st.Peers()
 	start := st.Clock.Now()
-	cx, end := context.WithTimeout(ctx, probeTimeout)
-	defer end()
+	cx, cancel := context.WithTimeout(ctx, probeTimeout)
+	defer cancel()
 	have := st.Version()
 	type result struct {
 		r   LastTold
@@ -404,12 +404,12 @@
 	good, _ = owner.Get(ctx, st.owner, func() (good bool) {
 		var best *LastTold
 		ids := map[string]bool{}
-		held, fresh := false, false
+		leaseHeld, fresh := false, false
 		if st.confirmed {
 			ids[st.ID] = true
 		}
 		for _, r := range replies {
-			held, fresh = held || r.Held, fresh || r.Fresh
+			leaseHeld, fresh = leaseHeld || r.Held, fresh || r.Fresh
 			// Only a process that was confirmed knows what is, or is about to be, in force;
 			// the knowledge of others may be long out of date.
 			if !r.Confirmed {
@@ -433,15 +433,15 @@
 				st.closedVersion = lo.Ternary(best.Shut, best.N, 0)
 			}
 		}
-		n := 0
+		reached := 0
 		for _, id := range st.voters {
 			if ids[id] {
-				n++
+				reached++
 			}
 		}
-		enough := 2*n > len(st.voters) || n > 0 && 2*n == len(st.voters) && silent == 0
+		enough := 2*reached > len(st.voters) || reached > 0 && 2*reached == len(st.voters) && silent == 0
 		st.isolated.Store(!enough || st.isBehind(fresh))
-		good = !held && enough
+		good = !leaseHeld && enough
 		if good && allow || t != st.current.Load().table {
 			st.update(func(s *state) {
 				if s.table != t {
--- a/internal/rollout/roller.go
+++ b/internal/rollout/roller.go
@@ -22,7 +22,7 @@
 )
 
 const (
-	askTimeout    = 300 * time.Millisecond
+	askTimeout    = 300 * time.Millisecond // per gateway and attempt
 	retryInterval = 20 * time.Millisecond
 	// holdTimeout is how long a roll-out holds the gateways before it lets them continue
 	// under the old sheet, since calls wait in the meantime. Two rounds take about 10 ms;
@@ -151,17 +151,17 @@
 		e.Faults.At(fault.AfterStaged)
 		// Each attempt uses a hold of its own, and only its holder releases it, so that
 		// concurrent roll-outs do not undo each other's holds.
-		a := HoldAsk{N: fold.N, By: fmt.Sprintf("%s-%d", e.Ledger.Controller, e.holdSeq.Add(1))}
-		cx, end := context.WithTimeout(ctx, holdTimeout)
-		ids, err := e.askMajority(cx, "hold", flip, a, nil)
-		end()
+		hold := HoldAsk{N: fold.N, By: fmt.Sprintf("%s-%d", e.Ledger.Controller, e.holdSeq.Add(1))}
+		cx, cancel := context.WithTimeout(ctx, holdTimeout)
+		ids, err := e.askMajority(cx, "hold", flip, hold, nil)
+		cancel()
 		if err == nil {
 			return ids, nil
 		}
 		go func() {
-			cx, end := context.WithTimeout(context.WithoutCancel(ctx), membership.Lease)
-			defer end()
-			_, _ = e.askAll(cx, "let go on", FreeAsk(a), nil)
+			cx, cancel := context.WithTimeout(context.WithoutCancel(ctx), membership.Lease)
+			defer cancel()
+			_, _ = e.askAll(cx, "let go on", FreeAsk(hold), nil)
 		}()
 		if ctx.Err() != nil {
 			return nil, err
@@ -196,8 +196,8 @@
 	defer e.mu.Unlock()
 	now := e.Clock.Now()
 	out := lo.Union(lo.Filter(voters, func(id string, _ int) bool {
-		t, ok := e.absent[id]
-		return !ok || now.Sub(t) < voterAbsenceLimit
+		since, ok := e.absent[id]
+		return !ok || now.Sub(since) < voterAbsenceLimit
 	}), lo.FilterMap(members, func(m membership.Member, _ int) (string, bool) { return m.ID, m.Kind == "gateway" }))
 	slices.Sort(out)
 	return out, nil
@@ -214,11 +214,11 @@
 		if leased[id] {
 			continue
 		}
-		t, ok := before[id]
+		since, ok := before[id]
 		if !ok {
-			t = e.Clock.Now()
+			since = e.Clock.Now()
 		}
-		e.absent[id] = t
+		e.absent[id] = since
 	}
 }
 
@@ -267,11 +267,11 @@
 func (e *Executor) askAll(ctx context.Context, step string, ask any, enough func([]string) bool) ([]string, error) {
 	var tried sync.Map
 	ids, err := ForEachGateway(ctx, e.Membership, e.Clock, enough, func(cx context.Context, m membership.Member) bool {
-		t, err := link.Ask[GatewayTold](cx, e.Link, m.Inner, ask)
+		reply, err := link.Ask[GatewayTold](cx, e.Link, m.Inner, ask)
 		if _, again := tried.LoadOrStore(m.ID, true); err != nil && !again && e.Log != nil {
 			e.Log.Warn("gateway unreachable; waiting for its lease to lapse", "step", step, "mate", m.ID, "err", err)
 		}
-		return err == nil && t.OK
+		return err == nil && reply.OK
 	})
 	return ids, steperr.At(step, "", err)
 }
@@ -285,10 +285,10 @@
 		id  string
 		inc uint64
 	}
-	ok := map[run]bool{}
+	agreed := map[run]bool{}
 	var waiting []string
 	ids := func() []string {
-		return lo.Uniq(lo.Map(lo.Keys(ok), func(k run, _ int) string { return k.id }))
+		return lo.Uniq(lo.Map(lo.Keys(agreed), func(result run, _ int) string { return result.id }))
 	}
 	for {
 		members, err := t.Table(ctx)
@@ -296,23 +296,23 @@
 			// The known gateways can be asked meanwhile, but others may be missing.
 			members = t.Members()
 		}
-		pending := lo.Filter(members, func(m membership.Member, _ int) bool { return m.Kind == "gateway" && !ok[run{m.ID, m.Inc}] })
+		pending := lo.Filter(members, func(m membership.Member, _ int) bool { return m.Kind == "gateway" && !agreed[run{m.ID, m.Inc}] })
 		ch := make(chan *run, len(pending))
 		for _, m := range pending {
 			go func() {
-				cx, end := context.WithTimeout(ctx, askTimeout)
-				defer end()
+				cx, cancel := context.WithTimeout(ctx, askTimeout)
+				defer cancel()
 				ch <- lo.Ternary(f(cx, m), &run{m.ID, m.Inc}, nil)
 			}()
 		}
 		failed := 0
 		for range pending {
-			k := <-ch
-			if k == nil {
+			result := <-ch
+			if result == nil {
 				failed++
 				continue
 			}
-			if ok[*k] = true; enough != nil && enough(ids()) {
+			if agreed[*result] = true; enough != nil && enough(ids()) {
 				return ids(), nil
 			}
 		}
@@ -321,7 +321,7 @@
 		}
 		if ctx.Err() != nil || c.Sleep(ctx, retryInterval) != nil {
 			for _, m := range pending {
-				if !ok[run{m.ID, m.Inc}] {
+				if !agreed[run{m.ID, m.Inc}] {
 					waiting = append(waiting, m.ID)
 				}
 			}
@@ -343,21 +343,21 @@
 		}
 		// Read after the ledger: a flip seen here is of a change seen above or of a later
 		// one, and in the latter case the version is not settled.
-		fo, err := e.Ledger.Flipped(ctx)
+		flip, err := e.Ledger.Flipped(ctx)
 		if err != nil {
 			return reply, err
 		}
-		n := fo.N
-		reply.Gateways, reply.Round = fo.Gateways, fo.Round
+		n := flip.N
+		reply.Gateways, reply.Round = flip.Gateways, flip.Round
 		if reply.Leaves, err = leaves(ctx); err != nil {
 			return reply, err
 		}
-		reply.OK, reply.N, reply.Open = true, n, fo.Open >= n
+		reply.OK, reply.N, reply.Open = true, n, flip.Open >= n
 		reply.Settled = reply.Open && n == fold.N
 		if !reply.Settled && n <= fold.N {
 			go func() {
-				cx, end := context.WithTimeout(context.WithoutCancel(ctx), 5*time.Second)
-				defer end()
+				cx, cancel := context.WithTimeout(context.WithoutCancel(ctx), 5*time.Second)
+				defer cancel()
 				_, _ = e.Settle(cx, fold.N)
 			}()
 		}
@@ -392,12 +392,12 @@
 		if !e.Membership.Holds("roll") {
 			continue
 		}
-		cx, end := context.WithTimeout(ctx, 4*time.Second)
+		cx, cancel := context.WithTimeout(ctx, 4*time.Second)
 		fold, err := e.Ledger.Refresh(cx)
 		if err == nil && fold.N > 0 {
-			if fo, err := e.Ledger.Flipped(cx); err == nil {
-				e.trackAbsence(fo.Gateways)
-				e.updateVoters(cx, fo)
+			if flip, err := e.Ledger.Flipped(cx); err == nil {
+				e.trackAbsence(flip.Gateways)
+				e.updateVoters(cx, flip)
 			}
 			e.mu.Lock()
 			behind := e.appliedVersion < fold.N
@@ -406,7 +406,7 @@
 				_, err = e.Settle(cx, fold.N)
 			}
 		}
-		end()
+		cancel()
 		if err != nil && ctx.Err() == nil && e.Log != nil {
 			e.Log.Warn("roll-out not completed", "step", "watch", "err", err)
 		}
