--- a/internal/claim/circle.go
+++ b/internal/claim/coordinator.go
@@ -148,35 +148,35 @@
 func (c *Coordinator) apply(m Mark) (other Mark, ok bool) {
 	now := c.Clock.Now()
 	for len(c.keysByAge) > 0 {
-		k := c.keysByAge[0]
-		if e := c.marks[k]; e != nil && now.Sub(e.addedAt) < BucketSpan && len(c.marks) < maxMarks {
+		oldest := c.keysByAge[0]
+		if known := c.marks[oldest]; known != nil && now.Sub(known.addedAt) < BucketSpan && len(c.marks) < maxMarks {
 			break
 		}
-		delete(c.marks, k)
+		delete(c.marks, oldest)
 		c.keysByAge = c.keysByAge[1:]
 	}
-	e := c.marks[m.Key]
+	known := c.marks[m.Key]
 	switch {
-	case e == nil:
+	case known == nil:
 		if m.State != Free {
 			c.marks[m.Key] = &entry{Mark: m, addedAt: now}
 			c.keysByAge = append(c.keysByAge, m.Key)
 		}
-	case e.Call == m.Call:
-		if e.State == Taken {
-			e.State, e.Status = m.State, m.Status
+	case known.Call == m.Call:
+		if known.State == Taken {
+			known.State, known.Status = m.State, m.Status
 		}
 		// A call that asks the disks without success asks the other nodes next.
 		if m.Backed || m.State == Taken {
-			e.Backed = m.Backed
+			known.Backed = m.Backed
 		}
-	case e.State == Free:
+	case known.State == Free:
 		if m.State != Free {
-			*e = entry{Mark: m, addedAt: e.addedAt}
+			*known = entry{Mark: m, addedAt: known.addedAt}
 		}
 	case m.State == Free:
 	default:
-		return e.Mark, true
+		return known.Mark, true
 	}
 	return other, false
 }
--- a/internal/passage/trip.go
+++ b/internal/passage/call.go
@@ -71,9 +71,9 @@
 }
 
 // finish ends the call with a response or a verdict; only the first call has an effect.
-func (c *Call) finish(a *Response, v *httpapi.Verdict) {
+func (c *Call) finish(response *Response, verdict *httpapi.Verdict) {
 	if c.finished.CompareAndSwap(false, true) {
-		c.Response, c.Verdict = a, v
+		c.Response, c.Verdict = response, verdict
 		close(c.done)
 	}
 }
--- a/internal/passage/passage.go
+++ b/internal/passage/pipeline.go
@@ -94,8 +94,8 @@
 
 // Init creates the stages.
 func (p *Pipeline) Init() {
-	finished := func(t *Call) bool { return t.finished.Load() }
-	callFinished := func(x *Attempt) bool { return x.Call.finished.Load() }
+	finished := func(call *Call) bool { return call.finished.Load() }
+	callFinished := func(attempt *Attempt) bool { return attempt.Call.finished.Load() }
 	p.route = NewStage("grant", queueSize, 4, p.doRoute, finished)
 	p.claim = NewStage("claim", queueSize, maxClaims, p.doClaim, finished)
 	p.selection = NewStage("elect", queueSize, 4, p.doSelect, finished)
@@ -193,9 +193,9 @@
 	return len(uri)
 }
 
-func noBindingVerdict(m spec.Match, t *spec.Table, r *Request) *httpapi.Verdict {
-	if m == spec.NoMethod {
-		return &httpapi.Verdict{Status: 405, Code: httpapi.BadMethod, Allow: t.Allows(r.URI[:pathEnd(r.URI)])}
+func noBindingVerdict(match spec.Match, table *spec.Table, r *Request) *httpapi.Verdict {
+	if match == spec.NoMethod {
+		return &httpapi.Verdict{Status: 405, Code: httpapi.BadMethod, Allow: table.Allows(r.URI[:pathEnd(r.URI)])}
 	}
 	return &httpapi.Verdict{Status: 404, Code: httpapi.NoBinding}
 }
@@ -400,12 +400,12 @@
 func (p *Pipeline) budget(service string) *Budget {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	b := p.budgets[service]
-	if b == nil {
-		b = NewBudget(p.startedAt, p.Gateways)
-		p.budgets[service] = b
+	budget := p.budgets[service]
+	if budget == nil {
+		budget = NewBudget(p.startedAt, p.Gateways)
+		p.budgets[service] = budget
 	}
-	return b
+	return budget
 }
 
 // doSend sends a call to one target.
@@ -420,8 +420,8 @@
 		// The next step writes, so every precondition of this send is checked again:
 		// the route sheet, the identity proof, leaving and the expiry.
 		at := p.Clock.Now()
-		tab, open := p.Sheets.Gate()
-		if !open || call.finished.Load() || tab != attempt.Table && !p.stillAllowed(attempt, tab) || target.Leaving.Load() || target.Gone.Load() ||
+		table, open := p.Sheets.Gate()
+		if !open || call.finished.Load() || table != attempt.Table && !p.stillAllowed(attempt, table) || target.Leaving.Load() || target.Gone.Load() ||
 			p.Targets.Age(target, at) >= MaxProofAge || call.Remaining(at) <= returnMargin {
 			return false
 		}
--- a/internal/passage/elect.go
+++ b/internal/passage/select.go
@@ -28,12 +28,12 @@
 }
 
 // selectTarget selects a target of a service. Eligible are targets that are proved, not
-// leaving, not suspected, and have capacity for one more send to finish within left. Of
-// three eligible targets drawn at random it takes the least loaded for its capacity,
-// preferring the local zone. The suspicion of every target is read anew at each
-// selection. It also returns the total concurrency limit of the targets, and whether
-// capacity was all that was missing.
-func (p *Pipeline) selectTarget(service string, limit float64, tried []*registry.Stand, left time.Duration) (s *registry.Stand, totalLimit float64, full bool) {
+// leaving, not suspected, and have capacity for one more send to finish within remaining.
+// Of three eligible targets drawn at random it takes the least loaded for its capacity,
+// preferring the local zone. The suspicion of every target is read anew at each selection.
+// It also returns the total concurrency limit of the targets, and whether capacity was all
+// that was missing.
+func (p *Pipeline) selectTarget(service string, limit float64, tried []*registry.Stand, remaining time.Duration) (s *registry.Stand, totalLimit float64, full bool) {
 	now, gateways := p.Clock.Now(), p.Gateways()
 	all := p.Targets.Of(service)
 	var eligible, suspected []candidate
@@ -59,7 +59,7 @@
 	}
 	free := eligible[:0]
 	for _, c := range eligible {
-		targetLimit := concurrencyLimit(c.target, left, gateways)
+		targetLimit := concurrencyLimit(c.target, remaining, gateways)
 		totalLimit += targetLimit
 		if float64(c.target.Flying.Load()) < math.Max(1, targetLimit) {
 			free = append(free, c)
--- a/internal/passage/story.go
+++ b/internal/passage/story.go
@@ -105,8 +105,8 @@
 	call.stepsMu.Lock()
 	story.Steps = append(story.Steps, call.steps...)
 	call.stepsMu.Unlock()
-	for _, s := range story.Steps {
-		if s.Step == "send" {
+	for _, step := range story.Steps {
+		if step.Step == "send" {
 			story.Sends++
 		}
 	}
--- a/internal/passage/courier.go
+++ b/internal/passage/transport.go
@@ -207,12 +207,12 @@
 	if err != nil {
 		return nil, tc.conn.written.Load() > before, err
 	}
-	answer, reusable, err := readResponse(tc.reader, resp, s.Req.Method)
+	response, reusable, err := readResponse(tc.reader, resp, s.Req.Method)
 	if err != nil {
 		return nil, true, err
 	}
 	ok = reusable && tc.reader.Buffered() == 0
-	return answer, true, nil
+	return response, true, nil
 }
 
 // fillRequest converts the caller's request into the request to the target.
@@ -234,38 +234,38 @@
 }
 
 // readResponse reads one response; the second result reports whether the connection can be reused.
-func readResponse(r *bufio.Reader, resp *fasthttp.Response, method string) (*Response, bool, error) {
-	h := &resp.Header
+func readResponse(reader *bufio.Reader, resp *fasthttp.Response, method string) (*Response, bool, error) {
+	header := &resp.Header
 	for {
-		if err := h.Read(r); err != nil {
+		if err := header.Read(reader); err != nil {
 			return nil, false, err
 		}
-		if s := h.StatusCode(); s >= 200 || s == 101 {
+		if s := header.StatusCode(); s >= 200 || s == 101 {
 			break
 		}
 	}
-	answer := &Response{Status: h.StatusCode()}
-	length := h.ContentLength()
-	noBody := method == fasthttp.MethodHead || answer.Status == 204 || answer.Status == 304
-	answer.Complete = noBody || length >= 0 || length == -1
+	response := &Response{Status: header.StatusCode()}
+	length := header.ContentLength()
+	noBody := method == fasthttp.MethodHead || response.Status == 204 || response.Status == 304
+	response.Complete = noBody || length >= 0 || length == -1
 	if !noBody {
-		if err := resp.ReadBody(r, MaxResponse); err != nil {
+		if err := resp.ReadBody(reader, MaxResponse); err != nil {
 			return nil, false, err
 		}
 		if length == -1 {
-			if err := h.ReadTrailer(r); err != nil && !errors.Is(err, io.EOF) {
+			if err := header.ReadTrailer(reader); err != nil && !errors.Is(err, io.EOF) {
 				return nil, false, err
 			}
 		}
-		answer.Body = append([]byte(nil), resp.Body()...)
+		response.Body = append([]byte(nil), resp.Body()...)
 	}
-	for k, v := range h.All() {
-		f := string(k)
-		switch f {
+	for k, v := range header.All() {
+		field := string(k)
+		switch field {
 		case httpapi.StampField:
-			answer.Stamp = string(v)
+			response.Stamp = string(v)
 		case httpapi.NotRunField:
-			answer.NotRun = string(v) == "1"
+			response.NotRun = string(v) == "1"
 		case "Content-Length":
 			// The server writes its own, except for HEAD, where it gives the length of a
 			// body that is not sent.
@@ -273,9 +273,9 @@
 				continue
 			}
 		}
-		if !httpapi.Hop(f) {
-			answer.Header = append(answer.Header, [2]string{f, string(v)})
+		if !httpapi.Hop(field) {
+			response.Header = append(response.Header, [2]string{field, string(v)})
 		}
 	}
-	return answer, answer.Complete && !h.ConnectionClose(), nil
+	return response, response.Complete && !header.ConnectionClose(), nil
 }
