--- a/cmd/controller/main.go
+++ b/cmd/controller/main.go
@@ -100,7 +100,7 @@
 		err = app.ShutdownWithTimeout(shell.StopDeadline - time.Since(from) - 200*time.Millisecond)
 	}
 	cx, done := context.WithTimeout(context.Background(), 150*time.Millisecond)
-	m.Membership.Leave(cx)
+	m.Membership.Release(cx)
 	done()
 	end()
 	line.Close()
--- a/internal/commands/change.go
+++ b/internal/commands/change.go
@@ -55,7 +55,7 @@
 // Changer executes change requests.
 type Changer struct {
 	Ledger     *ledger.Ledger
-	Rollout    *rollout.Roller
+	Rollout    *rollout.Executor
 	Clock      clock.Clock
 	Controller string
 }
@@ -93,7 +93,7 @@
 		// A decided change closes every gateway that confirms it until it is in force.
 		// Wait before deciding while the gateways to roll it out to are not known,
 		// as for a second after the core becomes available again.
-		if _, err := c.Rollout.Tenant.Table(ctx); err != nil {
+		if _, err := c.Rollout.Membership.ReadTable(ctx); err != nil {
 			if c.Clock.Sleep(ctx, membersRetryDelay) != nil {
 				return failure(err, false)
 			}
--- a/internal/commands/drain.go
+++ b/internal/commands/drain.go
@@ -18,7 +18,7 @@
 // Drainer stops new requests to target runs that are leaving or have been removed.
 type Drainer struct {
 	Ledger     *ledger.Ledger
-	Membership *membership.Tenant
+	Membership *membership.LeaseClient
 	Transport  link.Line
 	Clock      clock.Clock
 	Faults     *fault.Set
@@ -55,15 +55,15 @@
 	if _, err := d.Ledger.WriteOnce(ctx, key, note); err != nil {
 		return err
 	}
-	d.Faults.At(fault.AfterLeaveNoted)
-	_, err := rollout.Everyone(ctx, d.Membership, d.Clock, nil, func(callCtx context.Context, m membership.Member) bool {
+	d.Faults.Hit(fault.AfterLeaveDecided)
+	_, err := rollout.ForEachGateway(ctx, d.Membership, d.Clock, nil, func(callCtx context.Context, m membership.Member) bool {
 		r, err := link.Ask[registry.DrainTold](callCtx, d.Transport, m.Inner, registry.DrainAsk{Service: t.Service, ID: t.ID, Inc: t.Incarnation, Gone: prefix == ledger.GonePrefix})
 		return err == nil && r.OK
 	})
 	if err != nil {
 		return err
 	}
-	d.Faults.At(fault.BeforeLeaveAck)
+	d.Faults.Hit(fault.BeforeLeaveAck)
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.completed == nil || len(d.completed) > maxCompleted {
--- a/internal/commands/heartbeat.go
+++ b/internal/commands/heartbeat.go
@@ -14,8 +14,8 @@
 
 // HeartbeatReceiver forwards heartbeats to the home controllers of their service.
 type HeartbeatReceiver struct {
-	Registry   *registry.House
-	Membership *membership.Tenant
+	Registry   *registry.HomeTable
+	Membership *membership.LeaseClient
 	Transport  link.Line
 	NodeID     string
 	Drainer    *Drainer
@@ -38,7 +38,7 @@
 	for _, m := range registry.Homes(beat.Service, h.Membership.Members()) {
 		wg.Go(func() {
 			if m.ID == h.NodeID {
-				merge(h.Registry.Take(ctx, beat))
+				merge(h.Registry.MergeBeat(ctx, beat))
 				return
 			}
 			callCtx, cancel := context.WithTimeout(ctx, 500*time.Millisecond)
@@ -55,7 +55,7 @@
 	wg.Wait()
 	if !response.OK {
 		var err error
-		if response, err = h.Registry.Take(ctx, beat); err != nil {
+		if response, err = h.Registry.MergeBeat(ctx, beat); err != nil {
 			return response, steperr.Wrap("take beat", beat.ID, err)
 		}
 	}
--- a/internal/commands/supervisor.go
+++ b/internal/commands/supervisor.go
@@ -23,7 +23,7 @@
 const (
 	supervisorInterval = 500 * time.Millisecond
 	// suspectThreshold is the suspicion level from which a target is recorded as suspected.
-	suspectThreshold = registry.SuspectAt
+	suspectThreshold = registry.SuspicionThreshold
 	// goneThreshold and goneSilence are the suspicion level and the time without a heartbeat
 	// that the homes must observe before a target run is removed.
 	goneThreshold = 0.9999
@@ -40,9 +40,9 @@
 // removes silent targets and fills vacant seats of the core. It acts only while it holds
 // the lease of the duty. Every step is safe if two supervisors overlap.
 type Supervisor struct {
-	Registry   *registry.House
+	Registry   *registry.HomeTable
 	Ledger     *ledger.Ledger
-	Membership *membership.Tenant
+	Membership *membership.LeaseClient
 	Drainer    *Drainer
 	Proposer   *quorum.Proposer
 	Transport  link.Line
@@ -61,11 +61,11 @@
 
 // Run runs the supervisor until ctx ends.
 func (sv *Supervisor) Run(ctx context.Context) {
-	sv.Membership.Seek(SupervisorDuty)
+	sv.Membership.RequestDuty(SupervisorDuty)
 	sv.missingSince = map[string]time.Time{}
 	for sv.Clock.Sleep(ctx, supervisorInterval) == nil {
-		_ = sv.Registry.Sweep(ctx)
-		if !sv.Membership.Holds(SupervisorDuty) {
+		_ = sv.Registry.RemoveSilent(ctx)
+		if !sv.Membership.HoldsDuty(SupervisorDuty) {
 			// The decisions of another supervisor are not tracked here.
 			sv.suspected, sv.missingSince = nil, map[string]time.Time{}
 			continue
@@ -88,7 +88,7 @@
 		}
 		sv.suspected = m
 	}
-	all := registry.Collect(ctx, sv.Transport, sv.Membership.Members())
+	all := registry.CollectSeen(ctx, sv.Transport, sv.Membership.Members())
 	total, suspected := map[string]int{}, map[string]int{}
 	for _, x := range all {
 		if x.Gone {
@@ -101,7 +101,7 @@
 	}
 	// Heartbeats may fail to reach the controllers asked here. A target that answers
 	// the gateways' own probes is not silent (design 10.7).
-	var views map[ledger.Target]registry.Watched
+	var views map[ledger.Target]registry.GatewayViews
 	for _, x := range all {
 		t := ledger.Target{ID: x.Beat.ID, Service: x.Beat.Service, Incarnation: x.Beat.Inc}
 		if x.Gone {
@@ -110,9 +110,9 @@
 		}
 		if x.W >= suspectThreshold {
 			if views == nil {
-				views = registry.Views(ctx, sv.Transport, sv.Membership.Members())
+				views = registry.CollectViews(ctx, sv.Transport, sv.Membership.Members())
 			}
-			if views[t].Vouched() {
+			if views[t].TrustedByHalf() {
 				continue
 			}
 		}
@@ -131,7 +131,7 @@
 			}
 			delete(sv.suspected, t)
 		}
-		if x.W >= goneThreshold && x.Quiet > goneSilence && !tooMany && sv.homesAgree(ctx, t) && sv.Membership.Holds(SupervisorDuty) {
+		if x.W >= goneThreshold && x.Quiet > goneSilence && !tooMany && sv.homesAgree(ctx, t) && sv.Membership.HoldsDuty(SupervisorDuty) {
 			if err := sv.Drainer.MarkGone(ctx, t, x.W, fmt.Sprintf("silent for %s, a majority of its homes agree", x.Quiet.Round(time.Second))); err != nil {
 				return err
 			}
@@ -148,7 +148,7 @@
 	callCtx, cancel := context.WithTimeout(ctx, 300*time.Millisecond)
 	defer cancel()
 	var wg sync.WaitGroup
-	for _, m := range sv.Membership.Kind("controller") {
+	for _, m := range sv.Membership.MembersOfKind("controller") {
 		wg.Go(func() {
 			_, _ = link.Ask[registry.MarkTold](callCtx, sv.Transport, m.Inner, registry.MarkAsk{Service: t.Service, ID: t.ID, Inc: t.Incarnation, Suspect: suspect, Gone: gone})
 		})
@@ -188,7 +188,7 @@
 	}
 	disks := map[string]membership.Member{}
 	var standby []quorum.Seat
-	for _, m := range sv.Membership.Kind("controller") {
+	for _, m := range sv.Membership.MembersOfKind("controller") {
 		if m.Disk.Disk == "" {
 			continue
 		}
@@ -235,7 +235,7 @@
 	if _, ok := core.Seat(in); ok {
 		return steperr.New("swap", in, "has a seat already")
 	}
-	if !slices.ContainsFunc(sv.Membership.Kind("controller"), func(m membership.Member) bool { return m.ID == in && m.Disk.Disk != "" }) {
+	if !slices.ContainsFunc(sv.Membership.MembersOfKind("controller"), func(m membership.Member) bool { return m.ID == in && m.Disk.Disk != "" }) {
 		return steperr.New("swap", in, "no such disk node has a lease now")
 	}
 	raw := ledger.Encode(swapRequest{out, in})
@@ -280,7 +280,7 @@
 
 // swap decides the next core and carries out the swap.
 func (sv *Supervisor) swap(ctx context.Context, core quorum.Core, out, in quorum.Seat) error {
-	if !sv.Membership.Holds(SupervisorDuty) {
+	if !sv.Membership.HoldsDuty(SupervisorDuty) {
 		return nil
 	}
 	next := quorum.Core{Epoch: core.Epoch + 1}
@@ -337,7 +337,7 @@
 			sealed = append(sealed, s)
 		}
 	}
-	sv.Faults.At(fault.AfterSeal)
+	sv.Faults.Hit(fault.AfterSeal)
 	need := core.BlockingSize()
 	if next.Epoch == core.Epoch {
 		// This epoch was sealed before, and only a joining voter may be missing.
--- a/internal/commands/trim.go
+++ b/internal/commands/trim.go
@@ -20,7 +20,7 @@
 type Trimmer struct {
 	Ledger     *ledger.Ledger
 	Proposer   *quorum.Proposer
-	Membership *membership.Tenant
+	Membership *membership.LeaseClient
 	Transport  link.Line
 	Drainer    *Drainer
 	Retention  time.Duration
@@ -46,7 +46,7 @@
 	if err = errors.Join(err, e); err != nil {
 		return err
 	}
-	seen := lo.SliceToMap(registry.Collect(ctx, t.Transport, t.Membership.Members()), func(s registry.Seen) (ledger.Target, bool) {
+	seen := lo.SliceToMap(registry.CollectSeen(ctx, t.Transport, t.Membership.Members()), func(s registry.Seen) (ledger.Target, bool) {
 		return ledger.Target{ID: s.Beat.ID, Service: s.Beat.Service, Incarnation: s.Beat.Inc}, !s.Gone
 	})
 	for _, n := range notes {
--- a/internal/control/beat.go
+++ b/internal/control/beat.go
@@ -19,7 +19,7 @@
 // Beat records a heartbeat of a target. A heartbeat of a ready target is only entered in the
 // local table. A heartbeat that announces draining is acknowledged only once a majority of
 // synced disks holds it.
-func (n *Node) Beat(ctx context.Context, b target.Beat) (err error) {
+func (n *Node) Beat(ctx context.Context, b target.Heartbeat) (err error) {
 	if err := b.Check(); err != nil {
 		n.calls.beats.record(true, nil)
 		return err
@@ -27,14 +27,14 @@
 	defer func() { n.calls.beats.record(false, err) }()
 	var r target.Run
 	known := false
-	n.Board.Table(func(t *target.Table, now time.Time) (changed bool) {
+	n.Board.WithRuns(func(t *target.Table, now time.Time) (changed bool) {
 		var moved bool
-		if r, changed, moved = t.Hear(b, n.addressReuseSilence(), now); moved || changed {
+		if r, changed, moved = t.ReceiveHeartbeat(b, n.addressReuseSilence(), now); moved || changed {
 			_, known = t.Get(b.ID, now)
 		} else {
 			known = true
 		}
-		n.runWatch.Heard(b.ID, b.Seq, moved, now)
+		n.runWatch.Observe(b.ID, b.Seq, moved, now)
 		return changed
 	})
 	if !known {
@@ -48,14 +48,14 @@
 
 // Leave records that a run has ended, also when the run is not known here.
 func (n *Node) Leave(ctx context.Context, id string) (err error) {
-	if err := (target.Beat{ID: id, Service: "-", Addr: "-"}).Check(); err != nil {
+	if err := (target.Heartbeat{ID: id, Service: "-", Addr: "-"}).Check(); err != nil {
 		n.calls.departures.record(true, nil)
 		return err
 	}
 	defer func() { n.calls.departures.record(false, err) }()
 	var r target.Run
-	n.Board.Table(func(t *target.Table, now time.Time) (changed bool) {
-		r, changed = t.Leave(id, now)
+	n.Board.WithRuns(func(t *target.Table, now time.Time) (changed bool) {
+		r, changed = t.MarkEnded(id, now)
 		return changed
 	})
 	return n.persistDeparture(ctx, r)
@@ -77,7 +77,7 @@
 	if cached := n.nearbyCache.Load(); cached != nil && now.Sub(cached.readAt) < nearbyCacheTTL {
 		return cached.controllers
 	}
-	cached := &nearbyCache{now, n.Mesh.Near()}
+	cached := &nearbyCache{now, n.Mesh.Available()}
 	n.nearbyCache.Store(cached)
 	return cached.controllers
 }
--- a/internal/control/beat_test.go
+++ b/internal/control/beat_test.go
@@ -19,7 +19,7 @@
 	cl.wg.Go(func() {
 		to := ""
 		for seq := uint64(1); ctx.Err() == nil; seq++ {
-			b := target.Beat{ID: id, Service: service, Addr: addr, Zone: zone, Slots: 2, Seq: seq}
+			b := target.Heartbeat{ID: id, Service: service, Addr: addr, Zone: zone, Slots: 2, Seq: seq}
 			for range 4 {
 				m, ok := lo.Find(cl.controllers, func(m *controllerHost) bool { return m.addr == to })
 				if !ok {
@@ -40,7 +40,7 @@
 }
 
 // sendHeartbeat sends one heartbeat, as if over the network.
-func (cl *cluster) sendHeartbeat(m *controllerHost, b target.Beat) error {
+func (cl *cluster) sendHeartbeat(m *controllerHost, b target.Heartbeat) error {
 	run := m.processContext()
 	if run == nil {
 		return errRefused
@@ -69,7 +69,7 @@
 		cl.mustApply(baseChange(3), cl.controllers)
 		for i := range 6 {
 			id := fmt.Sprintf("i-%d", i)
-			b := target.Beat{ID: id, Service: "a", Addr: fmt.Sprintf("10.0.0.%d:80", i), Zone: "z0", Slots: 2, Seq: 1}
+			b := target.Heartbeat{ID: id, Service: "a", Addr: fmt.Sprintf("10.0.0.%d:80", i), Zone: "z0", Slots: 2, Seq: 1}
 			if err := pick(cl, cl.controllers).control().Beat(cl.ctx, b); err != nil {
 				t.Fatal(err)
 			}
@@ -83,7 +83,7 @@
 		for i := range 6 {
 			id := fmt.Sprintf("i-%d", i)
 			m := pick(cl, cl.controllers)
-			b := target.Beat{ID: id, Service: "a", Addr: fmt.Sprintf("10.0.0.%d:80", i), Zone: "z0", Slots: 2, Seq: 2, Draining: true}
+			b := target.Heartbeat{ID: id, Service: "a", Addr: fmt.Sprintf("10.0.0.%d:80", i), Zone: "z0", Slots: 2, Seq: 2, Draining: true}
 			state := target.Draining
 			var err error
 			if i%3 == 2 {
@@ -173,7 +173,7 @@
 			}
 		}
 		// A newer heartbeat at any controller clears the suspicion.
-		if err := pick(cl, cl.controllers).control().Beat(cl.ctx, target.Beat{ID: "i-3", Service: "a", Addr: "10.0.0.3:80", Zone: "z0", Slots: 2, Seq: 1000}); err != nil {
+		if err := pick(cl, cl.controllers).control().Beat(cl.ctx, target.Heartbeat{ID: "i-3", Service: "a", Addr: "10.0.0.3:80", Zone: "z0", Slots: 2, Seq: 1000}); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(300 * time.Millisecond)
--- a/internal/control/change.go
+++ b/internal/control/change.go
@@ -151,7 +151,7 @@
 // stale reports whether a change may be a copy that its caller has given up: another node may have refused
 // it meanwhile, and the cause of the refusal may have been fixed.
 func (n *Node) stale(caller Caller) bool {
-	return n.pauses.WokeWithin(staleAfterPause) || caller != nil && caller.Left()
+	return n.pauses.ResumedWithin(staleAfterPause) || caller != nil && caller.Left()
 }
 
 // IsConflict reports whether a change was refused because different content was already decided
@@ -199,12 +199,12 @@
 
 // checkChange checks a change against the configuration in force.
 func (n *Node) checkChange(all []item.Item) (result changeCheck) {
-	n.Board.Items(func(s *item.Set) {
+	n.Board.WithItems(func(s *item.Set) {
 		var newer []item.Item
 		result.inForce = true
 		for _, i := range all {
 			old, ok := s.Get(i.Key)
-			result.inForce = result.inForce && ok && old.Same(i) && n.durable.has(i)
+			result.inForce = result.inForce && ok && old.Equal(i) && n.durable.has(i)
 			// A version not above the one in force changes nothing, whatever its content.
 			if !ok || i.Version > old.Version {
 				newer = append(newer, i)
@@ -239,7 +239,7 @@
 		return config, err
 	}
 	var all []item.Item
-	n.Board.Items(func(s *item.Set) { all = slices.Collect(s.All()) })
+	n.Board.WithItems(func(s *item.Set) { all = slices.Collect(s.All()) })
 	// Every later read must show what this one shows, so a majority must hold it first.
 	if err := n.ensureDurable(ctx, all); err != nil {
 		return config, err
--- a/internal/control/core.go
+++ b/internal/control/core.go
@@ -26,7 +26,7 @@
 // coreSeats returns the newest core known here and its seats, with the current locations of their machines.
 func (n *Node) coreSeats() (quorum.Core, []quorum.Seat) {
 	core := n.core()
-	return core, quorum.UpdateDomains(core.Seats, n.Mesh.Heard())
+	return core, quorum.UpdateDomains(core.Seats, n.Mesh.DiskContacts())
 }
 
 // watchCore logs the core whenever its membership, or the set of losses it tolerates, changes.
@@ -37,7 +37,7 @@
 		if core.Epoch == 0 {
 			return
 		}
-		silent := silentSeats(seats, n.Mesh.Heard())
+		silent := silentSeats(seats, n.Mesh.DiskContacts())
 		current := coreStatus{core.Epoch, n.Tolerance.ExposureOf(seats), len(seats)-len(silent) >= core.QuorumSize()}
 		n.logCoreChange(previous, current, seats, silent)
 		previous = current
@@ -100,7 +100,7 @@
 // listSeats answers a CoreAsk.
 func (n *Node) listSeats(_ context.Context, a CoreAsk) (Answer[SeatRow], error) {
 	core, seats := n.coreSeats()
-	heard := n.Mesh.Heard()
+	heard := n.Mesh.DiskContacts()
 	p := newPageCollector[SeatRow](a.Page)
 	for _, s := range seats {
 		row := SeatRow{ID: s.ID, Region: s.Region, Zone: s.Zone, Inner: s.Addr, Epoch: core.Epoch}
--- a/internal/control/node.go
+++ b/internal/control/node.go
@@ -82,14 +82,14 @@
 	Desk     *link.Desk
 	Voter    *quorum.Voter // nil without a disk
 	Proposer *quorum.Proposer
-	Board    *watch.Board
+	Board    *watch.Replica
 	Mesh     *watch.Mesh
 
 	bootstrapper *quorum.Bootstrapper
 	reconfigurer *quorum.Reconfigurer // nil without a disk
-	teller       *watch.Teller
-	pauses       *liveness.Pauses
-	runWatch     *target.Watch    // guarded by the board's lock on its table
+	teller       *watch.Publisher
+	pauses       *liveness.PauseMonitor
+	runWatch     *target.Monitor  // guarded by the board's lock on its table
 	book         *route.Validator // guarded by the board's lock on its items
 	durable      durableVersions
 	departures   departureTracker
@@ -116,8 +116,8 @@
 	if err := validate.Struct(p.Settings); err != nil {
 		return nil, steperr.Wrap("settings", "", err)
 	}
-	n := &Node{Parts: p, Desk: link.NewDesk(), Proposer: quorum.NewProposer(p.ID+"."+p.NewDiskID, p.Line, p.Clock), Board: watch.NewBoard(p.Clock),
-		book: route.NewValidator(), pauses: liveness.NewPausesEvery(p.Clock, pausePollInterval), changeSlot: make(chan struct{}, 1),
+	n := &Node{Parts: p, Desk: link.NewDesk(), Proposer: quorum.NewProposer(p.ID+"."+p.NewDiskID, p.Line, p.Clock), Board: watch.NewReplica(p.Clock),
+		book: route.NewValidator(), pauses: liveness.NewPauseMonitorEvery(p.Clock, pausePollInterval), changeSlot: make(chan struct{}, 1),
 		querySlots: make(chan struct{}, maxConcurrentQueries), started: p.Clock.Now()}
 	if p.Disk != nil {
 		p.Disk, n.diskMeter = storage.MeterDisk(p.Disk, p.Clock)
@@ -126,7 +126,7 @@
 	if p.RunJournal != nil {
 		n.RunJournal, n.journalMeter = storage.MeterJournal(p.RunJournal, p.Clock)
 	}
-	n.runWatch = &target.Watch{Every: p.HeartbeatInterval, Pause: n.pauses}
+	n.runWatch = &target.Monitor{HeartbeatInterval: p.HeartbeatInterval, Pauses: n.pauses}
 	n.Board.OnItem = func(i item.Item) {
 		n.recordUpgrade(i)
 		if err := n.book.Apply(i); err != nil {
@@ -153,15 +153,15 @@
 	}
 	n.bootstrapper = &quorum.Bootstrapper{Seeds: p.Seeds, Self: p.InternalAddr, Size: size, Tolerance: p.Tolerance, Attainable: attainable, Transport: p.Line, Clock: p.Clock, Proposer: n.Proposer, Voter: n.Voter, SubsequentStart: !p.InitialStart}
 	n.bootstrapper.Serve(n.Desk)
-	n.Mesh = &watch.Mesh{Me: n.selfMember, Line: p.Line, Clock: p.Clock, Board: n.Board, Core: n.core, Learn: func(c quorum.Core) { n.Proposer.Learn(c) }, Votes: n.seatEpoch}
+	n.Mesh = &watch.Mesh{Me: n.selfMember, Line: p.Line, Clock: p.Clock, Replica: n.Board, Core: n.core, LearnCore: func(c quorum.Core) { n.Proposer.Learn(c) }, VotingEpoch: n.seatEpoch}
 	n.SetSeeds(p.Seeds)
-	n.teller = &watch.Teller{Me: n.selfMember, Board: n.Board, Clock: p.Clock, Core: n.core, Votes: n.seatEpoch, Fresh: n.fresh, Going: n.stopping.Load,
-		Others: n.Mesh.Others, Elsewhere: n.Mesh.Gateways, Met: n.Mesh.Met}
+	n.teller = &watch.Publisher{Me: n.selfMember, Replica: n.Board, Clock: p.Clock, Core: n.core, VotingEpoch: n.seatEpoch, Fresh: n.fresh, Stopping: n.stopping.Load,
+		Others: n.Mesh.Others, OtherGateways: n.Mesh.Gateways, OnController: n.Mesh.OnController}
 	n.teller.Serve(n.Desk)
 	n.serveQueries()
 	n.registerReportHandler()
 	if n.Voter != nil {
-		n.reconfigurer = &quorum.Reconfigurer{Contacts: n.Mesh.Heard, Tolerance: p.Tolerance, Size: size, Proposer: n.Proposer, Transport: p.Line, Clock: p.Clock, Faults: p.Faults, Log: p.Log}
+		n.reconfigurer = &quorum.Reconfigurer{Contacts: n.Mesh.DiskContacts, Tolerance: p.Tolerance, Size: size, Proposer: n.Proposer, Transport: p.Line, Clock: p.Clock, Faults: p.Faults, Log: p.Log}
 	}
 	return n, nil
 }
@@ -223,12 +223,12 @@
 	var lastTidied time.Time
 	clock.Every(ctx, n.Clock, judgeInterval, func() {
 		n.endRecallWindow(n.Clock.Now())
-		n.Board.Table(func(t *target.Table, now time.Time) bool {
-			changed := n.runWatch.Judge(t, now)
+		n.Board.WithRuns(func(t *target.Table, now time.Time) bool {
+			changed := n.runWatch.Evaluate(t, now)
 			if now.Sub(lastTidied) >= tidyInterval {
 				lastTidied = now
-				changed = t.Yield(n.addressReuseSilence(), now) || changed
-				changed = t.Tend(now) || changed
+				changed = t.EndSuperseded(n.addressReuseSilence(), now) || changed
+				changed = t.Maintain(now) || changed
 			}
 			return changed
 		})
--- a/internal/control/querycounters_test.go
+++ b/internal/control/querycounters_test.go
@@ -9,9 +9,9 @@
 func TestCountersCount(t *testing.T) {
 	runCluster(t, 30, smallCluster, func(cl *cluster) {
 		line, m := cl.operatorLine(), cl.controllers[0]
-		good := target.Beat{ID: "i-1", Service: "a", Addr: "10.0.0.1:80", Zone: "z0", Slots: 2, Seq: 1}
+		good := target.Heartbeat{ID: "i-1", Service: "a", Addr: "10.0.0.1:80", Zone: "z0", Slots: 2, Seq: 1}
 		_ = cl.sendHeartbeat(m, good)
-		_ = cl.sendHeartbeat(m, target.Beat{})
+		_ = cl.sendHeartbeat(m, target.Heartbeat{})
 		cl.mustApply(baseChange(1), []*controllerHost{m})
 		bad := baseChange(1)
 		bad.Routes[0].Version, bad.Routes[0].Host = 9, ""
--- a/internal/control/recall.go
+++ b/internal/control/recall.go
@@ -63,11 +63,11 @@
 // endRecallWindow stops counting unconfirmed recalled runs as ready, once the time for heartbeats has passed and this
 // node knows everything that another node has received.
 func (n *Node) endRecallWindow(now time.Time) {
-	if n.Board.Settled() || now.Sub(n.started) < n.recallWindow()+n.pauses.At(now) {
+	if n.Board.RunsComplete() || now.Sub(n.started) < n.recallWindow()+n.pauses.TotalAt(now) {
 		return
 	}
 	if _, fresh := n.Mesh.Fresh(); fresh {
-		n.Board.Settle()
+		n.Board.MarkRunsComplete()
 	}
 }
 
@@ -108,7 +108,7 @@
 func (n *Node) updateJournal(s *journalState) error {
 	whole := !s.appendable || s.appended > s.snapshotLen+maxExtraRecords
 	var runs []target.Run
-	n.Board.Table(func(t *target.Table, now time.Time) bool {
+	n.Board.WithRuns(func(t *target.Table, now time.Time) bool {
 		if whole {
 			s.seq = 0
 		}
--- a/internal/control/recall_test.go
+++ b/internal/control/recall_test.go
@@ -80,7 +80,7 @@
 		if h.silent[id] {
 			continue
 		}
-		b := target.Beat{ID: id, Service: "a", Addr: fmt.Sprintf("10.0.0.%d:80", i), Zone: fmt.Sprintf("z%d", i%3), Slots: 2, Seq: h.seq, Draining: h.draining[id]}
+		b := target.Heartbeat{ID: id, Service: "a", Addr: fmt.Sprintf("10.0.0.%d:80", i), Zone: fmt.Sprintf("z%d", i%3), Slots: 2, Seq: h.seq, Draining: h.draining[id]}
 		h.cluster.await("answer to a beat", 3*time.Second, func() bool { return h.cluster.sendHeartbeat(pick(h.cluster, h.cluster.controllers), b) == nil })
 	}
 }
@@ -255,7 +255,7 @@
 		}
 		h.runFor(5*time.Minute+30*time.Second, func() {})
 		holds := func(n *Node, id string) (ok bool) {
-			n.Board.Table(func(tb *target.Table, now time.Time) bool {
+			n.Board.WithRuns(func(tb *target.Table, now time.Time) bool {
 				_, ok = tb.Get(id, now)
 				return false
 			})
@@ -318,7 +318,7 @@
 			t.Errorf("%d records after 70 s of heartbeats, %d before", got, n)
 		}
 		for slots := range maxExtraRecords + 50 {
-			cl.controllers[0].control().Board.Table(func(tb *target.Table, now time.Time) bool {
+			cl.controllers[0].control().Board.WithRuns(func(tb *target.Table, now time.Time) bool {
 				r, _ := tb.Get("i-0", now)
 				r.Seq, r.Slots = r.Seq+1, slots+1
 				return tb.Merge(r, now)
--- a/internal/control/upgrade.go
+++ b/internal/control/upgrade.go
@@ -114,7 +114,7 @@
 	if err := n.ensureDurable(ctx, decided); err != nil {
 		return err
 	}
-	if !decided[0].Same(step) {
+	if !decided[0].Equal(step) {
 		return steperr.Wrap("decide upgrade", u.Service, errSuperseded)
 	}
 	return nil
@@ -122,7 +122,7 @@
 
 // newestUpgrade returns the newest upgrade of a service known here; its phase is 0 if there is none.
 func (n *Node) newestUpgrade(service string) (u upgrade.Upgrade, err error) {
-	n.Board.Items(func(s *item.Set) {
+	n.Board.WithItems(func(s *item.Set) {
 		if i, ok := s.Get(upgrade.Key(service)); ok && !i.Gone {
 			u, err = upgrade.FromItem(i)
 		}
@@ -131,7 +131,7 @@
 }
 
 func (n *Node) hasService(name string) (has bool) {
-	n.Board.Items(func(s *item.Set) {
+	n.Board.WithItems(func(s *item.Set) {
 		i, ok := s.Get(item.Key{Kind: item.Service, Name: name})
 		has = ok && !i.Gone
 	})
@@ -153,7 +153,7 @@
 
 // forEachReadyRun calls f for each target of a service that is ready and not suspected.
 func (n *Node) forEachReadyRun(service string, f func(target.Run)) {
-	n.Board.Table(func(t *target.Table, now time.Time) bool {
+	n.Board.WithRuns(func(t *target.Table, now time.Time) bool {
 		for r := range t.All(now) {
 			if r.Service == service && r.State == target.Ready && !r.Suspected() {
 				f(r)
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -52,16 +52,16 @@
 	Mux        *link.Desk
 	Voter      *quorum.Voter
 	Proposer   *quorum.Proposer
-	Membership *membership.Tenant
+	Membership *membership.LeaseClient
 	Ledger     *ledger.Ledger
-	Rollout    *rollout.Roller
-	Registry   *registry.House
+	Rollout    *rollout.Executor
+	Registry   *registry.HomeTable
 	Changer    *commands.Changer
 	Heartbeats *commands.HeartbeatReceiver
 	Drainer    *commands.Drainer
 	Supervisor *commands.Supervisor
 	Statements *statement.Executor
-	Claims     *claim.Clerk
+	Claims     *claim.QuorumStore
 
 	trimmer  *commands.Trimmer
 	start    func(context.Context)
@@ -83,7 +83,7 @@
 	}
 	do.ProvideValue(injector, voter)
 	do.ProvideValue(injector, link.NewDesk())
-	do.Provide(injector, func(do.Injector) (*liveness.Pauses, error) { return liveness.NewPauses(cfg.Clock), nil })
+	do.Provide(injector, func(do.Injector) (*liveness.PauseMonitor, error) { return liveness.NewPauseMonitor(cfg.Clock), nil })
 	do.Provide(injector, func(do.Injector) (*quorum.Proposer, error) {
 		return quorum.NewProposer(cfg.Startup.ID+"."+cfg.NewDiskID, cfg.Transport, cfg.Clock), nil
 	})
@@ -91,42 +91,42 @@
 		return &quorum.Bootstrapper{Seeds: cfg.Startup.Seeds, Self: cfg.Startup.Inner, Size: cfg.Startup.Core, Transport: cfg.Transport, Clock: cfg.Clock,
 			Proposer: do.MustInvoke[*quorum.Proposer](injector), Voter: voter}, nil
 	})
-	do.Provide(injector, func(injector do.Injector) (*membership.Tenant, error) {
-		return &membership.Tenant{Line: cfg.Transport, Clock: cfg.Clock, Core: do.MustInvoke[*quorum.Proposer](injector)}, nil
+	do.Provide(injector, func(injector do.Injector) (*membership.LeaseClient, error) {
+		return &membership.LeaseClient{Transport: cfg.Transport, Clock: cfg.Clock, Proposer: do.MustInvoke[*quorum.Proposer](injector)}, nil
 	})
 	do.Provide(injector, func(injector do.Injector) (*ledger.Ledger, error) {
 		return &ledger.Ledger{Proposer: do.MustInvoke[*quorum.Proposer](injector), Clock: cfg.Clock, Controller: cfg.Startup.ID, WallMS: cfg.WallMS}, nil
 	})
-	do.Provide(injector, func(injector do.Injector) (*rollout.Roller, error) {
-		return &rollout.Roller{Book: do.MustInvoke[*ledger.Ledger](injector), Tenant: do.MustInvoke[*membership.Tenant](injector), Line: cfg.Transport, Clock: cfg.Clock, Faults: cfg.Faults, Log: cfg.Log}, nil
+	do.Provide(injector, func(injector do.Injector) (*rollout.Executor, error) {
+		return &rollout.Executor{Ledger: do.MustInvoke[*ledger.Ledger](injector), Membership: do.MustInvoke[*membership.LeaseClient](injector), Link: cfg.Transport, Clock: cfg.Clock, Faults: cfg.Faults, Log: cfg.Log}, nil
 	})
-	do.Provide(injector, func(injector do.Injector) (*registry.House, error) {
-		h := &registry.House{Clock: cfg.Clock, Pause: do.MustInvoke[*liveness.Pauses](injector), Run: cfg.Incarnation}
+	do.Provide(injector, func(injector do.Injector) (*registry.HomeTable, error) {
+		h := &registry.HomeTable{Clock: cfg.Clock, Pauses: do.MustInvoke[*liveness.PauseMonitor](injector), Incarnation: cfg.Incarnation}
 		h.Init()
 		return h, nil
 	})
 	do.Provide(injector, func(injector do.Injector) (*commands.Drainer, error) {
-		return &commands.Drainer{Ledger: do.MustInvoke[*ledger.Ledger](injector), Membership: do.MustInvoke[*membership.Tenant](injector), Transport: cfg.Transport, Clock: cfg.Clock, Faults: cfg.Faults}, nil
+		return &commands.Drainer{Ledger: do.MustInvoke[*ledger.Ledger](injector), Membership: do.MustInvoke[*membership.LeaseClient](injector), Transport: cfg.Transport, Clock: cfg.Clock, Faults: cfg.Faults}, nil
 	})
 	do.Provide(injector, func(injector do.Injector) (*commands.HeartbeatReceiver, error) {
-		return &commands.HeartbeatReceiver{Registry: do.MustInvoke[*registry.House](injector), Membership: do.MustInvoke[*membership.Tenant](injector), Transport: cfg.Transport, NodeID: cfg.Startup.ID,
+		return &commands.HeartbeatReceiver{Registry: do.MustInvoke[*registry.HomeTable](injector), Membership: do.MustInvoke[*membership.LeaseClient](injector), Transport: cfg.Transport, NodeID: cfg.Startup.ID,
 			Drainer: do.MustInvoke[*commands.Drainer](injector)}, nil
 	})
 	do.Provide(injector, func(injector do.Injector) (*commands.Changer, error) {
-		return &commands.Changer{Ledger: do.MustInvoke[*ledger.Ledger](injector), Rollout: do.MustInvoke[*rollout.Roller](injector), Clock: cfg.Clock, Controller: cfg.Startup.ID}, nil
+		return &commands.Changer{Ledger: do.MustInvoke[*ledger.Ledger](injector), Rollout: do.MustInvoke[*rollout.Executor](injector), Clock: cfg.Clock, Controller: cfg.Startup.ID}, nil
 	})
 	do.Provide(injector, func(injector do.Injector) (*commands.Supervisor, error) {
-		return &commands.Supervisor{Registry: do.MustInvoke[*registry.House](injector), Ledger: do.MustInvoke[*ledger.Ledger](injector), Membership: do.MustInvoke[*membership.Tenant](injector),
+		return &commands.Supervisor{Registry: do.MustInvoke[*registry.HomeTable](injector), Ledger: do.MustInvoke[*ledger.Ledger](injector), Membership: do.MustInvoke[*membership.LeaseClient](injector),
 			Drainer: do.MustInvoke[*commands.Drainer](injector), Proposer: do.MustInvoke[*quorum.Proposer](injector), Transport: cfg.Transport, Clock: cfg.Clock, Faults: cfg.Faults, Log: cfg.Log}, nil
 	})
-	ctl := &Controller{Config: cfg, Voter: voter, Mux: do.MustInvoke[*link.Desk](injector), Proposer: do.MustInvoke[*quorum.Proposer](injector), Membership: do.MustInvoke[*membership.Tenant](injector),
-		Ledger: do.MustInvoke[*ledger.Ledger](injector), Rollout: do.MustInvoke[*rollout.Roller](injector), Registry: do.MustInvoke[*registry.House](injector),
+	ctl := &Controller{Config: cfg, Voter: voter, Mux: do.MustInvoke[*link.Desk](injector), Proposer: do.MustInvoke[*quorum.Proposer](injector), Membership: do.MustInvoke[*membership.LeaseClient](injector),
+		Ledger: do.MustInvoke[*ledger.Ledger](injector), Rollout: do.MustInvoke[*rollout.Executor](injector), Registry: do.MustInvoke[*registry.HomeTable](injector),
 		Changer: do.MustInvoke[*commands.Changer](injector), Heartbeats: do.MustInvoke[*commands.HeartbeatReceiver](injector), Drainer: do.MustInvoke[*commands.Drainer](injector),
 		Supervisor: do.MustInvoke[*commands.Supervisor](injector)}
 	ctl.Statements = &statement.Executor{Changer: ctl.Changer, Drainer: ctl.Drainer, Supervisor: ctl.Supervisor, Ledger: ctl.Ledger, WaitInForce: ctl.Rollout.Settle,
 		Queries: &queries.Reader{Ledger: ctl.Ledger, Registry: ctl.Registry, Membership: ctl.Membership, Proposer: ctl.Proposer, Transport: cfg.Transport}}
 	since := cfg.WallMS()
-	ctl.Membership.Me = func() membership.Member {
+	ctl.Membership.Self = func() membership.Member {
 		x := membership.Member{ID: cfg.Startup.ID, Inc: cfg.Incarnation, Kind: "controller", Inner: cfg.Startup.Inner, Door: cfg.Startup.Door, Zone: cfg.Startup.Zone, Since: since, Rest: ctl.drained.Load()}
 		if voter != nil {
 			x.Disk = voter.Seat()
@@ -137,19 +137,19 @@
 	bootstrapper.Serve(ctl.Mux)
 	ctl.Rollout.Serve(ctl.Mux, ctl.Drainer.DrainedTargets)
 	ctl.Registry.Serve(ctl.Mux)
-	ctl.Claims = &claim.Clerk{Prop: ctl.Proposer, WallMS: cfg.WallMS}
+	ctl.Claims = &claim.QuorumStore{Proposer: ctl.Proposer, WallMS: cfg.WallMS}
 	ctl.Claims.Serve(ctl.Mux)
 	ctl.trimmer = &commands.Trimmer{Ledger: ctl.Ledger, Proposer: ctl.Proposer, Membership: ctl.Membership, Transport: cfg.Transport, Drainer: ctl.Drainer, Retention: cmp.Or(cfg.Retention, defaultRetention)}
-	claims := &claim.Circle{Me: cfg.Startup.ID, Line: cfg.Transport, Clock: cfg.Clock, Log: cfg.Log, Keep: ctl.Claims, Held: ctl.Membership.Held,
-		Alone: func() bool { return false }, Gateways: func() ([]string, bool) { return nil, false },
-		Members: func() []string { return ctl.Membership.Others(cfg.Startup.ID) }, Mates: func() []string { return ctl.Membership.Others(cfg.Startup.ID) }}
+	claims := &claim.Coordinator{Self: cfg.Startup.ID, Link: cfg.Transport, Clock: cfg.Clock, Log: cfg.Log, Store: ctl.Claims, HasLease: ctl.Membership.Held,
+		CoreLost: func() bool { return false }, Voters: func() ([]string, bool) { return nil, false },
+		LeasedPeers: func() []string { return ctl.Membership.OtherAddrs(cfg.Startup.ID) }, Peers: func() []string { return ctl.Membership.OtherAddrs(cfg.Startup.ID) }}
 	claims.Init()
 	claims.Serve(ctl.Mux)
-	membership.ServeRest(ctl.Mux, &ctl.drained)
-	runs := []func(context.Context){bootstrapper.Run, ctl.Membership.Run, ctl.Registry.Start, ctl.Rollout.Watch, ctl.Supervisor.Run, ctl.sweep, claims.Run, do.MustInvoke[*liveness.Pauses](injector).Run}
+	membership.ServeDrain(ctl.Mux, &ctl.drained)
+	runs := []func(context.Context){bootstrapper.Run, ctl.Membership.Run, ctl.Registry.Run, ctl.Rollout.Watch, ctl.Supervisor.Run, ctl.sweep, claims.Run, do.MustInvoke[*liveness.PauseMonitor](injector).Run}
 	if voter != nil {
 		voter.Serve(ctl.Mux)
-		membership.NewCourt(voter, cfg.Clock).Serve(ctl.Mux)
+		membership.NewLeaseServer(voter, cfg.Clock).Serve(ctl.Mux)
 		runs = append(runs, voter.Run)
 	}
 	ctl.start = func(ctx context.Context) {
@@ -188,10 +188,10 @@
 // sweep periodically reads every item, which repairs outdated copies (design 4.3). It runs on
 // the controller that holds the duty.
 func (ctl *Controller) sweep(ctx context.Context) {
-	ctl.Membership.Seek("sweep")
+	ctl.Membership.RequestDuty("sweep")
 	var trimmed time.Time
 	for ctl.Clock.Sleep(ctx, sweepInterval) == nil {
-		if !ctl.Membership.Holds("sweep") {
+		if !ctl.Membership.HoldsDuty("sweep") {
 			continue
 		}
 		callCtx, cancel := context.WithTimeout(ctx, sweepInterval)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -41,7 +41,7 @@
 	Incarnation  uint64
 	Transport    link.Line
 	Clock        clock.Clock
-	TargetClient passage.Courier
+	TargetClient passage.Transport
 	Log          *log.Logger
 	Faults       *fault.Set
 	Count        func(what, service string)
@@ -51,11 +51,11 @@
 type Gateway struct {
 	Config
 	Mux        *link.Desk
-	Membership *membership.Tenant
-	Routes     *rollout.Rack
-	Targets    *registry.Roster
-	Proxy      *passage.Passage
-	Pauses     *liveness.Pauses
+	Membership *membership.LeaseClient
+	Routes     *rollout.SheetStore
+	Targets    *registry.GatewayTable
+	Proxy      *passage.Pipeline
+	Pauses     *liveness.PauseMonitor
 
 	start    func(context.Context)
 	stopping atomic.Bool
@@ -77,28 +77,28 @@
 		return &quorum.Bootstrapper{Seeds: cfg.Startup.Seeds, Self: cfg.Startup.Inner, Transport: cfg.Transport, Clock: cfg.Clock,
 			Proposer: do.MustInvoke[*quorum.Proposer](injector)}, nil
 	})
-	do.Provide(injector, func(do.Injector) (*liveness.Pauses, error) { return liveness.NewPauses(cfg.Clock), nil })
-	do.Provide(injector, func(injector do.Injector) (*membership.Tenant, error) {
-		return &membership.Tenant{Line: cfg.Transport, Clock: cfg.Clock, Core: do.MustInvoke[*quorum.Proposer](injector)}, nil
+	do.Provide(injector, func(do.Injector) (*liveness.PauseMonitor, error) { return liveness.NewPauseMonitor(cfg.Clock), nil })
+	do.Provide(injector, func(injector do.Injector) (*membership.LeaseClient, error) {
+		return &membership.LeaseClient{Transport: cfg.Transport, Clock: cfg.Clock, Proposer: do.MustInvoke[*quorum.Proposer](injector)}, nil
 	})
 	do.Provide(injector, newTargets)
 	do.Provide(injector, newRoutes)
 	do.Provide(injector, newClaims)
 	do.Provide(injector, newProxy)
-	g := &Gateway{Config: cfg, created: cfg.Clock.Now(), Mux: link.NewDesk(), Membership: do.MustInvoke[*membership.Tenant](injector), Pauses: do.MustInvoke[*liveness.Pauses](injector),
-		Routes: do.MustInvoke[*rollout.Rack](injector), Targets: do.MustInvoke[*registry.Roster](injector), Proxy: do.MustInvoke[*passage.Passage](injector)}
+	g := &Gateway{Config: cfg, created: cfg.Clock.Now(), Mux: link.NewDesk(), Membership: do.MustInvoke[*membership.LeaseClient](injector), Pauses: do.MustInvoke[*liveness.PauseMonitor](injector),
+		Routes: do.MustInvoke[*rollout.SheetStore](injector), Targets: do.MustInvoke[*registry.GatewayTable](injector), Proxy: do.MustInvoke[*passage.Pipeline](injector)}
 	since := time.Now().UnixMilli()
-	g.Membership.Me = func() membership.Member {
+	g.Membership.Self = func() membership.Member {
 		return membership.Member{ID: cfg.Startup.ID, Inc: cfg.Incarnation, Kind: "gateway", Inner: cfg.Startup.Inner, Door: cfg.Startup.Door,
-			Zone: cfg.Startup.Zone, Spec: g.Routes.N(), Since: since, Rest: g.drained.Load()}
+			Zone: cfg.Startup.Zone, Spec: g.Routes.Version(), Since: since, Rest: g.drained.Load()}
 	}
-	g.Targets.OnStand = g.probeTarget
+	g.Targets.OnNewTarget = g.probeTarget
 	g.Routes.Serve(g.Mux)
 	g.Targets.Serve(g.Mux)
-	claims := do.MustInvoke[*claim.Circle](injector)
+	claims := do.MustInvoke[*claim.Coordinator](injector)
 	claims.Serve(g.Mux)
 	g.Proxy.Serve(g.Mux)
-	membership.ServeRest(g.Mux, &g.drained)
+	membership.ServeDrain(g.Mux, &g.drained)
 	bootstrapper := do.MustInvoke[*quorum.Bootstrapper](injector)
 	bootstrapper.Serve(g.Mux)
 	g.start = func(ctx context.Context) {
@@ -112,23 +112,23 @@
 	return g
 }
 
-func newTargets(i do.Injector) (*registry.Roster, error) {
-	cfg, members := do.MustInvoke[Config](i), do.MustInvoke[*membership.Tenant](i)
-	r := &registry.Roster{Line: cfg.Transport, Clock: cfg.Clock, Pause: do.MustInvoke[*liveness.Pauses](i), Me: cfg.Startup.ID, Zone: cfg.Startup.Zone,
-		Controllers: func() []membership.Member { return members.Kind("controller") }, Every: probeInterval}
+func newTargets(i do.Injector) (*registry.GatewayTable, error) {
+	cfg, members := do.MustInvoke[Config](i), do.MustInvoke[*membership.LeaseClient](i)
+	r := &registry.GatewayTable{Transport: cfg.Transport, Clock: cfg.Clock, Pauses: do.MustInvoke[*liveness.PauseMonitor](i), Self: cfg.Startup.ID, Zone: cfg.Startup.Zone,
+		Controllers: func() []membership.Member { return members.MembersOfKind("controller") }, ProbeInterval: probeInterval}
 	r.Init()
 	return r, nil
 }
 
-func newRoutes(i do.Injector) (*rollout.Rack, error) {
-	cfg, members, targets := do.MustInvoke[Config](i), do.MustInvoke[*membership.Tenant](i), do.MustInvoke[*registry.Roster](i)
-	routes := &rollout.Rack{Tenant: members, Line: cfg.Transport, Clock: cfg.Clock, ID: cfg.Startup.ID, Log: cfg.Log,
-		Controllers: func() []string { return controllersByDistance(members.Kind("controller"), cfg.Startup) },
-		Mates: func() []string {
-			return lo.Union(members.Others(cfg.Startup.ID), lo.Without(cfg.Startup.Seeds, cfg.Startup.Inner))
+func newRoutes(i do.Injector) (*rollout.SheetStore, error) {
+	cfg, members, targets := do.MustInvoke[Config](i), do.MustInvoke[*membership.LeaseClient](i), do.MustInvoke[*registry.GatewayTable](i)
+	routes := &rollout.SheetStore{Membership: members, Link: cfg.Transport, Clock: cfg.Clock, ID: cfg.Startup.ID, Log: cfg.Log,
+		Controllers: func() []string { return controllersByDistance(members.MembersOfKind("controller"), cfg.Startup) },
+		Peers: func() []string {
+			return lo.Union(members.OtherAddrs(cfg.Startup.ID), lo.Without(cfg.Startup.Seeds, cfg.Startup.Inner))
 		},
-		OnSpec: func(table *spec.Table) {
-			targets.Want(lo.Map(table.Services, func(s spec.Service, _ int) string { return s.Name }))
+		OnSheet: func(table *spec.Table) {
+			targets.SetFollowed(lo.Map(table.Services, func(s spec.Service, _ int) string { return s.Name }))
 		},
 		OnLeaves: func(ls []rollout.Leave) {
 			for _, l := range ls {
@@ -162,24 +162,24 @@
 	return lo.Map(append(rotate(ownZone), rotate(otherZones)...), func(m membership.Member, _ int) string { return m.Inner })
 }
 
-func newProxy(i do.Injector) (*passage.Passage, error) {
-	cfg, members := do.MustInvoke[Config](i), do.MustInvoke[*membership.Tenant](i)
-	proxy := &passage.Passage{Clock: cfg.Clock, Rack: do.MustInvoke[*rollout.Rack](i), Roster: do.MustInvoke[*registry.Roster](i),
-		Courier: cfg.TargetClient, Zone: cfg.Startup.Zone, Chart: cfg.Startup.Chart, ID: cfg.Startup.ID, Inc: cfg.Incarnation, Faults: cfg.Faults, Log: cfg.Log, Count: cfg.Count,
+func newProxy(i do.Injector) (*passage.Pipeline, error) {
+	cfg, members := do.MustInvoke[Config](i), do.MustInvoke[*membership.LeaseClient](i)
+	proxy := &passage.Pipeline{Clock: cfg.Clock, Sheets: do.MustInvoke[*rollout.SheetStore](i), Targets: do.MustInvoke[*registry.GatewayTable](i),
+		Transport: cfg.TargetClient, Zone: cfg.Startup.Zone, ZoneMap: cfg.Startup.Chart, ID: cfg.Startup.ID, Inc: cfg.Incarnation, Faults: cfg.Faults, Log: cfg.Log, Count: cfg.Count,
 		Gateways: func() int {
 			// Called for every choice of a target, so the members are counted without building a list.
 			return lo.CountBy(members.Members(), func(m membership.Member) bool { return m.Kind == "gateway" }) + 1
 		},
-		Claims: do.MustInvoke[*claim.Circle](i)}
+		Claims: do.MustInvoke[*claim.Coordinator](i)}
 	proxy.Init()
 	return proxy, nil
 }
 
-func newClaims(i do.Injector) (*claim.Circle, error) {
-	cfg, members, routes := do.MustInvoke[Config](i), do.MustInvoke[*membership.Tenant](i), do.MustInvoke[*rollout.Rack](i)
-	claims := &claim.Circle{Me: cfg.Startup.ID, Line: cfg.Transport, Clock: cfg.Clock, Log: cfg.Log, Mates: routes.Mates, Held: members.Held, Alone: routes.Stranded, Gateways: routes.Counts,
-		Members: func() []string { return members.Others(cfg.Startup.ID) },
-		Keep:    &claimClient{transport: cfg.Transport, clock: cfg.Clock, controllers: func() []string { return controllersByDistance(members.Kind("controller"), cfg.Startup) }}}
+func newClaims(i do.Injector) (*claim.Coordinator, error) {
+	cfg, members, routes := do.MustInvoke[Config](i), do.MustInvoke[*membership.LeaseClient](i), do.MustInvoke[*rollout.SheetStore](i)
+	claims := &claim.Coordinator{Self: cfg.Startup.ID, Link: cfg.Transport, Clock: cfg.Clock, Log: cfg.Log, Peers: routes.Peers, HasLease: members.Held, CoreLost: routes.ServesWithoutLease, Voters: routes.Voters,
+		LeasedPeers: func() []string { return members.OtherAddrs(cfg.Startup.ID) },
+		Store:       &claimClient{transport: cfg.Transport, clock: cfg.Clock, controllers: func() []string { return controllersByDistance(members.MembersOfKind("controller"), cfg.Startup) }}}
 	claims.Init()
 	return claims, nil
 }
@@ -241,7 +241,7 @@
 // lease tables have waited for the length of a lease. Calls wait at the gate during that time,
 // which they could not if all gateways were not ready. A gateway that is cut off alone detects
 // that much sooner.
-const maxGateClosed = 2*membership.Lease + 200*time.Millisecond
+const maxGateClosed = 2*membership.LeaseDuration + 200*time.Millisecond
 
 // Ready is the readiness reported to the platform: the node serves calls and is not stopping.
 func (g *Gateway) Ready() bool {
@@ -253,17 +253,17 @@
 	// all of them not ready.
 	// A gateway that is cut off reports so before its lease ends, because the platform takes
 	// a second to notice.
-	if g.Routes.Lone() || g.drained.Load() {
+	if g.Routes.Isolated() || g.drained.Load() {
 		return false
 	}
 	if o := g.lastOpen.Load(); o == 0 || now.Sub(g.created)-time.Duration(o) > maxGateClosed || g.stopping.Load() {
 		return false
 	}
-	if g.Routes.N() == 0 {
+	if g.Routes.Version() == 0 {
 		// No binding is in force yet, so there are no targets to learn about.
 		return true
 	}
-	if !g.warm.Load() && (g.Targets.Warm(now) || now.Sub(g.created) > maxWarmup) {
+	if !g.warm.Load() && (g.Targets.Ready(now) || now.Sub(g.created) > maxWarmup) {
 		g.warm.Store(true)
 	}
 	return g.warm.Load()
@@ -275,7 +275,7 @@
 // Deregister removes this node from the cluster: it serves no more calls, nobody needs to
 // wait for it, and it no longer counts among the gateways.
 func (g *Gateway) Deregister(ctx context.Context) {
-	g.Membership.Leave(ctx)
+	g.Membership.Release(ctx)
 	for _, a := range g.Routes.Controllers() {
 		if r, err := link.Ask[rollout.PartTold](ctx, g.Transport, a, rollout.PartAsk{ID: g.Startup.ID}); err == nil && r.OK {
 			return
@@ -288,11 +288,11 @@
 
 // probeTarget probes a target run until ctx ends. Probes carry this gateway's own sequence
 // numbers. An answer that names another run is no evidence (design 10.2).
-func (g *Gateway) probeTarget(ctx context.Context, s *registry.Stand) {
+func (g *Gateway) probeTarget(ctx context.Context, s *registry.Target) {
 	var seq uint64
 	first := true
 	for {
-		if !s.Near() {
+		if !s.InSubset() {
 			if g.Clock.Sleep(ctx, probeInterval/8) != nil {
 				return
 			}
@@ -311,22 +311,22 @@
 	}
 }
 
-func (g *Gateway) probe(ctx context.Context, s *registry.Stand, seq uint64) {
+func (g *Gateway) probe(ctx context.Context, s *registry.Target, seq uint64) {
 	sent := g.Clock.Now()
 	callCtx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	name := httpapi.TargetName(s.ID, s.Service, s.Inc)
-	a, _, err := g.TargetClient.Carry(callCtx, &passage.Sending{Addr: s.Addr, Target: "probe:" + name, Number: httpapi.ProbeNumber(seq), Expiry: sent.Add(probeTimeout),
+	a, _, err := g.TargetClient.Carry(callCtx, &passage.SendRequest{Addr: s.Addr, Target: "probe:" + name, SendID: httpapi.ProbeNumber(seq), Expiry: sent.Add(probeTimeout),
 		Req: &passage.Request{Method: "GET", URI: httpapi.ProbeURI(seq), Host: s.Addr}})
-	if err != nil || a.Status != 200 || !a.Whole {
+	if err != nil || a.Status != 200 || !a.Complete {
 		return
 	}
 	p, err := httpapi.ParseProbe(a.Body)
 	if err != nil || p.Seq != seq || p.ID != s.ID || p.Service != s.Service || p.Inc != s.Inc {
 		return
 	}
-	g.Targets.Proved(s, sent)
-	s.Det.Arrive(seq, g.Clock.Now())
+	g.Targets.RecordProof(s, sent)
+	s.Detector.RecordArrival(seq, g.Clock.Now())
 	if p.Leaving {
 		_ = g.Targets.Drain(ctx, s.Service, s.ID, s.Inc, false)
 	}
--- a/internal/gateway/http.go
+++ b/internal/gateway/http.go
@@ -81,20 +81,20 @@
 		return g.writeError(c, httpapi.ErrorResponse{Status: 400, Code: httpapi.Malformed}, "")
 	}
 	client := c.Get(httpapi.ClientHeader)
-	t := g.Proxy.Enter(context.Background(), client, c.Get(httpapi.KeyHeader), r)
-	if t.Out != nil {
-		return g.writeError(c, *t.Out, t.Call)
+	t := g.Proxy.Handle(context.Background(), client, c.Get(httpapi.KeyHeader), r)
+	if t.Verdict != nil {
+		return g.writeError(c, *t.Verdict, t.ID)
 	}
-	c.Status(t.Answer.Status)
-	for _, h := range t.Answer.Header {
+	c.Status(t.Response.Status)
+	for _, h := range t.Response.Header {
 		c.Context().Response.Header.Add(h[0], h[1])
 	}
-	c.Set(httpapi.CallHeader, t.Call)
+	c.Set(httpapi.CallHeader, t.ID)
 	if r.Method == fiber.MethodHead {
 		c.Context().Response.SkipBody = true
 		return nil
 	}
-	return c.Send(t.Answer.Body)
+	return c.Send(t.Response.Body)
 }
 
 func (g *Gateway) writeError(c *fiber.Ctx, response httpapi.ErrorResponse, call string) error {
--- a/internal/gateway/http_test.go
+++ b/internal/gateway/http_test.go
@@ -61,15 +61,15 @@
 		{Name: "again", Service: "svc", Methods: []string{"GET", "HEAD", "PUT"}, Path: "/again/*", ExpiryMS: 1500, Repeatable: true},
 	}}.Sorted())
 	ctx, cancel := context.WithCancel(context.Background())
-	r := &registry.Roster{Clock: clock.Wall{}, Pause: liveness.NewPauses(clock.Wall{}), Controllers: nil, Every: time.Second}
+	r := &registry.GatewayTable{Clock: clock.Wall{}, Pauses: liveness.NewPauseMonitor(clock.Wall{}), Controllers: nil, ProbeInterval: time.Second}
 	r.Init()
-	go r.Alone(ctx)
-	if err := r.Learn(ctx, "svc", []registry.Entry{{Beat: httpapi.Beat{ID: "a", Service: "svc", Addr: addr, Capacity: 4, Seq: 1, Inc: 1}}}); err != nil {
+	go r.RunWithoutHomes(ctx)
+	if err := r.MergeEntries(ctx, "svc", []registry.Entry{{Beat: httpapi.Beat{ID: "a", Service: "svc", Addr: addr, Capacity: 4, Seq: 1, Inc: 1}}}); err != nil {
 		t.Fatal(err)
 	}
 	// The test takes longer than the result of a probe is valid.
-	r.Proved(r.Of("svc")[0], time.Now().Add(time.Hour))
-	p := &passage.Passage{Clock: clock.Wall{}, Rack: openGate{table}, Roster: r, Courier: passage.NewHTTP(""), ID: "f", Inc: 1, Gateways: func() int { return 1 }}
+	r.RecordProof(r.Targets("svc")[0], time.Now().Add(time.Hour))
+	p := &passage.Pipeline{Clock: clock.Wall{}, Sheets: openGate{table}, Targets: r, Transport: passage.NewHTTPTransport(""), ID: "f", Inc: 1, Gateways: func() int { return 1 }}
 	p.Init()
 	done := make(chan struct{})
 	go func() { p.Run(ctx); close(done) }()
--- /dev/null
+++ b/internal/passage/attempt.go
@@ -0,0 +1,114 @@
+package passage
+
+import (
+	"time"
+
+	"walkrudder/internal/registry"
+	"walkrudder/internal/spec"
+)
+
+// Attempt is one send of a call to one target. A repeatable request can have several
+// under way (design 13.14).
+type Attempt struct {
+	Call     *Call
+	Target   *registry.Target
+	Num      int // among the call's attempts, from 1
+	Table    *spec.Table
+	Binding  *spec.CompiledBinding
+	Response *Response
+	SentAt   time.Time
+
+	limiter      *ServiceLimiter
+	pausedBefore time.Duration // total pauses of this process before the send
+	returned     chan struct{} // closed when the transport has returned
+}
+
+// recordLatency records how long the target took, unless this process itself was
+// suspended in the meantime.
+func (p *Pipeline) recordLatency(attempt *Attempt) {
+	if p.Targets.Pauses.Total() == attempt.pausedBefore {
+		attempt.Target.ObserveLatency(p.Clock.Now().Sub(attempt.SentAt), slowWeight, fastWeight)
+	}
+}
+
+// release removes a send from the counts of sends in flight.
+func (a *Attempt) release() {
+	a.Target.InFlight.Add(-1)
+	a.limiter.release(a.Binding.Name)
+}
+
+// suspicionPoll is the interval at which a target's suspicion is read while a repeatable
+// request waits for it; suspicion grows over hundreds of milliseconds. If the retry budget
+// refused a hedge, the next is tried after hedgeRetryDelay, since the budget grows with
+// requests.
+const (
+	suspicionPoll   = 20 * time.Millisecond
+	hedgeRetryDelay = 200 * time.Millisecond
+)
+
+// monitorAttempt reads the target's suspicion while a repeatable request waits for it, and
+// sends the request to another target if this one is suspected, has been let go, or has
+// taken half of the remaining time. It cancels the send when the call has finished.
+func (p *Pipeline) monitorAttempt(attempt *Attempt, limit float64, hedgeAt time.Time, cancel func()) {
+	var next time.Time
+	for {
+		c, stop := p.Clock.After(suspicionPoll)
+		select {
+		case <-attempt.returned:
+			stop()
+			return
+		case <-attempt.Call.done:
+			stop()
+			cancel()
+			return
+		case <-c:
+		}
+		now := p.Clock.Now()
+		why := ""
+		switch suspicion := attempt.Target.Detector.Suspicion(now); {
+		case now.Before(next):
+		case suspicion >= limit:
+			why = "the target is suspected while it is waited for"
+		case attempt.Target.Gone.Load():
+			why = "the target was let go while it was waited for"
+		case !now.Before(hedgeAt):
+			why = "the target has taken half of the time left"
+		}
+		if why != "" {
+			next = now.Add(hedgeRetryDelay)
+			p.hedge(attempt, why)
+		}
+	}
+}
+
+// hedge queues a call with a send under way for selection once more, unless another
+// attempt has already replaced this one.
+func (p *Pipeline) hedge(attempt *Attempt, why string) {
+	call := attempt.Call
+	call.mu.Lock()
+	ok := !call.finished.Load() && !call.selecting && (call.inFlight == 1 || attempt.Num == call.Attempts) && call.Attempts < maxAttempts && call.Remaining(p.Clock.Now()) > returnMargin
+	call.selecting = call.selecting || ok
+	call.mu.Unlock()
+	if !ok {
+		return
+	}
+	p.addStep(call, "elsewhere", "", why)
+	if !p.selection.Put(call) {
+		p.endSelection(call)
+		p.refuse(call, why)
+	}
+}
+
+// endSelection marks a selection as ended without a send.
+func (p *Pipeline) endSelection(call *Call) {
+	call.mu.Lock()
+	defer call.mu.Unlock()
+	call.selecting = false
+}
+
+// endAttempt decrements the number of sends under way.
+func (p *Pipeline) endAttempt(call *Call) {
+	call.mu.Lock()
+	defer call.mu.Unlock()
+	call.inFlight--
+}
--- /dev/null
+++ b/internal/passage/attempt_test.go
@@ -0,0 +1,146 @@
+package passage
+
+import (
+	"context"
+	"strings"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"walkrudder/internal/httpapi"
+	"walkrudder/internal/spec"
+)
+
+// hangingTargets is a transport on which the targets in silent accept every request and
+// never respond, while the others respond after 5 ms. It records the targets sent to.
+type hangingTargets struct {
+	silent map[string]bool
+	sentTo chan string
+}
+
+func (d hangingTargets) Carry(ctx context.Context, s *SendRequest) (*Response, bool, error) {
+	if !s.BeforeWrite() {
+		return nil, false, ErrStopped
+	}
+	id, _, _ := strings.Cut(s.Target, ";")
+	d.sentTo <- id
+	wait := 5 * time.Millisecond
+	if d.silent[id] {
+		wait = time.Hour
+	}
+	cx, end := context.WithDeadline(ctx, s.Expiry)
+	defer end()
+	select {
+	case <-cx.Done():
+		return nil, true, cx.Err()
+	case <-time.After(wait):
+	}
+	return &Response{Status: 200, Complete: true, Stamp: httpapi.Stamp{ID: id, Service: "s", Inc: 1, Request: s.SendID}.String()}, true, nil
+}
+
+// withSilentTargets runs try on a pipeline of n targets, of which the first k become
+// silent, to probes and requests alike, 100 ms before the calls. call makes a repeatable
+// (GET) or non-repeatable (POST) call and returns its result, its duration and the number
+// of sends. Without hasBudget the retry budget is used up.
+func withSilentTargets(t *testing.T, n, k int, hasBudget bool, try func(call func(method string) (*Call, time.Duration, int))) {
+	synctest.Test(t, func(t *testing.T) {
+		ctx, cancel := context.WithCancel(context.Background())
+		p, targets := newTestPipeline(ctx, t, n)
+		heartbeats(p, targets, n, 1, 30)
+		transport := hangingTargets{map[string]bool{}, make(chan string, 100)}
+		for _, s := range targets[:k] {
+			transport.silent[s.ID] = true
+		}
+		// Identity proofs continue: only silence is tested.
+		for _, s := range targets {
+			p.Targets.RecordProof(s, time.Now().Add(time.Hour))
+		}
+		go func() {
+			for j := uint64(100); p.Clock.Sleep(ctx, 400*time.Millisecond) == nil; j++ {
+				for _, s := range targets[k:] {
+					s.Detector.RecordArrival(j, time.Now())
+				}
+			}
+		}()
+		var bindings []spec.Binding
+		for _, m := range []string{"GET", "POST"} {
+			bindings = append(bindings, spec.Binding{Name: m, Service: "s", Methods: []string{m}, Path: "/s", ExpiryMS: 4000, Repeatable: m == "GET"})
+		}
+		p.Sheets = fixedSheet{spec.NewTable(1, spec.Sheet{Services: []spec.Service{{Name: "s"}}, Bindings: bindings}.Sorted())}
+		p.Transport, p.Gateways, p.ID = transport, func() int { return 1 }, "f"
+		p.startedAt = time.Now().Add(-time.Minute)
+		if b := p.budget("s"); !hasBudget {
+			b.mu.Lock()
+			b.slots[b.slotIndex(time.Now())].extra = 1000
+			b.mu.Unlock()
+		}
+		done := make(chan struct{})
+		go func() { p.Run(ctx); close(done) }()
+		time.Sleep(100 * time.Millisecond)
+		try(func(m string) (x *Call, took time.Duration, sends int) {
+			// Repeats until the first selection falls on a silent target.
+			for range 100 {
+				from := time.Now()
+				x = p.Handle(ctx, "", "", &Request{Method: m, URI: "/s"})
+				took, sends = time.Since(from), len(transport.sentTo)
+				to := <-transport.sentTo
+				for len(transport.sentTo) > 0 {
+					<-transport.sentTo
+				}
+				if transport.silent[to] {
+					return x, took, sends
+				}
+			}
+			t.Fatal("no call was sent to a silent target")
+			return nil, 0, 0
+		})
+		cancel()
+		<-done
+		time.Sleep(time.Second)
+		for _, s := range targets {
+			if s.InFlight.Load() != 0 {
+				t.Errorf("%s still counts a send", s.ID)
+			}
+		}
+	})
+}
+
+// A target that becomes silent while a repeatable request waits for it is suspected, and
+// the request is sent to another target well before half of its time has passed. A
+// non-repeatable request waits for its target until the expiry, and its outcome is unknown.
+func TestSilenceSendsElsewhereOnlyWhatMayBeRepeated(t *testing.T) {
+	withSilentTargets(t, 6, 1, true, func(call func(string) (*Call, time.Duration, int)) {
+		x, took, sends := call("GET")
+		if x.Verdict != nil || sends != 2 || took > 1300*time.Millisecond || took < 100*time.Millisecond {
+			t.Errorf("a repeatable request: %+v after %s, %d sends", x.Verdict, took, sends)
+		}
+	})
+	withSilentTargets(t, 6, 1, true, func(call func(string) (*Call, time.Duration, int)) {
+		x, took, sends := call("POST")
+		if x.Verdict == nil || x.Verdict.Code != httpapi.OutcomeUnknown || sends != 1 || took < 3900*time.Millisecond {
+			t.Errorf("a non-repeatable request: %+v after %s, %d sends", x.Verdict, took, sends)
+		}
+	})
+}
+
+// If all targets become silent at once, the fault is at this node: no request is hedged
+// for suspicion, only after half of its time.
+func TestMassSilenceSendsNothingElsewhere(t *testing.T) {
+	withSilentTargets(t, 6, 6, true, func(call func(string) (*Call, time.Duration, int)) {
+		x, took, sends := call("GET")
+		if x.Verdict == nil || sends > 2 || took < 3900*time.Millisecond {
+			t.Errorf("%+v after %s, %d sends", x.Verdict, took, sends)
+		}
+	})
+}
+
+// A request is not hedged if the retry budget of its service is used up, and it keeps
+// waiting for the first target's response.
+func TestElsewhereKeepsToTheAllowance(t *testing.T) {
+	withSilentTargets(t, 6, 1, false, func(call func(string) (*Call, time.Duration, int)) {
+		x, took, sends := call("GET")
+		if x.Verdict == nil || sends != 1 || took < 3900*time.Millisecond {
+			t.Errorf("%+v after %s, %d sends", x.Verdict, took, sends)
+		}
+	})
+}
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -33,11 +33,11 @@
 func (n *Node) attempt(x *exchange, g grant) (o outcome) {
 	x.markTried(g.e)
 	began := n.clock.Now()
-	paused := n.pauses.At(began)
+	paused := n.pauses.TotalAt(began)
 	o = n.send(x, g.e, began)
 	now := n.clock.Now()
 	// Time during which this process was paused is not held against the run.
-	pausedFor := n.pauses.At(now) - paused
+	pausedFor := n.pauses.TotalAt(now) - paused
 	took := max(0, now.Sub(began)-pausedFor)
 	if o == outcomeCanceled && pausedFor == 0 {
 		g.e.svc.mu.Lock()
@@ -92,11 +92,11 @@
 	}
 	if err == nil {
 		if !x.atMostOnce && x.maxAttempts > 1 {
-			paused := n.pauses.At(now)
+			paused := n.pauses.TotalAt(now)
 			c.softDeadline, c.onSoftDeadline = now.Add(after), func() time.Time {
 				now := n.clock.Now()
 				next := now.Add(max(after/2, 50*time.Millisecond))
-				if p := n.pauses.At(now); p != paused {
+				if p := n.pauses.TotalAt(now); p != paused {
 					paused = p
 					return next
 				}
--- a/internal/proxy/endpoint.go
+++ b/internal/proxy/endpoint.go
@@ -151,7 +151,7 @@
 	e.latencies.Push(d.Seconds())
 	if e.answers++; e.answers%refitEvery == 0 && e.latencies.Len() >= minLatencySamples {
 		if f, ok := e.latencies.Fit(); ok {
-			e.p99 = time.Duration(min(f.After(suspicionThreshold), 60) * float64(time.Second))
+			e.p99 = time.Duration(min(f.Quantile(suspicionThreshold), 60) * float64(time.Second))
 		}
 	}
 }
--- a/internal/proxy/node.go
+++ b/internal/proxy/node.go
@@ -56,7 +56,7 @@
 	stats        stats
 	budget       *budget.Budget
 	dialContext  func(ctx context.Context, addr string) (net.Conn, error)
-	pauses       *liveness.Pauses
+	pauses       *liveness.PauseMonitor
 	rhythm       probePacer
 	inbound      bodyPacer        // large bodies from targets
 	outbound     bodyPacer        // large bodies to callers
@@ -110,7 +110,7 @@
 		memory:       memoryBudget{limit: int64(s.MemoryMB) << 20 / 5},
 		largeAnswers: newLargeAnswerMemory(s.MemoryMB),
 		budget:       budget.New(s.BudgetRatio, s.BudgetWindow, s.BudgetSlack, p.Clock),
-		pauses:       liveness.NewPausesEvery(p.Clock, pauseCheckInterval),
+		pauses:       liveness.NewPauseMonitorEvery(p.Clock, pauseCheckInterval),
 		maxCallers:   int64(s.MaxFiles) * 5 / 8,
 		items:        item.NewSet(), services: map[string]*service{}, runs: map[string]*runRecord{},
 		callers: map[*callerConn]struct{}{}, sendsClosed: make(chan struct{}),
--- a/internal/proxy/passive_health.go
+++ b/internal/proxy/passive_health.go
@@ -122,7 +122,7 @@
 	m.gaps.Push(gap)
 	if m.gapCount++; m.gapCount%baselineRefit == 0 && m.gaps.Len() >= minBaselineGaps {
 		m.fit = m.gaps.FitWithin(baselineMinBeta, baselineMaxBeta)
-		m.maxSilence = max(minSilence, m.fit.After(suspicionThreshold))
+		m.maxSilence = max(minSilence, m.fit.Quantile(suspicionThreshold))
 	}
 }
 
--- a/internal/proxy/probe.go
+++ b/internal/proxy/probe.go
@@ -137,7 +137,7 @@
 func (e *endpoint) substituteProbe() {
 	e.probeSeq++
 	e.svc.node.stats.probesSaved.Add(1)
-	e.detector.Arrive(e.probeSeq, e.validAnswerAt)
+	e.detector.RecordArrival(e.probeSeq, e.validAnswerAt)
 	e.validAnswerAt = time.Time{}
 }
 
@@ -177,7 +177,7 @@
 	if healthy {
 		n.stats.probesAnswered.Add(1)
 		s.mu.Lock()
-		if e.detector.Arrive(p.seq, n.clock.Now()) {
+		if e.detector.RecordArrival(p.seq, n.clock.Now()) {
 			// Earlier answers carry no new information.
 			e.validAnswerAt = time.Time{}
 		}
--- a/internal/proxy/probe_interval.go
+++ b/internal/proxy/probe_interval.go
@@ -101,7 +101,7 @@
 func (e *endpoint) startDetector(now time.Time) {
 	n := e.svc.node
 	if every := n.rhythm.interval(); e.detector == nil || e.detectorInterval != every {
-		e.detector, e.detectorInterval = liveness.New(liveness.Defaults(every), n.pauses, now), every
+		e.detector, e.detectorInterval = liveness.NewDetector(liveness.DefaultOptions(every), n.pauses, now), every
 		return
 	}
 	e.detector.Restart(now)
--- a/internal/proxy/probe_test.go
+++ b/internal/proxy/probe_test.go
@@ -176,8 +176,8 @@
 				if probes < 10 || maxSuspicion < suspicionThreshold {
 					t.Errorf("without substitution: %d probes, suspicion %v", probes, maxSuspicion)
 				}
-			} else if probes > 2 || maxSuspicion >= suspicionThreshold || busyEndpoint.detector.Seq() < 10 {
-				t.Errorf("%d probes, suspicion %v, %d arrivals", probes, maxSuspicion, busyEndpoint.detector.Seq())
+			} else if probes > 2 || maxSuspicion >= suspicionThreshold || busyEndpoint.detector.LastSeq() < 10 {
+				t.Errorf("%d probes, suspicion %v, %d arrivals", probes, maxSuspicion, busyEndpoint.detector.LastSeq())
 			}
 			l.close()
 		})
--- a/internal/queries/queries.go
+++ b/internal/queries/queries.go
@@ -27,8 +27,8 @@
 // Reader answers queries on one controller.
 type Reader struct {
 	Ledger     *ledger.Ledger
-	Registry   *registry.House
-	Membership *membership.Tenant
+	Registry   *registry.HomeTable
+	Membership *membership.LeaseClient
 	Proposer   *quorum.Proposer
 	Transport  link.Line
 }
@@ -49,7 +49,7 @@
 
 // Nodes lists the members according to the lease tables of a majority.
 func (rd *Reader) Nodes(ctx context.Context) ([]NodeRow, error) {
-	ms, err := rd.Membership.Table(ctx)
+	ms, err := rd.Membership.ReadTable(ctx)
 	if err != nil {
 		return nil, err
 	}
@@ -84,8 +84,8 @@
 
 // Targets lists the targets of one service, or of all services if service is empty.
 func (rd *Reader) Targets(ctx context.Context, service string) ([]TargetRow, error) {
-	views := registry.Views(ctx, rd.Transport, rd.Membership.Members())
-	return lo.FilterMap(registry.Collect(ctx, rd.Transport, rd.Membership.Members()), func(s registry.Seen, _ int) (TargetRow, bool) {
+	views := registry.CollectViews(ctx, rd.Transport, rd.Membership.Members())
+	return lo.FilterMap(registry.CollectSeen(ctx, rd.Transport, rd.Membership.Members()), func(s registry.Seen, _ int) (TargetRow, bool) {
 		v := views[ledger.Target{ID: s.Beat.ID, Service: s.Beat.Service, Incarnation: s.Beat.Inc}]
 		state := "serving"
 		switch {
@@ -93,9 +93,9 @@
 			state = "let go"
 		case s.Beat.Leaving:
 			state = "leaving"
-		case s.W >= registry.SuspectAt && v.Vouched():
+		case s.W >= registry.SuspicionThreshold && v.TrustedByHalf():
 			state = "serving, beats missed"
-		case s.W >= registry.SuspectAt:
+		case s.W >= registry.SuspicionThreshold:
 			state = "suspected"
 		}
 		return TargetRow{Service: s.Beat.Service, ID: s.Beat.ID, Zone: s.Beat.Zone, Addr: s.Beat.Addr, Incarnation: s.Beat.Inc, Capacity: s.Beat.Capacity, State: state,
--- a/internal/sim/orders_test.go
+++ b/internal/sim/orders_test.go
@@ -97,8 +97,8 @@
 			}
 		}
 		for _, n := range w.Of("gateway") {
-			if n.Gateway().Routes.N() != 5 {
-				t.Errorf("%s serves version %d", n.ID, n.Gateway().Routes.N())
+			if n.Gateway().Routes.Version() != 5 {
+				t.Errorf("%s serves version %d", n.ID, n.Gateway().Routes.Version())
 			}
 		}
 	})
@@ -154,8 +154,8 @@
 		}
 		time.Sleep(3 * time.Second)
 		for _, n := range w.Of("gateway") {
-			if !n.Gateway().Ready() || !n.Gateway().Routes.Stranded() {
-				t.Errorf("%s: ready %v, stranded %v without the core", n.ID, n.Gateway().Ready(), n.Gateway().Routes.Stranded())
+			if !n.Gateway().Ready() || !n.Gateway().Routes.ServesWithoutLease() {
+				t.Errorf("%s: ready %v, stranded %v without the core", n.ID, n.Gateway().Ready(), n.Gateway().Routes.ServesWithoutLease())
 			}
 		}
 		for _, n := range w.Of("gateway") {
--- a/internal/sim/suspect_test.go
+++ b/internal/sim/suspect_test.go
@@ -42,7 +42,7 @@
 // warden is the controller that holds the duty.
 func (w *World) warden() *Node {
 	for _, n := range w.Of("controller") {
-		if m := n.Controller(); m != nil && m.Membership.Holds(commands.SupervisorDuty) {
+		if m := n.Controller(); m != nil && m.Membership.HoldsDuty(commands.SupervisorDuty) {
 			return n
 		}
 	}
@@ -176,7 +176,7 @@
 			t.Errorf("lost for good, and let go %d times", n)
 		}
 		for _, n := range w.Of("gateway") {
-			for _, s := range append(n.Gateway().Targets.Of("orders"), n.Gateway().Targets.Of("records")...) {
+			for _, s := range append(n.Gateway().Targets.Targets("orders"), n.Gateway().Targets.Targets("records")...) {
 				if s.ID == lost.ID {
 					t.Errorf("%s still knows %s", n.ID, s.ID)
 				}
--- a/internal/watch/follower.go
+++ b/internal/watch/follower.go
@@ -5,24 +5,24 @@
 	"slices"
 )
 
-// Follower is a node that asked here lately, as people are told of it. Seen is how far it
-// had heard this node out when it asked last.
+// Follower is a node that polled this controller recently, as shown to operators. Seen is the cursor
+// of its last request.
 type Follower struct {
 	Member
 	Seen Cursor
 }
 
-// Gone tells whether a gateway no longer counts as attached.
-func (f Follower) Gone() bool { return f.Age >= gatewayGone }
+// Gone reports whether a gateway no longer counts as attached.
+func (f Follower) Gone() bool { return f.Age >= gatewayTimeout }
 
-// Followers are the nodes that asked here lately, by ID.
-func (t *Teller) Followers() []Follower {
+// Followers returns the nodes that polled this controller recently, ordered by ID.
+func (t *Publisher) Followers() []Follower {
 	now := t.Clock.Now()
 	t.mu.Lock()
-	out := make([]Follower, 0, len(t.askers))
-	for _, a := range t.askers {
-		f := Follower{a.Member, a.seen}
-		f.Age = now.Sub(a.at)
+	out := make([]Follower, 0, len(t.clients))
+	for _, a := range t.clients {
+		f := Follower{a.Member, a.cursor}
+		f.Age = now.Sub(a.askedAt)
 		out = append(out, f)
 	}
 	t.mu.Unlock()
@@ -30,16 +30,16 @@
 	return out
 }
 
-// Asks is how often this node was asked for news.
-func (t *Teller) Asks() uint64 {
+// PollCount returns the number of requests for changes that this node received.
+func (t *Publisher) PollCount() uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.asks
+	return t.pollCount
 }
 
-// End is how far whoever heard all of this board out has got. Each change of an item
-// or a run counts one.
-func (b *Board) End() Cursor {
+// Cursor returns the cursor of a follower that has received all changes of this replica.
+// It advances by one for each change of an item or a run.
+func (b *Replica) Cursor() Cursor {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return Cursor{Items: b.items.Seq(), Runs: b.runs.Seq()}
--- a/internal/watch/report.go
+++ b/internal/watch/report.go
@@ -2,15 +2,15 @@
 
 import "walkrudder/internal/item"
 
-// Report is what a gateway tells people of the controllers it follows and of what they told.
+// Report describes, for operators, the controllers that a gateway follows and what it received.
 type Report struct {
 	Synced bool `json:"synced"`
-	// BehindMS is how long ago everything acknowledged until then was known here; -1 is
-	// never yet.
-	BehindMS int64      `json:"behind_ms"`
-	Follows  []Followed `json:"follows"`
-	// Newest is the item that changed last here, and Items and Runs how many changes of
-	// each came.
+	// BehindMS is how long ago everything acknowledged until then was known here; -1 means
+	// never.
+	BehindMS int64                `json:"behind_ms"`
+	Follows  []FollowedController `json:"follows"`
+	// Newest is the item that changed last here. Items and Runs are the numbers of changes
+	// received.
 	Newest  string `json:"newest_item"`
 	Version uint64 `json:"newest_version"`
 	Dropped bool   `json:"newest_dropped"`
@@ -18,41 +18,41 @@
 	Runs    uint64 `json:"run_changes"`
 }
 
-// Followed is one controller that is followed now.
-type Followed struct {
+// FollowedController describes a controller that is currently followed.
+type FollowedController struct {
 	Controller string `json:"controller"` // "" before its first answer
 	Inner      string `json:"inner"`
 	Zone       string `json:"zone"`
 	SinceMS    int64  `json:"since_ms"`
 	Fresh      bool   `json:"fresh"`
-	// Items and Runs are how far this controller was heard out, by its own counting.
+	// Items and Runs are the received changes of this controller, in its own sequence numbers.
 	Items uint64 `json:"items"`
 	Runs  uint64 `json:"runs"`
 }
 
-// Report tells of the controllers followed.
+// Report describes the followed controllers.
 func (s *Subscriber) Report() Report {
 	now := s.Clock.Now()
-	r := Report{BehindMS: -1, Follows: []Followed{}}
+	r := Report{BehindMS: -1, Follows: []FollowedController{}}
 	s.mu.Lock()
 	r.Synced = s.synced
 	if !s.asOf.IsZero() {
 		r.BehindMS = now.Sub(s.asOf).Milliseconds()
 	}
-	for i, a := range s.at {
+	for i, a := range s.following {
 		if a != "" {
-			p := s.places[a]
-			r.Follows = append(r.Follows, Followed{Controller: p.controller.ID, Inner: a, Zone: p.controller.Zone, SinceMS: now.Sub(s.since[i]).Milliseconds(),
-				Fresh: s.told[i].Fresh, Items: p.seen.Items, Runs: p.seen.Runs})
+			p := s.states[a]
+			r.Follows = append(r.Follows, FollowedController{Controller: p.controller.ID, Inner: a, Zone: p.controller.Zone, SinceMS: now.Sub(s.followedSince[i]).Milliseconds(),
+				Fresh: s.answers[i].Fresh, Items: p.cursor.Items, Runs: p.cursor.Runs})
 		}
 	}
 	s.mu.Unlock()
-	s.board.Items(func(x *item.Set) {
+	s.replica.WithItems(func(x *item.Set) {
 		r.Items = x.Seq()
 		if last, _, _ := x.Since(x.Seq()-min(x.Seq(), 1), 1, 0); len(last) > 0 {
 			r.Newest, r.Version, r.Dropped = last[0].Name, last[0].Version, last[0].Gone
 		}
 	})
-	r.Runs = s.board.End().Runs
+	r.Runs = s.replica.Cursor().Runs
 	return r
 }
--- a/internal/watch/subscriber_test.go
+++ b/internal/watch/subscriber_test.go
@@ -17,43 +17,43 @@
 	"walkrudder/internal/quorum"
 )
 
-// far is a line on which each way takes a while: a question over it and, where the link
-// is new, two more round trips first.
-type far struct {
-	way         time.Duration
+// delayedLine is a link.Line with a delay in each direction. A request takes one round trip,
+// and two more on a new connection.
+type delayedLine struct {
+	delay       time.Duration
 	mu          sync.Mutex
-	controllers map[string]*bench
-	met         map[string]bool
-	mute        map[string]bool
-	bytes       int // of news
+	controllers map[string]*testPublisher
+	connected   map[string]bool
+	silent      map[string]bool
+	sentBytes   int // total size of the changes sent
 }
 
-// newFar has controllers that know each other, each in a zone of its own.
-func newFar(way time.Duration, ids ...string) *far {
-	f := &far{way: way, controllers: map[string]*bench{}, met: map[string]bool{}, mute: map[string]bool{}}
-	var all []Member
+// newDelayedLine creates controllers that know each other, each in a zone of its own.
+func newDelayedLine(way time.Duration, ids ...string) *delayedLine {
+	f := &delayedLine{delay: way, controllers: map[string]*testPublisher{}, connected: map[string]bool{}, silent: map[string]bool{}}
+	var members []Member
 	for _, id := range ids {
-		b := newBench()
+		b := newTestPublisher()
 		me := Member{ID: id, Kind: Controller, Inner: id, Zone: "z" + id, Inc: 7, Seat: quorum.Seat{ID: id, Disk: "d" + id}}
 		b.Me = func() Member { return me }
-		b.Others = func() []Member { return all }
-		all = append(all, me)
+		b.Others = func() []Member { return members }
+		members = append(members, me)
 		f.controllers[id] = b
 	}
 	return f
 }
 
-// slowDown has each way take so long from now on.
-func (f *far) slowDown(way time.Duration) {
+// setDelay sets the delay of each direction from now on.
+func (f *delayedLine) setDelay(way time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.way = way
+	f.delay = way
 }
 
-func (f *far) Call(ctx context.Context, addr string, ask any) (any, error) {
+func (f *delayedLine) Call(ctx context.Context, addr string, ask any) (any, error) {
 	f.mu.Lock()
-	b, first, mute, way := f.controllers[addr], !f.met[addr], f.mute[addr], f.way
-	f.met[addr] = true
+	b, first, mute, way := f.controllers[addr], !f.connected[addr], f.silent[addr], f.delay
+	f.connected[addr] = true
 	f.mu.Unlock()
 	trips := 1
 	if first {
@@ -70,93 +70,92 @@
 	}
 	a, ok := ask.(WatchAsk)
 	if !ok {
-		return nil, errors.New("no such question")
+		return nil, errors.New("unexpected request type")
 	}
-	r, err := b.watch(ctx, a)
+	r, err := b.handleWatch(ctx, a)
 	if err != nil {
 		return nil, err
 	}
 	f.mu.Lock()
-	f.bytes += len(r.Packed)
+	f.sentBytes += len(r.Packed)
 	for _, i := range r.Items {
-		f.bytes += len(i.Name) + len(i.Body)
+		f.sentBytes += len(i.Name) + len(i.Body)
 	}
 	f.mu.Unlock()
 	return r, (clock.Wall{}).Sleep(ctx, way)
 }
 
-// TestNewsComeThoughTheControllerFollowedMissesThem: a controller that is cut off from the others, but
-// not from the gateway, takes over a second to notice; or it falls silent. On a slow link the
-// gateway hears all the same in time what another controller was told in the meantime, for it
-// follows two.
+// A controller that is partitioned from the others, but not from the gateway, takes over a
+// second to notice; or it falls silent. Even on a slow link, the gateway receives in time what
+// the other controllers learned meanwhile, because it follows two.
 func TestNewsComeThoughTheControllerFollowedMissesThem(t *testing.T) {
 	for name, mute := range map[string]bool{"cut off": false, "silent": true} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				f := newFar(120*time.Millisecond, "a", "b", "c", "d", "e")
+				f := newDelayedLine(120*time.Millisecond, "a", "b", "c", "d", "e")
 				var mu sync.Mutex
-				known := map[string]uint64{}
+				versions := map[string]uint64{}
 				s := &Subscriber{Me: Member{ID: "f", Kind: Gateway, Zone: "za", Inc: 1}, Line: f, Clock: clock.Wall{}, Log: log.New(nil),
-					OnNews: func(w WatchTold) {
+					OnUpdate: func(w WatchTold) {
 						mu.Lock()
 						defer mu.Unlock()
 						for _, i := range w.Items {
-							known[i.Name] = i.Version
+							versions[i.Name] = i.Version
 						}
 					}}
 				s.Init([]string{"b", "c"})
-				ctx, end := context.WithCancel(t.Context())
+				ctx, cancel := context.WithCancel(t.Context())
 				done := make(chan struct{})
 				go func() { s.Run(ctx); close(done) }()
-				tell := func(v uint64, but string) {
+				mergeAtAll := func(v uint64, but string) {
 					for id, b := range f.controllers {
 						if id != but {
-							b.Board.MergeItems([]item.Item{thing("x", v)})
+							b.Replica.MergeItems([]item.Item{testItem("x", v)})
 						}
 					}
 				}
-				tell(1, "")
+				mergeAtAll(1, "")
 				time.Sleep(12 * time.Second)
 				for v := uint64(2); v < 8; v++ {
 					at := s.Following().Inner
 					if mute {
 						f.mu.Lock()
-						f.mute[at] = true
+						f.silent[at] = true
 						f.mu.Unlock()
 					}
-					tell(v, at)
+					mergeAtAll(v, at)
 					time.Sleep(1200 * time.Millisecond)
 					f.controllers[at].fresh.Store(false)
-					f.controllers[at].Board.Wake()
+					f.controllers[at].Replica.Wake()
 					time.Sleep(300 * time.Millisecond)
 					mu.Lock()
-					if known["x"] != v {
-						t.Errorf("version %d known 1.5 s after %d was told to all controllers but %s, which it followed", known["x"], v, at)
+					if versions["x"] != v {
+						t.Errorf("version %d known 1.5 s after version %d was merged at all controllers except the followed %s", versions["x"], v, at)
 					}
 					mu.Unlock()
 					f.mu.Lock()
-					f.mute[at] = false
+					f.silent[at] = false
 					f.mu.Unlock()
-					f.controllers[at].Board.MergeItems([]item.Item{thing("x", v)})
+					f.controllers[at].Replica.MergeItems([]item.Item{testItem("x", v)})
 					f.controllers[at].fresh.Store(true)
 					time.Sleep(10 * time.Second)
 				}
-				end()
+				cancel()
 				<-done
 			})
 		})
 	}
 }
 
-// TestAGatewayKnowsWhatIsYoungEnough: where a change has less than the usual time, a gateway asks so
-// often that it never goes by what is older, also on a slow link.
+// If the deadline of changes is shorter than usual, a gateway polls often enough that its
+// state is never older than the deadline, also on a slow link.
 func TestAGatewayKnowsWhatIsYoungEnough(t *testing.T) {
-	oldest := func(t *testing.T, within time.Duration) (old time.Duration) {
+	maxAge := func(t *testing.T, within time.Duration) (old time.Duration) {
 		synctest.Test(t, func(t *testing.T) {
-			f := newFar(120*time.Millisecond, "a", "b", "c")
-			s := &Subscriber{Me: Member{ID: "f", Kind: Gateway, Zone: "za", Inc: 1}, Line: f, Clock: clock.Wall{}, Log: log.New(nil), Within: within, OnNews: func(WatchTold) {}}
+			f := newDelayedLine(120*time.Millisecond, "a", "b", "c")
+			s := &Subscriber{Me: Member{ID: "f", Kind: Gateway, Zone: "za", Inc: 1}, Line: f, Clock: clock.Wall{}, Log: log.New(nil), ChangeDeadline: within, OnUpdate: func(WatchTold) {}}
 			s.Init([]string{"b", "c"})
-			ctx, end := context.WithCancel(t.Context())
+			ctx, cancel := context.WithCancel(t.Context())
 			done := make(chan struct{})
 			go func() { s.Run(ctx); close(done) }()
 			time.Sleep(5 * time.Second)
@@ -164,64 +163,64 @@
 				time.Sleep(10 * time.Millisecond)
 				old = max(old, time.Since(s.AsOf()))
 			}
-			end()
+			cancel()
 			<-done
 		})
 		return old
 	}
-	for _, c := range []struct{ within, most time.Duration }{{0, usualWithin}, {5 * time.Second, usualWithin}, {1500 * time.Millisecond, 1500 * time.Millisecond}, {leastWithin, leastWithin}} {
-		if old := oldest(t, c.within); old >= c.most {
-			t.Errorf("within %v: went by what was %v old", c.within, old)
+	for _, c := range []struct{ within, most time.Duration }{{0, usualChangeDeadline}, {5 * time.Second, usualChangeDeadline}, {1500 * time.Millisecond, 1500 * time.Millisecond}, {minChangeDeadline, minChangeDeadline}} {
+		if old := maxAge(t, c.within); old >= c.most {
+			t.Errorf("deadline %v: used state that was %v old", c.within, old)
 		}
 	}
-	if old := oldest(t, 0); old < leastWithin {
-		t.Errorf("asks are as frequent without need: %v at the oldest", old)
+	if old := maxAge(t, 0); old < minChangeDeadline {
+		t.Errorf("polls just as often with the usual deadline: state at most %v old", old)
 	}
 }
 
-// Guards against incident 40: on a link that held messages up for a second a gateway gave up each question shortly before
-// its answer came, made connections that took as long, and heard nothing for seconds.
+// Guards against incident 40: on a link that delayed messages by a second, a gateway gave up each request
+// shortly before its answer came, opened connections that took as long, and received nothing for seconds.
 func TestALinkThatHoldsMessagesUpStillBringsNews(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFar(10*time.Millisecond, "a", "b", "c")
-		s := &Subscriber{Me: Member{ID: "f", Kind: Gateway, Zone: "za", Inc: 1}, Line: f, Clock: clock.Wall{}, Log: log.New(nil), Narrow: true, OnNews: func(WatchTold) {}}
+		f := newDelayedLine(10*time.Millisecond, "a", "b", "c")
+		s := &Subscriber{Me: Member{ID: "f", Kind: Gateway, Zone: "za", Inc: 1}, Line: f, Clock: clock.Wall{}, Log: log.New(nil), SlowLink: true, OnUpdate: func(WatchTold) {}}
 		s.Init([]string{"a", "b", "c"})
-		ctx, end := context.WithCancel(t.Context())
+		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan struct{})
 		go func() { s.Run(ctx); close(done) }()
 		time.Sleep(5 * time.Second)
-		const way = 700 * time.Millisecond
-		f.slowDown(way)
+		const delay = 700 * time.Millisecond
+		f.setDelay(delay)
 		time.Sleep(5 * time.Second)
-		old := time.Duration(0)
+		maxAge := time.Duration(0)
 		for range 2000 {
 			time.Sleep(10 * time.Millisecond)
-			old = max(old, time.Since(s.AsOf()))
+			maxAge = max(maxAge, time.Since(s.AsOf()))
 		}
-		end()
+		cancel()
 		<-done
-		// A question is asked as soon as the last one is answered, waits, and is told of at once.
-		if most := 4*way + narrowWait + 100*time.Millisecond; old > most {
-			t.Errorf("went by what was %v old, %v at the most is wanted", old, most)
+		// A request is sent as soon as the previous one is answered, waits, and is answered at once.
+		if limit := 4*delay + slowLinkWait + 100*time.Millisecond; maxAge > limit {
+			t.Errorf("used state that was %v old, want at most %v", maxAge, limit)
 		}
 	})
 }
 
-// TestAStartIsToldOnce: a gateway that starts is told what there is by one controller and not by two
-// at once; where the first says nothing, the second is asked without a long wait.
+// A starting gateway receives the initial state from one controller and not from two at once. If
+// the first does not answer, the second is asked without a long wait.
 func TestAStartIsToldOnce(t *testing.T) {
 	start := func(mute string) (bytes int, took time.Duration) {
 		synctest.Test(t, func(t *testing.T) {
-			f := newFar(5*time.Millisecond, "a", "b", "c")
-			f.mute[mute] = true
+			f := newDelayedLine(5*time.Millisecond, "a", "b", "c")
+			f.silent[mute] = true
 			for _, b := range f.controllers {
 				var items []item.Item
 				for i := range 6000 {
-					items = append(items, thing(fmt.Sprintf("%x-%d", xxhash.Sum64String(fmt.Sprint(i)), i), 1))
+					items = append(items, testItem(fmt.Sprintf("%x-%d", xxhash.Sum64String(fmt.Sprint(i)), i), 1))
 				}
-				b.Board.MergeItems(items)
+				b.Replica.MergeItems(items)
 			}
-			s := &Subscriber{Me: Member{ID: "f", Kind: Gateway, Zone: "za", Inc: 1}, Line: f, Clock: clock.Wall{}, Log: log.New(nil), OnNews: func(WatchTold) {}}
+			s := &Subscriber{Me: Member{ID: "f", Kind: Gateway, Zone: "za", Inc: 1}, Line: f, Clock: clock.Wall{}, Log: log.New(nil), OnUpdate: func(WatchTold) {}}
 			s.Init([]string{"a", "b", "c"})
 			ctx, end := context.WithCancel(t.Context())
 			done := make(chan struct{})
@@ -233,9 +232,9 @@
 			took = time.Since(began)
 			time.Sleep(5 * time.Second)
 			f.mu.Lock()
-			bytes = f.bytes
+			bytes = f.sentBytes
 			f.mu.Unlock()
-			if s.told[1].Inc == 0 {
+			if s.answers[1].Inc == 0 {
 				t.Error("no second controller is followed")
 			}
 			end()
@@ -243,7 +242,7 @@
 		})
 		return bytes, took
 	}
-	one, took := start("")
+	sent, took := start("")
 	if took > time.Second {
 		t.Errorf("took %v", took)
 	}
@@ -251,8 +250,8 @@
 	for i := range 6000 {
 		items += len(fmt.Sprintf("%x-%d", xxhash.Sum64String(fmt.Sprint(i)), i))
 	}
-	if one > items*3/2 {
-		t.Errorf("%d bytes of news for names of %d", one, items)
+	if sent > items*3/2 {
+		t.Errorf("%d bytes of changes for %d bytes of names", sent, items)
 	}
 	for _, id := range []string{"a", "b", "c"} {
 		if _, took := start(id); took > 800*time.Millisecond {
