--- a/cmd/controller/arguments.go
+++ b/cmd/controller/arguments.go
@@ -8,13 +8,13 @@
 	"github.com/alexflint/go-arg"
 )
 
-// exitArguments is the exit code for bad arguments.
+// exitArguments is the exit code for invalid arguments.
 const exitArguments = 2
 
-// parse reads the arguments of a subcommand of `controller` into what a points to, and has them checked. done says that
-// the command is over, with a code: help was asked for, or the arguments are bad, which is told behind complaint.
-func parse(name, complaint string, args []string, a any, check func(*arg.Parser) error, out, errw io.Writer) (code int, done bool) {
-	p, err := arg.NewParser(arg.Config{Program: "controller " + name, Out: out}, a)
+// parseArgs parses the arguments of a subcommand of `controller` into dest and validates them with check. done means that
+// the command should exit with code: help was printed, or the arguments are invalid, which is reported on errw after errPrefix.
+func parseArgs(name, errPrefix string, args []string, dest any, check func(*arg.Parser) error, out, errw io.Writer) (code int, done bool) {
+	p, err := arg.NewParser(arg.Config{Program: "controller " + name, Out: out}, dest)
 	if err == nil {
 		err = p.Parse(args)
 	}
@@ -26,7 +26,7 @@
 		err = check(p)
 	}
 	if err != nil {
-		_, _ = fmt.Fprintln(errw, complaint, err)
+		_, _ = fmt.Fprintln(errw, errPrefix, err)
 		return exitArguments, true
 	}
 	return 0, false
--- a/cmd/controller/build_test.go
+++ b/cmd/controller/build_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// The build command of README links both daemons to the C library as usual.
+// The build command in the README links both daemons dynamically to the C library.
 func TestDaemonsAreLinkedToTheCLibrary(t *testing.T) {
 	dir := t.TempDir()
 	c := exec.Command("go", "build", "-o", dir+"/", "../gateway", "../controller")
--- a/cmd/controller/main.go
+++ b/cmd/controller/main.go
@@ -1,5 +1,5 @@
-// Command controller is the control plane: it keeps the shared state, watches targets
-// and brings changes into force.
+// Command controller is the control plane: it stores the shared state, monitors targets
+// and applies configuration changes.
 package main
 
 import (
@@ -41,40 +41,40 @@
 	os.Exit(shell.Main(&s, "controller", os.Args[1:], os.Stdout, os.Stderr, func(ctx context.Context, lg *log.Logger) error { return run(ctx, lg, s) }))
 }
 
-// file is the name of the file in the data folder.
-const file = "items.db"
+// dataFile is the name of the storage file in the data folder.
+const dataFile = "items.db"
 
-func open(s startup.Controller, lg *log.Logger) (storage.Disk, error) {
+func openDisk(s startup.Controller, logger *log.Logger) (storage.Disk, error) {
 	if s.Data == "" {
 		return nil, nil
 	}
-	d, err := storage.OpenAnew(s.Data, file, func(aside string) {
-		lg.Error("file damaged, set aside; this disk starts empty", "step", "open data", "aside", aside)
+	disk, err := storage.OpenOrReset(s.Data, dataFile, func(aside string) {
+		logger.Error("file damaged, set aside; this disk starts empty", "step", "open data", "aside", aside)
 	})
 	if err != nil {
 		return nil, &shell.StartError{Field: "data", Err: err}
 	}
-	return d, nil
+	return disk, nil
 }
 
-func run(ctx context.Context, lg *log.Logger, s startup.Controller) error {
-	inner, err := shell.Listen("inner", s.Own())
+func run(ctx context.Context, logger *log.Logger, s startup.Controller) error {
+	internal, err := shell.Listen("inner", s.Own())
 	if err != nil {
 		return err
 	}
-	door, err := shell.Listen("door", s.Door)
+	public, err := shell.Listen("door", s.Door)
 	if err != nil {
 		return err
 	}
-	disk, err := open(s, lg)
+	disk, err := openDisk(s, logger)
 	if err != nil {
 		return err
 	}
-	line := link.NewTCP(link.Who{ID: s.ID, Kind: "controller"}, s.Bind, lg)
-	count := metrics.New("controller")
-	bad := make(chan error, 1)
-	m, err := controller.New(controller.Parts{Startup: s, Inc: shell.Incarnation(), Fresh: shell.Fresh(), Line: line, Clock: clock.Wall{}, Disk: disk, Log: lg,
-		OnBad:  func(err error) { bad <- err },
+	transport := link.NewTCP(link.Identity{ID: s.ID, Kind: "controller"}, s.Bind, logger)
+	counters := metrics.New("controller")
+	diskFailed := make(chan error, 1)
+	node, err := controller.New(controller.Parts{Startup: s, Inc: shell.Incarnation(), Fresh: shell.Fresh(), Line: transport, Clock: clock.Wall{}, Disk: disk, Log: logger,
+		OnBad:  func(err error) { diskFailed <- err },
 		WallMS: func() int64 { return time.Now().UnixMilli() }})
 	if errors.Is(err, quorum.ErrWrongOwner) {
 		return &shell.StartError{Field: "data", Err: err}
@@ -82,29 +82,29 @@
 	if err != nil {
 		return err
 	}
-	go line.Serve(inner, m.Desk)
-	life, end := context.WithCancel(context.Background())
-	fin := make(chan struct{})
-	go func() { m.Run(life); close(fin) }()
-	app := m.Door(count.Handler())
-	served := shell.Serve(app, door)
-	lg.Info("started", "inner", s.Inner, "door", s.Door, "version", startup.Version, "votes", disk != nil)
+	go transport.Serve(internal, node.Desk)
+	runCtx, cancel := context.WithCancel(context.Background())
+	runDone := make(chan struct{})
+	go func() { node.Run(runCtx); close(runDone) }()
+	app := node.Door(counters.Handler())
+	served := shell.Serve(app, public)
+	logger.Info("started", "inner", s.Inner, "door", s.Door, "version", startup.Version, "votes", disk != nil)
 	select {
 	case err = <-served:
-	case err = <-bad:
+	case err = <-diskFailed:
 	case <-ctx.Done():
-		from := time.Now()
-		m.Stop()
-		lg.Info("stopping", "step", "stop")
+		stopStarted := time.Now()
+		node.Stop()
+		logger.Info("stopping", "step", "stop")
 		time.Sleep(shell.Linger / 2)
-		err = app.ShutdownWithTimeout(shell.Whole - time.Since(from) - 200*time.Millisecond)
+		err = app.ShutdownWithTimeout(shell.Whole - time.Since(stopStarted) - 200*time.Millisecond)
 	}
-	cx, done := context.WithTimeout(context.Background(), 150*time.Millisecond)
-	m.Tenant.Leave(cx)
-	done()
-	end()
-	line.Close()
-	<-fin
+	leaveCtx, cancelLeave := context.WithTimeout(context.Background(), 150*time.Millisecond)
+	node.Tenant.Leave(leaveCtx)
+	cancelLeave()
+	cancel()
+	transport.Close()
+	<-runDone
 	if disk != nil {
 		err = errors.Join(err, disk.Close())
 	}
--- a/cmd/controller/rollout.go
+++ b/cmd/controller/rollout.go
@@ -16,7 +16,7 @@
 	"walkrudder/internal/upgrade"
 )
 
-// rolloutArgs are what `controller rollout` takes.
+// rolloutArgs are the arguments of `controller rollout`.
 type rolloutArgs struct {
 	Start   *rolloutStart  `arg:"subcommand:start" help:"order that a service's requests move to targets of another version"`
 	Revert  *rolloutRevert `arg:"subcommand:revert" help:"take a roll-out that is under way back"`
@@ -42,12 +42,12 @@
 	}
 )
 
-// Description heads the help.
+// Description returns the text at the head of the help.
 func (rolloutArgs) Description() string {
 	return "controller rollout moves a service's requests to targets of another version (docs/rollouts.md).\nExit code 0 when it was done, 1 when it was not, 2 for bad arguments."
 }
 
-// node is the controller that is asked.
+// node returns the address of the controller to call.
 func (a rolloutArgs) node() string {
 	switch {
 	case a.Start != nil:
@@ -58,7 +58,7 @@
 	return a.Status.Node
 }
 
-// check tells what is wrong with the arguments.
+// check validates the arguments.
 func (a *rolloutArgs) check(p *arg.Parser) error {
 	if p.Subcommand() == nil {
 		return errors.New("one of start, revert or status is wanted")
@@ -67,31 +67,31 @@
 	return err
 }
 
-// rollout runs `controller rollout`: exit 0 when it was done, 1 when it was not, 2 for bad arguments.
+// rollout runs `controller rollout` and returns its exit code: 0 for success, 1 for failure, 2 for invalid arguments.
 func rollout(args []string, out, errw io.Writer) int {
 	var a rolloutArgs
-	if code, done := parse("rollout", "controller rollout:", args, &a, a.check, out, errw); done {
+	if code, done := parseArgs("rollout", "controller rollout:", args, &a, a.check, out, errw); done {
 		return code
 	}
-	l := link.NewTCP(link.Who{ID: "rollout", Kind: "tool"}, "", log.New(io.Discard))
-	defer l.Close()
-	return a.do(l, out, errw)
+	transport := link.NewTCP(link.Identity{ID: "rollout", Kind: "tool"}, "", log.New(io.Discard))
+	defer transport.Close()
+	return a.execute(transport, out, errw)
 }
 
-// do asks over a line.
-func (a rolloutArgs) do(l link.Line, out, errw io.Writer) int {
-	ctx, end := context.WithTimeout(context.Background(), a.Timeout)
-	defer end()
+// execute sends the request and prints the result.
+func (a rolloutArgs) execute(client link.Line, out, errw io.Writer) int {
+	ctx, cancel := context.WithTimeout(context.Background(), a.Timeout)
+	defer cancel()
 	var err error
 	switch {
 	case a.Start != nil:
 		order := upgrade.Order{Service: a.Start.Service, To: a.Start.Version, Term: a.Start.Term}
-		_, err = link.Ask[control.UpgradeTold](ctx, l, a.Start.Node, control.UpgradeOrderAsk{Order: order})
+		_, err = link.Call[control.UpgradeTold](ctx, client, a.Start.Node, control.UpgradeOrderAsk{Order: order})
 	case a.Revert != nil:
-		_, err = link.Ask[control.UpgradeTold](ctx, l, a.Revert.Node, control.UpgradeRevertAsk{Service: a.Revert.Service})
+		_, err = link.Call[control.UpgradeTold](ctx, client, a.Revert.Node, control.UpgradeRevertAsk{Service: a.Revert.Service})
 	default:
-		asked := showing{Node: a.Status.Node, JSON: a.Status.JSON}
-		err = rows[control.UpgradeRow](ctx, asked, l, control.UpgradesAsk{Prefix: a.Status.Service}, out)
+		status := showArgs{Node: a.Status.Node, JSON: a.Status.JSON}
+		err = printRows[control.UpgradeRow](ctx, status, client, control.UpgradesAsk{Prefix: a.Status.Service}, out)
 	}
 	if err != nil {
 		_, _ = fmt.Fprintln(errw, "controller rollout:", err)
--- a/cmd/controller/rollout_test.go
+++ b/cmd/controller/rollout_test.go
@@ -11,15 +11,15 @@
 	"walkrudder/internal/upgrade"
 )
 
-// orderLine is a line that keeps the question and gives one answer.
-type orderLine struct {
-	ask    any
-	answer any
+// recordingClient records the request and returns a fixed response.
+type recordingClient struct {
+	request  any
+	response any
 }
 
-func (a *orderLine) Call(_ context.Context, _ string, ask any) (any, error) {
-	a.ask = ask
-	return a.answer, nil
+func (a *recordingClient) Call(_ context.Context, _ string, ask any) (any, error) {
+	a.request = ask
+	return a.response, nil
 }
 
 func TestRolloutAsks(t *testing.T) {
@@ -37,10 +37,10 @@
 			control.Answer[control.UpgradeRow]{Rows: []control.UpgradeRow{{Service: "orders", To: "v2", Phase: "canary", Share: 50}}},
 			control.UpgradesAsk{Prefix: "ord"}, "canary"},
 	} {
-		line := &orderLine{answer: x.answer}
+		line := &recordingClient{response: x.answer}
 		var out, errw bytes.Buffer
-		if code := x.args.do(line, &out, &errw); code != 0 || line.ask != x.want || !strings.Contains(out.String(), x.tells) {
-			t.Errorf("%s: %d, asked %+v, told %q %q", name, code, line.ask, out.String(), errw.String())
+		if code := x.args.execute(line, &out, &errw); code != 0 || line.request != x.want || !strings.Contains(out.String(), x.tells) {
+			t.Errorf("%s: exit %d, sent %+v, printed %q %q", name, code, line.request, out.String(), errw.String())
 		}
 	}
 }
@@ -54,7 +54,7 @@
 	} {
 		var out, errw bytes.Buffer
 		if code := rollout(strings.Fields(args), &out, &errw); code != 2 || !strings.Contains(errw.String(), want) {
-			t.Errorf("%q: %d %q, want %q", args, code, errw.String(), want)
+			t.Errorf("%q: exit %d, %q, want %q", args, code, errw.String(), want)
 		}
 	}
 }
--- a/cmd/controller/say.go
+++ b/cmd/controller/say.go
@@ -18,22 +18,22 @@
 	"walkrudder/internal/statement"
 )
 
-// saying is what `controller say` takes.
-type saying struct {
+// sayArgs are the arguments of `controller say`.
+type sayArgs struct {
 	At    string   `arg:"--at,required" help:"door of a controller, IP:port"`
 	JSON  bool     `arg:"--json" help:"print the answer as JSON"`
 	Words []string `arg:"positional" help:"the query or command; without one, lines are read from standard input, up to the first that fails"`
 }
 
-// Description heads the help.
-func (saying) Description() string {
+// Description returns the text at the head of the help.
+func (sayArgs) Description() string {
 	return "controller say speaks one query or command to a controller, or one a line. Say help to see what can be said."
 }
 
-// say speaks to a controller: exit 0 when all was answered, 1 when something was
-// refused or not reached, 2 for bad arguments.
+// say sends statements to a controller and returns the exit code: 0 if all succeeded, 1 if one was
+// rejected or the controller could not be reached, 2 for invalid arguments.
 func say(args []string, in io.Reader, out, errw io.Writer) int {
-	var a saying
+	var a sayArgs
 	p, err := arg.NewParser(arg.Config{Program: "controller say"}, &a)
 	if err == nil {
 		err = p.Parse(args)
@@ -47,7 +47,7 @@
 		return 2
 	}
 	if len(a.Words) > 0 {
-		return a.one(join(a.Words), out, errw)
+		return a.send(joinWords(a.Words), out, errw)
 	}
 	sc := bufio.NewScanner(in)
 	sc.Buffer(nil, statement.MaxSaying+1)
@@ -56,7 +56,7 @@
 		if l == "" || strings.HasPrefix(l, "#") {
 			continue
 		}
-		if code := a.one(l, out, errw); code != 0 {
+		if code := a.send(l, out, errw); code != 0 {
 			_, _ = fmt.Fprintf(errw, "controller say: stopped at line %d: %s\n", n, l)
 			return code
 		}
@@ -68,9 +68,9 @@
 	return 0
 }
 
-// join puts words that the shell split together again; one with blanks in it was
-// quoted.
-func join(ws []string) string {
+// joinWords joins the words that the shell has split; a word that contains blanks was
+// quoted and is quoted again.
+func joinWords(ws []string) string {
 	if len(ws) == 1 {
 		return ws[0]
 	}
@@ -82,44 +82,44 @@
 	return strings.Join(ws, " ")
 }
 
-var client = &http.Client{Timeout: 15 * time.Second}
+var httpClient = &http.Client{Timeout: 15 * time.Second}
 
-func (a saying) one(text string, out, errw io.Writer) int {
-	r, err := client.Post("http://"+a.At+"/v1/say", "text/plain", strings.NewReader(text))
+func (a sayArgs) send(text string, out, errw io.Writer) int {
+	response, err := httpClient.Post("http://"+a.At+"/v1/say", "text/plain", strings.NewReader(text))
 	if err != nil {
 		_, _ = fmt.Fprintln(errw, "controller say:", err)
 		return 1
 	}
-	defer r.Body.Close()
-	raw, err := io.ReadAll(io.LimitReader(r.Body, 256<<20))
+	defer response.Body.Close()
+	raw, err := io.ReadAll(io.LimitReader(response.Body, 256<<20))
 	if err != nil {
 		_, _ = fmt.Fprintln(errw, "controller say:", err)
 		return 1
 	}
 	code := 0
-	if r.StatusCode != 200 {
+	if response.StatusCode != 200 {
 		code = 1
 	}
-	var e struct{ Error string }
-	if code != 0 && json.Unmarshal(raw, &e) == nil && e.Error != "" {
-		_, _ = fmt.Fprintln(errw, "controller say:", e.Error)
+	var failure struct{ Error string }
+	if code != 0 && json.Unmarshal(raw, &failure) == nil && failure.Error != "" {
+		_, _ = fmt.Fprintln(errw, "controller say:", failure.Error)
 		return code
 	}
 	if a.JSON {
 		_, _ = fmt.Fprintln(out, strings.TrimSpace(string(raw)))
 		return code
 	}
-	var v struct{ Data json.RawMessage }
-	if err := json.Unmarshal(raw, &v); err != nil {
+	var result struct{ Data json.RawMessage }
+	if err := json.Unmarshal(raw, &result); err != nil {
 		_, _ = fmt.Fprintln(errw, "controller say:", err)
 		return 1
 	}
-	table(v.Data, out)
+	printTable(result.Data, out)
 	return code
 }
 
-// table prints rows as a table, a text as it is, anything else as indented JSON.
-func table(raw json.RawMessage, out io.Writer) {
+// printTable prints a list of objects as a table, a string as it is, and any other value as indented JSON.
+func printTable(raw json.RawMessage, out io.Writer) {
 	var s string
 	if json.Unmarshal(raw, &s) == nil {
 		_, _ = fmt.Fprintln(out, strings.TrimRight(s, "\n"))
@@ -161,7 +161,7 @@
 	_ = w.Flush()
 }
 
-// columns lists the rows' fields in the order in which they were written.
+// columns returns the field names of the rows, in order of first appearance.
 func columns(raw json.RawMessage) (out []string) {
 	d := json.NewDecoder(bytes.NewReader(raw))
 	depth, key := 0, false
--- a/cmd/controller/say_test.go
+++ b/cmd/controller/say_test.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// A script stops at the first line that fails, names it, and says nothing of what
-// comes after; its exit code is that of the line.
+// A script stops at the first line that fails, reports that line, and does not send the
+// later ones; the exit code is that of the failed line.
 func TestScriptStopsAtItsFirstFailure(t *testing.T) {
 	var heard []string
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -37,10 +37,10 @@
 		heard = nil
 		var out, errw bytes.Buffer
 		if code := say([]string{at}, strings.NewReader(script), &out, &errw); code != want.code || len(heard) != want.heard || !strings.Contains(errw.String(), want.told) {
-			t.Errorf("%.40q: exit %d, heard %q, told %q", script, code, heard, errw.String())
+			t.Errorf("%.40q: exit %d, received %q, printed %q", script, code, heard, errw.String())
 		}
 		if want.code == 1 && !strings.Contains(out.String(), "conflict") {
-			t.Errorf("what the line was told is not shown: %q", out.String())
+			t.Errorf("the response to the failed line is not printed: %q", out.String())
 		}
 	}
 }
--- a/cmd/controller/show.go
+++ b/cmd/controller/show.go
@@ -19,21 +19,21 @@
 	"walkrudder/internal/link"
 )
 
-// The lists that `controller show` knows.
+// The lists that `controller show` can request.
 const (
-	items    = "items"
-	runs     = "runs"
-	members  = "members"
-	core     = "core"
-	disk     = "disk"
-	counters = "counters"
-	rollouts = "rollouts"
+	listItems    = "items"
+	listRuns     = "runs"
+	listMembers  = "members"
+	listCore     = "core"
+	listDisk     = "disk"
+	listCounters = "counters"
+	listRollouts = "rollouts"
 )
 
-var lists = []string{items, runs, members, core, disk, counters, rollouts}
+var allLists = []string{listItems, listRuns, listMembers, listCore, listDisk, listCounters, listRollouts}
 
-// showing is what `controller show` takes.
-type showing struct {
+// showArgs are the arguments of `controller show`.
+type showArgs struct {
 	Node    string        `arg:"positional,required" placeholder:"NODE-ADDRESS" help:"inner address of a controller on the platform, IP:port"`
 	List    string        `arg:"positional,required" placeholder:"LIST" help:"items, runs, members, core, disk, counters or rollouts"`
 	Service string        `arg:"--service" placeholder:"S" help:"runs of this service only"`
@@ -44,13 +44,13 @@
 	Timeout time.Duration `arg:"--timeout" default:"3s" help:"how long to wait for the answer"`
 }
 
-// Description heads the help.
-func (showing) Description() string {
+// Description returns the text at the head of the help.
+func (showArgs) Description() string {
 	return "controller show asks a running controller of the platform what it knows. It changes nothing.\nExit code 0 when it was answered, 1 when it was not, 2 for bad arguments."
 }
 
-// check tells what is wrong with the arguments.
-func (a showing) check() error {
+// check validates the arguments.
+func (a showArgs) check() error {
 	_, port, err := net.SplitHostPort(a.Node)
 	if err != nil {
 		return fmt.Errorf("NODE-ADDRESS: %w", err)
@@ -59,11 +59,11 @@
 		return fmt.Errorf("NODE-ADDRESS: %q is no port", port)
 	}
 	switch {
-	case !slices.Contains(lists, a.List):
-		return fmt.Errorf("LIST: %q is none of %s", a.List, strings.Join(lists, ", "))
-	case a.Service != "" && a.List != runs:
+	case !slices.Contains(allLists, a.List):
+		return fmt.Errorf("LIST: %q is none of %s", a.List, strings.Join(allLists, ", "))
+	case a.Service != "" && a.List != listRuns:
 		return errors.New("--service: goes with runs alone")
-	case a.Prefix != "" && (a.List == members || a.List == core || a.List == disk):
+	case a.Prefix != "" && (a.List == listMembers || a.List == listCore || a.List == listDisk):
 		return fmt.Errorf("--prefix: does not go with %s", a.List)
 	case a.Most < 0 || a.Most > 1000:
 		return fmt.Errorf("--most: %d is not from 1 to 1000", a.Most)
@@ -73,39 +73,39 @@
 	return nil
 }
 
-// show asks one node for one list: exit 0 when it was answered, 1 when it was not, 2 for
-// bad arguments.
+// show requests one list from one node and returns the exit code: 0 for success, 1 for failure, 2 for
+// invalid arguments.
 func show(args []string, out, errw io.Writer) int {
-	var a showing
-	if code, done := parse("show", "controller show:", args, &a, func(*arg.Parser) error { return a.check() }, out, errw); done {
+	var a showArgs
+	if code, done := parseArgs("show", "controller show:", args, &a, func(*arg.Parser) error { return a.check() }, out, errw); done {
 		return code
 	}
-	l := link.NewTCP(link.Who{ID: "show", Kind: "tool"}, "", log.New(io.Discard))
-	defer l.Close()
-	return a.ask(l, out, errw)
+	transport := link.NewTCP(link.Identity{ID: "show", Kind: "tool"}, "", log.New(io.Discard))
+	defer transport.Close()
+	return a.execute(transport, out, errw)
 }
 
-// ask asks over a line.
-func (a showing) ask(l link.Line, out, errw io.Writer) int {
-	ctx, end := context.WithTimeout(context.Background(), a.Timeout)
-	defer end()
-	p := control.Page{After: a.After, Most: a.Most}
+// execute requests the list and prints it.
+func (a showArgs) execute(client link.Line, out, errw io.Writer) int {
+	ctx, cancel := context.WithTimeout(context.Background(), a.Timeout)
+	defer cancel()
+	page := control.Page{After: a.After, Most: a.Most}
 	var err error
 	switch a.List {
-	case items:
-		err = rows[control.ItemRow](ctx, a, l, control.ItemsAsk{Page: p, Prefix: a.Prefix}, out)
-	case runs:
-		err = rows[control.RunRow](ctx, a, l, control.RunsAsk{Page: p, Service: a.Service, Prefix: a.Prefix}, out)
-	case members:
-		err = rows[control.MemberRow](ctx, a, l, control.MembersAsk{Page: p}, out)
-	case core:
-		err = rows[control.SeatRow](ctx, a, l, control.CoreAsk{Page: p}, out)
-	case disk:
-		err = rows[control.DiskRow](ctx, a, l, control.DiskAsk{Page: p}, out)
-	case counters:
-		err = rows[control.CounterRow](ctx, a, l, control.CountersAsk{Page: p, Prefix: a.Prefix}, out)
-	case rollouts:
-		err = rows[control.UpgradeRow](ctx, a, l, control.UpgradesAsk{Page: p, Prefix: a.Prefix}, out)
+	case listItems:
+		err = printRows[control.ItemRow](ctx, a, client, control.ItemsAsk{Page: page, Prefix: a.Prefix}, out)
+	case listRuns:
+		err = printRows[control.RunRow](ctx, a, client, control.RunsAsk{Page: page, Service: a.Service, Prefix: a.Prefix}, out)
+	case listMembers:
+		err = printRows[control.MemberRow](ctx, a, client, control.MembersAsk{Page: page}, out)
+	case listCore:
+		err = printRows[control.SeatRow](ctx, a, client, control.CoreAsk{Page: page}, out)
+	case listDisk:
+		err = printRows[control.DiskRow](ctx, a, client, control.DiskAsk{Page: page}, out)
+	case listCounters:
+		err = printRows[control.CounterRow](ctx, a, client, control.CountersAsk{Page: page, Prefix: a.Prefix}, out)
+	case listRollouts:
+		err = printRows[control.UpgradeRow](ctx, a, client, control.UpgradesAsk{Page: page, Prefix: a.Prefix}, out)
 	}
 	if err != nil {
 		_, _ = fmt.Fprintf(errw, "controller show: %s not told: %v\n", a.List, err)
@@ -114,31 +114,31 @@
 	return 0
 }
 
-// rows asks, and prints what is told.
-func rows[R any](ctx context.Context, a showing, l link.Line, ask any, out io.Writer) error {
-	t, err := link.Ask[control.Answer[R]](ctx, l, a.Node, ask)
+// printRows sends one request and prints the rows of its answer.
+func printRows[R any](ctx context.Context, a showArgs, client link.Line, request any, out io.Writer) error {
+	answer, err := link.Call[control.Answer[R]](ctx, client, a.Node, request)
 	if err != nil {
 		return err
 	}
 	if a.JSON {
-		b, err := json.Marshal(t)
+		b, err := json.Marshal(answer)
 		if err == nil {
 			_, err = fmt.Fprintln(out, string(b))
 		}
 		return err
 	}
-	b, err := json.Marshal(t.Rows)
+	b, err := json.Marshal(answer.Rows)
 	if err != nil {
 		return err
 	}
-	knows := "fresh: knows all that was acknowledged until " + strconv.FormatInt(t.BehindMS, 10) + " ms ago"
-	if !t.Fresh {
-		knows = "NOT FRESH: may miss what was acknowledged"
+	freshness := "fresh: knows all that was acknowledged until " + strconv.FormatInt(answer.BehindMS, 10) + " ms ago"
+	if !answer.Fresh {
+		freshness = "NOT FRESH: may miss what was acknowledged"
 	}
-	_, _ = fmt.Fprintf(out, "# %s in %s, %s\n", t.Node, t.Zone, knows)
-	table(b, out)
-	if t.Next != "" {
-		_, _ = fmt.Fprintf(out, "# %d of %d rows; the next: --after %q\n", len(t.Rows), t.Total, t.Next)
+	_, _ = fmt.Fprintf(out, "# %s in %s, %s\n", answer.Node, answer.Zone, freshness)
+	printTable(b, out)
+	if answer.Next != "" {
+		_, _ = fmt.Fprintf(out, "# %d of %d rows; the next: --after %q\n", len(answer.Rows), answer.Total, answer.Next)
 	}
 	return nil
 }
--- a/cmd/controller/snapshot.go
+++ b/cmd/controller/snapshot.go
@@ -19,8 +19,8 @@
 	"walkrudder/internal/storage"
 )
 
-// snapshots is what `controller snapshot` takes.
-type snapshots struct {
+// snapshotArgs are the arguments of `controller snapshot`.
+type snapshotArgs struct {
 	Take    *takeSnapshot    `arg:"subcommand:take" help:"make a snapshot of what the disks of stopped controllers hold"`
 	Check   *checkSnapshot   `arg:"subcommand:check" help:"check a snapshot and tell what it holds"`
 	Restore *restoreSnapshot `arg:"subcommand:restore" help:"write a snapshot into an empty data folder"`
@@ -42,21 +42,21 @@
 	Partial bool   `arg:"--partial" help:"restore also where something acknowledged may be missing"`
 }
 
-// Description heads the help.
-func (snapshots) Description() string {
+// Description returns the text at the head of the help.
+func (snapshotArgs) Description() string {
 	return "controller snapshot keeps the whole configuration of the platform's controllers in one file: routes, services and limits in their newest versions, dropped ones too. It works on folders of controllers that do not run.\nExit code 0 when it was done, 1 when it was not, 2 for bad arguments."
 }
 
-// runSnapshot runs `controller snapshot`.
+// runSnapshot runs `controller snapshot` and returns its exit code.
 func runSnapshot(args []string, out, errs io.Writer) int {
-	var a snapshots
-	given := func(p *arg.Parser) error {
+	var a snapshotArgs
+	check := func(p *arg.Parser) error {
 		if p.Subcommand() == nil {
 			return errors.New("take, check or restore must be given")
 		}
 		return nil
 	}
-	if code, done := parse("snapshot", "error:", args, &a, given, out, errs); done {
+	if code, done := parseArgs("snapshot", "error:", args, &a, check, out, errs); done {
 		return code
 	}
 	var err error
@@ -78,7 +78,7 @@
 func (a *takeSnapshot) run(out io.Writer) error {
 	var disks []quorum.StoredState
 	for _, dir := range a.Data {
-		d, err := readFolder(dir)
+		d, err := readDataDir(dir)
 		if err != nil {
 			return err
 		}
@@ -89,7 +89,7 @@
 		return err
 	}
 	if s.Partial() && !a.Partial {
-		return partial(s)
+		return partialError(s)
 	}
 	if err := snapshot.Write(a.File, s); err != nil {
 		return err
@@ -113,9 +113,9 @@
 		return err
 	}
 	if s.Partial() && !a.Partial {
-		return partial(s)
+		return partialError(s)
 	}
-	d, err := storage.OpenBunt(a.Data, file)
+	d, err := storage.OpenBuntDisk(a.Data, dataFile)
 	if err != nil {
 		return err
 	}
@@ -126,37 +126,37 @@
 	return nil
 }
 
-// readFolder reads the disk of a stopped controller, from a copy: opening a file mends it.
-func readFolder(dir string) (s quorum.StoredState, err error) {
-	raw, err := os.ReadFile(filepath.Join(dir, file))
+// readDataDir reads the storage file of a stopped controller. It opens a copy, since opening a file truncates a torn tail.
+func readDataDir(dir string) (s quorum.StoredState, err error) {
+	raw, err := os.ReadFile(filepath.Join(dir, dataFile))
 	if err != nil {
 		return s, steperr.At("read data", dir, err)
 	}
-	scratch, err := os.MkdirTemp("", "snapshot-")
+	tmpDir, err := os.MkdirTemp("", "snapshot-")
 	if err != nil {
 		return s, steperr.At("read data", dir, err)
 	}
-	defer os.RemoveAll(scratch)
-	if err := os.WriteFile(filepath.Join(scratch, file), raw, 0o600); err != nil {
+	defer os.RemoveAll(tmpDir)
+	if err := os.WriteFile(filepath.Join(tmpDir, dataFile), raw, 0o600); err != nil {
 		return s, steperr.At("read data", dir, err)
 	}
-	d, err := storage.OpenBunt(scratch, file)
+	disk, err := storage.OpenBuntDisk(tmpDir, dataFile)
 	if err != nil {
 		return s, steperr.At("read data", dir, err)
 	}
-	values, err := d.Load()
-	if err := errors.Join(err, d.Close()); err != nil {
+	values, err := disk.Load()
+	if err := errors.Join(err, disk.Close()); err != nil {
 		return s, steperr.At("read data", dir, err)
 	}
 	return quorum.ReadStoredState(values)
 }
 
-// partial tells that a snapshot may lack something.
-func partial(s snapshot.Snapshot) error {
+// partialError reports that a snapshot may lack acknowledged items.
+func partialError(s snapshot.Snapshot) error {
 	return fmt.Errorf("%w: %d of epoch %d were read (%s), %d are needed; --partial takes what there is", snapshot.ErrPartial, len(s.Nodes), s.Epoch, strings.Join(s.Nodes, ", "), s.Need)
 }
 
-// summarize tells what a snapshot holds.
+// summarize prints what a snapshot contains.
 func summarize(out io.Writer, s snapshot.Snapshot) {
 	fmt.Fprintf(out, "taken %s, epoch %d, disks of %s\n", s.Taken.Format(time.RFC3339), s.Epoch, strings.Join(s.Nodes, ", "))
 	if s.Partial() {
--- a/cmd/controller/snapshot_test.go
+++ b/cmd/controller/snapshot_test.go
@@ -14,18 +14,18 @@
 	"walkrudder/internal/storage"
 )
 
-// folders makes the data folders of a core of three that holds some items.
-func folders(t *testing.T, items []item.Item) (dirs []string) {
+// coreDataDirs creates the data folders of a core of three voters that hold the given items.
+func coreDataDirs(t *testing.T, items []item.Item) (dirs []string) {
 	t.Helper()
 	ctx, end := context.WithCancel(t.Context())
 	defer end()
 	core := quorum.Core{Epoch: 1}
-	var desks []*link.Desk
-	var disks []*storage.Bunt
+	var desks []*link.Mux
+	var disks []*storage.BuntDisk
 	var stopped []chan struct{}
 	for _, id := range []string{"a", "b", "c"} {
 		dir := t.TempDir()
-		d, err := storage.OpenBunt(dir, file)
+		d, err := storage.OpenBuntDisk(dir, dataFile)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -33,7 +33,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		desk, done := link.NewDesk(), make(chan struct{})
+		desk, done := link.NewMux(), make(chan struct{})
 		v.Serve(desk)
 		go func() {
 			defer close(done)
@@ -45,7 +45,7 @@
 	for i, desk := range desks {
 		for _, ask := range []any{quorum.FormAsk{By: "a", Core: core}, quorum.FormAsk{By: "a", Core: core, Seal: true},
 			quorum.MergeAsk{Mark: quorum.Mark{Epoch: 1, Disk: core.Seats[i].Disk}, Items: items}} {
-			if _, err := desk.Answer(ctx, link.Who{ID: "t"}, ask); err != nil {
+			if _, err := desk.Dispatch(ctx, link.Identity{ID: "t"}, ask); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -73,7 +73,7 @@
 		{Key: item.Key{Kind: item.Service, Name: "s"}, Version: 3, Body: []byte("{}")},
 		{Key: item.Key{Kind: item.Departure, Name: "i-1"}, Version: 2, Body: []byte("x")},
 	}
-	dirs := folders(t, items)
+	dirs := coreDataDirs(t, items)
 	path := filepath.Join(t.TempDir(), "snapshot")
 	if code, _, errs := snapshotCommand("take", path, "--data", dirs[0]); code != 1 || !strings.Contains(errs, "too few disks") {
 		t.Errorf("one disk of three: %d, %s", code, errs)
@@ -84,7 +84,7 @@
 	}
 	for _, want := range []string{"epoch 1, disks of a, c", "routes: 1, and 1 dropped; newest version 9", "services: 1, and 0 dropped; newest version 3"} {
 		if !strings.Contains(out, want) {
-			t.Errorf("%q is not told: %s", want, out)
+			t.Errorf("%q is not printed: %s", want, out)
 		}
 	}
 	if code, checked, errs := snapshotCommand("check", path); code != 0 || checked != out {
@@ -94,7 +94,7 @@
 	if code, _, errs := snapshotCommand("restore", path, "--data", empty); code != 0 {
 		t.Fatalf("restore: %d, %s", code, errs)
 	}
-	d, err := storage.OpenBunt(empty, file)
+	d, err := storage.OpenBuntDisk(empty, dataFile)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -116,7 +116,7 @@
 }
 
 func TestSnapshotsRefuseWhatIsWrong(t *testing.T) {
-	dirs := folders(t, nil)
+	dirs := coreDataDirs(t, nil)
 	path := filepath.Join(t.TempDir(), "snapshot")
 	if code, _, errs := snapshotCommand("take", path, "--data", dirs[0], "--data", dirs[1]); code != 0 {
 		t.Fatal(errs)
--- a/cmd/gateway/main.go
+++ b/cmd/gateway/main.go
@@ -1,4 +1,4 @@
-// Command gateway is the data plane: it takes callers' requests and passes them to
+// Command gateway is the data plane: it accepts callers' requests and forwards them to
 // targets.
 package main
 
@@ -27,46 +27,46 @@
 	os.Exit(shell.Main(&s, "gateway", os.Args[1:], os.Stdout, os.Stderr, func(ctx context.Context, lg *log.Logger) error { return run(ctx, lg, s) }))
 }
 
-func run(ctx context.Context, lg *log.Logger, s startup.Gateway) error {
-	inner, err := shell.Listen("inner", s.Own())
+func run(ctx context.Context, logger *log.Logger, s startup.Gateway) error {
+	internal, err := shell.Listen("inner", s.Own())
 	if err != nil {
 		return err
 	}
-	door, err := shell.Listen("door", s.Door)
+	public, err := shell.Listen("door", s.Door)
 	if err != nil {
 		return err
 	}
-	line := link.NewTCP(link.Who{ID: s.ID, Kind: "gateway"}, s.Bind, lg)
-	courier := passage.NewHTTP(s.Bind)
-	count := metrics.New("gateway")
-	f := gateway.New(gateway.Parts{Startup: s, Inc: shell.Incarnation(), Line: line, Clock: clock.Wall{}, Courier: courier, Log: lg, Count: count.Add})
-	go line.Serve(inner, f.Desk)
-	life, end := context.WithCancel(context.Background())
-	fin := make(chan struct{})
-	go func() { f.Run(life); close(fin) }()
-	go clock.Every(life, clock.Wall{}, time.Second, courier.Sweep)
-	app := f.Door(count.Handler())
-	served := shell.Serve(app, door)
-	lg.Info("started", "inner", s.Inner, "door", s.Door, "version", startup.Version)
+	transport := link.NewTCP(link.Identity{ID: s.ID, Kind: "gateway"}, s.Bind, logger)
+	client := passage.NewHTTP(s.Bind)
+	counters := metrics.New("gateway")
+	node := gateway.New(gateway.Parts{Startup: s, Inc: shell.Incarnation(), Line: transport, Clock: clock.Wall{}, Courier: client, Log: logger, Count: counters.Add})
+	go transport.Serve(internal, node.Desk)
+	runCtx, cancel := context.WithCancel(context.Background())
+	runDone := make(chan struct{})
+	go func() { node.Run(runCtx); close(runDone) }()
+	go clock.Every(runCtx, clock.Wall{}, time.Second, client.Sweep)
+	app := node.Door(counters.Handler())
+	served := shell.Serve(app, public)
+	logger.Info("started", "inner", s.Inner, "door", s.Door, "version", startup.Version)
 	select {
 	case err = <-served:
 	case <-ctx.Done():
-		// Planned stop (design 13.11): not ready at once, still taking calls while
-		// the platform notices, then finishing all that is inside.
-		from := time.Now()
-		f.Stop()
-		lg.Info("stopping", "step", "stop", "inside", f.Passage.Flying())
+		// Planned stop (design 13.11): report not ready at once, still accept requests until
+		// the platform notices, then finish all requests in progress.
+		stopStarted := time.Now()
+		node.Stop()
+		logger.Info("stopping", "step", "stop", "inside", node.Passage.Flying())
 		time.Sleep(shell.Linger)
-		err = app.ShutdownWithTimeout(shell.Whole - time.Since(from) - 200*time.Millisecond)
+		err = app.ShutdownWithTimeout(shell.Whole - time.Since(stopStarted) - 200*time.Millisecond)
 		if err == nil {
-			lg.Info("stopped", "step", "stop", "took", time.Since(from).String())
+			logger.Info("stopped", "step", "stop", "took", time.Since(stopStarted).String())
 		}
 	}
-	cx, done := context.WithTimeout(context.Background(), 300*time.Millisecond)
-	f.Part(cx)
-	done()
-	end()
-	line.Close()
-	<-fin
+	leaveCtx, cancelLeave := context.WithTimeout(context.Background(), 300*time.Millisecond)
+	node.Part(leaveCtx)
+	cancelLeave()
+	cancel()
+	transport.Close()
+	<-runDone
 	return err
 }
--- a/cmd/trial/main.go
+++ b/cmd/trial/main.go
@@ -1,6 +1,6 @@
-// Command trial is the drill: it raises a deployment of real processes, takes a
-// zone out while callers call, brings it back, and checks the promises from the
-// targets' and callers' own records.
+// Command trial runs an availability test: it starts a deployment of real processes, takes
+// a zone out of service under load, brings it back, and checks the guarantees against the
+// records of the targets and callers.
 package main
 
 import (
@@ -32,12 +32,12 @@
 	Plant bool          `arg:"--plant" help:"plant a double run in the records, to see the drill fail"`
 }
 
-// Description heads the help.
+// Description returns the text at the head of the help.
 func (args) Description() string {
 	return "trial takes a zone out, brings it back and checks the promises. Exit 0 only if all held, 1 if not, 2 for bad arguments."
 }
 
-// report is what the drill found.
+// report is the result of a trial.
 type report struct {
 	Plan       string        `json:"plan"`
 	Zone       string        `json:"zone"`
@@ -50,11 +50,11 @@
 	Held       bool          `json:"held"`
 }
 
-// recoverWithin is the promise on serving after machines come back.
-const recoverWithin = 15 * time.Second
+// maxRecovery is the guaranteed time after machines come back by which requests are served again.
+const maxRecovery = 15 * time.Second
 
-// ways are the ways in which a zone is taken out.
-var ways = []string{"kill", "freeze", "cut"}
+// outageKinds are the ways to take a zone out of service.
+var outageKinds = []string{"kill", "freeze", "cut"}
 
 func main() { os.Exit(run(os.Args[1:], os.Stdout, os.Stderr)) }
 
@@ -73,8 +73,8 @@
 	case err != nil:
 	case perr != nil:
 		err = fmt.Errorf("--plan: %w", perr)
-	case !slices.Contains(ways, a.How):
-		err = fmt.Errorf("--how: %q is none of %s", a.How, strings.Join(ways, ", "))
+	case !slices.Contains(outageKinds, a.How):
+		err = fmt.Errorf("--how: %q is none of %s", a.How, strings.Join(outageKinds, ", "))
 	case a.Out < time.Second || a.Out > 10*time.Minute:
 		err = fmt.Errorf("--out: %s is not between 1s and 10m", a.Out)
 	case !hasZone(plan, a.Zone):
@@ -94,12 +94,12 @@
 		_, _ = fmt.Fprintln(errw, "trial:", err)
 		return 2
 	}
-	r, err := drill(a, plan, out)
+	r, err := runTrial(a, plan, out)
 	if err != nil {
 		_, _ = fmt.Fprintln(errw, "trial:", err, "; logs in", a.Dir)
 		return 1
 	}
-	print(out, a, r)
+	printReport(out, a, r)
 	if !r.Held {
 		return 1
 	}
@@ -115,46 +115,46 @@
 	return false
 }
 
-func drill(a args, plan stand.Plan, out io.Writer) (*report, error) {
-	t, err := stand.NewTown(plan, a.Dir, a.Bin, a.Net, a.How == "cut")
+func runTrial(a args, plan stand.Plan, out io.Writer) (*report, error) {
+	town, err := stand.NewTown(plan, a.Dir, a.Bin, a.Net, a.How == "cut")
 	if err != nil {
 		return nil, err
 	}
-	defer t.Lower()
+	defer town.Lower()
 	ctx, end := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer end()
-	up, done := context.WithTimeout(ctx, time.Minute)
-	defer done()
-	if err := t.Raise(up); err != nil {
+	startCtx, cancelStart := context.WithTimeout(ctx, time.Minute)
+	defer cancelStart()
+	if err := town.Raise(startCtx); err != nil {
 		return nil, err
 	}
-	say := func(format string, args ...any) {
+	logf := func(format string, args ...any) {
 		if !a.JSON {
 			_, _ = fmt.Fprintf(out, format+"\n", args...)
 		}
 	}
-	wait := func(d time.Duration) {
+	sleep := func(d time.Duration) {
 		select {
 		case <-ctx.Done():
 		case <-time.After(d):
 		}
 	}
-	calls, stop := context.WithCancel(ctx)
-	defer stop()
-	go t.Platform.Run(calls)
-	fin, ops := make(chan struct{}), make(chan struct{})
-	go func() { t.Callers.Go(calls); close(fin) }()
-	go func() { t.Operate(calls, func(uint64) {}); close(ops) }()
-	go t.Callers.Hammer(calls, plan.Kinds[0], "hammer")
-	// A while of calm: what is refused is judged against all calls.
-	wait(20 * time.Second)
-	r := &report{Plan: plan.Name, Zone: a.Zone, How: a.How}
-	say("%s: zone %s goes out (%s)", plan.Name, a.Zone, a.How)
-	for _, n := range t.Fleet.Nodes {
+	loadCtx, stopLoad := context.WithCancel(ctx)
+	defer stopLoad()
+	go town.Platform.Run(loadCtx)
+	callersDone, operatorDone := make(chan struct{}), make(chan struct{})
+	go func() { town.Callers.Go(loadCtx); close(callersDone) }()
+	go func() { town.Operate(loadCtx, func(uint64) {}); close(operatorDone) }()
+	go town.Callers.Hammer(loadCtx, plan.Kinds[0], "hammer")
+	// Run undisturbed at first: the limit on refused requests is relative to all requests.
+	sleep(20 * time.Second)
+	result := &report{Plan: plan.Name, Zone: a.Zone, How: a.How}
+	logf("%s: zone %s goes out (%s)", plan.Name, a.Zone, a.How)
+	for _, n := range town.Fleet.Nodes {
 		if n.Zone != a.Zone {
 			continue
 		}
-		r.Nodes++
+		result.Nodes++
 		switch a.How {
 		case "freeze":
 			n.Freeze()
@@ -162,31 +162,31 @@
 			n.Kill()
 		}
 	}
-	for _, x := range t.Targets {
+	for _, x := range town.Targets {
 		if x.Zone == a.Zone {
-			r.Targets++
+			result.Targets++
 			if a.How != "cut" {
 				x.Crash()
 			}
 		}
 	}
 	if a.How == "cut" {
-		t.CutZones(a.Zone)
+		town.CutZones(a.Zone)
 	}
-	// A target elsewhere is emptied meanwhile.
-	wait(a.Out / 3)
-	if x, ok := lo.Find(t.Targets, func(x *stand.Target) bool { return x.Zone != a.Zone }); ok {
+	// Drain a target in another zone during the outage.
+	sleep(a.Out / 3)
+	if x, ok := lo.Find(town.Targets, func(x *stand.Target) bool { return x.Zone != a.Zone }); ok {
 		cx, end := context.WithTimeout(ctx, a.Out/3)
 		_, _ = x.Leave(cx)
 		end()
 	}
-	wait(a.Out - a.Out/3)
-	say("zone %s comes back: %d nodes, %d targets", a.Zone, r.Nodes, r.Targets)
-	back := time.Now()
+	sleep(a.Out - a.Out/3)
+	logf("zone %s comes back: %d nodes, %d targets", a.Zone, result.Nodes, result.Targets)
+	returned := time.Now()
 	if a.How == "cut" {
-		t.Wires.Cut(nil)
+		town.Wires.Cut(nil)
 	}
-	for _, n := range t.Fleet.Nodes {
+	for _, n := range town.Fleet.Nodes {
 		switch {
 		case n.Zone != a.Zone:
 		case a.How == "freeze":
@@ -197,39 +197,39 @@
 			}
 		}
 	}
-	for _, x := range t.Targets {
+	for _, x := range town.Targets {
 		if x.Zone == a.Zone && a.How != "cut" {
 			if err := x.Start(ctx); err != nil {
 				return nil, err
 			}
 		}
 	}
-	wait(recoverWithin + 5*time.Second)
-	stop()
-	<-fin
-	<-ops
-	if a.Plant && len(t.Rec.Execs) > 0 {
-		for _, o := range t.Rec.Outcomes {
+	sleep(maxRecovery + 5*time.Second)
+	stopLoad()
+	<-callersDone
+	<-operatorDone
+	if a.Plant && len(town.Rec.Execs) > 0 {
+		for _, o := range town.Rec.Outcomes {
 			if !o.Repeatable && o.Status == 200 {
-				t.Rec.Exec(stand.Exec{At: time.Now(), Order: o.Order, Path: o.Path, Service: o.Service, Target: "planted"})
+				town.Rec.Exec(stand.Exec{At: time.Now(), Order: o.Order, Path: o.Path, Service: o.Service, Target: "planted"})
 				break
 			}
 		}
 	}
-	jx, quit := context.WithTimeout(ctx, 20*time.Second)
-	defer quit()
-	r.Verdict = t.Judge(jx)
-	for _, o := range t.Rec.Failed(back) {
-		r.RecoveryMS = max(r.RecoveryMS, float64(o.Sent.Sub(back).Milliseconds()))
-		if o.Sent.Sub(back) > recoverWithin {
-			r.LateFails++
+	judgeCtx, cancelJudge := context.WithTimeout(ctx, 20*time.Second)
+	defer cancelJudge()
+	result.Verdict = town.Judge(judgeCtx)
+	for _, o := range town.Rec.Failed(returned) {
+		result.RecoveryMS = max(result.RecoveryMS, float64(o.Sent.Sub(returned).Milliseconds()))
+		if o.Sent.Sub(returned) > maxRecovery {
+			result.LateFails++
 		}
 	}
-	r.Held = len(r.Verdict.Broken) == 0 && !r.Verdict.Refused && r.LateFails == 0
-	return r, nil
+	result.Held = len(result.Verdict.Broken) == 0 && !result.Verdict.Refused && result.LateFails == 0
+	return result, nil
 }
 
-func print(out io.Writer, a args, r *report) {
+func printReport(out io.Writer, a args, r *report) {
 	if a.JSON {
 		e := json.NewEncoder(out)
 		e.SetIndent("", "  ")
--- a/cmd/trial/main_test.go
+++ b/cmd/trial/main_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// What cannot be run is named, and costs no run.
+// Invalid arguments are reported by name before anything is started.
 func TestBadArgumentsAreNamed(t *testing.T) {
 	bin := t.TempDir()
 	for _, p := range []string{"gateway", "controller"} {
--- a/internal/claim/circle.go
+++ b/internal/claim/circle.go
@@ -60,7 +60,7 @@
 	}
 )
 
-func init() { link.Pair[MarkAsk, MarkTold]() }
+func init() { link.RegisterPair[MarkAsk, MarkTold]() }
 
 // Keeper keeps claims at a majority of the disks.
 type Keeper interface {
@@ -111,8 +111,8 @@
 }
 
 // Serve teaches d to answer for this node's memory.
-func (c *Circle) Serve(d *link.Desk) {
-	link.On(d, func(ctx context.Context, _ link.Who, a MarkAsk) (r MarkTold, err error) {
+func (c *Circle) Serve(d *link.Mux) {
+	link.Handle(d, func(ctx context.Context, _ link.Identity, a MarkAsk) (r MarkTold, err error) {
 		if len(a.Marks) > 2*maxBatch {
 			return r, steperr.New("mark", "", "%d marks at once", len(a.Marks))
 		}
@@ -262,7 +262,7 @@
 	ch := make(chan MarkTold, len(addrs)+1)
 	for _, a := range addrs {
 		go func() {
-			r, _ := link.Ask[MarkTold](cx, c.Line, a, MarkAsk{Marks: ms})
+			r, _ := link.Call[MarkTold](cx, c.Line, a, MarkAsk{Marks: ms})
 			ch <- r
 		}()
 	}
--- a/internal/claim/claim.go
+++ b/internal/claim/claim.go
@@ -73,8 +73,8 @@
 )
 
 func init() {
-	link.Pair[TakeAsk, TakeTold]()
-	link.Pair[EndAsk, EndTold]()
+	link.RegisterPair[TakeAsk, TakeTold]()
+	link.RegisterPair[EndAsk, EndTold]()
 }
 
 // Clerk keeps claims as items at a majority of the disks.
@@ -209,9 +209,9 @@
 }
 
 // Serve teaches d to answer for the clerk.
-func (c *Clerk) Serve(d *link.Desk) {
-	link.On(d, func(ctx context.Context, _ link.Who, a TakeAsk) (TakeTold, error) { return c.Take(ctx, a) })
-	link.On(d, func(ctx context.Context, _ link.Who, a EndAsk) (EndTold, error) {
+func (c *Clerk) Serve(d *link.Mux) {
+	link.Handle(d, func(ctx context.Context, _ link.Identity, a TakeAsk) (TakeTold, error) { return c.Take(ctx, a) })
+	link.Handle(d, func(ctx context.Context, _ link.Identity, a EndAsk) (EndTold, error) {
 		err := c.End(ctx, a)
 		return EndTold{OK: err == nil}, err
 	})
--- a/internal/commands/beat.go
+++ b/internal/commands/beat.go
@@ -43,7 +43,7 @@
 			}
 			cx, end := context.WithTimeout(ctx, 500*time.Millisecond)
 			defer end()
-			take(link.Ask[registry.BeatTold](cx, b.Line, m.Inner, registry.BeatAsk{Beat: t}))
+			take(link.Call[registry.BeatTold](cx, b.Line, m.Inner, registry.BeatAsk{Beat: t}))
 		})
 	}
 	if t.Leaving {
--- a/internal/commands/drain.go
+++ b/internal/commands/drain.go
@@ -57,7 +57,7 @@
 	}
 	d.Faults.At(fault.AfterLeaveNoted)
 	_, err := rollout.Everyone(ctx, d.Tenant, d.Clock, nil, func(cx context.Context, m membership.Member) bool {
-		r, err := link.Ask[registry.DrainTold](cx, d.Line, m.Inner, registry.DrainAsk{Service: t.Service, ID: t.ID, Inc: t.Inc, Gone: prefix == ledger.GonePrefix})
+		r, err := link.Call[registry.DrainTold](cx, d.Line, m.Inner, registry.DrainAsk{Service: t.Service, ID: t.ID, Inc: t.Inc, Gone: prefix == ledger.GonePrefix})
 		return err == nil && r.OK
 	})
 	if err != nil {
--- a/internal/commands/warden.go
+++ b/internal/commands/warden.go
@@ -150,7 +150,7 @@
 	var wg sync.WaitGroup
 	for _, m := range w.Tenant.Kind("controller") {
 		wg.Go(func() {
-			_, _ = link.Ask[registry.MarkTold](cx, w.Line, m.Inner, registry.MarkAsk{Service: t.Service, ID: t.ID, Inc: t.Inc, Suspect: suspect, Gone: gone})
+			_, _ = link.Call[registry.MarkTold](cx, w.Line, m.Inner, registry.MarkAsk{Service: t.Service, ID: t.ID, Inc: t.Inc, Suspect: suspect, Gone: gone})
 		})
 	}
 	wg.Wait()
@@ -163,7 +163,7 @@
 	yes := 0
 	for _, m := range hs {
 		cx, end := context.WithTimeout(ctx, 500*time.Millisecond)
-		r, err := link.Ask[registry.JudgeTold](cx, w.Line, m.Inner, registry.JudgeAsk{Service: t.Service, ID: t.ID, Inc: t.Inc})
+		r, err := link.Call[registry.JudgeTold](cx, w.Line, m.Inner, registry.JudgeAsk{Service: t.Service, ID: t.ID, Inc: t.Inc})
 		end()
 		if err != nil {
 			continue
@@ -331,7 +331,7 @@
 	var from, out []quorum.Seat
 	for _, s := range w.former(core, next) {
 		cx, end := context.WithTimeout(ctx, time.Second)
-		r, err := link.Ask[quorum.SealTold](cx, w.Line, s.Addr, quorum.SealAsk{Next: next})
+		r, err := link.Call[quorum.SealTold](cx, w.Line, s.Addr, quorum.SealAsk{Next: next})
 		end()
 		if err == nil && r.OK && r.Disk == s.Disk {
 			from = append(from, s)
@@ -355,7 +355,7 @@
 	votes := len(next.Seats) - len(out)
 	for _, s := range out {
 		cx, end := context.WithTimeout(ctx, 3*time.Second)
-		r, err := link.Ask[quorum.JoinTold](cx, w.Line, s.Addr, quorum.JoinAsk{Next: next, From: from})
+		r, err := link.Call[quorum.JoinTold](cx, w.Line, s.Addr, quorum.JoinAsk{Next: next, From: from})
 		end()
 		if err != nil || !r.OK {
 			w.Log.Debug("seat not yet joined", "step", "join", "mate", s.ID, "err", err)
--- a/internal/control/cluster_test.go
+++ b/internal/control/cluster_test.go
@@ -431,4 +431,4 @@
 	return c
 }
 
-func newDesk() *link.Desk { return link.NewDesk() }
+func newDesk() *link.Mux { return link.NewMux() }
--- a/internal/control/node.go
+++ b/internal/control/node.go
@@ -79,7 +79,7 @@
 // Node is a control-plane node.
 type Node struct {
 	Parts
-	Desk     *link.Desk
+	Desk     *link.Mux
 	Voter    *quorum.Voter // nil without a disk
 	Proposer *quorum.Proposer
 	Board    *watch.Board
@@ -116,7 +116,7 @@
 	if err := validate.Struct(p.Settings); err != nil {
 		return nil, steperr.At("settings", "", err)
 	}
-	n := &Node{Parts: p, Desk: link.NewDesk(), Proposer: quorum.NewProposer(p.ID+"."+p.NewDiskID, p.Line, p.Clock), Board: watch.NewBoard(p.Clock),
+	n := &Node{Parts: p, Desk: link.NewMux(), Proposer: quorum.NewProposer(p.ID+"."+p.NewDiskID, p.Line, p.Clock), Board: watch.NewBoard(p.Clock),
 		book: route.NewBook(), pauses: liveness.NewPausesEvery(p.Clock, pausePollInterval), changeSlot: make(chan struct{}, 1),
 		querySlots: make(chan struct{}, maxConcurrentQueries), started: p.Clock.Now()}
 	if p.Disk != nil {
--- a/internal/control/query.go
+++ b/internal/control/query.go
@@ -17,15 +17,15 @@
 )
 
 func init() {
-	link.Pair[ItemsAsk, Answer[ItemRow]]()
-	link.Pair[RunsAsk, Answer[RunRow]]()
-	link.Pair[MembersAsk, Answer[MemberRow]]()
-	link.Pair[DiskAsk, Answer[DiskRow]]()
-	link.Pair[CoreAsk, Answer[SeatRow]]()
-	link.Pair[CountersAsk, Answer[CounterRow]]()
-	link.Pair[UpgradesAsk, Answer[UpgradeRow]]()
-	link.Pair[UpgradeOrderAsk, UpgradeTold]()
-	link.Pair[UpgradeRevertAsk, UpgradeTold]()
+	link.RegisterPair[ItemsAsk, Answer[ItemRow]]()
+	link.RegisterPair[RunsAsk, Answer[RunRow]]()
+	link.RegisterPair[MembersAsk, Answer[MemberRow]]()
+	link.RegisterPair[DiskAsk, Answer[DiskRow]]()
+	link.RegisterPair[CoreAsk, Answer[SeatRow]]()
+	link.RegisterPair[CountersAsk, Answer[CounterRow]]()
+	link.RegisterPair[UpgradesAsk, Answer[UpgradeRow]]()
+	link.RegisterPair[UpgradeOrderAsk, UpgradeTold]()
+	link.RegisterPair[UpgradeRevertAsk, UpgradeTold]()
 }
 
 // serveQueries registers the handlers of queries.
@@ -43,7 +43,7 @@
 
 // registerQuery registers a handler that validates the request, and limits concurrency, before it calls f.
 func registerQuery[A, R any](n *Node, f func(context.Context, A) (R, error)) {
-	link.On(n.Desk, func(ctx context.Context, _ link.Who, a A) (r R, err error) {
+	link.Handle(n.Desk, func(ctx context.Context, _ link.Identity, a A) (r R, err error) {
 		if err := validate.Struct(a); err != nil {
 			n.calls.queries.record(true, nil)
 			return r, steperr.At("query", n.ID, err)
--- a/internal/control/query_test.go
+++ b/internal/control/query_test.go
@@ -28,7 +28,7 @@
 	cl.t.Helper()
 	callCtx, cancel := context.WithTimeout(cl.ctx, 3*time.Second)
 	defer cancel()
-	a, err := link.Ask[Answer[R]](callCtx, line, m.addr, ask)
+	a, err := link.Call[Answer[R]](callCtx, line, m.addr, ask)
 	if err != nil {
 		cl.t.Fatalf("%s, asked %+v: %v", m.id, ask, err)
 	}
@@ -81,7 +81,7 @@
 		callCtx, cancel := context.WithTimeout(cl.ctx, 3*time.Second)
 		defer cancel()
 		start := time.Now()
-		if _, err := link.Ask[Answer[ItemRow]](callCtx, line, cl.controllers[1].addr, ItemsAsk{}); !errors.Is(err, context.DeadlineExceeded) || time.Since(start) != 3*time.Second {
+		if _, err := link.Call[Answer[ItemRow]](callCtx, line, cl.controllers[1].addr, ItemsAsk{}); !errors.Is(err, context.DeadlineExceeded) || time.Since(start) != 3*time.Second {
 			t.Errorf("%v after %v", err, time.Since(start))
 		}
 		mustAsk[ItemRow](cl, line, cl.controllers[2], ItemsAsk{})
@@ -98,7 +98,7 @@
 		}
 		line := cl.operatorLine()
 		callCtx, cancel := context.WithTimeout(cl.ctx, time.Second)
-		if _, err := node.Desk.Answer(callCtx, link.Who{}, DiskAsk{}); !errors.Is(err, context.DeadlineExceeded) {
+		if _, err := node.Desk.Dispatch(callCtx, link.Identity{}, DiskAsk{}); !errors.Is(err, context.DeadlineExceeded) {
 			t.Errorf("query without a free slot: %v", err)
 		}
 		cancel()
--- a/internal/control/querydisk.go
+++ b/internal/control/querydisk.go
@@ -37,16 +37,16 @@
 		if m == nil {
 			continue
 		}
-		f := m.Figures()
-		r := DiskRow{File: f.Name, Synced: m == n.diskMeter, Writes: f.Writes, Failures: f.Failures, TookMS: ms(f.Took), LongestMS: ms(f.Longest), Error: f.Err}
-		if f.Sized {
+		f := m.Stats()
+		r := DiskRow{File: f.Name, Synced: m == n.diskMeter, Writes: f.Writes, Failures: f.Failures, TookMS: ms(f.LastDuration), LongestMS: ms(f.LongestDuration), Error: f.LastError}
+		if f.SizeKnown {
 			r.Bytes = knownValue(float64(f.Size))
 		}
 		if f.Writes > f.Failures {
-			r.LastMS = knownValue(float64(f.Last.Milliseconds()))
+			r.LastMS = knownValue(float64(f.SinceLastSuccess.Milliseconds()))
 		}
-		if f.Busy > 0 {
-			r.UnderWayMS = knownValue(ms(f.Busy))
+		if f.InProgressFor > 0 {
+			r.UnderWayMS = knownValue(ms(f.InProgressFor))
 		}
 		out = append(out, r)
 	}
--- a/internal/control/upgradesteps.go
+++ b/internal/control/upgradesteps.go
@@ -82,7 +82,7 @@
 
 // registerReportHandler registers the handler of reports from gateways.
 func (n *Node) registerReportHandler() {
-	link.On(n.Desk, func(_ context.Context, _ link.Who, a upgrade.ReportAsk) (upgrade.ReportTold, error) {
+	link.Handle(n.Desk, func(_ context.Context, _ link.Identity, a upgrade.ReportAsk) (upgrade.ReportTold, error) {
 		now := n.Clock.Now()
 		n.upgrades.mu.Lock()
 		defer n.upgrades.mu.Unlock()
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -49,7 +49,7 @@
 // Controller is one control-plane node.
 type Controller struct {
 	Parts
-	Desk    *link.Desk
+	Desk    *link.Mux
 	Voter   *quorum.Voter
 	Prop    *quorum.Proposer
 	Tenant  *membership.Tenant
@@ -82,7 +82,7 @@
 		}
 	}
 	do.ProvideValue(i, v)
-	do.ProvideValue(i, link.NewDesk())
+	do.ProvideValue(i, link.NewMux())
 	do.Provide(i, func(do.Injector) (*liveness.Pauses, error) { return liveness.NewPauses(p.Clock), nil })
 	do.Provide(i, func(do.Injector) (*quorum.Proposer, error) {
 		return quorum.NewProposer(p.Startup.ID+"."+p.Fresh, p.Line, p.Clock), nil
@@ -119,7 +119,7 @@
 		return &commands.Warden{House: do.MustInvoke[*registry.House](i), Book: do.MustInvoke[*ledger.Book](i), Tenant: do.MustInvoke[*membership.Tenant](i),
 			Drainer: do.MustInvoke[*commands.Drainer](i), Prop: do.MustInvoke[*quorum.Proposer](i), Line: p.Line, Clock: p.Clock, Faults: p.Faults, Log: p.Log}, nil
 	})
-	m := &Controller{Parts: p, Voter: v, Desk: do.MustInvoke[*link.Desk](i), Prop: do.MustInvoke[*quorum.Proposer](i), Tenant: do.MustInvoke[*membership.Tenant](i),
+	m := &Controller{Parts: p, Voter: v, Desk: do.MustInvoke[*link.Mux](i), Prop: do.MustInvoke[*quorum.Proposer](i), Tenant: do.MustInvoke[*membership.Tenant](i),
 		Book: do.MustInvoke[*ledger.Book](i), Roller: do.MustInvoke[*rollout.Roller](i), House: do.MustInvoke[*registry.House](i),
 		Changer: do.MustInvoke[*commands.Changer](i), Beater: do.MustInvoke[*commands.Beater](i), Drainer: do.MustInvoke[*commands.Drainer](i),
 		Warden: do.MustInvoke[*commands.Warden](i)}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -50,7 +50,7 @@
 // Gateway is one data-plane node.
 type Gateway struct {
 	Parts
-	Desk    *link.Desk
+	Desk    *link.Mux
 	Tenant  *membership.Tenant
 	Rack    *rollout.Rack
 	Roster  *registry.Roster
@@ -85,7 +85,7 @@
 	do.Provide(i, newRack)
 	do.Provide(i, newCircle)
 	do.Provide(i, newPassage)
-	f := &Gateway{Parts: p, born: p.Clock.Now(), Desk: link.NewDesk(), Tenant: do.MustInvoke[*membership.Tenant](i), Pauses: do.MustInvoke[*liveness.Pauses](i),
+	f := &Gateway{Parts: p, born: p.Clock.Now(), Desk: link.NewMux(), Tenant: do.MustInvoke[*membership.Tenant](i), Pauses: do.MustInvoke[*liveness.Pauses](i),
 		Rack: do.MustInvoke[*rollout.Rack](i), Roster: do.MustInvoke[*registry.Roster](i), Passage: do.MustInvoke[*passage.Passage](i)}
 	since := time.Now().UnixMilli()
 	f.Tenant.Me = func() membership.Member {
@@ -209,7 +209,7 @@
 	for {
 		for _, a := range c.controllers() {
 			cx, end := context.WithTimeout(ctx, claimTime)
-			r, err = link.Ask[R](cx, c.line, a, ask)
+			r, err = link.Call[R](cx, c.line, a, ask)
 			end()
 			if err == nil {
 				return r, nil
@@ -275,7 +275,7 @@
 func (f *Gateway) Part(ctx context.Context) {
 	f.Tenant.Leave(ctx)
 	for _, a := range f.Rack.Controllers() {
-		if r, err := link.Ask[rollout.PartTold](ctx, f.Line, a, rollout.PartAsk{ID: f.Startup.ID}); err == nil && r.OK {
+		if r, err := link.Call[rollout.PartTold](ctx, f.Line, a, rollout.PartAsk{ID: f.Startup.ID}); err == nil && r.OK {
 			return
 		}
 	}
--- a/internal/link/frame.go
+++ b/internal/link/frame.go
@@ -10,44 +10,44 @@
 	"sync"
 )
 
-// MaxFrame bounds one frame, so that no peer can make this process allocate
-// without limit (design 3.2).
-const MaxFrame = 8 << 20
+// MaxFrameSize limits the size of a frame, so that no peer can make this process allocate
+// memory without limit (design 3.2).
+const MaxFrameSize = 8 << 20
 
 const (
-	// keepFrame is the largest frame after which both ends keep their buffers and their
-	// gob stream (design 3.3).
-	keepFrame = 16 << 10
-	// anewBit in a frame's length says that the gob stream begins anew behind it.
-	anewBit = 1 << 31
+	// maxRetainedFrame is the size of the largest frame after which both ends keep their buffers and
+	// their gob stream (design 3.3).
+	maxRetainedFrame = 16 << 10
+	// streamResetBit is set in the length of a frame after which a new gob stream starts.
+	streamResetBit = 1 << 31
 )
 
 var (
-	errFrameSize = errors.New("frame larger than the limit")
-	errFrameTail = errors.New("bytes left over after the value in a frame")
+	errFrameSize     = errors.New("frame larger than the limit")
+	errTrailingBytes = errors.New("bytes left over after the value in a frame")
 )
 
-var known sync.Map
+var registeredTypes sync.Map
 
-// Register makes T known to gob; each type once.
+// Register registers T with gob, once for each type.
 func Register[T any]() {
 	t := reflect.TypeFor[T]()
-	if _, dup := known.LoadOrStore(t, true); dup {
+	if _, dup := registeredTypes.LoadOrStore(t, true); dup {
 		return
 	}
 	gob.RegisterName(t.String(), reflect.New(t).Elem().Interface())
 }
 
-// envelope is what travels in a frame: a question, or the answer to one.
+// envelope is the content of a frame: a request or a response.
 type envelope struct {
 	ID    uint64
 	Reply bool
 	Err   string
-	Wait  int64 // the asker's patience in nanoseconds, for questions
+	Wait  int64 // requests only: time until the caller's deadline, in nanoseconds
 	Body  any
 }
 
-// greeting opens every link, in both directions (design 3.1).
+// greeting is the first message of a connection, in each direction (design 3.1).
 type greeting struct {
 	Magic   string
 	Version int
@@ -56,14 +56,14 @@
 }
 
 const (
-	magic   = "walkrudder"
-	version = 2
+	protocolMagic   = "walkrudder"
+	protocolVersion = 2
 )
 
-// framer writes and reads values as frames over one stream. One gob stream runs
-// through the frames, so that type descriptions travel once. gob keeps buffers of the
-// size of the largest value for as long as its stream lives, so behind a large frame it
-// begins anew, at both ends.
+// framer writes and reads values as frames on a connection. All frames share one gob stream,
+// so that each type is described only once. gob keeps buffers as large as the largest value
+// for the lifetime of its stream, so both ends start a new stream after a large
+// frame.
 type framer struct {
 	w   io.Writer
 	r   io.Reader
@@ -80,68 +80,68 @@
 	return f
 }
 
-// write sends one value; the caller serialises.
+// write sends one value. It must not be called concurrently.
 func (f *framer) write(v any) error {
 	f.out.Reset()
 	f.out.Write([]byte{0, 0, 0, 0})
 	if err := f.enc.Encode(v); err != nil {
 		return err
 	}
-	b := f.out.Bytes()
-	if len(b)-4 > MaxFrame {
+	frame := f.out.Bytes()
+	if len(frame)-4 > MaxFrameSize {
 		return errFrameSize
 	}
-	n := uint32(len(b) - 4)
-	anew := n > keepFrame
-	if anew {
-		n |= anewBit
+	size := uint32(len(frame) - 4)
+	reset := size > maxRetainedFrame
+	if reset {
+		size |= streamResetBit
 	}
-	binary.BigEndian.PutUint32(b, n)
-	_, err := f.w.Write(b)
-	if anew {
+	binary.BigEndian.PutUint32(frame, size)
+	_, err := f.w.Write(frame)
+	if reset {
 		f.out = bytes.Buffer{}
 		f.enc = gob.NewEncoder(&f.out)
 	}
 	return err
 }
 
-// read takes one value; a frame that holds less or more than it is an error.
+// read receives one value; it is an error if the frame holds less or more than that value.
 func (f *framer) read(v any) error {
-	var h [4]byte
-	if _, err := io.ReadFull(f.r, h[:]); err != nil {
+	var header [4]byte
+	if _, err := io.ReadFull(f.r, header[:]); err != nil {
 		return err
 	}
-	n := binary.BigEndian.Uint32(h[:])
-	anew := n&anewBit > 0
-	n &^= anewBit
-	if n == 0 || n > MaxFrame {
+	size := binary.BigEndian.Uint32(header[:])
+	reset := size&streamResetBit > 0
+	size &^= streamResetBit
+	if size == 0 || size > MaxFrameSize {
 		return errFrameSize
 	}
-	// Grow with what really arrives, not with what the header claims.
+	// The buffer grows with the data that arrives, whatever length the header claims.
 	f.in.Reset()
-	if m, err := io.CopyN(&f.in.Buffer, f.r, int64(n)); err != nil || m != int64(n) {
+	if copied, err := io.CopyN(&f.in.Buffer, f.r, int64(size)); err != nil || copied != int64(size) {
 		return io.ErrUnexpectedEOF
 	}
 	if err := f.dec.Decode(v); err != nil {
 		return err
 	}
 	if f.in.Len() != 0 {
-		return errFrameTail
+		return errTrailingBytes
 	}
-	if anew {
+	if reset {
 		f.in = frameReader{}
 		f.dec = gob.NewDecoder(&f.in)
 	}
 	return nil
 }
 
-// frameReader ends at the frame's end, and offers bytes singly so that gob adds
-// no read-ahead of its own.
+// frameReader reads to the end of a frame. It is an io.ByteReader, so that gob does not add
+// a buffer that reads ahead.
 type frameReader struct{ bytes.Buffer }
 
-// Pair makes a question and its answer known to gob. Every package does so for
-// all of its own at start, for a process asks what it never answers.
-func Pair[A, R any]() {
+// RegisterPair registers a request type and its response type with gob. Each package does so for
+// all its types at start-up, since a process also sends requests that it has no handler for.
+func RegisterPair[A, R any]() {
 	Register[A]()
 	Register[R]()
 }
--- a/internal/link/link.go
+++ b/internal/link/link.go
@@ -1,5 +1,5 @@
-// Package link carries questions and their answers between walkrudder's own
-// processes: gob values in length-marked frames over TCP (design 3).
+// Package link implements RPC between walkrudder's processes: requests and responses are
+// gob values in length-prefixed frames over TCP (design 3).
 package link
 
 import (
@@ -10,34 +10,33 @@
 	"walkrudder/internal/steperr"
 )
 
-// Who names the process at the other end of a link.
-type Who struct {
+// Identity identifies the process at the other end of a connection.
+type Identity struct {
 	ID   string
 	Kind string // "gateway", "controller" or "tool"
 }
 
-// Line asks one question of the process at an inner address.
+// Line is an RPC client: Call sends one request to the process at an internal address.
 type Line interface {
 	Call(ctx context.Context, addr string, ask any) (any, error)
 }
 
-// Desk answers questions by their type. It is filled at start-up and read-only
-// from then on.
-type Desk struct {
-	by map[reflect.Type]func(context.Context, Who, any) (any, error)
+// Mux dispatches requests to handlers by the type of the request. Handlers are registered at start-up;
+// after that, it is read-only.
+type Mux struct {
+	handlers map[reflect.Type]func(context.Context, Identity, any) (any, error)
 }
 
-// NewDesk makes an empty desk.
-func NewDesk() *Desk {
-	return &Desk{by: map[reflect.Type]func(context.Context, Who, any) (any, error){}}
+func NewMux() *Mux {
+	return &Mux{handlers: map[reflect.Type]func(context.Context, Identity, any) (any, error){}}
 }
 
-// On teaches d to answer questions of type A.
-func On[A, R any](d *Desk, f func(context.Context, Who, A) (R, error)) {
+// Handle registers handler for requests of type A.
+func Handle[A, R any](mux *Mux, handler func(context.Context, Identity, A) (R, error)) {
 	Register[A]()
 	Register[R]()
-	d.by[reflect.TypeFor[A]()] = func(ctx context.Context, w Who, a any) (any, error) {
-		r, err := f(ctx, w, a.(A))
+	mux.handlers[reflect.TypeFor[A]()] = func(ctx context.Context, w Identity, a any) (any, error) {
+		r, err := handler(ctx, w, a.(A))
 		if err != nil {
 			return nil, err
 		}
@@ -45,25 +44,25 @@
 	}
 }
 
-// Answer finds the answer to ask.
-func (d *Desk) Answer(ctx context.Context, w Who, ask any) (any, error) {
-	f, ok := d.by[reflect.TypeOf(ask)]
+// Dispatch calls the handler for request and returns its response.
+func (m *Mux) Dispatch(ctx context.Context, from Identity, request any) (any, error) {
+	handler, ok := m.handlers[reflect.TypeOf(request)]
 	if !ok {
-		return nil, steperr.New("answer", w.ID, "no answer here to %T", ask)
+		return nil, steperr.New("answer", from.ID, "no answer here to %T", request)
 	}
-	return f(ctx, w, ask)
+	return handler(ctx, from, request)
 }
 
-// Ask calls addr and expects an answer of type R.
-func Ask[R any](ctx context.Context, l Line, addr string, ask any) (R, error) {
-	var z R
-	v, err := l.Call(ctx, addr, ask)
+// Call sends request to addr and expects a response of type R.
+func Call[R any](ctx context.Context, client Line, addr string, request any) (R, error) {
+	var zero R
+	v, err := client.Call(ctx, addr, request)
 	if err != nil {
-		return z, err
+		return zero, err
 	}
-	r, ok := v.(R)
+	response, ok := v.(R)
 	if !ok {
-		return z, steperr.At("ask", addr, fmt.Errorf("answer of type %T, want %T", v, z))
+		return zero, steperr.At("ask", addr, fmt.Errorf("answer of type %T, want %T", v, zero))
 	}
-	return r, nil
+	return response, nil
 }
--- a/internal/link/link_test.go
+++ b/internal/link/link_test.go
@@ -19,53 +19,53 @@
 	boomAsk  struct{ N int }
 )
 
-func serve(t *testing.T) (*TCP, string) {
+func startServer(t *testing.T) (*TCP, string) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	d := NewDesk()
-	On(d, func(_ context.Context, w Who, a echoAsk) (echoTold, error) {
+	d := NewMux()
+	Handle(d, func(_ context.Context, w Identity, a echoAsk) (echoTold, error) {
 		if a.Text == "fail" {
 			return echoTold{}, errors.New("as asked")
 		}
 		return echoTold{w.ID + ":" + a.Text}, nil
 	})
-	On(d, func(context.Context, Who, boomAsk) (echoTold, error) { panic("boom") })
-	s := NewTCP(Who{ID: "srv", Kind: "controller"}, "", log.New(io.Discard))
+	Handle(d, func(context.Context, Identity, boomAsk) (echoTold, error) { panic("boom") })
+	s := NewTCP(Identity{ID: "srv", Kind: "controller"}, "", log.New(io.Discard))
 	go s.Serve(ln, d)
 	t.Cleanup(s.Close)
 	return s, ln.Addr().String()
 }
 
 func TestLinkAnswersAndSurvivesPanics(t *testing.T) {
-	_, addr := serve(t)
-	c := NewTCP(Who{ID: "cli", Kind: "tool"}, "", log.New(io.Discard))
+	_, addr := startServer(t)
+	c := NewTCP(Identity{ID: "cli", Kind: "tool"}, "", log.New(io.Discard))
 	defer c.Close()
 	ctx := context.Background()
 	for range 3 {
-		r, err := Ask[echoTold](ctx, c, addr, echoAsk{"hi"})
+		r, err := Call[echoTold](ctx, c, addr, echoAsk{"hi"})
 		if err != nil || r.Text != "cli:hi" {
 			t.Fatalf("%v %v", r, err)
 		}
 		if _, err := c.Call(ctx, addr, echoAsk{"fail"}); err == nil {
-			t.Fatal("an error was lost")
+			t.Fatal("the handler's error was not returned")
 		}
 		if _, err := c.Call(ctx, addr, boomAsk{1}); err == nil {
-			t.Fatal("a panic looked like an answer")
+			t.Fatal("a panic in the handler was returned as a response")
 		}
 	}
 }
 
-// Whatever arrives, the link it came on ends, and the next one is served.
+// An invalid message ends its own connection only; the next connection is served.
 func TestBrokenFramesEndTheirLinkOnly(t *testing.T) {
-	_, addr := serve(t)
+	_, addr := startServer(t)
 	var good bytes.Buffer
-	if err := newFramer(nil, &good).write(greeting{magic, version, "x", "tool"}); err != nil {
+	if err := newFramer(nil, &good).write(greeting{protocolMagic, protocolVersion, "x", "tool"}); err != nil {
 		t.Fatal(err)
 	}
-	huge := binary.BigEndian.AppendUint32(nil, MaxFrame+1)
+	huge := binary.BigEndian.AppendUint32(nil, MaxFrameSize+1)
 	for name, raw := range map[string][]byte{
 		"no gob":             append(binary.BigEndian.AppendUint32(nil, 5), "hello"...),
 		"too large":          huge,
@@ -82,14 +82,14 @@
 		if _, err := io.Copy(io.Discard, c); err != nil {
 			var ne net.Error
 			if errors.As(err, &ne) && ne.Timeout() {
-				t.Errorf("%s: the link was left open", name)
+				t.Errorf("%s: the connection was left open", name)
 			}
 		}
 		_ = c.Close()
 	}
-	c := NewTCP(Who{ID: "cli", Kind: "tool"}, "", log.New(io.Discard))
+	c := NewTCP(Identity{ID: "cli", Kind: "tool"}, "", log.New(io.Discard))
 	defer c.Close()
-	if _, err := Ask[echoTold](context.Background(), c, addr, echoAsk{"still"}); err != nil {
+	if _, err := Call[echoTold](context.Background(), c, addr, echoAsk{"still"}); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -97,16 +97,16 @@
 func FuzzFrames(f *testing.F) {
 	var b bytes.Buffer
 	w := newFramer(nil, &b)
-	_ = w.write(greeting{magic, version, "x", "tool"})
+	_ = w.write(greeting{protocolMagic, protocolVersion, "x", "tool"})
 	_ = w.write(&envelope{ID: 1, Body: echoAsk{"x"}})
 	f.Add(b.Bytes())
 	f.Add([]byte{0, 0, 0, 1, 0})
 	f.Add([]byte{0xff, 0xff, 0xff, 0xff})
-	Pair[echoAsk, echoTold]()
+	RegisterPair[echoAsk, echoTold]()
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		r := newFramer(bytes.NewReader(raw), io.Discard)
 		var g greeting
-		if r.read(&g) != nil || g.check() != nil {
+		if r.read(&g) != nil || g.validate() != nil {
 			return
 		}
 		for range 10 {
@@ -123,8 +123,8 @@
 	Blob []byte
 }
 
-// TestALargeFrameIsNotKept: neither end keeps buffers of the size of the largest value
-// that ever passed, and small ones pass behind it as before, with their types told once.
+// TestALargeFrameIsNotKept: neither end retains buffers of the size of the largest value sent,
+// and small values are sent after it as before, with their types described once.
 func TestALargeFrameIsNotKept(t *testing.T) {
 	Register[blobAsk]()
 	var wire bytes.Buffer
@@ -146,20 +146,20 @@
 	}
 	first, again := pass(10), pass(10)
 	if again >= first {
-		t.Errorf("types are told with each frame: %d and %d bytes", first, again)
+		t.Errorf("types are described in each frame: %d and %d bytes", first, again)
 	}
 	enc, dec := w.enc, r.dec
-	pass(keepFrame / 2)
+	pass(maxRetainedFrame / 2)
 	if w.enc != enc || r.dec != dec {
-		t.Error("a small frame began the stream anew")
+		t.Error("a small frame reset the stream")
 	}
 	pass(4 << 20)
 	if w.enc == enc || r.dec == dec {
-		t.Error("the stream, with its buffers, is kept")
+		t.Error("the stream and its buffers were retained after a large frame")
 	}
 	for name, n := range map[string]int{"writer": w.out.Cap(), "reader": r.in.Cap()} {
-		if n > 2*keepFrame {
-			t.Errorf("the %s keeps %d bytes", name, n)
+		if n > 2*maxRetainedFrame {
+			t.Errorf("the %s retains %d bytes", name, n)
 		}
 	}
 	pass(4 << 20)
@@ -168,10 +168,10 @@
 	}
 }
 
-// A length with the mark of a new stream is still bounded.
+// The size limit also applies to a length with the stream reset bit.
 func TestAMarkedFrameIsBounded(t *testing.T) {
 	var h [4]byte
-	binary.BigEndian.PutUint32(h[:], anewBit|(MaxFrame+1))
+	binary.BigEndian.PutUint32(h[:], streamResetBit|(MaxFrameSize+1))
 	var v echoAsk
 	if err := newFramer(bytes.NewReader(h[:]), io.Discard).read(&v); !errors.Is(err, errFrameSize) {
 		t.Errorf("%v", err)
--- a/internal/link/mute_test.go
+++ b/internal/link/mute_test.go
@@ -11,22 +11,22 @@
 	"github.com/charmbracelet/log"
 )
 
-// mutable stands between a line and its peer and can hold back whatever comes from
-// the peer, as a cut does.
-type mutable struct {
-	ln    net.Listener
-	dials chan struct{} // one for each
+// silencingProxy forwards connections to a server and can drop everything that the server
+// sends, as a network partition does.
+type silencingProxy struct {
+	ln       net.Listener
+	accepted chan struct{} // one value for each connection
 }
 
-// newMutable passes each connection on; the n-th is mute after its greeting where mute
-// says so.
-func newMutable(t *testing.T, to string, mute func(n int) bool) *mutable {
+// newSilencingProxy starts a proxy that forwards each connection; the n-th connection goes silent after
+// its greeting if silent(n) is true.
+func newSilencingProxy(t *testing.T, target string, silent func(n int) bool) *silencingProxy {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	m := &mutable{ln: ln, dials: make(chan struct{}, 16)}
+	m := &silencingProxy{ln: ln, accepted: make(chan struct{}, 16)}
 	t.Cleanup(func() { _ = ln.Close() })
 	go func() {
 		for n := 0; ; n++ {
@@ -34,8 +34,8 @@
 			if err != nil {
 				return
 			}
-			m.dials <- struct{}{}
-			p, err := net.Dial("tcp", to)
+			m.accepted <- struct{}{}
+			p, err := net.Dial("tcp", target)
 			if err != nil {
 				_ = c.Close()
 				return
@@ -46,11 +46,11 @@
 			}()
 			go func() {
 				defer c.Close()
-				if !mute(n) {
+				if !silent(n) {
 					_, _ = io.Copy(c, p)
 					return
 				}
-				// The greeting comes through, then nothing more.
+				// Forward the greeting, then nothing more.
 				b := make([]byte, 4096)
 				if k, err := p.Read(b); err == nil {
 					_, _ = c.Write(b[:k])
@@ -63,63 +63,63 @@
 }
 
 func TestAMuteLinkIsDialledAnew(t *testing.T) {
-	_, addr := serve(t)
-	m := newMutable(t, addr, func(n int) bool { return n == 0 })
-	c := NewTCP(Who{ID: "cli", Kind: "tool"}, "", log.New(io.Discard))
+	_, addr := startServer(t)
+	m := newSilencingProxy(t, addr, func(n int) bool { return n == 0 })
+	c := NewTCP(Identity{ID: "cli", Kind: "tool"}, "", log.New(io.Discard))
 	defer c.Close()
 	ask := func(d time.Duration) error {
 		ctx, end := context.WithTimeout(context.Background(), d)
 		defer end()
-		_, err := Ask[echoTold](ctx, c, m.ln.Addr().String(), echoAsk{"hi"})
+		_, err := Call[echoTold](ctx, c, m.ln.Addr().String(), echoAsk{"hi"})
 		return err
 	}
-	if err := ask(muteTime + 100*time.Millisecond); err == nil {
-		t.Fatal("a mute link answered")
+	if err := ask(silentTimeout + 100*time.Millisecond); err == nil {
+		t.Fatal("a silent connection returned a response")
 	}
 	if err := ask(10 * time.Second); err != nil {
-		t.Fatalf("the next ask did not dial anew: %v", err)
+		t.Fatalf("the next request did not open a new connection: %v", err)
 	}
-	if n := len(m.dials); n != 2 {
-		t.Errorf("%d dials, want 2", n)
+	if n := len(m.accepted); n != 2 {
+		t.Errorf("%d connections, want 2", n)
 	}
-	// A link that answers is kept, also where one ask is given up.
+	// A connection that answers is kept, even if one request is canceled.
 	ctx, end := context.WithCancel(context.Background())
 	end()
 	_, _ = c.Call(ctx, m.ln.Addr().String(), echoAsk{"hi"})
 	if err := ask(10 * time.Second); err != nil {
 		t.Fatal(err)
 	}
-	if n := len(m.dials); n != 2 {
-		t.Errorf("%d dials after an ask was given up, want 2", n)
+	if n := len(m.accepted); n != 2 {
+		t.Errorf("%d connections after a request was canceled, want 2", n)
 	}
 }
 
-// A link that carries other answers is alive, however long one of them takes.
+// A connection that carries other responses is alive, however long one of them takes.
 func TestALinkThatStillCarriesAnswersIsKept(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	d := NewDesk()
-	On(d, func(ctx context.Context, _ Who, a echoAsk) (echoTold, error) {
+	d := NewMux()
+	Handle(d, func(ctx context.Context, _ Identity, a echoAsk) (echoTold, error) {
 		if a.Text == "slow" {
 			<-ctx.Done()
 		}
 		return echoTold(a), nil
 	})
-	s := NewTCP(Who{ID: "srv", Kind: "controller"}, "", log.New(io.Discard))
+	s := NewTCP(Identity{ID: "srv", Kind: "controller"}, "", log.New(io.Discard))
 	go s.Serve(ln, d)
 	t.Cleanup(s.Close)
-	c := NewTCP(Who{ID: "cli", Kind: "tool"}, "", log.New(io.Discard))
+	c := NewTCP(Identity{ID: "cli", Kind: "tool"}, "", log.New(io.Discard))
 	defer c.Close()
 	addr := ln.Addr().String()
-	if _, err := Ask[echoTold](context.Background(), c, addr, echoAsk{"first"}); err != nil {
+	if _, err := Call[echoTold](context.Background(), c, addr, echoAsk{"first"}); err != nil {
 		t.Fatal(err)
 	}
 	c.mu.Lock()
-	l := c.links[addr]
+	l := c.conns[addr]
 	c.mu.Unlock()
-	ctx, end := context.WithTimeout(context.Background(), muteTime+100*time.Millisecond)
+	ctx, end := context.WithTimeout(context.Background(), silentTimeout+100*time.Millisecond)
 	defer end()
 	done := make(chan struct{})
 	go func() {
@@ -127,31 +127,31 @@
 		_, _ = c.Call(ctx, addr, echoAsk{"slow"})
 	}()
 	for ctx.Err() == nil {
-		if _, err := Ask[echoTold](context.Background(), c, addr, echoAsk{"quick"}); err != nil {
+		if _, err := Call[echoTold](context.Background(), c, addr, echoAsk{"quick"}); err != nil {
 			t.Fatal(err)
 		}
 	}
 	<-done
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.links[addr] != l {
-		t.Error("a link that answered was dropped")
+	if c.conns[addr] != l {
+		t.Error("a connection that carried responses was closed")
 	}
 }
 
-// A process that accepts and says nothing costs no more than the asker's patience.
+// A peer that accepts and sends nothing delays the caller no longer than its own deadline.
 func TestAGreetingIsNotWaitedForBeyondPatience(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a, b := net.Pipe()
 		defer a.Close()
 		defer b.Close()
 		go func() { _, _ = io.Copy(io.Discard, b) }()
-		c := NewTCP(Who{ID: "cli", Kind: "tool"}, "", log.New(io.Discard))
+		c := NewTCP(Identity{ID: "cli", Kind: "tool"}, "", log.New(io.Discard))
 		ctx, end := context.WithTimeout(t.Context(), 50*time.Millisecond)
 		defer end()
 		begun := time.Now()
-		if err := c.greet(ctx, a, newFramer(a, a)); err == nil {
-			t.Error("a greeting that never came was taken")
+		if err := c.exchangeGreetings(ctx, a, newFramer(a, a)); err == nil {
+			t.Error("the exchange succeeded without a greeting from the peer")
 		}
 		if d := time.Since(begun); d != 50*time.Millisecond {
 			t.Errorf("waited for %v", d)
--- a/internal/link/tcp.go
+++ b/internal/link/tcp.go
@@ -19,118 +19,118 @@
 )
 
 const (
-	dialTime  = 400 * time.Millisecond
-	greetTime = 2 * time.Second
-	writeTime = 2 * time.Second
-	// idleTime is how long a link may stay silent; leases keep live links busy.
-	idleTime = 30 * time.Second
-	// maxOpen bounds questions under way on one accepted link.
-	maxOpen = 512
-	// muteTime is how long an ask must have waited in vain, with nothing at all read
-	// from its link meanwhile, for the link to count as dead.
-	muteTime = 200 * time.Millisecond
-	// maxLinks bounds accepted links.
-	maxLinks = 1024
+	defaultDialTimeout = 400 * time.Millisecond
+	greetingTimeout    = 2 * time.Second
+	writeTimeout       = 2 * time.Second
+	// idleTimeout is how long a connection may be idle; lease renewals keep connections in use busy.
+	idleTimeout = 30 * time.Second
+	// maxRequestsPerConn limits the concurrent requests on one accepted connection.
+	maxRequestsPerConn = 512
+	// silentTimeout is how long a request must have waited, with no data at all read from its connection
+	// in that time, for the connection to count as dead when the request times out.
+	silentTimeout = 200 * time.Millisecond
+	// maxAcceptedConns limits the number of accepted connections.
+	maxAcceptedConns = 1024
 )
 
-// TCP is the line of a real process: one link per address, many questions at
-// once on each (design 3).
+// TCP is the Line of a real process, and the server that dispatches to a Mux. It opens one connection for
+// each address and multiplexes concurrent requests on it (design 3).
 type TCP struct {
-	Me  Who
-	Log *log.Logger
-	// From is the IP to call from, "" for whatever the system takes.
-	From string
-	// DialTime bounds a connect; 0 is usual.
-	DialTime time.Duration
+	Self Identity
+	Log  *log.Logger
+	// LocalIP is the source IP of outgoing connections; "" lets the system choose.
+	LocalIP string
+	// DialTimeout limits connecting; 0 selects defaultDialTimeout.
+	DialTimeout time.Duration
 
-	mu    sync.Mutex
-	links map[string]*tcpLink
-	shut  bool
-	bound net.Listener
-	open  map[net.Conn]bool
+	mu       sync.Mutex
+	conns    map[string]*tcpConn
+	closed   bool
+	listener net.Listener
+	accepted map[net.Conn]bool
 }
 
-// NewTCP makes a line that introduces itself as me and calls from the IP of bind,
-// where that is given.
-func NewTCP(me Who, bind string, lg *log.Logger) *TCP {
+// NewTCP returns a TCP that identifies itself as self and calls from the IP address of bind,
+// if that is set.
+func NewTCP(self Identity, bind string, logger *log.Logger) *TCP {
 	ip, _, _ := net.SplitHostPort(bind)
-	return &TCP{Me: me, Log: lg, From: ip, links: map[string]*tcpLink{}, open: map[net.Conn]bool{}}
+	return &TCP{Self: self, Log: logger, LocalIP: ip, conns: map[string]*tcpConn{}, accepted: map[net.Conn]bool{}}
 }
 
-// Dialer dials from an IP of this machine, so that others know who calls; "" leaves
-// it to the system.
-func Dialer(from string, limit time.Duration) net.Dialer {
-	d := net.Dialer{Timeout: limit}
-	if ip := net.ParseIP(from); ip != nil && !ip.IsUnspecified() {
-		d.LocalAddr = &net.TCPAddr{IP: ip}
-	}
-	return d
+// Dialer returns a dialer that uses localIP as source address, so that peers can tell who calls; ""
+// lets the system choose.
+func Dialer(localIP string, timeout time.Duration) net.Dialer {
+	dialer := net.Dialer{Timeout: timeout}
+	if ip := net.ParseIP(localIP); ip != nil && !ip.IsUnspecified() {
+		dialer.LocalAddr = &net.TCPAddr{IP: ip}
+	}
+	return dialer
 }
 
-type tcpLink struct {
-	addr string
-	c    net.Conn
-	wmu  sync.Mutex
-	f    *framer
-	read *atomic.Uint64 // bytes that came from the peer
-	mu   sync.Mutex
-	seq  uint64
-	wait map[uint64]chan envelope
-	dead bool
+type tcpConn struct {
+	addr      string
+	conn      net.Conn
+	writeMu   sync.Mutex
+	framer    *framer
+	bytesRead *atomic.Uint64 // total received from the peer
+	mu        sync.Mutex
+	lastID    uint64
+	pending   map[uint64]chan envelope
+	closed    bool
 }
 
-// counter counts what is read through it.
-type counter struct {
-	r io.Reader
-	n *atomic.Uint64
+// countingReader counts the bytes read through it.
+type countingReader struct {
+	r     io.Reader
+	count *atomic.Uint64
 }
 
-func (c counter) Read(p []byte) (int, error) {
+func (c countingReader) Read(p []byte) (int, error) {
 	n, err := c.r.Read(p)
-	c.n.Add(uint64(n))
+	c.count.Add(uint64(n))
 	return n, err
 }
 
-// Call asks one question; ctx bounds the wait.
-func (t *TCP) Call(ctx context.Context, addr string, ask any) (any, error) {
-	l, err := t.link(ctx, addr)
+// Call sends one request and waits for its response until ctx ends.
+func (t *TCP) Call(ctx context.Context, addr string, request any) (any, error) {
+	conn, err := t.connect(ctx, addr)
 	if err != nil {
 		return nil, steperr.At("link", addr, err)
 	}
-	ch := make(chan envelope, 1)
-	l.mu.Lock()
-	if l.dead {
-		l.mu.Unlock()
+	response := make(chan envelope, 1)
+	conn.mu.Lock()
+	if conn.closed {
+		conn.mu.Unlock()
 		return nil, steperr.New("link", addr, "closed")
 	}
-	l.seq++
-	id := l.seq
-	l.wait[id] = ch
-	l.mu.Unlock()
+	conn.lastID++
+	id := conn.lastID
+	conn.pending[id] = response
+	conn.mu.Unlock()
 	defer func() {
-		l.mu.Lock()
-		delete(l.wait, id)
-		l.mu.Unlock()
+		conn.mu.Lock()
+		delete(conn.pending, id)
+		conn.mu.Unlock()
 	}()
-	e := envelope{ID: id, Body: ask, Wait: int64(2 * time.Second)}
+	e := envelope{ID: id, Body: request, Wait: int64(2 * time.Second)}
 	if d, ok := ctx.Deadline(); ok {
 		e.Wait = int64(time.Until(d))
 	}
-	begun, read := time.Now(), l.read.Load()
-	if err := l.write(&e); err != nil {
-		t.drop(l)
+	sentAt, bytesBefore := time.Now(), conn.bytesRead.Load()
+	if err := conn.send(&e); err != nil {
+		t.closeConn(conn)
 		return nil, steperr.At("ask", addr, err)
 	}
 	select {
 	case <-ctx.Done():
-		// A peer that fell silent may have been cut off: once the cut heals, the link
-		// would still be stuck in ever longer pauses between retransmissions. The next
-		// ask dials anew.
-		if errors.Is(ctx.Err(), context.DeadlineExceeded) && l.read.Load() == read && time.Since(begun) >= muteTime {
-			t.drop(l)
+		// A silent peer may have been partitioned: once the partition heals, this connection would
+		// still wait for retransmissions, at ever longer intervals. The next request opens a
+		// new connection.
+		if errors.Is(ctx.Err(), context.DeadlineExceeded) && conn.bytesRead.Load() == bytesBefore && time.Since(sentAt) >= silentTimeout {
+			t.closeConn(conn)
 		}
 		return nil, steperr.At("ask", addr, ctx.Err())
-	case e, ok := <-ch:
+	case e, ok := <-response:
 		if !ok {
 			return nil, steperr.New("ask", addr, "link closed before the answer")
 		}
@@ -141,82 +141,82 @@
 	}
 }
 
-func (l *tcpLink) write(e *envelope) error {
-	l.wmu.Lock()
-	defer l.wmu.Unlock()
-	if err := l.c.SetWriteDeadline(time.Now().Add(writeTime)); err != nil {
+func (l *tcpConn) send(e *envelope) error {
+	l.writeMu.Lock()
+	defer l.writeMu.Unlock()
+	if err := l.conn.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
 		return err
 	}
-	return l.f.write(e)
+	return l.framer.write(e)
 }
 
-// link finds or opens the link to addr.
-func (t *TCP) link(ctx context.Context, addr string) (*tcpLink, error) {
+// connect returns the open connection to addr, or opens one.
+func (t *TCP) connect(ctx context.Context, addr string) (*tcpConn, error) {
 	t.mu.Lock()
-	if t.shut {
+	if t.closed {
 		t.mu.Unlock()
 		return nil, net.ErrClosed
 	}
-	if l, ok := t.links[addr]; ok {
+	if l, ok := t.conns[addr]; ok {
 		t.mu.Unlock()
 		return l, nil
 	}
 	t.mu.Unlock()
-	d := Dialer(t.From, cmp.Or(t.DialTime, dialTime))
-	c, err := d.DialContext(ctx, "tcp", addr)
+	dialer := Dialer(t.LocalIP, cmp.Or(t.DialTimeout, defaultDialTimeout))
+	c, err := dialer.DialContext(ctx, "tcp", addr)
 	if err != nil {
 		return nil, err
 	}
-	read := &atomic.Uint64{}
-	f := newFramer(bufio.NewReader(counter{c, read}), c)
-	if err := t.greet(ctx, c, f); err != nil {
+	bytesRead := &atomic.Uint64{}
+	frames := newFramer(bufio.NewReader(countingReader{c, bytesRead}), c)
+	if err := t.exchangeGreetings(ctx, c, frames); err != nil {
 		_ = c.Close()
 		return nil, err
 	}
-	l := &tcpLink{addr: addr, c: c, f: f, read: read, wait: map[uint64]chan envelope{}}
+	l := &tcpConn{addr: addr, conn: c, framer: frames, bytesRead: bytesRead, pending: map[uint64]chan envelope{}}
 	t.mu.Lock()
-	if t.shut {
+	if t.closed {
 		t.mu.Unlock()
 		_ = c.Close()
 		return nil, net.ErrClosed
 	}
-	if o, ok := t.links[addr]; ok {
+	if existing, ok := t.conns[addr]; ok {
 		t.mu.Unlock()
 		_ = c.Close()
-		return o, nil
+		return existing, nil
 	}
-	t.links[addr] = l
+	t.conns[addr] = l
 	t.mu.Unlock()
-	go t.listen(l)
+	go t.readResponses(l)
 	return l, nil
 }
 
-// greet trades greetings on a fresh link, within the asker's patience: a frozen process
-// accepts connections and says nothing.
-func (t *TCP) greet(ctx context.Context, c net.Conn, f *framer) error {
-	end := time.Now().Add(greetTime)
-	if d, ok := ctx.Deadline(); ok && d.Before(end) {
-		end = d
-	}
-	if err := c.SetDeadline(end); err != nil {
+// exchangeGreetings sends a greeting on a new connection and waits for the peer's, no longer than the
+// caller's deadline: a frozen process accepts connections but sends nothing.
+func (t *TCP) exchangeGreetings(ctx context.Context, conn net.Conn, frames *framer) error {
+	deadline := time.Now().Add(greetingTimeout)
+	if d, ok := ctx.Deadline(); ok && d.Before(deadline) {
+		deadline = d
+	}
+	if err := conn.SetDeadline(deadline); err != nil {
 		return err
 	}
-	if err := f.write(greeting{magic, version, t.Me.ID, t.Me.Kind}); err != nil {
+	if err := frames.write(greeting{protocolMagic, protocolVersion, t.Self.ID, t.Self.Kind}); err != nil {
 		return err
 	}
-	var g greeting
-	if err := f.read(&g); err != nil {
+	var peer greeting
+	if err := frames.read(&peer); err != nil {
 		return err
 	}
-	if err := g.check(); err != nil {
+	if err := peer.validate(); err != nil {
 		return err
 	}
-	return c.SetDeadline(time.Time{})
+	return conn.SetDeadline(time.Time{})
 }
 
-func (g greeting) check() error {
-	if g.Magic != magic || g.Version != version {
-		return fmt.Errorf("greeting %q version %d, want %q version %d", g.Magic, g.Version, magic, version)
+func (g greeting) validate() error {
+	if g.Magic != protocolMagic || g.Version != protocolVersion {
+		return fmt.Errorf("greeting %q version %d, want %q version %d", g.Magic, g.Version, protocolMagic, protocolVersion)
 	}
 	if g.ID == "" || len(g.ID) > 64 || len(g.Kind) > 16 {
 		return errors.New("greeting without a proper name")
@@ -224,179 +224,179 @@
 	return nil
 }
 
-// listen hands answers to their askers until the link ends.
-func (t *TCP) listen(l *tcpLink) {
-	defer t.drop(l)
+// readResponses passes responses to the waiting calls until the connection ends.
+func (t *TCP) readResponses(conn *tcpConn) {
+	defer t.closeConn(conn)
 	for {
-		if err := l.c.SetReadDeadline(time.Now().Add(idleTime)); err != nil {
+		if err := conn.conn.SetReadDeadline(time.Now().Add(idleTimeout)); err != nil {
 			return
 		}
 		var e envelope
-		if err := l.f.read(&e); err != nil {
+		if err := conn.framer.read(&e); err != nil {
 			return
 		}
-		l.mu.Lock()
-		ch, ok := l.wait[e.ID]
-		delete(l.wait, e.ID)
-		l.mu.Unlock()
+		conn.mu.Lock()
+		ch, ok := conn.pending[e.ID]
+		delete(conn.pending, e.ID)
+		conn.mu.Unlock()
 		if ok {
 			ch <- e
 		}
 	}
 }
 
-func (t *TCP) drop(l *tcpLink) {
+func (t *TCP) closeConn(conn *tcpConn) {
 	t.mu.Lock()
-	if t.links[l.addr] == l {
-		delete(t.links, l.addr)
+	if t.conns[conn.addr] == conn {
+		delete(t.conns, conn.addr)
 	}
 	t.mu.Unlock()
-	_ = l.c.Close()
-	l.mu.Lock()
-	if !l.dead {
-		l.dead = true
-		for _, ch := range l.wait {
+	_ = conn.conn.Close()
+	conn.mu.Lock()
+	if !conn.closed {
+		conn.closed = true
+		for _, ch := range conn.pending {
 			close(ch)
 		}
-		l.wait = map[uint64]chan envelope{}
+		conn.pending = map[uint64]chan envelope{}
 	}
-	l.mu.Unlock()
+	conn.mu.Unlock()
 }
 
-// Serve answers questions on ln by d until Close.
-func (t *TCP) Serve(ln net.Listener, d *Desk) {
+// Serve accepts connections on ln and answers requests with mux until Close is called.
+func (t *TCP) Serve(ln net.Listener, mux *Mux) {
 	t.mu.Lock()
-	t.bound = ln
+	t.listener = ln
 	t.mu.Unlock()
 	for {
-		c, err := ln.Accept()
+		conn, err := ln.Accept()
 		if err != nil {
 			t.mu.Lock()
-			shut := t.shut
+			closed := t.closed
 			t.mu.Unlock()
-			if shut || errors.Is(err, net.ErrClosed) {
+			if closed || errors.Is(err, net.ErrClosed) {
 				return
 			}
-			t.Log.Warn("link not accepted", "step", "accept", "err", err)
+			t.Log.Warn("accepting a connection failed", "step", "accept", "err", err)
 			time.Sleep(10 * time.Millisecond)
 			continue
 		}
 		t.mu.Lock()
-		full := t.shut || len(t.open) >= maxLinks
+		full := t.closed || len(t.accepted) >= maxAcceptedConns
 		if !full {
-			t.open[c] = true
+			t.accepted[conn] = true
 		}
 		t.mu.Unlock()
 		if full {
-			_ = c.Close()
+			_ = conn.Close()
 			continue
 		}
 		go func() {
 			defer func() {
-				_ = c.Close()
+				_ = conn.Close()
 				t.mu.Lock()
-				delete(t.open, c)
+				delete(t.accepted, conn)
 				t.mu.Unlock()
 			}()
-			if err := t.attend(c, d); err != nil {
-				t.Log.Warn("link closed", "step", "attend", "peer", c.RemoteAddr().String(), "err", err)
+			if err := t.serveConn(conn, mux); err != nil {
+				t.Log.Warn("connection closed after an invalid message", "step", "attend", "peer", conn.RemoteAddr().String(), "err", err)
 			}
 		}()
 	}
 }
 
-// attend answers one accepted link; a broken frame ends it and nothing else.
-func (t *TCP) attend(c net.Conn, d *Desk) error {
-	f := newFramer(bufio.NewReader(c), c)
-	if err := c.SetDeadline(time.Now().Add(greetTime)); err != nil {
+// serveConn serves one accepted connection; an invalid frame ends that connection only.
+func (t *TCP) serveConn(conn net.Conn, mux *Mux) error {
+	frames := newFramer(bufio.NewReader(conn), conn)
+	if err := conn.SetDeadline(time.Now().Add(greetingTimeout)); err != nil {
 		return err
 	}
-	var g greeting
-	if err := f.read(&g); err != nil {
+	var peer greeting
+	if err := frames.read(&peer); err != nil {
 		return err
 	}
-	if err := g.check(); err != nil {
+	if err := peer.validate(); err != nil {
 		return err
 	}
-	if err := f.write(greeting{magic, version, t.Me.ID, t.Me.Kind}); err != nil {
+	if err := frames.write(greeting{protocolMagic, protocolVersion, t.Self.ID, t.Self.Kind}); err != nil {
 		return err
 	}
-	if err := c.SetDeadline(time.Time{}); err != nil {
+	if err := conn.SetDeadline(time.Time{}); err != nil {
 		return err
 	}
-	who := Who{ID: g.ID, Kind: g.Kind}
-	ctx, end := context.WithCancel(context.Background())
-	defer end()
-	l := &tcpLink{c: c, f: f}
-	open := make(chan struct{}, maxOpen)
+	from := Identity{ID: peer.ID, Kind: peer.Kind}
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
+	writer := &tcpConn{conn: conn, framer: frames}
+	slots := make(chan struct{}, maxRequestsPerConn)
 	for {
-		if err := c.SetReadDeadline(time.Now().Add(idleTime)); err != nil {
+		if err := conn.SetReadDeadline(time.Now().Add(idleTimeout)); err != nil {
 			return nil
 		}
 		var e envelope
-		if err := f.read(&e); err != nil {
+		if err := frames.read(&e); err != nil {
 			var ne net.Error
 			if errors.Is(err, net.ErrClosed) || errors.As(err, &ne) || err.Error() == "EOF" {
 				return nil
 			}
 			return err
 		}
-		open <- struct{}{}
+		slots <- struct{}{}
 		go func() {
-			defer func() { <-open }()
-			r := answer(ctx, d, who, &e, t.Log)
-			if err := l.write(r); err != nil {
-				_ = c.Close()
+			defer func() { <-slots }()
+			r := handleRequest(ctx, mux, from, &e, t.Log)
+			if err := writer.send(r); err != nil {
+				_ = conn.Close()
 			}
 		}()
 	}
 }
 
-// answer turns one question into its answer; a panic in a handler is logged and
-// answered as an error, so that no peer can bring this process down.
-func answer(ctx context.Context, d *Desk, w Who, e *envelope, lg *log.Logger) (r *envelope) {
-	r = &envelope{ID: e.ID, Reply: true}
+// handleRequest runs the handler for one request. A panic in a handler is logged and answered
+// with an error, so that no peer can crash this process.
+func handleRequest(ctx context.Context, mux *Mux, from Identity, request *envelope, logger *log.Logger) (response *envelope) {
+	response = &envelope{ID: request.ID, Reply: true}
 	defer func() {
 		if p := recover(); p != nil {
-			lg.Error("panic while answering", "step", "answer", "peer", w.ID, "panic", p, "stack", string(debug.Stack()))
-			r.Body, r.Err = nil, "internal defect"
+			logger.Error("panic in request handler", "step", "answer", "peer", from.ID, "panic", p, "stack", string(debug.Stack()))
+			response.Body, response.Err = nil, "internal defect"
 		}
 	}()
-	if e.Body == nil {
-		r.Err = "empty question"
-		return r
+	if request.Body == nil {
+		response.Err = "empty question"
+		return response
 	}
-	p := time.Duration(e.Wait)
+	p := time.Duration(request.Wait)
 	if p <= 0 || p > time.Minute {
 		p = time.Minute
 	}
-	ctx, end := context.WithTimeout(ctx, p)
-	defer end()
-	v, err := d.Answer(ctx, w, e.Body)
+	ctx, cancel := context.WithTimeout(ctx, p)
+	defer cancel()
+	result, err := mux.Dispatch(ctx, from, request.Body)
 	if err != nil {
-		r.Err = err.Error()
-		return r
+		response.Err = err.Error()
+		return response
 	}
-	r.Body = v
-	return r
+	response.Body = result
+	return response
 }
 
-// Close ends every link.
+// Close closes the listener and all connections.
 func (t *TCP) Close() {
 	t.mu.Lock()
-	t.shut = true
-	if t.bound != nil {
-		_ = t.bound.Close()
+	t.closed = true
+	if t.listener != nil {
+		_ = t.listener.Close()
 	}
-	for c := range t.open {
+	for c := range t.accepted {
 		_ = c.Close()
 	}
-	ls := make([]*tcpLink, 0, len(t.links))
-	for _, l := range t.links {
-		ls = append(ls, l)
+	conns := make([]*tcpConn, 0, len(t.conns))
+	for _, l := range t.conns {
+		conns = append(conns, l)
 	}
 	t.mu.Unlock()
-	for _, l := range ls {
-		t.drop(l)
+	for _, l := range conns {
+		t.closeConn(l)
 	}
 }
--- a/internal/membership/court.go
+++ b/internal/membership/court.go
@@ -123,9 +123,9 @@
 }
 
 // Serve teaches d to answer for this court.
-func (c *Court) Serve(d *link.Desk) {
-	link.On(d, c.renew)
-	link.On(d, c.table)
+func (c *Court) Serve(d *link.Mux) {
+	link.Handle(d, c.renew)
+	link.Handle(d, c.table)
 }
 
 // look follows the core, and tells whether this court may speak for epoch.
@@ -145,7 +145,7 @@
 	return in && epoch == co.Epoch
 }
 
-func (c *Court) renew(_ context.Context, _ link.Who, a RenewAsk) (r RenewTold, _ error) {
+func (c *Court) renew(_ context.Context, _ link.Identity, a RenewAsk) (r RenewTold, _ error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	ok := c.look(a.Epoch)
@@ -209,7 +209,7 @@
 	return r, nil
 }
 
-func (c *Court) table(_ context.Context, _ link.Who, a TableAsk) (r TableTold, _ error) {
+func (c *Court) table(_ context.Context, _ link.Identity, a TableAsk) (r TableTold, _ error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	r.Disk = c.voter.Seat().Disk
@@ -252,8 +252,8 @@
 func byID(a, b Member) int { return cmp.Compare(a.ID, b.ID) }
 
 // ServeRest teaches d to let a node be drained by hand.
-func ServeRest(d *link.Desk, on *atomic.Bool) {
-	link.On(d, func(_ context.Context, _ link.Who, a RestAsk) (RestTold, error) {
+func ServeRest(d *link.Mux, on *atomic.Bool) {
+	link.Handle(d, func(_ context.Context, _ link.Identity, a RestAsk) (RestTold, error) {
 		on.Store(a.On)
 		return RestTold{true}, nil
 	})
--- a/internal/membership/register.go
+++ b/internal/membership/register.go
@@ -3,7 +3,7 @@
 import "walkrudder/internal/link"
 
 func init() {
-	link.Pair[RenewAsk, RenewTold]()
-	link.Pair[RestAsk, RestTold]()
-	link.Pair[TableAsk, TableTold]()
+	link.RegisterPair[RenewAsk, RenewTold]()
+	link.RegisterPair[RestAsk, RestTold]()
+	link.RegisterPair[TableAsk, TableTold]()
 }
--- a/internal/membership/tenant.go
+++ b/internal/membership/tenant.go
@@ -127,7 +127,7 @@
 	ch := make(chan back, len(core.Seats))
 	for _, s := range core.Seats {
 		go func() {
-			r, err := link.Ask[RenewTold](cx, t.Line, s.Addr, RenewAsk{Epoch: core.Epoch, Member: me, Duties: want, Seen: seen[s.Disk], Held: t.Held()})
+			r, err := link.Call[RenewTold](cx, t.Line, s.Addr, RenewAsk{Epoch: core.Epoch, Member: me, Duties: want, Seen: seen[s.Disk], Held: t.Held()})
 			ch <- back{s, r, err}
 		}()
 	}
@@ -236,7 +236,7 @@
 	var wg sync.WaitGroup
 	for _, s := range core.Seats {
 		wg.Go(func() {
-			_, _ = link.Ask[RenewTold](ctx, t.Line, s.Addr, RenewAsk{Epoch: core.Epoch, Member: t.Me(), Gone: true})
+			_, _ = link.Call[RenewTold](ctx, t.Line, s.Addr, RenewAsk{Epoch: core.Epoch, Member: t.Me(), Gone: true})
 		})
 	}
 	wg.Wait()
@@ -255,7 +255,7 @@
 	ch := make(chan *TableTold, len(core.Seats))
 	for _, s := range core.Seats {
 		go func() {
-			r, err := link.Ask[TableTold](cx, t.Line, s.Addr, TableAsk{Epoch: core.Epoch})
+			r, err := link.Call[TableTold](cx, t.Line, s.Addr, TableAsk{Epoch: core.Epoch})
 			if err != nil {
 				ch <- nil
 				return
--- a/internal/membership/tenant_test.go
+++ b/internal/membership/tenant_test.go
@@ -30,7 +30,7 @@
 // lab is three courts with a way to each that can be slow or shut.
 type lab struct {
 	mu    sync.Mutex
-	desks map[string]*link.Desk
+	desks map[string]*link.Mux
 	slow  map[string]time.Duration
 	core  quorum.Core
 }
@@ -47,7 +47,7 @@
 	if (clock.Wall{}).Sleep(ctx, time.Millisecond+w) != nil {
 		return nil, ctx.Err()
 	}
-	return d.Answer(ctx, link.Who{ID: "t"}, ask)
+	return d.Dispatch(ctx, link.Identity{ID: "t"}, ask)
 }
 
 // pace sets the way to a court: below 0 it is shut.
@@ -58,14 +58,14 @@
 }
 
 func newLab(ctx context.Context, t *testing.T) *lab {
-	l := &lab{desks: map[string]*link.Desk{}, slow: map[string]time.Duration{}, core: quorum.Core{Epoch: 1}}
+	l := &lab{desks: map[string]*link.Mux{}, slow: map[string]time.Duration{}, core: quorum.Core{Epoch: 1}}
 	var vs []*quorum.Voter
 	for _, id := range []string{"a", "b", "c"} {
 		v, err := quorum.NewVoter(quorum.Seat{ID: id, Addr: id}, mem{}, "disk-"+id, l, nil, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
-		d := link.NewDesk()
+		d := link.NewMux()
 		v.Serve(d)
 		NewCourt(v, clock.Wall{}).Serve(d)
 		l.desks[id] = d
@@ -75,7 +75,7 @@
 	}
 	for i := range vs {
 		for _, seal := range []bool{false, true} {
-			if _, err := link.Ask[quorum.FormTold](ctx, l, l.core.Seats[i].Addr, quorum.FormAsk{By: "a", Core: l.core, Seal: seal}); err != nil {
+			if _, err := link.Call[quorum.FormTold](ctx, l, l.core.Seats[i].Addr, quorum.FormAsk{By: "a", Core: l.core, Seal: seal}); err != nil {
 				t.Fatal(err)
 			}
 		}
--- a/internal/passage/story.go
+++ b/internal/passage/story.go
@@ -46,7 +46,7 @@
 	}
 )
 
-func init() { link.Pair[StoryAsk, StoryTold]() }
+func init() { link.RegisterPair[StoryAsk, StoryTold]() }
 
 // ring keeps the names of the last so many calls.
 type ring struct {
@@ -80,8 +80,8 @@
 }
 
 // Serve teaches d to tell stories.
-func (p *Passage) Serve(d *link.Desk) {
-	link.On(d, func(ctx context.Context, _ link.Who, a StoryAsk) (StoryTold, error) {
+func (p *Passage) Serve(d *link.Mux) {
+	link.Handle(d, func(ctx context.Context, _ link.Identity, a StoryAsk) (StoryTold, error) {
 		return owner.Get(ctx, p.stories.own, func() StoryTold {
 			x, ok := p.stories.by[a.Call]
 			return StoryTold{ok, x}
--- a/internal/queries/queries.go
+++ b/internal/queries/queries.go
@@ -265,7 +265,7 @@
 	if strconv.FormatUint(m.Inc, 36) != inc {
 		return passage.Story{}, steperr.New("find call", gateway, "that run of the gateway has ended; its log has what it gave up")
 	}
-	r, err := link.Ask[passage.StoryTold](ctx, a.Line, m.Inner, passage.StoryAsk{Call: call})
+	r, err := link.Call[passage.StoryTold](ctx, a.Line, m.Inner, passage.StoryAsk{Call: call})
 	if err != nil {
 		return passage.Story{}, steperr.At("find call", gateway, err)
 	}
--- a/internal/quorum/bootstrapper.go
+++ b/internal/quorum/bootstrapper.go
@@ -71,8 +71,8 @@
 }
 
 // Serve registers the handlers for bootstrap requests with d.
-func (b *Bootstrapper) Serve(d *link.Desk) {
-	link.On(d, func(_ context.Context, _ link.Who, a HelloAsk) (CoreTold, error) {
+func (b *Bootstrapper) Serve(d *link.Mux) {
+	link.Handle(d, func(_ context.Context, _ link.Identity, a HelloAsk) (CoreTold, error) {
 		b.recordDisk(a.Seat, 0)
 		b.Proposer.Learn(a.Core)
 		return b.answerHello(a.Epoch), nil
@@ -81,7 +81,7 @@
 		b.Voter.refuseNewConsent.Store(b.SubsequentStart)
 		return
 	}
-	link.On(d, func(_ context.Context, _ link.Who, a FormAsk) (FormTold, error) {
+	link.Handle(d, func(_ context.Context, _ link.Identity, a FormAsk) (FormTold, error) {
 		return b.handleForm(a), nil
 	})
 }
@@ -243,7 +243,7 @@
 			if own := b.core(); answer.Epoch < own.Epoch {
 				helloCtx, cancel := context.WithTimeout(ctx, helloTimeout)
 				defer cancel()
-				_, _ = link.Ask[CoreTold](helloCtx, b.Transport, addr, HelloAsk{From: b.Self, Epoch: own.Epoch, Core: own})
+				_, _ = link.Call[CoreTold](helloCtx, b.Transport, addr, HelloAsk{From: b.Self, Epoch: own.Epoch, Core: own})
 			}
 			return
 		}
@@ -261,7 +261,7 @@
 	if b.Voter != nil {
 		ask.Seat = b.Voter.Seat()
 	}
-	answer, err := link.Ask[CoreTold](helloCtx, b.Transport, addr, ask)
+	answer, err := link.Call[CoreTold](helloCtx, b.Transport, addr, ask)
 	if err == nil {
 		b.Proposer.Learn(answer.Core)
 	}
--- a/internal/quorum/bootstrapper_test.go
+++ b/internal/quorum/bootstrapper_test.go
@@ -41,15 +41,15 @@
 func (g *formingCluster) startNode(p nodePlan, m *mem) {
 	b := &Bootstrapper{Seeds: g.seeds, Self: p.id, Size: g.size, Tolerance: g.tolerance, SubsequentStart: p.subsequentStart, Transport: nodeTransport{g.cluster, p.id}, Clock: freezableClock{node: &node{}}}
 	ctx := g.ctx
-	var d *link.Desk
+	var d *link.Mux
 	if p.hasDisk {
 		n := g.boot(p.id, p.zone, m)
 		b.Proposer, b.Voter, ctx = n.proposer, n.voter, n.ctx
-		d = link.NewDesk()
+		d = link.NewMux()
 		n.voter.Serve(d)
 	} else {
 		b.Proposer = NewProposer(p.id, nodeTransport{g.cluster, p.id}, b.Clock)
-		d = link.NewDesk()
+		d = link.NewMux()
 	}
 	b.Serve(d)
 	g.locked(func() {
@@ -250,7 +250,7 @@
 		v := g.node("a").voter
 		c := Core{Epoch: 1, Seats: []Seat{v.Seat()}}
 		for _, seal := range []bool{false, true} {
-			if r, err := link.Ask[FormTold](ctx, nodeTransport{g.cluster, "t"}, "a", FormAsk{By: "a", Core: c, Seal: seal}); err != nil || r.OK || v.Core().Epoch > 0 {
+			if r, err := link.Call[FormTold](ctx, nodeTransport{g.cluster, "t"}, "a", FormAsk{By: "a", Core: c, Seal: seal}); err != nil || r.OK || v.Core().Epoch > 0 {
 				t.Errorf("seal %v: %+v %v", seal, r, err)
 			}
 		}
--- a/internal/quorum/cluster_test.go
+++ b/internal/quorum/cluster_test.go
@@ -68,7 +68,7 @@
 	ctx           context.Context
 	mu            sync.Mutex
 	nodes         map[string]*node
-	desks         map[string]*link.Desk
+	desks         map[string]*link.Mux
 	starts        int
 	isCut         func(a, b string) bool
 	dropAsk       func(from, to string, ask any) bool
@@ -81,7 +81,7 @@
 }
 
 func newCluster(ctx context.Context, t *testing.T) *cluster {
-	return &cluster{t: t, ctx: ctx, nodes: map[string]*node{}, desks: map[string]*link.Desk{}, askCounts: map[string]int{}}
+	return &cluster{t: t, ctx: ctx, nodes: map[string]*node{}, desks: map[string]*link.Mux{}, askCounts: map[string]int{}}
 }
 
 // nodeTransport is the transport of one node.
@@ -113,7 +113,7 @@
 			return nil, err
 		}
 	}
-	r, err := d.Answer(ctx, link.Who{ID: p.from}, ask)
+	r, err := d.Dispatch(ctx, link.Identity{ID: p.from}, ask)
 	if err != nil {
 		return nil, err
 	}
@@ -187,7 +187,7 @@
 	n.proposer = NewProposer(fresh, nodeTransport{c, id}, freezableClock{node: n})
 	n.bootstrapper = &Bootstrapper{Seeds: []string{id}, Self: id, Transport: nodeTransport{c, id}, Clock: freezableClock{node: n}, Proposer: n.proposer, Voter: v}
 	n.reconfigurer = &Reconfigurer{Contacts: n.contacts, Tolerance: c.tolerance, Size: c.size, Proposer: n.proposer, Transport: nodeTransport{c, id}, Clock: freezableClock{node: n}, Faults: n.faults}
-	d := link.NewDesk()
+	d := link.NewMux()
 	v.Serve(d)
 	n.bootstrapper.Serve(d)
 	c.mu.Lock()
@@ -284,7 +284,7 @@
 	}
 	for _, seal := range []bool{false, true} {
 		for _, id := range ids {
-			if r, err := link.Ask[FormTold](c.ctx, nodeTransport{c, "t"}, id, FormAsk{By: ids[0], Core: core, Seal: seal}); err != nil || !r.OK {
+			if r, err := link.Call[FormTold](c.ctx, nodeTransport{c, "t"}, id, FormAsk{By: ids[0], Core: core, Seal: seal}); err != nil || !r.OK {
 				c.t.Fatal(r, err)
 			}
 		}
--- a/internal/quorum/formation.go
+++ b/internal/quorum/formation.go
@@ -106,7 +106,7 @@
 	var wg sync.WaitGroup
 	for _, addr := range addrs {
 		wg.Go(func() {
-			answer, err := link.Ask[FormTold](ctx, b.Transport, addr, ask)
+			answer, err := link.Call[FormTold](ctx, b.Transport, addr, ask)
 			if err != nil {
 				return
 			}
--- a/internal/quorum/gather.go
+++ b/internal/quorum/gather.go
@@ -31,7 +31,7 @@
 	var wg sync.WaitGroup
 	for _, s := range seats {
 		wg.Go(func() {
-			r, err := link.Ask[R](askCtx, p.Transport, s.Addr, ask(s))
+			r, err := link.Call[R](askCtx, p.Transport, s.Addr, ask(s))
 			if err != nil {
 				results <- result{}
 				return
--- a/internal/quorum/handover.go
+++ b/internal/quorum/handover.go
@@ -93,7 +93,7 @@
 func (rc *Reconfigurer) joinSeat(ctx context.Context, next Core, from pullSource, s Seat) (int, error) {
 	joinCtx, cancel := context.WithTimeout(ctx, joinTimeout)
 	defer cancel()
-	answer, err := link.Ask[JoinTold](joinCtx, rc.Transport, s.Addr, JoinAsk{Next: next, From: rc.pickSources(from, s)})
+	answer, err := link.Call[JoinTold](joinCtx, rc.Transport, s.Addr, JoinAsk{Next: next, From: rc.pickSources(from, s)})
 	if err == nil && !answer.OK {
 		err = steperr.New("join", s.ID, "voter is already in a later epoch than %d", next.Epoch)
 	}
@@ -121,7 +121,7 @@
 	var wg sync.WaitGroup
 	for _, addr := range addrs {
 		wg.Go(func() {
-			r, err := link.Ask[SealTold](sealCtx, rc.Transport, addr, SealAsk{Next: next})
+			r, err := link.Call[SealTold](sealCtx, rc.Transport, addr, SealAsk{Next: next})
 			if err == nil && !r.OK {
 				rc.Proposer.Learn(r.Core)
 			}
--- a/internal/quorum/proposer_test.go
+++ b/internal/quorum/proposer_test.go
@@ -148,7 +148,7 @@
 		if err := p.DropBelow(ctx, "x/", "x/20"); err != nil {
 			t.Fatal(err)
 		}
-		if r, _ := link.Ask[PrepareTold](ctx, l, "a", PrepareAsk{Mark{Epoch: 1}, "x/03", Ballot{99, "z"}}); r.Yes {
+		if r, _ := link.Call[PrepareTold](ctx, l, "a", PrepareAsk{Mark{Epoch: 1}, "x/03", Ballot{99, "z"}}); r.Yes {
 			t.Error("an item below the floor was promised")
 		}
 		if got := l.mustGet(p, "x/20"); got != "20" {
--- a/internal/quorum/proposerlist.go
+++ b/internal/quorum/proposerlist.go
@@ -140,7 +140,7 @@
 		at := map[string]Ballot{}
 		after := ""
 		for {
-			t, err := link.Ask[ListTold](ctx, p.Transport, s.Addr, ListAsk{Mark: Mark{Epoch: core.Epoch}, After: after})
+			t, err := link.Call[ListTold](ctx, p.Transport, s.Addr, ListAsk{Mark: Mark{Epoch: core.Epoch}, After: after})
 			if err != nil || !t.OK || t.Disk != s.Disk {
 				at = nil
 				break
--- a/internal/quorum/proposermerge_test.go
+++ b/internal/quorum/proposermerge_test.go
@@ -55,11 +55,11 @@
 		old := c.node("a").proposer.Core()
 		next := Core{Epoch: 2, Before: old.Seats, Seats: []Seat{old.Seats[0], old.Seats[1], d.seat}}
 		for _, s := range []string{"a", "b"} {
-			if r, err := link.Ask[SealTold](ctx, nodeTransport{c, "t"}, s, SealAsk{next}); err != nil || !r.OK {
+			if r, err := link.Call[SealTold](ctx, nodeTransport{c, "t"}, s, SealAsk{next}); err != nil || !r.OK {
 				t.Fatal(r, err)
 			}
 		}
-		if r, err := link.Ask[JoinTold](ctx, nodeTransport{c, "t"}, "d", JoinAsk{next, old.Seats[:2]}); err != nil || !r.OK {
+		if r, err := link.Call[JoinTold](ctx, nodeTransport{c, "t"}, "d", JoinAsk{next, old.Seats[:2]}); err != nil || !r.OK {
 			t.Fatal(r, err)
 		}
 		// c does not answer: the merge must not wait for it.
--- a/internal/quorum/voter.go
+++ b/internal/quorum/voter.go
@@ -253,21 +253,21 @@
 }
 
 // Serve registers this voter's request handlers with d.
-func (v *Voter) Serve(d *link.Desk) {
-	link.On(d, v.prepare)
-	link.On(d, v.accept)
-	link.On(d, v.read)
-	link.On(d, v.list)
-	link.On(d, v.handleForm)
-	link.On(d, v.seal)
-	link.On(d, v.join)
-	link.On(d, v.raiseFloor)
-	link.On(d, v.merge)
-	link.On(d, v.listMerged)
-	link.On(d, v.offer)
-	link.On(d, v.decide)
-	link.On(d, v.listRecords)
-	link.On(d, v.trace)
+func (v *Voter) Serve(d *link.Mux) {
+	link.Handle(d, v.prepare)
+	link.Handle(d, v.accept)
+	link.Handle(d, v.read)
+	link.Handle(d, v.list)
+	link.Handle(d, v.handleForm)
+	link.Handle(d, v.seal)
+	link.Handle(d, v.join)
+	link.Handle(d, v.raiseFloor)
+	link.Handle(d, v.merge)
+	link.Handle(d, v.listMerged)
+	link.Handle(d, v.offer)
+	link.Handle(d, v.decide)
+	link.Handle(d, v.listRecords)
+	link.Handle(d, v.trace)
 }
 
 type (
--- a/internal/quorum/voter_test.go
+++ b/internal/quorum/voter_test.go
@@ -43,35 +43,35 @@
 		old := l.core.Seats[2]
 		b := Ballot{5, "p"}
 		for _, s := range []string{"b", "c"} {
-			r, err := link.Ask[PrepareTold](ctx, l, s, PrepareAsk{Mark{Epoch: 1}, "k", b})
+			r, err := link.Call[PrepareTold](ctx, l, s, PrepareAsk{Mark{Epoch: 1}, "k", b})
 			if err != nil || !r.Yes {
 				t.Fatal(r, err)
 			}
 		}
 		// The disk of c is erased; the seat goes to its next incarnation.
 		c := l.startVoter("c", newMemDisk(), "disk-c2")
-		if r, _ := link.Ask[AcceptTold](ctx, l, "c", AcceptAsk{Mark{1, old.Disk}, "k", b, []byte("v")}); r.OK || r.Yes {
+		if r, _ := link.Call[AcceptTold](ctx, l, "c", AcceptAsk{Mark{1, old.Disk}, "k", b, []byte("v")}); r.OK || r.Yes {
 			t.Error("a voter with an erased disk accepted a value in an epoch that it no longer knows")
 		}
 		next := Core{Epoch: 2, Seats: []Seat{l.core.Seats[0], l.core.Seats[1], c.Seat()}}
-		if _, err := link.Ask[JoinTold](ctx, l, "c", JoinAsk{next, l.core.Seats[:2]}); err == nil {
+		if _, err := link.Call[JoinTold](ctx, l, "c", JoinAsk{next, l.core.Seats[:2]}); err == nil {
 			t.Error("a voter joined from voters that were never sealed")
 		}
 		for _, s := range []string{"a", "b"} {
-			if r, err := link.Ask[SealTold](ctx, l, s, SealAsk{next}); err != nil || !r.OK {
+			if r, err := link.Call[SealTold](ctx, l, s, SealAsk{next}); err != nil || !r.OK {
 				t.Fatal(r, err)
 			}
 		}
-		if r, err := link.Ask[JoinTold](ctx, l, "c", JoinAsk{next, l.core.Seats[:2]}); err != nil || !r.OK {
+		if r, err := link.Call[JoinTold](ctx, l, "c", JoinAsk{next, l.core.Seats[:2]}); err != nil || !r.OK {
 			t.Fatal(r, err)
 		}
 		for name, m := range map[string]Mark{"the lost disk": {2, old.Disk}, "the old epoch": {1, c.Seat().Disk}, "no disk": {Epoch: 2}} {
-			if r, _ := link.Ask[AcceptTold](ctx, l, "c", AcceptAsk{m, "k", b, []byte("v")}); r.OK || r.Yes {
+			if r, _ := link.Call[AcceptTold](ctx, l, "c", AcceptAsk{m, "k", b, []byte("v")}); r.OK || r.Yes {
 				t.Errorf("an accept marked with %s was counted", name)
 			}
 		}
 		// The join pulled the promise itself from b.
-		if r, _ := link.Ask[PrepareTold](ctx, l, "c", PrepareAsk{Mark{Epoch: 2}, "k", Ballot{4, "q"}}); r.Yes {
+		if r, _ := link.Call[PrepareTold](ctx, l, "c", PrepareAsk{Mark{Epoch: 2}, "k", Ballot{4, "q"}}); r.Yes {
 			t.Error("a ballot lower than the promise was promised after the join")
 		}
 	})
@@ -82,11 +82,11 @@
 		l, memDisks := newVoterCluster(ctx, t)
 		l.mustSet(l.newProposer("p"), "k", "1")
 		memDisks["a"].setFailing(true)
-		if _, err := link.Ask[PrepareTold](ctx, l, "a", PrepareAsk{Mark{Epoch: 1}, "k", Ballot{9, "p"}}); !errors.Is(err, ErrDiskFailed) {
+		if _, err := link.Call[PrepareTold](ctx, l, "a", PrepareAsk{Mark{Epoch: 1}, "k", Ballot{9, "p"}}); !errors.Is(err, ErrDiskFailed) {
 			t.Errorf("answered on a failed disk: %v", err)
 		}
 		memDisks["a"].setFailing(false)
-		if _, err := link.Ask[ReadTold](ctx, l, "a", ReadAsk{Mark{Epoch: 1}, "k"}); !errors.Is(err, ErrDiskFailed) {
+		if _, err := link.Call[ReadTold](ctx, l, "a", ReadAsk{Mark{Epoch: 1}, "k"}); !errors.Is(err, ErrDiskFailed) {
 			t.Errorf("kept voting after a failed sync: %v", err)
 		}
 		p := l.newProposer("q")
--- a/internal/quorum/votercluster_test.go
+++ b/internal/quorum/votercluster_test.go
@@ -62,7 +62,7 @@
 	t           *testing.T
 	ctx         context.Context
 	mu          sync.Mutex
-	desks       map[string]*link.Desk
+	desks       map[string]*link.Mux
 	voters      map[string]*Voter
 	unreachable func(addr string, ask any) bool
 	core        Core
@@ -79,7 +79,7 @@
 	if err := (clock.Wall{}).Sleep(ctx, time.Millisecond); err != nil {
 		return nil, err
 	}
-	return desk.Answer(ctx, link.Who{ID: "t"}, ask)
+	return desk.Dispatch(ctx, link.Identity{ID: "t"}, ask)
 }
 
 func (l *voterCluster) setUnreachable(f func(addr string, ask any) bool) {
@@ -95,7 +95,7 @@
 	if err != nil {
 		l.t.Fatal(err)
 	}
-	desk := link.NewDesk()
+	desk := link.NewMux()
 	v.Serve(desk)
 	l.mu.Lock()
 	l.desks[id], l.voters[id] = desk, v
@@ -105,7 +105,7 @@
 }
 
 func newVoterCluster(ctx context.Context, t *testing.T) (*voterCluster, map[string]*mem) {
-	l := &voterCluster{t: t, ctx: ctx, desks: map[string]*link.Desk{}, voters: map[string]*Voter{}, core: Core{Epoch: 1}}
+	l := &voterCluster{t: t, ctx: ctx, desks: map[string]*link.Mux{}, voters: map[string]*Voter{}, core: Core{Epoch: 1}}
 	memDisks := map[string]*mem{}
 	for _, id := range []string{"a", "b", "c"} {
 		memDisks[id] = newMemDisk()
@@ -113,7 +113,7 @@
 	}
 	for _, seal := range []bool{false, true} {
 		for _, s := range l.core.Seats {
-			if r, err := link.Ask[FormTold](ctx, l, s.Addr, FormAsk{By: "a", Core: l.core, Seal: seal}); err != nil || !r.OK {
+			if r, err := link.Call[FormTold](ctx, l, s.Addr, FormAsk{By: "a", Core: l.core, Seal: seal}); err != nil || !r.OK {
 				t.Fatal(r, err)
 			}
 		}
--- a/internal/quorum/voterdecision.go
+++ b/internal/quorum/voterdecision.go
@@ -117,7 +117,7 @@
 }
 
 // offer promises a ballot for all requested registers, or for none.
-func (v *Voter) offer(ctx context.Context, _ link.Who, req OfferAsk) (r OfferTold, err error) {
+func (v *Voter) offer(ctx context.Context, _ link.Identity, req OfferAsk) (r OfferTold, err error) {
 	if err := v.checkKeys("offer", req.Keys); err != nil {
 		return r, err
 	}
@@ -149,7 +149,7 @@
 }
 
 // decide accepts decisions for all requested registers, or for none.
-func (v *Voter) decide(ctx context.Context, _ link.Who, req DecideAsk) (r DecideTold, err error) {
+func (v *Voter) decide(ctx context.Context, _ link.Identity, req DecideAsk) (r DecideTold, err error) {
 	if err := v.checkKeys("decide", req.Keys); err != nil {
 		return r, err
 	}
@@ -183,7 +183,7 @@
 }
 
 // trace reports whether any requested item is the newest of its register.
-func (v *Voter) trace(ctx context.Context, _ link.Who, req TraceAsk) (TraceTold, error) {
+func (v *Voter) trace(ctx context.Context, _ link.Identity, req TraceAsk) (TraceTold, error) {
 	return doResult(ctx, v, func() (r TraceTold) {
 		if r.Told = v.checkMark(req.Mark); !r.OK {
 			return r
@@ -239,7 +239,7 @@
 
 // listRecords lists item registers for a joining seat. Like list, it also serves from a voter
 // that has been replaced.
-func (v *Voter) listRecords(ctx context.Context, _ link.Who, req RecordsAsk) (RecordsTold, error) {
+func (v *Voter) listRecords(ctx context.Context, _ link.Identity, req RecordsAsk) (RecordsTold, error) {
 	return doResult(ctx, v, func() (r RecordsTold) {
 		if r.Told = v.checkMark(req.Mark); !r.OK && req.Epoch != v.core.Epoch {
 			return r
--- a/internal/quorum/voterjoin.go
+++ b/internal/quorum/voterjoin.go
@@ -18,7 +18,7 @@
 // seal moves this voter to the next epoch, after which it accepts nothing in the previous one
 // (design 4.4). It refuses an abandoned core, that is, one other than a core that this voter
 // itself accepted by a later ballot.
-func (v *Voter) seal(ctx context.Context, _ link.Who, req SealAsk) (r SealTold, err error) {
+func (v *Voter) seal(ctx context.Context, _ link.Identity, req SealAsk) (r SealTold, err error) {
 	return doResult(ctx, v, func() (r SealTold) {
 		switch {
 		case v.core.Epoch == req.Next.Epoch:
@@ -48,7 +48,7 @@
 // join pulls all state from the former voters and only then votes in the next core (design 4.4).
 // A promise that this node made on an earlier disk is not part of that state, but no accept that
 // relies on the promise can reach this seat: such an accept carries the earlier incarnation.
-func (v *Voter) join(ctx context.Context, _ link.Who, req JoinAsk) (r JoinTold, err error) {
+func (v *Voter) join(ctx context.Context, _ link.Identity, req JoinAsk) (r JoinTold, err error) {
 	if !v.hasSeatIn(req.Next) {
 		return r, steperr.New("join", v.self.ID, "no seat in epoch %d for disk %s", req.Next.Epoch, v.self.Disk)
 	}
--- a/internal/quorum/votermerge.go
+++ b/internal/quorum/votermerge.go
@@ -101,7 +101,7 @@
 // most one holder has left and the joining seat replaces it, so Q seats of the next epoch hold the
 // item. A seat that was assigned but has not joined holds nothing, but it cannot be sealed either:
 // each such seat reduces both counts by one.
-func (v *Voter) merge(ctx context.Context, _ link.Who, req MergeAsk) (r MergeTold, err error) {
+func (v *Voter) merge(ctx context.Context, _ link.Identity, req MergeAsk) (r MergeTold, err error) {
 	for _, it := range req.Items {
 		if err := checkMergeItem(it); err != nil {
 			return r, err
@@ -138,7 +138,7 @@
 
 // listMerged lists merge items for a joining seat. Like list, it also serves from a voter that
 // has been replaced.
-func (v *Voter) listMerged(ctx context.Context, _ link.Who, req MergedAsk) (MergedTold, error) {
+func (v *Voter) listMerged(ctx context.Context, _ link.Identity, req MergedAsk) (MergedTold, error) {
 	return doResult(ctx, v, func() (r MergedTold) {
 		if r.Told = v.checkMark(req.Mark); !r.OK && req.Epoch != v.core.Epoch {
 			return r
--- a/internal/quorum/votermerge_test.go
+++ b/internal/quorum/votermerge_test.go
@@ -141,7 +141,7 @@
 		}
 		merge := func(it item.Item) error {
 			before := notified
-			r, err := link.Ask[MergeTold](ctx, nodeTransport{c, "t"}, "a", MergeAsk{Mark{1, n.seat.Disk}, []item.Item{it}})
+			r, err := link.Call[MergeTold](ctx, nodeTransport{c, "t"}, "a", MergeAsk{Mark{1, n.seat.Disk}, []item.Item{it}})
 			if err == nil && (!r.OK || notified != before+1) {
 				t.Errorf("answered %+v after OnMerge was called with %d items", r, notified-before)
 			}
@@ -173,7 +173,7 @@
 	runSynctest(t, func(ctx context.Context, t *testing.T) {
 		c := newThreeVoters(ctx, t)
 		for name, m := range map[string]Mark{"another disk": {1, "other"}, "no disk": {1, ""}, "another epoch": {2, c.node("a").seat.Disk}} {
-			r, err := link.Ask[MergeTold](ctx, nodeTransport{c, "t"}, "a", MergeAsk{m, []item.Item{testItem("k", 1, "x")}})
+			r, err := link.Call[MergeTold](ctx, nodeTransport{c, "t"}, "a", MergeAsk{m, []item.Item{testItem("k", 1, "x")}})
 			if err != nil || r.OK || c.node("a").itemOnDisk(item.Key{Kind: item.Route, Name: "k"}).Version > 0 {
 				t.Errorf("%s: %+v %v", name, r, err)
 			}
@@ -238,7 +238,7 @@
 			if err := p.Merge(ctx, []item.Item{it}); err == nil {
 				t.Errorf("a %s above the limit was accepted", name)
 			}
-			if _, err := link.Ask[MergeTold](ctx, nodeTransport{c, "t"}, "a", MergeAsk{Mark{1, c.node("a").seat.Disk}, []item.Item{it}}); err == nil {
+			if _, err := link.Call[MergeTold](ctx, nodeTransport{c, "t"}, "a", MergeAsk{Mark{1, c.node("a").seat.Disk}, []item.Item{it}}); err == nil {
 				t.Errorf("a voter accepted a %s above the limit", name)
 			}
 		}
@@ -251,7 +251,7 @@
 			t.Fatal(err)
 		}
 		merge := func(its ...item.Item) error {
-			_, err := link.Ask[MergeTold](ctx, nodeTransport{c, "t"}, "a", MergeAsk{Mark{1, c.node("a").seat.Disk}, its})
+			_, err := link.Call[MergeTold](ctx, nodeTransport{c, "t"}, "a", MergeAsk{Mark{1, c.node("a").seat.Disk}, its})
 			return err
 		}
 		if err := merge(testItem("last", 1, "")); err != nil {
@@ -274,7 +274,7 @@
 			c := newThreeVoters(ctx, t)
 			old := c.core()
 			mergeAt := func(id string, its ...item.Item) {
-				if r, err := link.Ask[MergeTold](ctx, nodeTransport{c, "t"}, id, MergeAsk{Mark{1, c.node(id).seat.Disk}, its}); err != nil || !r.OK {
+				if r, err := link.Call[MergeTold](ctx, nodeTransport{c, "t"}, id, MergeAsk{Mark{1, c.node(id).seat.Disk}, its}); err != nil || !r.OK {
 					t.Fatal(r, err)
 				}
 			}
@@ -296,7 +296,7 @@
 			mergeAt("a", testItem("own", 8, "older"))
 			next := Core{Epoch: 2, Before: old.Seats, Seats: []Seat{old.Seats[0], old.Seats[1], d.seat}}
 			for _, s := range []string{"a", "b"} {
-				if r, err := link.Ask[SealTold](ctx, nodeTransport{c, "t"}, s, SealAsk{next}); err != nil || !r.OK {
+				if r, err := link.Call[SealTold](ctx, nodeTransport{c, "t"}, s, SealAsk{next}); err != nil || !r.OK {
 					t.Fatal(r, err)
 				}
 			}
@@ -313,7 +313,7 @@
 			if reversed {
 				from[0], from[1] = from[1], from[0]
 			}
-			if r, err := link.Ask[JoinTold](ctx, nodeTransport{c, "t"}, "d", JoinAsk{next, from}); err != nil || !r.OK || r.Items < len(all)+2 {
+			if r, err := link.Call[JoinTold](ctx, nodeTransport{c, "t"}, "d", JoinAsk{next, from}); err != nil || !r.OK || r.Items < len(all)+2 {
 				t.Fatal(r, err)
 			}
 			if pages < 8 {
--- a/internal/quorum/voterregister.go
+++ b/internal/quorum/voterregister.go
@@ -32,7 +32,7 @@
 }
 
 // prepare promises a ballot that is higher than any that the register has promised or accepted.
-func (v *Voter) prepare(ctx context.Context, _ link.Who, req PrepareAsk) (r PrepareTold, err error) {
+func (v *Voter) prepare(ctx context.Context, _ link.Identity, req PrepareAsk) (r PrepareTold, err error) {
 	return doResult(ctx, v, func() (r PrepareTold) {
 		if r.Told = v.checkMark(req.Mark); !r.OK || len(req.Key) > MaxKeyBytes || v.belowFloor(req.Key) {
 			return r
@@ -51,7 +51,7 @@
 }
 
 // accept accepts a value unless the register has promised or accepted a higher ballot.
-func (v *Voter) accept(ctx context.Context, _ link.Who, req AcceptAsk) (r AcceptTold, err error) {
+func (v *Voter) accept(ctx context.Context, _ link.Identity, req AcceptAsk) (r AcceptTold, err error) {
 	if len(req.Value) > MaxValueBytes {
 		return r, steperr.New("accept", v.self.ID, "value of %d bytes, limit %d", len(req.Value), MaxValueBytes)
 	}
@@ -72,7 +72,7 @@
 }
 
 // read returns the current state of one keyed register.
-func (v *Voter) read(ctx context.Context, _ link.Who, req ReadAsk) (r ReadTold, err error) {
+func (v *Voter) read(ctx context.Context, _ link.Identity, req ReadAsk) (r ReadTold, err error) {
 	return doResult(ctx, v, func() (r ReadTold) {
 		if r.Told = v.checkMark(req.Mark); r.OK {
 			r.Item = v.registers[req.Key]
@@ -82,7 +82,7 @@
 }
 
 // list returns one page of the keyed registers, or the last one with an accepted value.
-func (v *Voter) list(ctx context.Context, _ link.Who, req ListAsk) (r ListTold, err error) {
+func (v *Voter) list(ctx context.Context, _ link.Identity, req ListAsk) (r ListTold, err error) {
 	return doResult(ctx, v, func() (r ListTold) {
 		r.Told = v.checkMark(req.Mark)
 		// A replaced voter still lets joining seats pull its registers.
@@ -129,7 +129,7 @@
 }
 
 // raiseFloor raises the floor under a prefix and deletes the registers below it.
-func (v *Voter) raiseFloor(ctx context.Context, _ link.Who, req LiftAsk) (r LiftTold, err error) {
+func (v *Voter) raiseFloor(ctx context.Context, _ link.Identity, req LiftAsk) (r LiftTold, err error) {
 	return doResult(ctx, v, func() (r LiftTold) {
 		if r.Told = v.checkMark(req.Mark); !r.OK || req.Prefix == "" || !strings.HasPrefix(req.Floor, req.Prefix) || req.Floor <= v.floors[req.Prefix] {
 			return r
--- a/internal/quorum/voterseal_test.go
+++ b/internal/quorum/voterseal_test.go
@@ -38,7 +38,7 @@
 		}
 		sealed := func(id string, next Core) bool {
 			t.Helper()
-			r, err := link.Ask[SealTold](ctx, nodeTransport{c, "x"}, c.node(id).seat.Addr, SealAsk{Next: next})
+			r, err := link.Call[SealTold](ctx, nodeTransport{c, "x"}, c.node(id).seat.Addr, SealAsk{Next: next})
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/registry/house.go
+++ b/internal/registry/house.go
@@ -226,7 +226,7 @@
 			continue
 		}
 		wg.Go(func() {
-			r, err := link.Ask[SeenTold](cx, l, m.Inner, SeenAsk{})
+			r, err := link.Call[SeenTold](cx, l, m.Inner, SeenAsk{})
 			if err != nil {
 				return
 			}
@@ -291,16 +291,16 @@
 }
 
 // Serve teaches d to answer for this house.
-func (h *House) Serve(d *link.Desk) {
-	link.On(d, func(ctx context.Context, _ link.Who, a BeatAsk) (BeatTold, error) { return h.Take(ctx, a.Beat) })
-	link.On(d, func(ctx context.Context, _ link.Who, a WatchAsk) (WatchTold, error) { return h.Watch(ctx, a) })
-	link.On(d, func(ctx context.Context, _ link.Who, a MarkAsk) (MarkTold, error) {
+func (h *House) Serve(d *link.Mux) {
+	link.Handle(d, func(ctx context.Context, _ link.Identity, a BeatAsk) (BeatTold, error) { return h.Take(ctx, a.Beat) })
+	link.Handle(d, func(ctx context.Context, _ link.Identity, a WatchAsk) (WatchTold, error) { return h.Watch(ctx, a) })
+	link.Handle(d, func(ctx context.Context, _ link.Identity, a MarkAsk) (MarkTold, error) {
 		err := h.Mark(ctx, a.Service, a.ID, a.Inc, func(e *Entry) { e.Suspect, e.Gone = a.Suspect, e.Gone || a.Gone })
 		return MarkTold{OK: err == nil}, err
 	})
-	link.On(d, func(ctx context.Context, _ link.Who, _ SeenAsk) (SeenTold, error) {
+	link.Handle(d, func(ctx context.Context, _ link.Identity, _ SeenAsk) (SeenTold, error) {
 		s, err := h.All(ctx)
 		return SeenTold{s}, err
 	})
-	link.On(d, func(ctx context.Context, _ link.Who, a JudgeAsk) (JudgeTold, error) { return h.Judge(ctx, a) })
+	link.Handle(d, func(ctx context.Context, _ link.Identity, a JudgeAsk) (JudgeTold, error) { return h.Judge(ctx, a) })
 }
--- a/internal/registry/register.go
+++ b/internal/registry/register.go
@@ -3,11 +3,11 @@
 import "walkrudder/internal/link"
 
 func init() {
-	link.Pair[BeatAsk, BeatTold]()
-	link.Pair[WatchAsk, WatchTold]()
-	link.Pair[DrainAsk, DrainTold]()
-	link.Pair[MarkAsk, MarkTold]()
-	link.Pair[SeenAsk, SeenTold]()
-	link.Pair[ViewAsk, ViewTold]()
-	link.Pair[JudgeAsk, JudgeTold]()
+	link.RegisterPair[BeatAsk, BeatTold]()
+	link.RegisterPair[WatchAsk, WatchTold]()
+	link.RegisterPair[DrainAsk, DrainTold]()
+	link.RegisterPair[MarkAsk, MarkTold]()
+	link.RegisterPair[SeenAsk, SeenTold]()
+	link.RegisterPair[ViewAsk, ViewTold]()
+	link.RegisterPair[JudgeAsk, JudgeTold]()
 }
--- a/internal/registry/roster.go
+++ b/internal/registry/roster.go
@@ -226,7 +226,7 @@
 			at, run, seen = h.Inner, 0, 0
 		}
 		cx, end := context.WithTimeout(ctx, 900*time.Millisecond)
-		t, err := link.Ask[WatchTold](cx, r.Line, h.Inner, WatchAsk{Service: service, Run: run, Seen: seen, WaitMS: 500})
+		t, err := link.Call[WatchTold](cx, r.Line, h.Inner, WatchAsk{Service: service, Run: run, Seen: seen, WaitMS: 500})
 		end()
 		if err != nil {
 			fails++
@@ -395,10 +395,10 @@
 }
 
 // Serve teaches d to take word of leaving targets, and to tell how all are seen.
-func (r *Roster) Serve(d *link.Desk) {
-	link.On(d, func(ctx context.Context, _ link.Who, a DrainAsk) (DrainTold, error) {
+func (r *Roster) Serve(d *link.Mux) {
+	link.Handle(d, func(ctx context.Context, _ link.Identity, a DrainAsk) (DrainTold, error) {
 		err := r.Drain(ctx, a.Service, a.ID, a.Inc, a.Gone)
 		return DrainTold{OK: err == nil}, err
 	})
-	link.On(d, func(context.Context, link.Who, ViewAsk) (ViewTold, error) { return ViewTold{r.Views()}, nil })
+	link.Handle(d, func(context.Context, link.Identity, ViewAsk) (ViewTold, error) { return ViewTold{r.Views()}, nil })
 }
--- a/internal/registry/roster_test.go
+++ b/internal/registry/roster_test.go
@@ -18,7 +18,7 @@
 // lab is two homes in two zones and a way to each that can be shut.
 type lab struct {
 	mu    sync.Mutex
-	desks map[string]*link.Desk
+	desks map[string]*link.Mux
 	shut  map[string]bool
 }
 
@@ -32,7 +32,7 @@
 	if err := (clock.Wall{}).Sleep(ctx, time.Millisecond); err != nil {
 		return nil, err
 	}
-	v, err := d.Answer(ctx, link.Who{}, ask)
+	v, err := d.Dispatch(ctx, link.Identity{}, ask)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.shut[addr] {
@@ -54,14 +54,14 @@
 func TestGatewayKeepsItsTargetsWhileHomesChange(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, end := context.WithCancel(t.Context())
-		l := &lab{desks: map[string]*link.Desk{}, shut: map[string]bool{}}
+		l := &lab{desks: map[string]*link.Mux{}, shut: map[string]bool{}}
 		p := liveness.NewPauses(clock.Wall{})
 		go p.Run(ctx)
 		house := func(addr string, run uint64) *House {
 			h := &House{Clock: clock.Wall{}, Pause: p, Run: run}
 			h.Init()
 			go h.Start(ctx)
-			d := link.NewDesk()
+			d := link.NewMux()
 			h.Serve(d)
 			l.mu.Lock()
 			l.desks[addr] = d
--- a/internal/registry/views.go
+++ b/internal/registry/views.go
@@ -42,7 +42,7 @@
 			continue
 		}
 		wg.Go(func() {
-			r, err := link.Ask[ViewTold](cx, l, m.Inner, ViewAsk{})
+			r, err := link.Call[ViewTold](cx, l, m.Inner, ViewAsk{})
 			if err != nil {
 				return
 			}
--- a/internal/rollout/rack.go
+++ b/internal/rollout/rack.go
@@ -183,8 +183,8 @@
 }
 
 // Serve teaches d to answer for this rack.
-func (k *Rack) Serve(d *link.Desk) {
-	link.On(d, func(ctx context.Context, _ link.Who, a StageAsk) (r GatewayTold, err error) {
+func (k *Rack) Serve(d *link.Mux) {
+	link.Handle(d, func(ctx context.Context, _ link.Identity, a StageAsk) (r GatewayTold, err error) {
 		return owner.Get(ctx, k.own, func() (r GatewayTold) {
 			if a.N > k.N() && k.staged[a.N] == nil && len(k.staged) < 64 {
 				k.staged[a.N] = spec.NewTable(a.N, a.Sheet)
@@ -193,7 +193,7 @@
 			return r
 		})
 	})
-	link.On(d, func(ctx context.Context, _ link.Who, a HoldAsk) (r GatewayTold, err error) {
+	link.Handle(d, func(ctx context.Context, _ link.Identity, a HoldAsk) (r GatewayTold, err error) {
 		return owner.Get(ctx, k.own, func() (r GatewayTold) {
 			// A run that began after the staging holds too, and fetches the sheet with
 			// its confirmation.
@@ -207,7 +207,7 @@
 			return r
 		})
 	})
-	link.On(d, func(ctx context.Context, _ link.Who, a FreeAsk) (r GatewayTold, err error) {
+	link.Handle(d, func(ctx context.Context, _ link.Identity, a FreeAsk) (r GatewayTold, err error) {
 		return owner.Get(ctx, k.own, func() (r GatewayTold) {
 			if k.held[a.By] == a.N && a.N > k.N() {
 				delete(k.held, a.By)
@@ -216,7 +216,7 @@
 			return GatewayTold{OK: true, N: k.N()}
 		})
 	})
-	link.On(d, func(ctx context.Context, _ link.Who, a FlipAsk) (r GatewayTold, err error) {
+	link.Handle(d, func(ctx context.Context, _ link.Identity, a FlipAsk) (r GatewayTold, err error) {
 		return owner.Get(ctx, k.own, func() (r GatewayTold) {
 			if t := k.staged[a.N]; a.N > k.N() && t != nil {
 				k.confirmed, k.shut = true, a.N
@@ -233,13 +233,13 @@
 			return r
 		})
 	})
-	link.On(d, func(ctx context.Context, _ link.Who, a CountAsk) (r GatewayTold, err error) {
+	link.Handle(d, func(ctx context.Context, _ link.Identity, a CountAsk) (r GatewayTold, err error) {
 		return owner.Get(ctx, k.own, func() (r GatewayTold) {
 			k.count(a.Round, a.Gateways, a.Sure)
 			return GatewayTold{OK: k.round == a.Round && slices.Equal(k.gateways, a.Gateways), N: k.N()}
 		})
 	})
-	link.On(d, func(ctx context.Context, _ link.Who, a LastAsk) (r LastTold, err error) {
+	link.Handle(d, func(ctx context.Context, _ link.Identity, a LastAsk) (r LastTold, err error) {
 		return owner.Get(ctx, k.own, func() (r LastTold) {
 			r = LastTold{ID: k.ID, Held: k.Tenant.Held(), Fresh: k.Tenant.Calm() && k.Tenant.Left() > membership.Doubt, Confirmed: k.confirmed, Shut: k.isShut(k.N()), N: k.N(), Round: k.round, Gateways: k.gateways}
 			if s := k.cur.Load().table.Sheet; r.Confirmed && a.Have != r.N {
@@ -292,7 +292,7 @@
 			return
 		}
 		cx, end := context.WithTimeout(ctx, 600*time.Millisecond)
-		r, err := link.Ask[ConfirmTold](cx, k.Line, a, ConfirmAsk{ID: k.ID, Have: k.N()})
+		r, err := link.Call[ConfirmTold](cx, k.Line, a, ConfirmAsk{ID: k.ID, Have: k.N()})
 		end()
 		if err != nil || !r.OK {
 			if k.Log != nil {
@@ -386,7 +386,7 @@
 	ch := make(chan back, len(as))
 	for _, a := range as {
 		go func() {
-			r, err := link.Ask[LastTold](cx, k.Line, a, LastAsk{Have: have})
+			r, err := link.Call[LastTold](cx, k.Line, a, LastAsk{Have: have})
 			ch <- back{r, err}
 		}()
 	}
--- a/internal/rollout/register.go
+++ b/internal/rollout/register.go
@@ -3,12 +3,12 @@
 import "walkrudder/internal/link"
 
 func init() {
-	link.Pair[StageAsk, GatewayTold]()
+	link.RegisterPair[StageAsk, GatewayTold]()
 	link.Register[HoldAsk]()
 	link.Register[FreeAsk]()
 	link.Register[FlipAsk]()
 	link.Register[CountAsk]()
-	link.Pair[ConfirmAsk, ConfirmTold]()
-	link.Pair[LastAsk, LastTold]()
-	link.Pair[PartAsk, PartTold]()
+	link.RegisterPair[ConfirmAsk, ConfirmTold]()
+	link.RegisterPair[LastAsk, LastTold]()
+	link.RegisterPair[PartAsk, PartTold]()
 }
--- a/internal/rollout/roller.go
+++ b/internal/rollout/roller.go
@@ -266,7 +266,7 @@
 func (r *Roller) all(ctx context.Context, step string, ask any, enough func([]string) bool) ([]string, error) {
 	var told sync.Map
 	ids, err := Everyone(ctx, r.Tenant, r.Clock, enough, func(cx context.Context, m membership.Member) bool {
-		t, err := link.Ask[GatewayTold](cx, r.Line, m.Inner, ask)
+		t, err := link.Call[GatewayTold](cx, r.Line, m.Inner, ask)
 		if _, again := told.LoadOrStore(m.ID, true); err != nil && !again && r.Log != nil {
 			r.Log.Warn("gateway not reached, waiting for its lease to lapse", "step", step, "mate", m.ID, "err", err)
 		}
@@ -334,8 +334,8 @@
 
 // Serve teaches d to confirm what is in force. leaves tells the target runs that
 // may get no new work.
-func (r *Roller) Serve(d *link.Desk, leaves func(context.Context) ([]Leave, error)) {
-	link.On(d, func(ctx context.Context, w link.Who, a ConfirmAsk) (t ConfirmTold, err error) {
+func (r *Roller) Serve(d *link.Mux, leaves func(context.Context) ([]Leave, error)) {
+	link.Handle(d, func(ctx context.Context, w link.Identity, a ConfirmAsk) (t ConfirmTold, err error) {
 		f, err := r.Book.Refresh(ctx)
 		if err != nil {
 			return t, err
@@ -373,11 +373,11 @@
 		}
 		return t, nil
 	})
-	link.On(d, func(ctx context.Context, _ link.Who, a PartAsk) (PartTold, error) {
+	link.Handle(d, func(ctx context.Context, _ link.Identity, a PartAsk) (PartTold, error) {
 		err := r.Book.Part(ctx, a.ID)
 		return PartTold{OK: err == nil}, err
 	})
-	link.On(d, func(context.Context, link.Who, LastAsk) (LastTold, error) {
+	link.Handle(d, func(context.Context, link.Identity, LastAsk) (LastTold, error) {
 		// A controller's own memory of what is in force may be old; only its lease counts.
 		return LastTold{Held: r.Tenant.Calm(), Fresh: r.Tenant.Calm() && r.Tenant.Left() > membership.Doubt}, nil
 	})
--- a/internal/sim/day/machine.go
+++ b/internal/sim/day/machine.go
@@ -154,7 +154,7 @@
 	m.gateway, m.sub, m.gatewayRun = n, sub, l
 	m.lives++
 	m.mu.Unlock()
-	p.Open(link.NewDesk())
+	p.Open(link.NewMux())
 	w.procs.Go(func() {
 		var wg sync.WaitGroup
 		wg.Go(func() { _ = n.Serve(ln) }) // ends with the process
--- a/internal/sim/model/network.go
+++ b/internal/sim/model/network.go
@@ -77,7 +77,7 @@
 		}
 		m.ask = changed
 	}
-	answer, err := p.control.Desk.Answer(byActor(p.ctx, m.actor), link.Who{ID: m.from, Kind: "controller"}, m.ask)
+	answer, err := p.control.Desk.Dispatch(byActor(p.ctx, m.actor), link.Identity{ID: m.from, Kind: "controller"}, m.ask)
 	if p.ctx.Err() != nil {
 		tell(result{err: errLost})
 		return
--- a/internal/sim/model/node.go
+++ b/internal/sim/model/node.go
@@ -174,7 +174,7 @@
 	n.disk.calm = true
 	defer func() { n.disk.calm = false }()
 	p := n.now.Load()
-	answer, err := p.control.Desk.Answer(p.ctx, link.Who{ID: "model"}, question)
+	answer, err := p.control.Desk.Dispatch(p.ctx, link.Identity{ID: "model"}, question)
 	if err != nil {
 		panic(fmt.Sprintf("%s: %v", n.id, err)) // the model's own set-up
 	}
--- a/internal/sim/net.go
+++ b/internal/sim/net.go
@@ -42,7 +42,7 @@
 
 	mu   sync.Mutex
 	run  context.Context // ends when the process is killed
-	desk *link.Desk
+	desk *link.Mux
 	ice  chan struct{} // closed on thaw; nil while not frozen
 	cold int           // how often it was frozen
 }
@@ -223,7 +223,7 @@
 		} else {
 			cx, end = context.WithCancel(up)
 		}
-		v, err := desk.Answer(cx, link.Who{ID: l.h.ID}, ask)
+		v, err := desk.Dispatch(cx, link.Identity{ID: l.h.ID}, ask)
 		end()
 		h.awake()
 		if up.Err() != nil {
--- a/internal/sim/simnet/line.go
+++ b/internal/sim/simnet/line.go
@@ -18,7 +18,7 @@
 		return nil, err
 	}
 	return Do(ctx, l.P, addr, func(cx context.Context, p *Proc) (any, error) {
-		v, err := p.desk.Answer(cx, link.Who{ID: l.P.Host.ID}, ask)
+		v, err := p.desk.Dispatch(cx, link.Identity{ID: l.P.Host.ID}, ask)
 		if err == nil {
 			v, err = n.codecs.Through(v)
 		}
--- a/internal/sim/simnet/proc.go
+++ b/internal/sim/simnet/proc.go
@@ -14,7 +14,7 @@
 	name string
 	ctx  context.Context
 	end  context.CancelFunc
-	desk *link.Desk
+	desk *link.Mux
 
 	mu    sync.Mutex
 	conns map[*Conn]struct{}
@@ -33,7 +33,7 @@
 }
 
 // Open lets the process be found under its address.
-func (p *Proc) Open(desk *link.Desk) {
+func (p *Proc) Open(desk *link.Mux) {
 	p.desk = desk
 	n := p.Host.net
 	n.mu.Lock()
--- a/internal/statement/speaker.go
+++ b/internal/statement/speaker.go
@@ -161,7 +161,7 @@
 	if !ok {
 		return Reply{}, fmt.Errorf("no node %s has a lease now", id)
 	}
-	if _, err := link.Ask[membership.RestTold](ctx, s.Asker.Line, m.Inner, membership.RestAsk{On: on}); err != nil {
+	if _, err := link.Call[membership.RestTold](ctx, s.Asker.Line, m.Inner, membership.RestAsk{On: on}); err != nil {
 		return Reply{}, err
 	}
 	return Reply{lo.Ternary(on, "drained", "resumed"), id}, nil
--- a/internal/storage/anew.go
+++ b/internal/storage/anew.go
@@ -7,19 +7,19 @@
 	"time"
 )
 
-// OpenAnew opens a file as OpenBunt does, but sets a damaged one aside and begins an empty
-// one: what is left of it must not vote (design 5.3). This disk is then another
-// incarnation, and reads everything from the others. aside, told before that, is the
-// name under which the damaged file is kept.
-func OpenAnew(dir, name string, told func(aside string)) (*Bunt, error) {
-	b, err := OpenBunt(dir, name)
-	if !errors.Is(err, ErrSpoiled) {
-		return b, err
+// OpenOrReset opens a file as OpenBuntDisk does, but renames a corrupt file and starts with an
+// empty one: what remains of a corrupt file must not be used for voting (design 5.3). The empty disk
+// gets a new disk ID and copies all data from the other nodes. Before the rename, onDamaged is called
+// with the new name of the damaged file.
+func OpenOrReset(dir, name string, onDamaged func(movedTo string)) (*BuntDisk, error) {
+	disk, err := OpenBuntDisk(dir, name)
+	if !errors.Is(err, ErrCorrupt) {
+		return disk, err
 	}
-	aside := name + ".spoiled-" + time.Now().UTC().Format("20060102T150405")
-	told(aside)
-	if err := os.Rename(filepath.Join(dir, name), filepath.Join(dir, aside)); err != nil {
+	movedTo := name + ".spoiled-" + time.Now().UTC().Format("20060102T150405")
+	onDamaged(movedTo)
+	if err := os.Rename(filepath.Join(dir, name), filepath.Join(dir, movedTo)); err != nil {
 		return nil, err
 	}
-	return OpenBunt(dir, name)
+	return OpenBuntDisk(dir, name)
 }
--- a/internal/storage/anew_test.go
+++ b/internal/storage/anew_test.go
@@ -7,10 +7,10 @@
 	"testing"
 )
 
-// A damaged file is kept under the name that was told, and what is opened is empty; a
-// sound one, torn tail or not, is opened as it is.
+// A corrupt file is kept under the reported name and replaced by an empty one; an intact
+// file, or one with a torn tail, is opened as it is.
 func TestADamagedFileIsSetAside(t *testing.T) {
-	raw, second := filled(t)
+	raw, second := threeCommits(t)
 	bad := bytes.Clone(raw)
 	for i := second - 20; i < second-5; i++ {
 		bad[i] = '#'
@@ -26,22 +26,22 @@
 			}
 		}
 		var asides []string
-		b, err := OpenAnew(dir, "x.db", func(s string) { asides = append(asides, s) })
+		b, err := OpenOrReset(dir, "x.db", func(s string) { asides = append(asides, s) })
 		if err != nil {
 			t.Fatalf("%s: %v", name, err)
 		}
-		m := load(t, b)
+		m := loadStrings(t, b)
 		_ = b.Close()
 		if len(asides) > 0 != c.aside || c.aside == (m["a"] != "") && c.raw != nil {
-			t.Errorf("%s: aside %q, holds %v", name, asides, m)
+			t.Errorf("%s: renamed to %q, contains %v", name, asides, m)
 		}
 		if c.aside {
 			if got, err := os.ReadFile(filepath.Join(dir, asides[0])); err != nil || !bytes.Equal(got, bad) {
-				t.Errorf("the damaged file is not kept: %v", err)
+				t.Errorf("the damaged file was not kept: %v", err)
 			}
 		}
 	}
-	if _, err := OpenAnew(filepath.Join(t.TempDir(), "none"), "x.db", nil); err == nil {
-		t.Error("opened in a folder that isn't there")
+	if _, err := OpenOrReset(filepath.Join(t.TempDir(), "none"), "x.db", nil); err == nil {
+		t.Error("opened a file in a folder that does not exist")
 	}
 }
--- a/internal/storage/bunt.go
+++ b/internal/storage/bunt.go
@@ -18,35 +18,35 @@
 	"walkrudder/internal/steperr"
 )
 
-// ErrSpoiled says that a file holds damage before values that were synced
-// later: its owner must not vote on what is left of it (design 5.3).
-var ErrSpoiled = errors.New("file damaged in the middle")
+// ErrCorrupt reports that a file is damaged ahead of values that were synced
+// later: its owner must not vote based on what remains of it (design 5.3).
+var ErrCorrupt = errors.New("file is corrupt ahead of a later commit")
 
-// mark is written last in every commit's key space; it lets a torn tail be told
-// from damage in the middle (design 5.3).
-const mark = "~commit"
+// commitMarkerKey is the key that each commit writes last. It distinguishes a torn tail
+// from damage in the middle of the file (design 5.3).
+const commitMarkerKey = "~commit"
 
-// shrinkAt is the file size at which a rewrite is first considered.
-const shrinkAt = 8 << 20
+// minRewriteSize is the file size above which the file may be rewritten to compact it.
+const minRewriteSize = 8 << 20
 
-// Bunt is a Disk on one buntdb file. buntdb drops the errors of its own sync,
-// takes trailing zero bytes for part of the file's length, and renames a shrunk
-// file that was never synced; Bunt answers for all three itself (design 5.2).
-type Bunt struct {
-	mu   sync.Mutex
-	path string
-	db   *buntdb.DB
-	own  *os.File // our own descriptor: its Sync errors are seen
-	n    uint64
-	size int64 // size after the last rewrite
-	bad  error
+// BuntDisk is a Disk on a single buntdb file. buntdb ignores errors of its own sync,
+// counts trailing zero bytes as part of the file's length, and renames a compacted
+// file without having synced it; BuntDisk handles all three itself (design 5.2).
+type BuntDisk struct {
+	mu            sync.Mutex
+	path          string
+	db            *buntdb.DB
+	syncFile      *os.File // separate descriptor, so that errors of Sync are reported
+	commitCount   uint64
+	rewrittenSize int64 // file size when opened or after the last rewrite
+	failure       error // error that all later commits return
 }
 
-// OpenBunt opens or creates the file name in the data folder dir.
-func OpenBunt(dir, name string) (*Bunt, error) {
-	b := &Bunt{path: filepath.Join(dir, name)}
+// OpenBuntDisk opens or creates the file with the given name in the data folder dir.
+func OpenBuntDisk(dir, name string) (*BuntDisk, error) {
+	b := &BuntDisk{path: filepath.Join(dir, name)}
 	_ = os.Remove(b.path + ".new")
-	if err := mend(b.path); err != nil {
+	if err := truncateTornTail(b.path); err != nil {
 		return nil, steperr.At("mend file", "", err)
 	}
 	if err := b.open(); err != nil {
@@ -55,54 +55,54 @@
 	return b, nil
 }
 
-func (b *Bunt) open() error {
+func (b *BuntDisk) open() error {
 	db, err := buntdb.Open(b.path)
 	if err != nil {
 		return err
 	}
-	var c buntdb.Config
-	if err := db.ReadConfig(&c); err != nil {
+	var config buntdb.Config
+	if err := db.ReadConfig(&config); err != nil {
 		return err
 	}
-	c.SyncPolicy = buntdb.Always
-	c.AutoShrinkDisabled = true
-	if err := db.SetConfig(c); err != nil {
+	config.SyncPolicy = buntdb.Always
+	config.AutoShrinkDisabled = true
+	if err := db.SetConfig(config); err != nil {
 		return err
 	}
-	own, err := os.OpenFile(b.path, os.O_RDWR, 0)
+	syncFile, err := os.OpenFile(b.path, os.O_RDWR, 0)
 	if err != nil {
 		_ = db.Close()
 		return err
 	}
-	// What survived a crash unsynced may be read now and gone after the next:
-	// sync before anything is built on it.
-	if err := own.Sync(); err != nil {
+	// Data that was not synced before a crash may be readable now but lost after the next
+	// crash: sync it before anything relies on it.
+	if err := syncFile.Sync(); err != nil {
 		return err
 	}
 	if err := syncDir(filepath.Dir(b.path)); err != nil {
 		return err
 	}
-	b.db, b.own = db, own
-	if fi, err := own.Stat(); err == nil {
-		b.size = fi.Size()
+	b.db, b.syncFile = db, syncFile
+	if fi, err := syncFile.Stat(); err == nil {
+		b.rewrittenSize = fi.Size()
 	}
 	return db.View(func(tx *buntdb.Tx) error {
-		s, err := tx.Get(mark)
+		s, err := tx.Get(commitMarkerKey)
 		if errors.Is(err, buntdb.ErrNotFound) {
 			return nil
 		}
 		if err != nil {
 			return err
 		}
-		b.n, err = strconv.ParseUint(s, 10, 64)
+		b.commitCount, err = strconv.ParseUint(s, 10, 64)
 		return err
 	})
 }
 
-// mend cuts a torn tail off before buntdb sees it: zero bytes at the end, and
-// bytes at the end that are no command. Damage followed by a later commit is
-// ErrSpoiled.
-func mend(path string) error {
+// truncateTornTail removes a torn tail before buntdb reads the file: trailing zero bytes and
+// trailing bytes that are not a complete command. If a later commit follows the damage, it returns
+// ErrCorrupt.
+func truncateTornTail(path string) error {
 	raw, err := os.ReadFile(path)
 	if errors.Is(err, os.ErrNotExist) {
 		return nil
@@ -110,28 +110,28 @@
 	if err != nil {
 		return err
 	}
-	// Values are kept in base64: a zero byte is never part of a command.
-	good := len(raw)
+	// Values are stored in base64, so a zero byte is never part of a command.
+	validLen := len(raw)
 	if i := bytes.IndexByte(raw, 0); i >= 0 {
-		good = i
+		validLen = i
 	}
-	if !loads(raw[:good]) {
-		// loads is monotone in the length: find the longest prefix that loads.
-		lo, hi := 0, good
+	if !isLoadable(raw[:validLen]) {
+		// If a prefix loads, so do all shorter ones: search for the longest prefix that loads.
+		lo, hi := 0, validLen
 		for lo < hi {
-			m := (lo + hi + 1) / 2
-			if loads(raw[:m]) {
-				lo = m
+			mid := (lo + hi + 1) / 2
+			if isLoadable(raw[:mid]) {
+				lo = mid
 			} else {
-				hi = m - 1
+				hi = mid - 1
 			}
 		}
-		good = lo
+		validLen = lo
 	}
-	if bytes.Contains(raw[good:], []byte("\r\n$"+strconv.Itoa(len(mark))+"\r\n"+mark+"\r\n")) {
-		return ErrSpoiled
+	if bytes.Contains(raw[validLen:], []byte("\r\n$"+strconv.Itoa(len(commitMarkerKey))+"\r\n"+commitMarkerKey+"\r\n")) {
+		return ErrCorrupt
 	}
-	if good == len(raw) {
+	if validLen == len(raw) {
 		return nil
 	}
 	f, err := os.OpenFile(path, os.O_RDWR, 0)
@@ -139,14 +139,14 @@
 		return err
 	}
 	defer f.Close()
-	if err := f.Truncate(int64(good)); err != nil {
+	if err := f.Truncate(int64(validLen)); err != nil {
 		return err
 	}
 	return f.Sync()
 }
 
-// loads tells whether buntdb takes b, perhaps with an unfinished last command.
-func loads(b []byte) bool {
+// isLoadable reports whether buntdb can load b, which may end with an incomplete command.
+func isLoadable(b []byte) bool {
 	db, err := buntdb.Open(":memory:")
 	if err != nil {
 		return false
@@ -156,71 +156,71 @@
 	return err == nil || errors.Is(err, io.ErrUnexpectedEOF)
 }
 
-// Path is the file's.
-func (b *Bunt) Path() string { return b.path }
+// Path returns the path of the file.
+func (b *BuntDisk) Path() string { return b.path }
 
-// Load reads all values.
-func (b *Bunt) Load() (map[string][]byte, error) {
+// Load returns all stored values.
+func (b *BuntDisk) Load() (map[string][]byte, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	out := map[string][]byte{}
-	var bad error
+	values := map[string][]byte{}
+	var decodeErr error
 	err := b.db.View(func(tx *buntdb.Tx) error {
 		return tx.Ascend("", func(k, v string) bool {
-			if k != mark {
-				out[k], bad = base64.StdEncoding.DecodeString(v)
+			if k != commitMarkerKey {
+				values[k], decodeErr = base64.StdEncoding.DecodeString(v)
 			}
-			return bad == nil
+			return decodeErr == nil
 		})
 	})
-	return out, steperr.At("load", "", errors.Join(err, bad))
+	return values, steperr.At("load", "", errors.Join(err, decodeErr))
 }
 
-// roomEvery is how often a write is tried that found no room on the disk, and roomFor how long.
+// A write that fails for lack of disk space is retried every noSpaceRetryInterval, for up to noSpaceRetryLimit.
 const (
-	roomEvery = 100 * time.Millisecond
-	roomFor   = 30 * time.Second
+	noSpaceRetryInterval = 100 * time.Millisecond
+	noSpaceRetryLimit    = 30 * time.Second
 )
 
-// Commit writes puts in one transaction and syncs it. A disk without room is like one that hangs: the transaction was
-// taken back whole, nothing was synced, and it waits until there is room.
-func (b *Bunt) Commit(puts []Put) error {
-	for until := time.Now().Add(roomFor); ; time.Sleep(roomEvery) {
-		err := b.tryCommit(puts, time.Now().Before(until))
-		if !errors.Is(err, errNoRoom) {
+// Commit writes puts in one transaction and syncs it. If the disk is full, the transaction is rolled back as a whole
+// and nothing is synced, so Commit retries until there is space, as it would wait for a disk that hangs.
+func (b *BuntDisk) Commit(puts []Put) error {
+	for deadline := time.Now().Add(noSpaceRetryLimit); ; time.Sleep(noSpaceRetryInterval) {
+		err := b.tryCommit(puts, time.Now().Before(deadline))
+		if !errors.Is(err, errNoSpace) {
 			return err
 		}
 	}
 }
 
-// errNoRoom says that a transaction found no room and was taken back.
-var errNoRoom = errors.New("no room on the disk")
+// errNoSpace reports that a transaction was rolled back because the disk was full.
+var errNoSpace = errors.New("no room on the disk")
 
-// tryCommit is one try. again says that there will be another one if there is no room.
-func (b *Bunt) tryCommit(puts []Put, again bool) error {
+// tryCommit makes one attempt. retryNoSpace means that the caller retries if there is no space, so the disk has not failed.
+func (b *BuntDisk) tryCommit(puts []Put, retryNoSpace bool) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.bad != nil {
-		return b.bad
+	if b.failure != nil {
+		return b.failure
 	}
 	err := b.commit(puts)
 	switch {
-	case again && errors.Is(err, errNoRoom):
+	case retryNoSpace && errors.Is(err, errNoSpace):
 		return err
-	case errors.Is(err, errNoRoom):
-		b.bad = steperr.New("sync", "", "%v, for %v", err, roomFor)
-		return b.bad
+	case errors.Is(err, errNoSpace):
+		b.failure = steperr.New("sync", "", "%v, for %v", err, noSpaceRetryLimit)
+		return b.failure
 	case err != nil:
-		// A failed sync may have dropped the pages; what a later sync says of
-		// them is worth nothing (design 5.2).
-		b.bad = steperr.At("sync", "", err)
-		return b.bad
+		// A failed sync may have dropped the dirty pages; the result of a later sync
+		// says nothing about them (design 5.2).
+		b.failure = steperr.At("sync", "", err)
+		return b.failure
 	}
 	return nil
 }
 
-func (b *Bunt) commit(puts []Put) error {
-	b.n++
+func (b *BuntDisk) commit(puts []Put) error {
+	b.commitCount++
 	err := b.db.Update(func(tx *buntdb.Tx) error {
 		for _, p := range puts {
 			if p.Value == nil {
@@ -233,34 +233,34 @@
 				return err
 			}
 		}
-		_, _, err := tx.Set(mark, strconv.FormatUint(b.n, 10), nil)
+		_, _, err := tx.Set(commitMarkerKey, strconv.FormatUint(b.commitCount, 10), nil)
 		return err
 	})
-	if noRoom(err) {
-		return errors.Join(errNoRoom, err)
+	if isNoSpace(err) {
+		return errors.Join(errNoSpace, err)
 	}
 	if err != nil {
 		return err
 	}
-	if err := b.own.Sync(); err != nil {
+	if err := b.syncFile.Sync(); err != nil {
 		return err
 	}
-	fi, err := b.own.Stat()
+	fi, err := b.syncFile.Stat()
 	if err != nil {
 		return err
 	}
-	if fi.Size() > shrinkAt && fi.Size() > 2*b.size {
+	if fi.Size() > minRewriteSize && fi.Size() > 2*b.rewrittenSize {
 		return b.rewrite()
 	}
 	return nil
 }
 
-// rewrite puts the live values in a new file, synced before it takes the old
-// one's name.
-func (b *Bunt) rewrite() error {
+// rewrite compacts the file: it writes the live values to a new file and syncs that before
+// it replaces the old file.
+func (b *BuntDisk) rewrite() error {
 	tmp := b.path + ".new"
-	if err := b.save(tmp); noRoom(err) {
-		// What was committed is synced in the old file, which goes on.
+	if err := b.saveTo(tmp); isNoSpace(err) {
+		// The old file holds all commits, synced, and stays in use.
 		return os.Remove(tmp)
 	} else if err != nil {
 		return err
@@ -268,7 +268,7 @@
 	if err := b.db.Close(); err != nil {
 		return err
 	}
-	if err := b.own.Close(); err != nil {
+	if err := b.syncFile.Close(); err != nil {
 		return err
 	}
 	if err := os.Rename(tmp, b.path); err != nil {
@@ -280,8 +280,8 @@
 	return b.open()
 }
 
-// save writes the live values to a new file, and syncs it.
-func (b *Bunt) save(path string) error {
+// saveTo writes the live values to a new file and syncs it.
+func (b *BuntDisk) saveTo(path string) error {
 	f, err := os.Create(path)
 	if err != nil {
 		return err
@@ -292,19 +292,19 @@
 	return errors.Join(f.Sync(), f.Close())
 }
 
-// noRoom tells whether a write found no room: on the disk, or by a limit of the user or the process.
-func noRoom(err error) bool {
+// isNoSpace reports whether a write failed for lack of space: on the disk, or by a limit of the user or the process.
+func isNoSpace(err error) bool {
 	return errors.Is(err, syscall.ENOSPC) || errors.Is(err, syscall.EDQUOT) || errors.Is(err, syscall.EFBIG)
 }
 
-// Close ends the use of the file.
-func (b *Bunt) Close() error {
+// Close closes the file; later commits fail.
+func (b *BuntDisk) Close() error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.bad == nil {
-		b.bad = steperr.New("close", "", "disk closed")
+	if b.failure == nil {
+		b.failure = steperr.New("close", "", "disk closed")
 	}
-	return errors.Join(b.db.Close(), b.own.Close())
+	return errors.Join(b.db.Close(), b.syncFile.Close())
 }
 
 func syncDir(dir string) error {
--- a/internal/storage/bunt_test.go
+++ b/internal/storage/bunt_test.go
@@ -9,18 +9,18 @@
 	"testing"
 )
 
-func put(k, v string) []Put { return []Put{{Key: k, Value: []byte(v)}} }
+func onePut(k, v string) []Put { return []Put{{Key: k, Value: []byte(v)}} }
 
-func open(t *testing.T, dir string) *Bunt {
+func openDisk(t *testing.T, dir string) *BuntDisk {
 	t.Helper()
-	b, err := OpenBunt(dir, "x.db")
+	b, err := OpenBuntDisk(dir, "x.db")
 	if err != nil {
 		t.Fatal(err)
 	}
 	return b
 }
 
-func load(t *testing.T, b *Bunt) map[string]string {
+func loadStrings(t *testing.T, b *BuntDisk) map[string]string {
 	t.Helper()
 	m, err := b.Load()
 	if err != nil {
@@ -33,13 +33,13 @@
 	return out
 }
 
-// filled writes three commits and tells the file's bytes and its length after
-// the second.
-func filled(t *testing.T) (raw []byte, second int) {
+// threeCommits writes three commits and returns the bytes of the file and its length after
+// the second commit.
+func threeCommits(t *testing.T) (raw []byte, secondEnd int) {
 	t.Helper()
 	dir := t.TempDir()
-	b := open(t, dir)
-	for i, p := range [][]Put{put("a", "1\x00\r\n*3"), put("b", "2"), put("c", "3")} {
+	b := openDisk(t, dir)
+	for i, p := range [][]Put{onePut("a", "1\x00\r\n*3"), onePut("b", "2"), onePut("c", "3")} {
 		if err := b.Commit(p); err != nil {
 			t.Fatal(err)
 		}
@@ -48,7 +48,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			second = int(fi.Size())
+			secondEnd = int(fi.Size())
 		}
 	}
 	if err := b.Close(); err != nil {
@@ -58,95 +58,95 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return raw, second
+	return raw, secondEnd
 }
 
-// reopen opens a file with these bytes, writes once more, and opens it again:
-// what is written after a mend must last too.
-func reopen(t *testing.T, raw []byte) (map[string]string, error) {
+// commitAfterReopen opens a file with these bytes, commits one more value, and opens it again:
+// values that are written after a torn tail was removed must be durable too.
+func commitAfterReopen(t *testing.T, raw []byte) (map[string]string, error) {
 	t.Helper()
 	dir := t.TempDir()
 	if err := os.WriteFile(filepath.Join(dir, "x.db"), raw, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	b, err := OpenBunt(dir, "x.db")
+	b, err := OpenBuntDisk(dir, "x.db")
 	if err != nil {
 		return nil, err
 	}
-	if err := b.Commit(put("z", "26")); err != nil {
+	if err := b.Commit(onePut("z", "26")); err != nil {
 		t.Fatal(err)
 	}
 	_ = b.Close()
-	b = open(t, dir)
+	b = openDisk(t, dir)
 	defer b.Close()
-	m := load(t, b)
+	m := loadStrings(t, b)
 	if m["z"] != "26" {
-		t.Fatalf("what was written after the mend is gone: %v", m)
+		t.Fatalf("the value written after the torn tail was removed is lost: %v", m)
 	}
 	return m, nil
 }
 
 func TestTornTailKeepsWhatWasSynced(t *testing.T) {
-	raw, second := filled(t)
+	raw, second := threeCommits(t)
 	for n := second; n <= len(raw); n++ {
 		for name, tail := range map[string][]byte{"cut": nil, "zeros": make([]byte, 50), "garbage": []byte("\xfe#7$*%%")} {
-			m, err := reopen(t, append(bytes.Clone(raw[:n]), tail...))
+			m, err := commitAfterReopen(t, append(bytes.Clone(raw[:n]), tail...))
 			if err != nil {
 				t.Fatalf("%s at %d of %d: %v", name, n, len(raw), err)
 			}
 			if m["a"] != "1\x00\r\n*3" || m["b"] != "2" {
-				t.Fatalf("%s at %d of %d: synced values gone: %v", name, n, len(raw), m)
+				t.Fatalf("%s at %d of %d: synced values are lost: %v", name, n, len(raw), m)
 			}
 		}
 	}
 }
 
 func TestDamageBeforeALaterCommitIsTold(t *testing.T) {
-	raw, second := filled(t)
+	raw, second := threeCommits(t)
 	for _, b := range []byte{0, '#'} {
 		bad := bytes.Clone(raw)
 		for i := second - 20; i < second-5; i++ {
 			bad[i] = b
 		}
-		if _, err := reopen(t, bad); !errors.Is(err, ErrSpoiled) {
-			t.Fatalf("damage by %q in the middle: %v, want ErrSpoiled", b, err)
+		if _, err := commitAfterReopen(t, bad); !errors.Is(err, ErrCorrupt) {
+			t.Fatalf("damage by %q in the middle: %v, want ErrCorrupt", b, err)
 		}
 	}
 }
 
 func TestRewriteKeepsLiveValues(t *testing.T) {
 	dir := t.TempDir()
-	b := open(t, dir)
+	b := openDisk(t, dir)
 	big := bytes.Repeat([]byte("v"), 1<<20)
 	for i := range 20 {
 		if err := b.Commit([]Put{{Key: "big", Value: big}, {Key: fmt.Sprint(i), Value: []byte{byte(i)}}, {Key: "0"}}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if fi, _ := os.Stat(filepath.Join(dir, "x.db")); fi.Size() > 3*shrinkAt {
-		t.Fatalf("file has grown to %d", fi.Size())
+	if fi, _ := os.Stat(filepath.Join(dir, "x.db")); fi.Size() > 3*minRewriteSize {
+		t.Fatalf("file has grown to %d bytes", fi.Size())
 	}
 	_ = b.Close()
-	b = open(t, dir)
+	b = openDisk(t, dir)
 	defer b.Close()
-	m := load(t, b)
+	m := loadStrings(t, b)
 	if len(m) != 20 || m["big"] != string(big) || m["19"] != "\x13" {
 		t.Fatalf("%d values after the rewrite, want 20", len(m))
 	}
 }
 
 func TestFailedSyncEndsTheDisk(t *testing.T) {
-	b := open(t, t.TempDir())
-	if err := b.Commit(put("a", "1")); err != nil {
+	b := openDisk(t, t.TempDir())
+	if err := b.Commit(onePut("a", "1")); err != nil {
 		t.Fatal(err)
 	}
-	// Our own descriptor is closed under it: its sync fails, as a bad disk's does.
-	_ = b.own.Close()
-	if b.Commit(put("b", "2")) == nil {
-		t.Fatal("a failed sync was not told")
+	// Closing the separate descriptor makes its sync fail, as on a bad disk.
+	_ = b.syncFile.Close()
+	if b.Commit(onePut("b", "2")) == nil {
+		t.Fatal("a failed sync was not reported")
 	}
-	b.own, _ = os.OpenFile(b.path, os.O_RDWR, 0)
-	if b.Commit(put("c", "3")) == nil {
-		t.Fatal("a disk that failed once was written again")
+	b.syncFile, _ = os.OpenFile(b.path, os.O_RDWR, 0)
+	if b.Commit(onePut("c", "3")) == nil {
+		t.Fatal("a failed disk was written to again")
 	}
 }
--- a/internal/storage/journal.go
+++ b/internal/storage/journal.go
@@ -13,41 +13,41 @@
 )
 
 const (
-	// maxRecord bounds a record, so that a damaged length asks for no memory.
-	maxRecord = 64 << 10
-	// maxJournal bounds what is read of a file.
-	maxJournal = 64 << 20
-	// sumLen is the length of a record's checksum.
-	sumLen = 8
+	// maxRecordSize limits a record, so that a damaged length does not cause a large allocation.
+	maxRecordSize = 64 << 10
+	// maxJournalSize limits how much of a file is read.
+	maxJournalSize = 64 << 20
+	// checksumLen is the length of a record's checksum in bytes.
+	checksumLen = 8
 )
 
-// Journal keeps records that may be lost: nothing is synced, and nobody waits. They
-// outlive the process, but a power loss may take any of the last ones, or all.
+// Journal stores records whose loss is acceptable: writes are not synced, and no caller waits for
+// the disk. Records survive the process, but a power failure may lose the latest ones, or all.
 type Journal interface {
 	// Load reads the records in the order in which they were written, up to the first
-	// that is torn or damaged.
+	// one that is torn or damaged.
 	Load() ([][]byte, error)
-	// Append adds records. After an error only a Replace makes the file whole again.
+	// Append adds records. After an error, the file is incomplete until the next Replace.
 	Append(records [][]byte) error
-	// Replace puts records in place of all that there are.
+	// Replace replaces all records.
 	Replace(records [][]byte) error
 	Close() error
 }
 
-// FileJournal is a Journal in one file: each record with its length and checksum.
+// FileJournal is a Journal in one file: each record is stored with its length and checksum.
 type FileJournal struct {
 	path string
-	f    *os.File // nil before the first write
+	file *os.File // nil before the first write
 }
 
-// OpenJournal names the file; it is made by the first Replace.
+// OpenJournal returns a journal at the given path; the first Replace creates the file.
 func OpenJournal(dir, name string) *FileJournal { return &FileJournal{path: filepath.Join(dir, name)} }
 
-// Path is the file's.
+// Path returns the path of the file.
 func (j *FileJournal) Path() string { return j.path }
 
-// encode puts records one behind the other.
-func encode(records [][]byte) []byte {
+// encodeRecords concatenates records, each with its length and checksum.
+func encodeRecords(records [][]byte) []byte {
 	var b []byte
 	for _, r := range records {
 		b = binary.AppendUvarint(b, uint64(len(r)))
@@ -57,24 +57,24 @@
 	return b
 }
 
-// decode reads as many whole records as there are.
-func decode(b []byte) (out [][]byte) {
+// decodeRecords decodes records up to the first incomplete or damaged one.
+func decodeRecords(b []byte) (records [][]byte) {
 	for {
-		n, k := binary.Uvarint(b)
-		if k <= 0 || n > maxRecord || uint64(len(b)-k) < n+sumLen {
-			return out
+		size, prefixLen := binary.Uvarint(b)
+		if prefixLen <= 0 || size > maxRecordSize || uint64(len(b)-prefixLen) < size+checksumLen {
+			return records
 		}
-		r := b[k : k+int(n)]
-		b = b[k+int(n):]
-		// An empty record is no record: a tail of zero bytes reads as many of them.
-		if n == 0 || binary.BigEndian.Uint64(b) != xxhash.Sum64(r) {
-			return out
+		record := b[prefixLen : prefixLen+int(size)]
+		b = b[prefixLen+int(size):]
+		// Empty records are invalid: otherwise a tail of zero bytes would decode as a sequence of them.
+		if size == 0 || binary.BigEndian.Uint64(b) != xxhash.Sum64(record) {
+			return records
 		}
-		out, b = append(out, r), b[sumLen:]
+		records, b = append(records, record), b[checksumLen:]
 	}
 }
 
-// Load reads the records that are whole.
+// Load reads the intact records.
 func (j *FileJournal) Load() ([][]byte, error) {
 	f, err := os.Open(j.path)
 	if errors.Is(err, os.ErrNotExist) {
@@ -84,45 +84,45 @@
 		return nil, steperr.At("load journal", "", err)
 	}
 	defer f.Close()
-	b, err := io.ReadAll(io.LimitReader(f, maxJournal))
-	return decode(b), steperr.At("load journal", "", err)
+	b, err := io.ReadAll(io.LimitReader(f, maxJournalSize))
+	return decodeRecords(b), steperr.At("load journal", "", err)
 }
 
-// Append adds records to the file that the last Replace began.
+// Append adds records to the file that the last Replace created.
 func (j *FileJournal) Append(records [][]byte) error {
-	if j.f == nil {
+	if j.file == nil {
 		return steperr.New("append journal", "", "not begun by a Replace")
 	}
-	_, err := j.f.Write(encode(records))
+	_, err := j.file.Write(encodeRecords(records))
 	return steperr.At("append journal", "", err)
 }
 
-// Replace writes another file and gives it the name, so that a process killed halfway
-// leaves the one or the other.
+// Replace writes a new file and renames it over the old one, so that a process killed halfway
+// leaves either the old file or the new one.
 func (j *FileJournal) Replace(records [][]byte) error {
 	f, err := os.Create(j.path + ".new")
 	if err != nil {
 		return steperr.At("replace journal", "", err)
 	}
-	_, err = f.Write(encode(records))
+	_, err = f.Write(encodeRecords(records))
 	if err == nil {
 		err = os.Rename(j.path+".new", j.path)
 	}
 	if err != nil {
 		return steperr.At("replace journal", "", errors.Join(err, f.Close()))
 	}
-	old := j.f
-	j.f = f
+	old := j.file
+	j.file = f
 	if old != nil {
-		_ = old.Close() // nothing was to be synced
+		_ = old.Close() // the old file's data needs no sync
 	}
 	return nil
 }
 
-// Close ends the use of the file.
+// Close closes the file.
 func (j *FileJournal) Close() error {
-	if j.f == nil {
+	if j.file == nil {
 		return nil
 	}
-	return j.f.Close()
+	return j.file.Close()
 }
--- a/internal/storage/journal_test.go
+++ b/internal/storage/journal_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-func texts(t *testing.T, j *FileJournal) []string {
+func loadRecords(t *testing.T, j *FileJournal) []string {
 	t.Helper()
 	rs, err := j.Load()
 	if err != nil {
@@ -25,20 +25,20 @@
 func TestAJournalOutlivesItsProcess(t *testing.T) {
 	dir := t.TempDir()
 	j := OpenJournal(dir, "x")
-	if got := texts(t, j); got != nil {
-		t.Fatalf("no file holds %q", got)
+	if got := loadRecords(t, j); got != nil {
+		t.Fatalf("records without a file: %q", got)
 	}
 	if j.Append([][]byte{[]byte("0")}) == nil {
-		t.Error("added to a file of which nobody knows how it ends")
+		t.Error("Append succeeded on a file whose end is unknown")
 	}
 	for _, err := range []error{j.Replace([][]byte{[]byte("a")}), j.Append([][]byte{[]byte("b"), []byte("c")}), j.Append(nil)} {
 		if err != nil {
 			t.Fatal(err)
 		}
 	}
-	// The next life reads without the first having closed it.
+	// A restarted process reads a file that its predecessor did not close.
 	k := OpenJournal(dir, "x")
-	if got := texts(t, k); !slices.Equal(got, []string{"a", "b", "c"}) {
+	if got := loadRecords(t, k); !slices.Equal(got, []string{"a", "b", "c"}) {
 		t.Errorf("%q", got)
 	}
 	if err := k.Replace([][]byte{[]byte("d")}); err != nil {
@@ -47,7 +47,7 @@
 	if err := k.Append([][]byte{[]byte("e")}); err != nil {
 		t.Fatal(err)
 	}
-	if got := texts(t, OpenJournal(dir, "x")); !slices.Equal(got, []string{"d", "e"}) {
+	if got := loadRecords(t, OpenJournal(dir, "x")); !slices.Equal(got, []string{"d", "e"}) {
 		t.Errorf("%q", got)
 	}
 	for _, x := range []*FileJournal{j, k, OpenJournal(dir, "y")} {
@@ -57,7 +57,7 @@
 	}
 }
 
-// Whatever is left of the file, what is read are its first records, unaltered.
+// Whatever remains of the file, Load returns an unaltered prefix of its records.
 func TestATornOrDamagedJournalIsReadAsFarAsItIsWhole(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "x")
@@ -67,14 +67,14 @@
 		want = append(want, fmt.Sprintf("record %d", i))
 		in = append(in, []byte(want[i]))
 	}
-	raw := encode(in)
+	raw := encodeRecords(in)
 	each := len(raw) / len(in)
 	check := func(what string, b []byte, n int) {
 		t.Helper()
 		if err := os.WriteFile(path, b, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if got := texts(t, OpenJournal(dir, "x")); !slices.Equal(got, want[:n]) {
+		if got := loadRecords(t, OpenJournal(dir, "x")); !slices.Equal(got, want[:n]) {
 			t.Errorf("%s: %q, want the first %d", what, got, n)
 		}
 	}
--- a/internal/storage/meter.go
+++ b/internal/storage/meter.go
@@ -9,115 +9,115 @@
 	"walkrudder/internal/clock"
 )
 
-// Figures are what a meter tells of one file.
-type Figures struct {
+// WriteStats are the write statistics of one file.
+type WriteStats struct {
 	Name string
-	// Size is the file's, where Sized.
+	// Size is the size of the file in bytes, valid if SizeKnown.
 	Size             int64
-	Sized            bool
+	SizeKnown        bool
 	Writes, Failures uint64
-	// Last is how long ago the last write that went well ended; none did where Writes is
-	// no more than Failures. Took is how long it took, and Longest the longest one.
-	Last, Took, Longest time.Duration
-	// Busy is for how long the write under way has lasted; 0 is none.
-	Busy time.Duration
-	Err  string // of the last failure
+	// SinceLastSuccess is the time since the last successful write ended; there was none unless Writes
+	// exceeds Failures. LastDuration is how long that write took, and LongestDuration the maximum of all writes.
+	SinceLastSuccess, LastDuration, LongestDuration time.Duration
+	// InProgressFor is how long the current write has taken so far; 0 if there is none.
+	InProgressFor time.Duration
+	LastError     string // message of the last failure
 }
 
-// Meter watches the writes to one file, for people. It never waits for the file's lock,
-// which a disk that hangs may hold for long.
+// Meter collects statistics of the writes to one file, for operators. It never waits for the
+// file's lock, which may be held for a long time if the disk hangs.
 type Meter struct {
 	clock clock.Clock
 	name  string
-	path  string // "" for what is no file
+	path  string // "" if there is no file
 
-	mu     sync.Mutex
-	f      Figures
-	last   time.Time
-	begun  time.Time // of the write under way
-	within bool
+	mu          sync.Mutex
+	stats       WriteStats
+	lastSuccess time.Time
+	startedAt   time.Time // of the write in progress
+	inProgress  bool
 }
 
-func newMeter(of any, name string, c clock.Clock) *Meter {
-	m := &Meter{clock: c, name: name}
-	if p, ok := of.(interface{ Path() string }); ok {
+func newMeter(target any, name string, clk clock.Clock) *Meter {
+	m := &Meter{clock: clk, name: name}
+	if p, ok := target.(interface{ Path() string }); ok {
 		m.path = p.Path()
 		m.name = filepath.Base(m.path)
 	}
 	return m
 }
 
-// write watches one write; there is one at a time.
-func (m *Meter) write(f func() error) error {
-	begun := m.clock.Now()
+// measure runs one write and records its result; writes do not overlap.
+func (m *Meter) measure(write func() error) error {
+	startedAt := m.clock.Now()
 	m.mu.Lock()
-	m.begun, m.within = begun, true
+	m.startedAt, m.inProgress = startedAt, true
 	m.mu.Unlock()
-	err := f()
+	err := write()
 	now := m.clock.Now()
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.within = false
-	m.f.Writes++
-	if m.f.Longest = max(m.f.Longest, now.Sub(begun)); err != nil {
-		m.f.Failures, m.f.Err = m.f.Failures+1, err.Error()
+	m.inProgress = false
+	m.stats.Writes++
+	if m.stats.LongestDuration = max(m.stats.LongestDuration, now.Sub(startedAt)); err != nil {
+		m.stats.Failures, m.stats.LastError = m.stats.Failures+1, err.Error()
 		return err
 	}
-	m.last, m.f.Took = now, now.Sub(begun)
+	m.lastSuccess, m.stats.LastDuration = now, now.Sub(startedAt)
 	return nil
 }
 
-// Figures tells how things are now.
-func (m *Meter) Figures() Figures {
+// Stats returns the current statistics.
+func (m *Meter) Stats() WriteStats {
 	now := m.clock.Now()
 	m.mu.Lock()
-	f := m.f
-	if !m.last.IsZero() {
-		f.Last = now.Sub(m.last)
+	stats := m.stats
+	if !m.lastSuccess.IsZero() {
+		stats.SinceLastSuccess = now.Sub(m.lastSuccess)
 	}
-	if m.within {
-		f.Busy = now.Sub(m.begun)
+	if m.inProgress {
+		stats.InProgressFor = now.Sub(m.startedAt)
 	}
 	m.mu.Unlock()
-	f.Name = m.name
+	stats.Name = m.name
 	if m.path != "" {
-		if i, err := os.Stat(m.path); err == nil {
-			f.Size, f.Sized = i.Size(), true
+		if info, err := os.Stat(m.path); err == nil {
+			stats.Size, stats.SizeKnown = info.Size(), true
 		}
 	}
-	return f
+	return stats
 }
 
 type meteredDisk struct {
 	Disk
-	m *Meter
+	meter *Meter
 }
 
 func (d meteredDisk) Commit(puts []Put) error {
-	return d.m.write(func() error { return d.Disk.Commit(puts) })
+	return d.meter.measure(func() error { return d.Disk.Commit(puts) })
 }
 
-// MeterDisk is d with a meter on it.
-func MeterDisk(d Disk, c clock.Clock) (Disk, *Meter) {
-	m := newMeter(d, "disk", c)
+// MeterDisk wraps d and measures its commits.
+func MeterDisk(d Disk, clk clock.Clock) (Disk, *Meter) {
+	m := newMeter(d, "disk", clk)
 	return meteredDisk{d, m}, m
 }
 
 type meteredJournal struct {
 	Journal
-	m *Meter
+	meter *Meter
 }
 
 func (j meteredJournal) Append(records [][]byte) error {
-	return j.m.write(func() error { return j.Journal.Append(records) })
+	return j.meter.measure(func() error { return j.Journal.Append(records) })
 }
 
 func (j meteredJournal) Replace(records [][]byte) error {
-	return j.m.write(func() error { return j.Journal.Replace(records) })
+	return j.meter.measure(func() error { return j.Journal.Replace(records) })
 }
 
-// MeterJournal is j with a meter on it.
-func MeterJournal(j Journal, c clock.Clock) (Journal, *Meter) {
-	m := newMeter(j, "journal", c)
+// MeterJournal wraps j and measures its writes.
+func MeterJournal(j Journal, clk clock.Clock) (Journal, *Meter) {
+	m := newMeter(j, "journal", clk)
 	return meteredJournal{j, m}, m
 }
--- a/internal/upgrade/report.go
+++ b/internal/upgrade/report.go
@@ -38,4 +38,4 @@
 // ReportTold answers it.
 type ReportTold struct{}
 
-func init() { link.Pair[ReportAsk, ReportTold]() }
+func init() { link.RegisterPair[ReportAsk, ReportTold]() }
--- a/internal/upgrade/reporter.go
+++ b/internal/upgrade/reporter.go
@@ -76,7 +76,7 @@
 			cx, end := context.WithTimeout(ctx, reportTime)
 			defer end()
 			// One that does not arrive is followed by the next, which holds all that it did.
-			_, _ = link.Ask[ReportTold](cx, r.Line, controllers[id], *ask)
+			_, _ = link.Call[ReportTold](cx, r.Line, controllers[id], *ask)
 		}()
 	}
 }
--- a/internal/watch/follow.go
+++ b/internal/watch/follow.go
@@ -45,7 +45,7 @@
 			}
 			a.Me, a.Sums = me, at.sums
 		}
-		if t, err = link.Ask[WatchTold](ctx, p.line, at.addr, a); err != nil {
+		if t, err = link.Call[WatchTold](ctx, p.line, at.addr, a); err != nil {
 			return t, nil, nil, err
 		}
 		if t.Anew {
--- a/internal/watch/teller.go
+++ b/internal/watch/teller.go
@@ -77,8 +77,8 @@
 }
 
 // Serve teaches d to answer those who follow.
-func (t *Teller) Serve(d *link.Desk) {
-	link.On(d, func(ctx context.Context, _ link.Who, a WatchAsk) (WatchTold, error) { return t.watch(ctx, a) })
+func (t *Teller) Serve(d *link.Mux) {
+	link.Handle(d, func(ctx context.Context, _ link.Identity, a WatchAsk) (WatchTold, error) { return t.watch(ctx, a) })
 }
 
 // watch waits for news and tells them.
--- a/internal/watch/types.go
+++ b/internal/watch/types.go
@@ -97,5 +97,5 @@
 )
 
 func init() {
-	link.Pair[WatchAsk, WatchTold]()
+	link.RegisterPair[WatchAsk, WatchTold]()
 }
--- a/tools/hollow/controllers.go
+++ b/tools/hollow/controllers.go
@@ -56,12 +56,12 @@
 	if err != nil {
 		return nil, errors.Join(err, inner.Close())
 	}
-	disk, err := storage.OpenBunt(a.Dir, "items.db")
+	disk, err := storage.OpenBuntDisk(a.Dir, "items.db")
 	if err != nil {
 		return nil, errors.Join(err, inner.Close(), door.Close())
 	}
 	id := fmt.Sprintf("controller%d", a.N)
-	line := link.NewTCP(link.Who{ID: id, Kind: "controller"}, a.Inner, quiet())
+	line := link.NewTCP(link.Identity{ID: id, Kind: "controller"}, a.Inner, quiet())
 	way := &Way{Line: line, Delay: ways(controllerZone(a.N))}
 	bad := &atomic.Pointer[string]{}
 	n, err := control.New(control.Parts{
--- a/tools/hollow/gateways.go
+++ b/tools/hollow/gateways.go
@@ -72,7 +72,7 @@
 	var cuts []*Way
 	for i := range a.Count {
 		id := fmt.Sprintf("gateway%d-%d", a.Zone, i)
-		line := link.NewTCP(link.Who{ID: id, Kind: watch.Gateway}, ip(a.Net, gatewayNet, a.Zone)+":0", quiet())
+		line := link.NewTCP(link.Identity{ID: id, Kind: watch.Gateway}, ip(a.Net, gatewayNet, a.Zone)+":0", quiet())
 		way := &Way{Line: line, Delay: ways(a.Zone)}
 		sub := &watch.Subscriber{Me: watch.Member{ID: id, Kind: watch.Gateway, Zone: zoneName(a.Zone), Inc: rand.Uint64() | 1}, Line: way, Clock: clock.Wall{}, Log: quiet()}
 		sub.OnNews = func(t watch.WatchTold) {
--- a/tools/hollow/meter_test.go
+++ b/tools/hollow/meter_test.go
@@ -63,21 +63,21 @@
 	}
 	var raw tape
 	m := &Meter{Role: func(string) string { return "x" }}
-	d := link.NewDesk()
-	link.On(d, func(_ context.Context, _ link.Who, a quorum.MergeAsk) (quorum.MergeTold, error) {
+	d := link.NewMux()
+	link.Handle(d, func(_ context.Context, _ link.Identity, a quorum.MergeAsk) (quorum.MergeTold, error) {
 		return quorum.MergeTold{Over: make([]int, len(a.Items))}, nil
 	})
-	s := link.NewTCP(link.Who{ID: "s", Kind: "controller"}, "", quiet())
+	s := link.NewTCP(link.Identity{ID: "s", Kind: "controller"}, "", quiet())
 	done := make(chan struct{})
 	go func() { s.Serve(metered{tapped{ln, &raw}, m, true}, d); close(done) }()
-	c := link.NewTCP(link.Who{ID: "c", Kind: "tool"}, "", quiet())
+	c := link.NewTCP(link.Identity{ID: "c", Kind: "tool"}, "", quiet())
 	for i := range 3 {
 		// Some are larger than what is looked at for a name.
 		a := quorum.MergeAsk{Items: make([]item.Item, 1+500*i)}
 		for k := range a.Items {
 			a.Items[k] = item.Item{Key: item.Key{Kind: item.Route, Name: fmt.Sprint(k)}, Version: 1, Body: []byte("a.Service")}
 		}
-		if _, err := link.Ask[quorum.MergeTold](t.Context(), c, ln.Addr().String(), a); err != nil {
+		if _, err := link.Call[quorum.MergeTold](t.Context(), c, ln.Addr().String(), a); err != nil {
 			t.Fatal(err)
 		}
 	}
