--- a/cmd/controller/rollout_test.go
+++ b/cmd/controller/rollout_test.go
@@ -27,7 +27,7 @@
 		args   rolloutArgs
 		answer any
 		want   any
-		tells  string
+		output string
 	}{
 		"start": {rolloutArgs{Timeout: time.Second, Start: &rolloutStart{"n:1", "orders", "v2", time.Minute}}, control.UpgradeTold{Number: 1},
 			control.UpgradeOrderAsk{Order: upgrade.Order{Service: "orders", To: "v2", Term: time.Minute}}, "acknowledged"},
@@ -37,10 +37,10 @@
 			control.Answer[control.UpgradeRow]{Rows: []control.UpgradeRow{{Service: "orders", To: "v2", Phase: "canary", Share: 50}}},
 			control.UpgradesAsk{Prefix: "ord"}, "canary"},
 	} {
-		line := &recordingClient{response: x.answer}
+		client := &recordingClient{response: x.answer}
 		var out, errw bytes.Buffer
-		if code := x.args.execute(line, &out, &errw); code != 0 || line.request != x.want || !strings.Contains(out.String(), x.tells) {
-			t.Errorf("%s: exit %d, sent %+v, printed %q %q", name, code, line.request, out.String(), errw.String())
+		if code := x.args.execute(client, &out, &errw); code != 0 || client.request != x.want || !strings.Contains(out.String(), x.output) {
+			t.Errorf("%s: exit %d, sent %+v, printed %q %q", name, code, client.request, out.String(), errw.String())
 		}
 	}
 }
--- a/cmd/controller/say.go
+++ b/cmd/controller/say.go
@@ -49,19 +49,19 @@
 	if len(a.Words) > 0 {
 		return a.send(joinWords(a.Words), out, errw)
 	}
-	sc := bufio.NewScanner(in)
-	sc.Buffer(nil, statement.MaxSaying+1)
-	for n := 1; sc.Scan(); n++ {
-		l := strings.TrimSpace(sc.Text())
-		if l == "" || strings.HasPrefix(l, "#") {
+	scanner := bufio.NewScanner(in)
+	scanner.Buffer(nil, statement.MaxSaying+1)
+	for n := 1; scanner.Scan(); n++ {
+		line := strings.TrimSpace(scanner.Text())
+		if line == "" || strings.HasPrefix(line, "#") {
 			continue
 		}
-		if code := a.send(l, out, errw); code != 0 {
-			_, _ = fmt.Fprintf(errw, "controller say: stopped at line %d: %s\n", n, l)
+		if code := a.send(line, out, errw); code != 0 {
+			_, _ = fmt.Fprintf(errw, "controller say: stopped at line %d: %s\n", n, line)
 			return code
 		}
 	}
-	if err := sc.Err(); err != nil {
+	if err := scanner.Err(); err != nil {
 		_, _ = fmt.Fprintln(errw, "controller say:", err)
 		return 2
 	}
@@ -70,16 +70,16 @@
 
 // joinWords joins the words that the shell has split; a word that contains blanks was
 // quoted and is quoted again.
-func joinWords(ws []string) string {
-	if len(ws) == 1 {
-		return ws[0]
+func joinWords(words []string) string {
+	if len(words) == 1 {
+		return words[0]
 	}
-	for i, w := range ws {
+	for i, w := range words {
 		if strings.ContainsAny(w, " \t") {
-			ws[i] = `"` + w + `"`
+			words[i] = `"` + w + `"`
 		}
 	}
-	return strings.Join(ws, " ")
+	return strings.Join(words, " ")
 }
 
 var httpClient = &http.Client{Timeout: 15 * time.Second}
@@ -120,9 +120,9 @@
 
 // printTable prints a list of objects as a table, a string as it is, and any other value as indented JSON.
 func printTable(raw json.RawMessage, out io.Writer) {
-	var s string
-	if json.Unmarshal(raw, &s) == nil {
-		_, _ = fmt.Fprintln(out, strings.TrimRight(s, "\n"))
+	var text string
+	if json.Unmarshal(raw, &text) == nil {
+		_, _ = fmt.Fprintln(out, strings.TrimRight(text, "\n"))
 		return
 	}
 	var rows []map[string]any
@@ -136,45 +136,45 @@
 		_, _ = fmt.Fprintln(out, "nothing")
 		return
 	}
-	cols := columns(raw)
-	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
-	_, _ = fmt.Fprintln(w, strings.ToUpper(strings.Join(cols, "\t")))
+	names := columns(raw)
+	writer := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
+	_, _ = fmt.Fprintln(writer, strings.ToUpper(strings.Join(names, "\t")))
 	for _, r := range rows {
-		for i, c := range cols {
+		for i, c := range names {
 			if i > 0 {
-				_, _ = fmt.Fprint(w, "\t")
+				_, _ = fmt.Fprint(writer, "\t")
 			}
 			switch v := r[c].(type) {
 			case nil:
-				_, _ = fmt.Fprint(w, "-")
+				_, _ = fmt.Fprint(writer, "-")
 			case float64:
-				_, _ = fmt.Fprintf(w, "%.10g", v)
+				_, _ = fmt.Fprintf(writer, "%.10g", v)
 			case string, bool:
-				_, _ = fmt.Fprint(w, v)
+				_, _ = fmt.Fprint(writer, v)
 			default:
 				b, _ := json.Marshal(v)
-				_, _ = w.Write(b)
+				_, _ = writer.Write(b)
 			}
 		}
-		_, _ = fmt.Fprintln(w)
+		_, _ = fmt.Fprintln(writer)
 	}
-	_ = w.Flush()
+	_ = writer.Flush()
 }
 
 // columns returns the field names of the rows, in order of first appearance.
 func columns(raw json.RawMessage) (out []string) {
-	d := json.NewDecoder(bytes.NewReader(raw))
+	decoder := json.NewDecoder(bytes.NewReader(raw))
 	depth, key := 0, false
 	for {
-		t, err := d.Token()
+		token, err := decoder.Token()
 		if err != nil {
 			return out
 		}
-		switch x := t.(type) {
+		switch value := token.(type) {
 		case json.Delim:
-			if x == '{' || x == '[' {
+			if value == '{' || value == '[' {
 				depth++
-				key = x == '{' && depth == 2
+				key = value == '{' && depth == 2
 			} else {
 				depth--
 				key = depth == 2
@@ -182,8 +182,8 @@
 			continue
 		case string:
 			if depth == 2 && key {
-				if !slices.Contains(out, x) {
-					out = append(out, x)
+				if !slices.Contains(out, value) {
+					out = append(out, value)
 				}
 				key = false
 				continue
--- a/cmd/controller/show_test.go
+++ b/cmd/controller/show_test.go
@@ -55,13 +55,13 @@
 }
 
 func TestShowPrintsWhatItIsTold(t *testing.T) {
-	told := control.Answer[control.RunRow]{About: control.About{Node: "m1", Zone: "za", Fresh: true, BehindMS: 12}, Total: 3, Next: "i-1",
+	answer := control.Answer[control.RunRow]{About: control.About{Node: "m1", Zone: "za", Fresh: true, BehindMS: 12}, Total: 3, Next: "i-1",
 		Rows: []control.RunRow{{ID: "i-1", Service: "s", State: "ready", Suspicion: control.Maybe{Known: true, Value: 0.25}}}}
-	l := &fakeClient{response: told}
+	client := &fakeClient{response: answer}
 	a := showArgs{Node: "10.0.0.1:7660", List: listRuns, Service: "s", Prefix: "i", After: "h", Most: 1, Timeout: time.Second}
 	var out, errw bytes.Buffer
-	if code := a.execute(l, &out, &errw); code != 0 || l.addr != a.Node || l.request != (control.RunsAsk{Page: control.Page{After: "h", Most: 1}, Service: "s", Prefix: "i"}) {
-		t.Fatalf("exit %d, sent to %s: %+v, %s", code, l.addr, l.request, errw.String())
+	if code := a.execute(client, &out, &errw); code != 0 || client.addr != a.Node || client.request != (control.RunsAsk{Page: control.Page{After: "h", Most: 1}, Service: "s", Prefix: "i"}) {
+		t.Fatalf("exit %d, sent to %s: %+v, %s", code, client.addr, client.request, errw.String())
 	}
 	for _, want := range []string{"# m1 in za, fresh: knows all that was acknowledged until 12 ms ago\n", "SUSPICION", "0.25", "# 1 of 3 rows; the next: --after \"i-1\"\n"} {
 		if !strings.Contains(out.String(), want) {
@@ -70,52 +70,52 @@
 	}
 	out.Reset()
 	a.JSON = true
-	var back struct {
+	var decoded struct {
 		Node, Next string
 		Rows       []map[string]any
 	}
-	if code := a.execute(l, &out, &errw); code != 0 || json.Unmarshal(out.Bytes(), &back) != nil || back.Node != "m1" || back.Next != "i-1" || len(back.Rows) != 1 ||
-		back.Rows[0]["suspicion"] != 0.25 || back.Rows[0]["beat_ago_ms"] != nil {
+	if code := a.execute(client, &out, &errw); code != 0 || json.Unmarshal(out.Bytes(), &decoded) != nil || decoded.Node != "m1" || decoded.Next != "i-1" || len(decoded.Rows) != 1 ||
+		decoded.Rows[0]["suspicion"] != 0.25 || decoded.Rows[0]["beat_ago_ms"] != nil {
 		t.Errorf("exit %d: %s", code, out.String())
 	}
 	out.Reset()
-	told.Fresh = false
-	l.response, a.JSON = told, false
-	if a.execute(l, &out, &errw); !strings.Contains(out.String(), "NOT FRESH") {
+	answer.Fresh = false
+	client.response, a.JSON = answer, false
+	if a.execute(client, &out, &errw); !strings.Contains(out.String(), "NOT FRESH") {
 		t.Errorf("missing NOT FRESH: %s", out.String())
 	}
 	// A response of another type is an error.
-	l.response = control.Answer[control.ItemRow]{}
-	if code := a.execute(l, &out, &errw); code != 1 || !strings.Contains(errw.String(), "runs not told") {
+	client.response = control.Answer[control.ItemRow]{}
+	if code := a.execute(client, &out, &errw); code != 1 || !strings.Contains(errw.String(), "runs not told") {
 		t.Errorf("exit %d: %s", code, errw.String())
 	}
 }
 
 // Each list has its own request type.
 func TestShowAsksForEachList(t *testing.T) {
-	p := control.Page{After: "k", Most: 3}
-	for list, want := range map[string]struct{ ask, told any }{
-		listItems:    {control.ItemsAsk{Page: p, Prefix: "x"}, control.Answer[control.ItemRow]{}},
-		listMembers:  {control.MembersAsk{Page: p}, control.Answer[control.MemberRow]{}},
-		listDisk:     {control.DiskAsk{Page: p}, control.Answer[control.DiskRow]{}},
-		listCounters: {control.CountersAsk{Page: p, Prefix: "x"}, control.Answer[control.CounterRow]{}},
+	page := control.Page{After: "k", Most: 3}
+	for list, want := range map[string]struct{ request, response any }{
+		listItems:    {control.ItemsAsk{Page: page, Prefix: "x"}, control.Answer[control.ItemRow]{}},
+		listMembers:  {control.MembersAsk{Page: page}, control.Answer[control.MemberRow]{}},
+		listDisk:     {control.DiskAsk{Page: page}, control.Answer[control.DiskRow]{}},
+		listCounters: {control.CountersAsk{Page: page, Prefix: "x"}, control.Answer[control.CounterRow]{}},
 	} {
-		l := &fakeClient{response: want.told}
+		client := &fakeClient{response: want.response}
 		var out, errw bytes.Buffer
 		a := showArgs{Node: "n:1", List: list, Prefix: "x", After: "k", Most: 3, Timeout: time.Second}
-		if code := a.execute(l, &out, &errw); code != 0 || l.request != want.ask {
-			t.Errorf("%s: exit %d, sent %+v, %s", list, code, l.request, errw.String())
+		if code := a.execute(client, &out, &errw); code != 0 || client.request != want.request {
+			t.Errorf("%s: exit %d, sent %+v, %s", list, code, client.request, errw.String())
 		}
 	}
 }
 
 func TestShowDoesNotWaitForANodeThatIsSilent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		begun := time.Now()
+		start := time.Now()
 		var out, errw bytes.Buffer
 		a := showArgs{Node: "10.0.0.1:7660", List: listItems, Timeout: 3 * time.Second}
-		if code := a.execute(&fakeClient{}, &out, &errw); code != 1 || time.Since(begun) != a.Timeout || out.Len() > 0 {
-			t.Errorf("exit %d after %v: %s", code, time.Since(begun), out.String())
+		if code := a.execute(&fakeClient{}, &out, &errw); code != 1 || time.Since(start) != a.Timeout || out.Len() > 0 {
+			t.Errorf("exit %d after %v: %s", code, time.Since(start), out.String())
 		}
 		for _, want := range []string{"items not told", "ask (10.0.0.1:7660)", "deadline"} {
 			if !strings.Contains(errw.String(), want) {
--- a/cmd/controller/snapshot.go
+++ b/cmd/controller/snapshot.go
@@ -162,13 +162,13 @@
 	if s.Partial() {
 		fmt.Fprintf(out, "partial: %d disks were needed to hold everything acknowledged\n", s.Need)
 	}
-	for _, kind := range []struct {
-		of   item.Kind
+	for _, section := range []struct {
+		kind item.Kind
 		name string
 	}{{item.Route, "routes"}, {item.Service, "services"}, {item.Limits, "limits"}} {
-		of := lo.Filter(s.Items, func(i item.Item, _ int) bool { return i.Kind == kind.of })
-		gone := lo.CountBy(of, func(i item.Item) bool { return i.Gone })
-		newest := lo.MaxBy(of, func(a, b item.Item) bool { return a.Version > b.Version })
-		fmt.Fprintf(out, "%s: %d, and %d dropped; newest version %d\n", kind.name, len(of)-gone, gone, newest.Version)
+		matching := lo.Filter(s.Items, func(i item.Item, _ int) bool { return i.Kind == section.kind })
+		gone := lo.CountBy(matching, func(i item.Item) bool { return i.Gone })
+		newest := lo.MaxBy(matching, func(a, b item.Item) bool { return a.Version > b.Version })
+		fmt.Fprintf(out, "%s: %d, and %d dropped; newest version %d\n", section.name, len(matching)-gone, gone, newest.Version)
 	}
 }
--- a/cmd/controller/snapshot_test.go
+++ b/cmd/controller/snapshot_test.go
@@ -20,7 +20,7 @@
 	ctx, end := context.WithCancel(t.Context())
 	defer end()
 	core := quorum.Core{Epoch: 1}
-	var desks []*link.Mux
+	var muxes []*link.Mux
 	var disks []*storage.BuntDisk
 	var stopped []chan struct{}
 	for _, id := range []string{"a", "b", "c"} {
@@ -33,19 +33,19 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		desk, done := link.NewMux(), make(chan struct{})
-		v.Serve(desk)
+		mux, done := link.NewMux(), make(chan struct{})
+		v.Serve(mux)
 		go func() {
 			defer close(done)
 			v.Run(ctx)
 		}()
 		core.Seats = append(core.Seats, v.Seat())
-		dirs, desks, disks, stopped = append(dirs, dir), append(desks, desk), append(disks, d), append(stopped, done)
+		dirs, muxes, disks, stopped = append(dirs, dir), append(muxes, mux), append(disks, d), append(stopped, done)
 	}
-	for i, desk := range desks {
+	for i, mux := range muxes {
 		for _, ask := range []any{quorum.FormAsk{By: "a", Core: core}, quorum.FormAsk{By: "a", Core: core, Seal: true},
 			quorum.MergeAsk{Mark: quorum.Mark{Epoch: 1, Disk: core.Seats[i].Disk}, Items: items}} {
-			if _, err := desk.Dispatch(ctx, link.Identity{ID: "t"}, ask); err != nil {
+			if _, err := mux.Dispatch(ctx, link.Identity{ID: "t"}, ask); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -106,12 +106,12 @@
 	if v.Seat().Disk != "fresh" || v.Core().Epoch != 0 {
 		t.Errorf("a restored disk has seat %v and core %v", v.Seat(), v.Core())
 	}
-	held := map[string]uint64{}
+	versions := map[string]uint64{}
 	for _, it := range v.LoadedMergeItems() {
-		held[it.Name] = it.Version
+		versions[it.Name] = it.Version
 	}
-	if len(held) != 3 || held["r"] != 7 || held["old"] != 9 || held["s"] != 3 {
-		t.Errorf("restored: %v", held)
+	if len(versions) != 3 || versions["r"] != 7 || versions["old"] != 9 || versions["s"] != 3 {
+		t.Errorf("restored: %v", versions)
 	}
 }
 
@@ -131,9 +131,9 @@
 		t.Fatal(err)
 	}
 	for name, c := range map[string]struct {
-		code int
-		says string
-		args []string
+		code    int
+		message string
+		args    []string
 	}{
 		"no verb":            {2, "must be given", nil},
 		"no folder":          {2, "required", []string{"take", path}},
@@ -143,7 +143,7 @@
 		"damaged, restored":  {1, "damaged", []string{"restore", damaged, "--data", t.TempDir()}},
 		"a folder in use":    {1, "not empty", []string{"restore", path, "--data", dirs[0]}},
 	} {
-		if code, _, errs := snapshotCommand(c.args...); code != c.code || !strings.Contains(errs, c.says) {
+		if code, _, errs := snapshotCommand(c.args...); code != c.code || !strings.Contains(errs, c.message) {
 			t.Errorf("%s: %d, %s", name, code, errs)
 		}
 	}
--- a/cmd/trial/main.go
+++ b/cmd/trial/main.go
@@ -121,8 +121,8 @@
 		return nil, err
 	}
 	defer town.Lower()
-	ctx, end := signal.NotifyContext(context.Background(), os.Interrupt)
-	defer end()
+	ctx, cancel := signal.NotifyContext(context.Background(), os.Interrupt)
+	defer cancel()
 	startCtx, cancelStart := context.WithTimeout(ctx, time.Minute)
 	defer cancelStart()
 	if err := town.Raise(startCtx); err != nil {
@@ -176,9 +176,9 @@
 	// Drain a target in another zone during the outage.
 	sleep(a.Out / 3)
 	if x, ok := lo.Find(town.Targets, func(x *stand.Target) bool { return x.Zone != a.Zone }); ok {
-		cx, end := context.WithTimeout(ctx, a.Out/3)
-		_, _ = x.Leave(cx)
-		end()
+		leaveCtx, cancel := context.WithTimeout(ctx, a.Out/3)
+		_, _ = x.Leave(leaveCtx)
+		cancel()
 	}
 	sleep(a.Out - a.Out/3)
 	logf("zone %s comes back: %d nodes, %d targets", a.Zone, result.Nodes, result.Targets)
--- a/internal/link/frame.go
+++ b/internal/link/frame.go
@@ -65,29 +65,29 @@
 // for the lifetime of its stream, so both ends start a new stream after a large
 // frame.
 type framer struct {
-	w   io.Writer
-	r   io.Reader
-	out bytes.Buffer
-	in  frameReader
-	enc *gob.Encoder
-	dec *gob.Decoder
+	writer   io.Writer
+	reader   io.Reader
+	writeBuf bytes.Buffer
+	readBuf  frameReader
+	enc      *gob.Encoder
+	dec      *gob.Decoder
 }
 
 func newFramer(r io.Reader, w io.Writer) *framer {
-	f := &framer{r: r, w: w}
-	f.enc = gob.NewEncoder(&f.out)
-	f.dec = gob.NewDecoder(&f.in)
+	f := &framer{reader: r, writer: w}
+	f.enc = gob.NewEncoder(&f.writeBuf)
+	f.dec = gob.NewDecoder(&f.readBuf)
 	return f
 }
 
 // write sends one value. It must not be called concurrently.
 func (f *framer) write(v any) error {
-	f.out.Reset()
-	f.out.Write([]byte{0, 0, 0, 0})
+	f.writeBuf.Reset()
+	f.writeBuf.Write([]byte{0, 0, 0, 0})
 	if err := f.enc.Encode(v); err != nil {
 		return err
 	}
-	frame := f.out.Bytes()
+	frame := f.writeBuf.Bytes()
 	if len(frame)-4 > MaxFrameSize {
 		return errFrameSize
 	}
@@ -97,10 +97,10 @@
 		size |= streamResetBit
 	}
 	binary.BigEndian.PutUint32(frame, size)
-	_, err := f.w.Write(frame)
+	_, err := f.writer.Write(frame)
 	if reset {
-		f.out = bytes.Buffer{}
-		f.enc = gob.NewEncoder(&f.out)
+		f.writeBuf = bytes.Buffer{}
+		f.enc = gob.NewEncoder(&f.writeBuf)
 	}
 	return err
 }
@@ -108,7 +108,7 @@
 // read receives one value; it is an error if the frame holds less or more than that value.
 func (f *framer) read(v any) error {
 	var header [4]byte
-	if _, err := io.ReadFull(f.r, header[:]); err != nil {
+	if _, err := io.ReadFull(f.reader, header[:]); err != nil {
 		return err
 	}
 	size := binary.BigEndian.Uint32(header[:])
@@ -118,19 +118,19 @@
 		return errFrameSize
 	}
 	// The buffer grows with the data that arrives, whatever length the header claims.
-	f.in.Reset()
-	if copied, err := io.CopyN(&f.in.Buffer, f.r, int64(size)); err != nil || copied != int64(size) {
+	f.readBuf.Reset()
+	if copied, err := io.CopyN(&f.readBuf.Buffer, f.reader, int64(size)); err != nil || copied != int64(size) {
 		return io.ErrUnexpectedEOF
 	}
 	if err := f.dec.Decode(v); err != nil {
 		return err
 	}
-	if f.in.Len() != 0 {
+	if f.readBuf.Len() != 0 {
 		return errTrailingBytes
 	}
 	if reset {
-		f.in = frameReader{}
-		f.dec = gob.NewDecoder(&f.in)
+		f.readBuf = frameReader{}
+		f.dec = gob.NewDecoder(&f.readBuf)
 	}
 	return nil
 }
--- a/internal/link/link.go
+++ b/internal/link/link.go
@@ -35,12 +35,12 @@
 func Handle[A, R any](mux *Mux, handler func(context.Context, Identity, A) (R, error)) {
 	Register[A]()
 	Register[R]()
-	mux.handlers[reflect.TypeFor[A]()] = func(ctx context.Context, w Identity, a any) (any, error) {
-		r, err := handler(ctx, w, a.(A))
+	mux.handlers[reflect.TypeFor[A]()] = func(ctx context.Context, from Identity, request any) (any, error) {
+		response, err := handler(ctx, from, request.(A))
 		if err != nil {
 			return nil, err
 		}
-		return r, nil
+		return response, nil
 	}
 }
 
--- a/internal/link/link_test.go
+++ b/internal/link/link_test.go
@@ -25,34 +25,34 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	d := NewMux()
-	Handle(d, func(_ context.Context, w Identity, a echoAsk) (echoTold, error) {
+	mux := NewMux()
+	Handle(mux, func(_ context.Context, w Identity, a echoAsk) (echoTold, error) {
 		if a.Text == "fail" {
 			return echoTold{}, errors.New("as asked")
 		}
 		return echoTold{w.ID + ":" + a.Text}, nil
 	})
-	Handle(d, func(context.Context, Identity, boomAsk) (echoTold, error) { panic("boom") })
-	s := NewTCP(Identity{ID: "srv", Kind: "controller"}, "", log.New(io.Discard))
-	go s.Serve(ln, d)
-	t.Cleanup(s.Close)
-	return s, ln.Addr().String()
+	Handle(mux, func(context.Context, Identity, boomAsk) (echoTold, error) { panic("boom") })
+	server := NewTCP(Identity{ID: "srv", Kind: "controller"}, "", log.New(io.Discard))
+	go server.Serve(ln, mux)
+	t.Cleanup(server.Close)
+	return server, ln.Addr().String()
 }
 
 func TestLinkAnswersAndSurvivesPanics(t *testing.T) {
 	_, addr := startServer(t)
-	c := NewTCP(Identity{ID: "cli", Kind: "tool"}, "", log.New(io.Discard))
-	defer c.Close()
+	client := NewTCP(Identity{ID: "cli", Kind: "tool"}, "", log.New(io.Discard))
+	defer client.Close()
 	ctx := context.Background()
 	for range 3 {
-		r, err := Call[echoTold](ctx, c, addr, echoAsk{"hi"})
+		r, err := Call[echoTold](ctx, client, addr, echoAsk{"hi"})
 		if err != nil || r.Text != "cli:hi" {
 			t.Fatalf("%v %v", r, err)
 		}
-		if _, err := c.Call(ctx, addr, echoAsk{"fail"}); err == nil {
+		if _, err := client.Call(ctx, addr, echoAsk{"fail"}); err == nil {
 			t.Fatal("the handler's error was not returned")
 		}
-		if _, err := c.Call(ctx, addr, boomAsk{1}); err == nil {
+		if _, err := client.Call(ctx, addr, boomAsk{1}); err == nil {
 			t.Fatal("a panic in the handler was returned as a response")
 		}
 	}
@@ -128,15 +128,15 @@
 func TestALargeFrameIsNotKept(t *testing.T) {
 	Register[blobAsk]()
 	var wire bytes.Buffer
-	w, r := newFramer(nil, &wire), newFramer(&wire, nil)
-	pass := func(n int) int {
+	writer, reader := newFramer(nil, &wire), newFramer(&wire, nil)
+	roundTrip := func(n int) int {
 		t.Helper()
-		if err := w.write(&envelope{ID: uint64(n), Body: blobAsk{"b", bytes.Repeat([]byte{7}, n)}}); err != nil {
+		if err := writer.write(&envelope{ID: uint64(n), Body: blobAsk{"b", bytes.Repeat([]byte{7}, n)}}); err != nil {
 			t.Fatal(err)
 		}
 		size := wire.Len()
 		var e envelope
-		if err := r.read(&e); err != nil {
+		if err := reader.read(&e); err != nil {
 			t.Fatal(err)
 		}
 		if a, ok := e.Body.(blobAsk); !ok || len(a.Blob) != n || e.ID != uint64(n) {
@@ -144,36 +144,36 @@
 		}
 		return size
 	}
-	first, again := pass(10), pass(10)
-	if again >= first {
-		t.Errorf("types are described in each frame: %d and %d bytes", first, again)
+	first, second := roundTrip(10), roundTrip(10)
+	if second >= first {
+		t.Errorf("types are described in each frame: %d and %d bytes", first, second)
 	}
-	enc, dec := w.enc, r.dec
-	pass(maxRetainedFrame / 2)
-	if w.enc != enc || r.dec != dec {
+	enc, dec := writer.enc, reader.dec
+	roundTrip(maxRetainedFrame / 2)
+	if writer.enc != enc || reader.dec != dec {
 		t.Error("a small frame reset the stream")
 	}
-	pass(4 << 20)
-	if w.enc == enc || r.dec == dec {
+	roundTrip(4 << 20)
+	if writer.enc == enc || reader.dec == dec {
 		t.Error("the stream and its buffers were retained after a large frame")
 	}
-	for name, n := range map[string]int{"writer": w.out.Cap(), "reader": r.in.Cap()} {
+	for name, n := range map[string]int{"writer": writer.writeBuf.Cap(), "reader": reader.readBuf.Cap()} {
 		if n > 2*maxRetainedFrame {
 			t.Errorf("the %s retains %d bytes", name, n)
 		}
 	}
-	pass(4 << 20)
+	roundTrip(4 << 20)
 	for range 3 {
-		pass(100)
+		roundTrip(100)
 	}
 }
 
 // The size limit also applies to a length with the stream reset bit.
 func TestAMarkedFrameIsBounded(t *testing.T) {
-	var h [4]byte
-	binary.BigEndian.PutUint32(h[:], streamResetBit|(MaxFrameSize+1))
+	var header [4]byte
+	binary.BigEndian.PutUint32(header[:], streamResetBit|(MaxFrameSize+1))
 	var v echoAsk
-	if err := newFramer(bytes.NewReader(h[:]), io.Discard).read(&v); !errors.Is(err, errFrameSize) {
+	if err := newFramer(bytes.NewReader(header[:]), io.Discard).read(&v); !errors.Is(err, errFrameSize) {
 		t.Errorf("%v", err)
 	}
 }
--- a/internal/link/mute_test.go
+++ b/internal/link/mute_test.go
@@ -26,70 +26,70 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	m := &silencingProxy{ln: ln, accepted: make(chan struct{}, 16)}
+	proxy := &silencingProxy{ln: ln, accepted: make(chan struct{}, 16)}
 	t.Cleanup(func() { _ = ln.Close() })
 	go func() {
 		for n := 0; ; n++ {
-			c, err := ln.Accept()
+			client, err := ln.Accept()
 			if err != nil {
 				return
 			}
-			m.accepted <- struct{}{}
-			p, err := net.Dial("tcp", target)
+			proxy.accepted <- struct{}{}
+			server, err := net.Dial("tcp", target)
 			if err != nil {
-				_ = c.Close()
+				_ = client.Close()
 				return
 			}
 			go func() {
-				_, _ = io.Copy(p, c)
-				_ = p.Close()
+				_, _ = io.Copy(server, client)
+				_ = server.Close()
 			}()
 			go func() {
-				defer c.Close()
+				defer client.Close()
 				if !silent(n) {
-					_, _ = io.Copy(c, p)
+					_, _ = io.Copy(client, server)
 					return
 				}
 				// Forward the greeting, then nothing more.
 				b := make([]byte, 4096)
-				if k, err := p.Read(b); err == nil {
-					_, _ = c.Write(b[:k])
+				if k, err := server.Read(b); err == nil {
+					_, _ = client.Write(b[:k])
 				}
-				_, _ = io.Copy(io.Discard, p)
+				_, _ = io.Copy(io.Discard, server)
 			}()
 		}
 	}()
-	return m
+	return proxy
 }
 
 func TestAMuteLinkIsDialledAnew(t *testing.T) {
 	_, addr := startServer(t)
-	m := newSilencingProxy(t, addr, func(n int) bool { return n == 0 })
-	c := NewTCP(Identity{ID: "cli", Kind: "tool"}, "", log.New(io.Discard))
-	defer c.Close()
-	ask := func(d time.Duration) error {
-		ctx, end := context.WithTimeout(context.Background(), d)
-		defer end()
-		_, err := Call[echoTold](ctx, c, m.ln.Addr().String(), echoAsk{"hi"})
+	proxy := newSilencingProxy(t, addr, func(n int) bool { return n == 0 })
+	client := NewTCP(Identity{ID: "cli", Kind: "tool"}, "", log.New(io.Discard))
+	defer client.Close()
+	call := func(d time.Duration) error {
+		ctx, cancel := context.WithTimeout(context.Background(), d)
+		defer cancel()
+		_, err := Call[echoTold](ctx, client, proxy.ln.Addr().String(), echoAsk{"hi"})
 		return err
 	}
-	if err := ask(silentTimeout + 100*time.Millisecond); err == nil {
+	if err := call(silentTimeout + 100*time.Millisecond); err == nil {
 		t.Fatal("a silent connection returned a response")
 	}
-	if err := ask(10 * time.Second); err != nil {
+	if err := call(10 * time.Second); err != nil {
 		t.Fatalf("the next request did not open a new connection: %v", err)
 	}
-	if n := len(m.accepted); n != 2 {
+	if n := len(proxy.accepted); n != 2 {
 		t.Errorf("%d connections, want 2", n)
 	}
 	// A connection that answers is kept, even if one request is canceled.
-	ctx, end := context.WithCancel(context.Background())
-	end()
-	_, _ = c.Call(ctx, m.ln.Addr().String(), echoAsk{"hi"})
-	if err := ask(10 * time.Second); err != nil {
+	ctx, cancel := context.WithCancel(context.Background())
+	cancel()
+	_, _ = client.Call(ctx, proxy.ln.Addr().String(), echoAsk{"hi"})
+	if err := call(10 * time.Second); err != nil {
 		t.Fatal(err)
 	}
-	if n := len(m.accepted); n != 2 {
+	if n := len(proxy.accepted); n != 2 {
 		t.Errorf("%d connections after a request was canceled, want 2", n)
 	}
 }
@@ -100,41 +100,41 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	d := NewMux()
-	Handle(d, func(ctx context.Context, _ Identity, a echoAsk) (echoTold, error) {
+	mux := NewMux()
+	Handle(mux, func(ctx context.Context, _ Identity, a echoAsk) (echoTold, error) {
 		if a.Text == "slow" {
 			<-ctx.Done()
 		}
 		return echoTold(a), nil
 	})
-	s := NewTCP(Identity{ID: "srv", Kind: "controller"}, "", log.New(io.Discard))
-	go s.Serve(ln, d)
-	t.Cleanup(s.Close)
-	c := NewTCP(Identity{ID: "cli", Kind: "tool"}, "", log.New(io.Discard))
-	defer c.Close()
+	server := NewTCP(Identity{ID: "srv", Kind: "controller"}, "", log.New(io.Discard))
+	go server.Serve(ln, mux)
+	t.Cleanup(server.Close)
+	client := NewTCP(Identity{ID: "cli", Kind: "tool"}, "", log.New(io.Discard))
+	defer client.Close()
 	addr := ln.Addr().String()
-	if _, err := Call[echoTold](context.Background(), c, addr, echoAsk{"first"}); err != nil {
+	if _, err := Call[echoTold](context.Background(), client, addr, echoAsk{"first"}); err != nil {
 		t.Fatal(err)
 	}
-	c.mu.Lock()
-	l := c.conns[addr]
-	c.mu.Unlock()
-	ctx, end := context.WithTimeout(context.Background(), silentTimeout+100*time.Millisecond)
-	defer end()
+	client.mu.Lock()
+	conn := client.conns[addr]
+	client.mu.Unlock()
+	ctx, cancel := context.WithTimeout(context.Background(), silentTimeout+100*time.Millisecond)
+	defer cancel()
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		_, _ = c.Call(ctx, addr, echoAsk{"slow"})
+		_, _ = client.Call(ctx, addr, echoAsk{"slow"})
 	}()
 	for ctx.Err() == nil {
-		if _, err := Call[echoTold](context.Background(), c, addr, echoAsk{"quick"}); err != nil {
+		if _, err := Call[echoTold](context.Background(), client, addr, echoAsk{"quick"}); err != nil {
 			t.Fatal(err)
 		}
 	}
 	<-done
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.conns[addr] != l {
+	client.mu.Lock()
+	defer client.mu.Unlock()
+	if client.conns[addr] != conn {
 		t.Error("a connection that carried responses was closed")
 	}
 }
@@ -146,14 +146,14 @@
 		defer a.Close()
 		defer b.Close()
 		go func() { _, _ = io.Copy(io.Discard, b) }()
-		c := NewTCP(Identity{ID: "cli", Kind: "tool"}, "", log.New(io.Discard))
-		ctx, end := context.WithTimeout(t.Context(), 50*time.Millisecond)
-		defer end()
-		begun := time.Now()
-		if err := c.exchangeGreetings(ctx, a, newFramer(a, a)); err == nil {
+		client := NewTCP(Identity{ID: "cli", Kind: "tool"}, "", log.New(io.Discard))
+		ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
+		defer cancel()
+		start := time.Now()
+		if err := client.exchangeGreetings(ctx, a, newFramer(a, a)); err == nil {
 			t.Error("the exchange succeeded without a greeting from the peer")
 		}
-		if d := time.Since(begun); d != 50*time.Millisecond {
+		if d := time.Since(start); d != 50*time.Millisecond {
 			t.Errorf("waited for %v", d)
 		}
 	})
--- a/internal/link/tcp.go
+++ b/internal/link/tcp.go
@@ -141,13 +141,13 @@
 	}
 }
 
-func (l *tcpConn) send(e *envelope) error {
-	l.writeMu.Lock()
-	defer l.writeMu.Unlock()
-	if err := l.conn.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
+func (c *tcpConn) send(e *envelope) error {
+	c.writeMu.Lock()
+	defer c.writeMu.Unlock()
+	if err := c.conn.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
 		return err
 	}
-	return l.framer.write(e)
+	return c.framer.write(e)
 }
 
 // connect returns the open connection to addr, or opens one.
@@ -157,38 +157,38 @@
 		t.mu.Unlock()
 		return nil, net.ErrClosed
 	}
-	if l, ok := t.conns[addr]; ok {
+	if conn, ok := t.conns[addr]; ok {
 		t.mu.Unlock()
-		return l, nil
+		return conn, nil
 	}
 	t.mu.Unlock()
 	dialer := Dialer(t.LocalIP, cmp.Or(t.DialTimeout, defaultDialTimeout))
-	c, err := dialer.DialContext(ctx, "tcp", addr)
+	netConn, err := dialer.DialContext(ctx, "tcp", addr)
 	if err != nil {
 		return nil, err
 	}
 	bytesRead := &atomic.Uint64{}
-	frames := newFramer(bufio.NewReader(countingReader{c, bytesRead}), c)
-	if err := t.exchangeGreetings(ctx, c, frames); err != nil {
-		_ = c.Close()
+	frames := newFramer(bufio.NewReader(countingReader{netConn, bytesRead}), netConn)
+	if err := t.exchangeGreetings(ctx, netConn, frames); err != nil {
+		_ = netConn.Close()
 		return nil, err
 	}
-	l := &tcpConn{addr: addr, conn: c, framer: frames, bytesRead: bytesRead, pending: map[uint64]chan envelope{}}
+	conn := &tcpConn{addr: addr, conn: netConn, framer: frames, bytesRead: bytesRead, pending: map[uint64]chan envelope{}}
 	t.mu.Lock()
 	if t.closed {
 		t.mu.Unlock()
-		_ = c.Close()
+		_ = netConn.Close()
 		return nil, net.ErrClosed
 	}
 	if existing, ok := t.conns[addr]; ok {
 		t.mu.Unlock()
-		_ = c.Close()
+		_ = netConn.Close()
 		return existing, nil
 	}
-	t.conns[addr] = l
+	t.conns[addr] = conn
 	t.mu.Unlock()
-	go t.readResponses(l)
-	return l, nil
+	go t.readResponses(conn)
+	return conn, nil
 }
 
 // exchangeGreetings sends a greeting on a new connection and waits for the peer's, no longer than the
@@ -236,11 +236,11 @@
 			return
 		}
 		conn.mu.Lock()
-		ch, ok := conn.pending[e.ID]
+		response, ok := conn.pending[e.ID]
 		delete(conn.pending, e.ID)
 		conn.mu.Unlock()
 		if ok {
-			ch <- e
+			response <- e
 		}
 	}
 }
@@ -335,8 +335,8 @@
 		}
 		var e envelope
 		if err := frames.read(&e); err != nil {
-			var ne net.Error
-			if errors.Is(err, net.ErrClosed) || errors.As(err, &ne) || err.Error() == "EOF" {
+			var netErr net.Error
+			if errors.Is(err, net.ErrClosed) || errors.As(err, &netErr) || err.Error() == "EOF" {
 				return nil
 			}
 			return err
@@ -357,8 +357,8 @@
 func handleRequest(ctx context.Context, mux *Mux, from Identity, request *envelope, logger *log.Logger) (response *envelope) {
 	response = &envelope{ID: request.ID, Reply: true}
 	defer func() {
-		if p := recover(); p != nil {
-			logger.Error("panic in request handler", "step", "answer", "peer", from.ID, "panic", p, "stack", string(debug.Stack()))
+		if value := recover(); value != nil {
+			logger.Error("panic in request handler", "step", "answer", "peer", from.ID, "panic", value, "stack", string(debug.Stack()))
 			response.Body, response.Err = nil, "internal defect"
 		}
 	}()
@@ -366,11 +366,11 @@
 		response.Err = "empty question"
 		return response
 	}
-	p := time.Duration(request.Wait)
-	if p <= 0 || p > time.Minute {
-		p = time.Minute
+	timeout := time.Duration(request.Wait)
+	if timeout <= 0 || timeout > time.Minute {
+		timeout = time.Minute
 	}
-	ctx, cancel := context.WithTimeout(ctx, p)
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	result, err := mux.Dispatch(ctx, from, request.Body)
 	if err != nil {
@@ -392,11 +392,11 @@
 		_ = c.Close()
 	}
 	conns := make([]*tcpConn, 0, len(t.conns))
-	for _, l := range t.conns {
-		conns = append(conns, l)
+	for _, conn := range t.conns {
+		conns = append(conns, conn)
 	}
 	t.mu.Unlock()
-	for _, l := range conns {
-		t.closeConn(l)
+	for _, conn := range conns {
+		t.closeConn(conn)
 	}
 }
--- a/internal/storage/anew_test.go
+++ b/internal/storage/anew_test.go
@@ -17,7 +17,7 @@
 	}
 	for name, c := range map[string]struct {
 		raw   []byte
-		aside bool
+		moved bool
 	}{"sound": {raw, false}, "torn": {raw[:len(raw)-3], false}, "damaged": {bad, true}, "none": {nil, false}} {
 		dir := t.TempDir()
 		if c.raw != nil {
@@ -25,18 +25,18 @@
 				t.Fatal(err)
 			}
 		}
-		var asides []string
-		b, err := OpenOrReset(dir, "x.db", func(s string) { asides = append(asides, s) })
+		var movedNames []string
+		b, err := OpenOrReset(dir, "x.db", func(s string) { movedNames = append(movedNames, s) })
 		if err != nil {
 			t.Fatalf("%s: %v", name, err)
 		}
 		m := loadStrings(t, b)
 		_ = b.Close()
-		if len(asides) > 0 != c.aside || c.aside == (m["a"] != "") && c.raw != nil {
-			t.Errorf("%s: renamed to %q, contains %v", name, asides, m)
+		if len(movedNames) > 0 != c.moved || c.moved == (m["a"] != "") && c.raw != nil {
+			t.Errorf("%s: renamed to %q, contains %v", name, movedNames, m)
 		}
-		if c.aside {
-			if got, err := os.ReadFile(filepath.Join(dir, asides[0])); err != nil || !bytes.Equal(got, bad) {
+		if c.moved {
+			if got, err := os.ReadFile(filepath.Join(dir, movedNames[0])); err != nil || !bytes.Equal(got, bad) {
 				t.Errorf("the damaged file was not kept: %v", err)
 			}
 		}
--- a/internal/storage/bunt.go
+++ b/internal/storage/bunt.go
@@ -222,14 +222,14 @@
 func (b *BuntDisk) commit(puts []Put) error {
 	b.commitCount++
 	err := b.db.Update(func(tx *buntdb.Tx) error {
-		for _, p := range puts {
-			if p.Value == nil {
-				if _, err := tx.Delete(p.Key); err != nil && !errors.Is(err, buntdb.ErrNotFound) {
+		for _, put := range puts {
+			if put.Value == nil {
+				if _, err := tx.Delete(put.Key); err != nil && !errors.Is(err, buntdb.ErrNotFound) {
 					return err
 				}
 				continue
 			}
-			if _, _, err := tx.Set(p.Key, base64.StdEncoding.EncodeToString(p.Value), nil); err != nil {
+			if _, _, err := tx.Set(put.Key, base64.StdEncoding.EncodeToString(put.Value), nil); err != nil {
 				return err
 			}
 		}
@@ -258,10 +258,10 @@
 // rewrite compacts the file: it writes the live values to a new file and syncs that before
 // it replaces the old file.
 func (b *BuntDisk) rewrite() error {
-	tmp := b.path + ".new"
-	if err := b.saveTo(tmp); isNoSpace(err) {
+	newPath := b.path + ".new"
+	if err := b.saveTo(newPath); isNoSpace(err) {
 		// The old file holds all commits, synced, and stays in use.
-		return os.Remove(tmp)
+		return os.Remove(newPath)
 	} else if err != nil {
 		return err
 	}
@@ -271,7 +271,7 @@
 	if err := b.syncFile.Close(); err != nil {
 		return err
 	}
-	if err := os.Rename(tmp, b.path); err != nil {
+	if err := os.Rename(newPath, b.path); err != nil {
 		return err
 	}
 	if err := syncDir(filepath.Dir(b.path)); err != nil {
@@ -308,12 +308,12 @@
 }
 
 func syncDir(dir string) error {
-	d, err := os.Open(dir)
+	folder, err := os.Open(dir)
 	if err != nil {
 		return err
 	}
-	defer d.Close()
-	if err := d.Sync(); err != nil {
+	defer folder.Close()
+	if err := folder.Sync(); err != nil {
 		return fmt.Errorf("sync folder: %w", err)
 	}
 	return nil
--- a/internal/storage/journal_test.go
+++ b/internal/storage/journal_test.go
@@ -37,20 +37,20 @@
 		}
 	}
 	// A restarted process reads a file that its predecessor did not close.
-	k := OpenJournal(dir, "x")
-	if got := loadRecords(t, k); !slices.Equal(got, []string{"a", "b", "c"}) {
+	reopened := OpenJournal(dir, "x")
+	if got := loadRecords(t, reopened); !slices.Equal(got, []string{"a", "b", "c"}) {
 		t.Errorf("%q", got)
 	}
-	if err := k.Replace([][]byte{[]byte("d")}); err != nil {
+	if err := reopened.Replace([][]byte{[]byte("d")}); err != nil {
 		t.Fatal(err)
 	}
-	if err := k.Append([][]byte{[]byte("e")}); err != nil {
+	if err := reopened.Append([][]byte{[]byte("e")}); err != nil {
 		t.Fatal(err)
 	}
 	if got := loadRecords(t, OpenJournal(dir, "x")); !slices.Equal(got, []string{"d", "e"}) {
 		t.Errorf("%q", got)
 	}
-	for _, x := range []*FileJournal{j, k, OpenJournal(dir, "y")} {
+	for _, x := range []*FileJournal{j, reopened, OpenJournal(dir, "y")} {
 		if err := x.Close(); err != nil {
 			t.Error(err)
 		}
@@ -62,13 +62,13 @@
 	dir := t.TempDir()
 	path := filepath.Join(dir, "x")
 	var want []string
-	var in [][]byte
+	var records [][]byte
 	for i := range 5 {
 		want = append(want, fmt.Sprintf("record %d", i))
-		in = append(in, []byte(want[i]))
+		records = append(records, []byte(want[i]))
 	}
-	raw := encodeRecords(in)
-	each := len(raw) / len(in)
+	raw := encodeRecords(records)
+	recordLen := len(raw) / len(records)
 	check := func(what string, b []byte, n int) {
 		t.Helper()
 		if err := os.WriteFile(path, b, 0o600); err != nil {
@@ -79,13 +79,13 @@
 		}
 	}
 	for n := range len(raw) + 1 {
-		check(fmt.Sprintf("torn at %d", n), raw[:n], n/each)
-		check(fmt.Sprintf("zeroes from %d", n), append(bytes.Clone(raw[:n]), make([]byte, 64)...), n/each)
+		check(fmt.Sprintf("torn at %d", n), raw[:n], n/recordLen)
+		check(fmt.Sprintf("zeroes from %d", n), append(bytes.Clone(raw[:n]), make([]byte, 64)...), n/recordLen)
 	}
 	for n := range raw {
 		b := bytes.Clone(raw)
 		b[n] ^= 0x41
-		check(fmt.Sprintf("damaged at %d", n), b, n/each)
+		check(fmt.Sprintf("damaged at %d", n), b, n/recordLen)
 	}
 	check("a huge length", append(bytes.Clone(raw), 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 1), 5)
 }
--- a/internal/storage/meter.go
+++ b/internal/storage/meter.go
@@ -54,16 +54,16 @@
 	m.startedAt, m.inProgress = startedAt, true
 	m.mu.Unlock()
 	err := write()
-	now := m.clock.Now()
+	end := m.clock.Now()
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.inProgress = false
 	m.stats.Writes++
-	if m.stats.LongestDuration = max(m.stats.LongestDuration, now.Sub(startedAt)); err != nil {
+	if m.stats.LongestDuration = max(m.stats.LongestDuration, end.Sub(startedAt)); err != nil {
 		m.stats.Failures, m.stats.LastError = m.stats.Failures+1, err.Error()
 		return err
 	}
-	m.lastSuccess, m.stats.LastDuration = now, now.Sub(startedAt)
+	m.lastSuccess, m.stats.LastDuration = end, end.Sub(startedAt)
 	return nil
 }
 
--- a/internal/storage/meter_test.go
+++ b/internal/storage/meter_test.go
@@ -23,32 +23,32 @@
 
 func TestAMeterTellsOfWrites(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		in := &slowDisk{delay: 3 * time.Millisecond}
-		d, m := MeterDisk(in, clock.Wall{})
-		if f := m.Stats(); f != (WriteStats{Name: "disk"}) {
-			t.Errorf("before any write: %+v", f)
+		inner := &slowDisk{delay: 3 * time.Millisecond}
+		disk, meter := MeterDisk(inner, clock.Wall{})
+		if stats := meter.Stats(); stats != (WriteStats{Name: "disk"}) {
+			t.Errorf("before any write: %+v", stats)
 		}
-		_ = d.Commit(nil)
-		in.delay = time.Millisecond
-		_ = d.Commit(nil)
+		_ = disk.Commit(nil)
+		inner.delay = time.Millisecond
+		_ = disk.Commit(nil)
 		time.Sleep(time.Second)
 		want := WriteStats{Name: "disk", Writes: 2, SinceLastSuccess: time.Second, LastDuration: time.Millisecond, LongestDuration: 3 * time.Millisecond}
-		if f := m.Stats(); f != want {
-			t.Errorf("%+v, want %+v", f, want)
+		if stats := meter.Stats(); stats != want {
+			t.Errorf("%+v, want %+v", stats, want)
 		}
 		// A hanging write is visible while it is in progress, and Stats does not block on it.
-		in.delay, in.err = time.Minute, errors.New("no space")
+		inner.delay, inner.err = time.Minute, errors.New("no space")
 		done := make(chan error)
-		go func() { done <- d.Commit(nil) }()
+		go func() { done <- disk.Commit(nil) }()
 		time.Sleep(10 * time.Second)
-		if f := m.Stats(); f.InProgressFor != 10*time.Second || f.Writes != 2 {
-			t.Errorf("%+v", f)
+		if stats := meter.Stats(); stats.InProgressFor != 10*time.Second || stats.Writes != 2 {
+			t.Errorf("%+v", stats)
 		}
-		if err := <-done; !errors.Is(err, in.err) {
+		if err := <-done; !errors.Is(err, inner.err) {
 			t.Errorf("the disk's error was changed to %v", err)
 		}
-		if f := m.Stats(); f.InProgressFor != 0 || f.Failures != 1 || f.LastError != "no space" || f.SinceLastSuccess != time.Minute+time.Second || f.LongestDuration != time.Minute {
-			t.Errorf("%+v", f)
+		if stats := meter.Stats(); stats.InProgressFor != 0 || stats.Failures != 1 || stats.LastError != "no space" || stats.SinceLastSuccess != time.Minute+time.Second || stats.LongestDuration != time.Minute {
+			t.Errorf("%+v", stats)
 		}
 	})
 }
@@ -57,21 +57,21 @@
 	dir := t.TempDir()
 	b := openDisk(t, dir)
 	defer b.Close()
-	d, m := MeterDisk(b, clock.Wall{})
+	d, diskMeter := MeterDisk(b, clock.Wall{})
 	if err := d.Commit(onePut("a", "1")); err != nil {
 		t.Fatal(err)
 	}
-	if f := m.Stats(); f.Name != "x.db" || !f.SizeKnown || f.Size == 0 || f.Writes != 1 {
-		t.Errorf("%+v", f)
+	if stats := diskMeter.Stats(); stats.Name != "x.db" || !stats.SizeKnown || stats.Size == 0 || stats.Writes != 1 {
+		t.Errorf("%+v", stats)
 	}
-	j, n := MeterJournal(OpenJournal(dir, "y"), clock.Wall{})
-	if f := n.Stats(); f.Name != "y" || f.SizeKnown {
-		t.Errorf("before the file exists: %+v", f)
+	j, journalMeter := MeterJournal(OpenJournal(dir, "y"), clock.Wall{})
+	if stats := journalMeter.Stats(); stats.Name != "y" || stats.SizeKnown {
+		t.Errorf("before the file exists: %+v", stats)
 	}
 	if j.Append(nil) == nil || j.Replace([][]byte{[]byte("a")}) != nil || j.Append([][]byte{[]byte("b")}) != nil || j.Close() != nil {
 		t.Error("the metered journal behaves differently from the journal itself")
 	}
-	if f := n.Stats(); f.Writes != 3 || f.Failures != 1 || f.LastError == "" || f.Size != 2*10 {
-		t.Errorf("%+v", f)
+	if stats := journalMeter.Stats(); stats.Writes != 3 || stats.Failures != 1 || stats.LastError == "" || stats.Size != 2*10 {
+		t.Errorf("%+v", stats)
 	}
 }
--- a/internal/storage/room_test.go
+++ b/internal/storage/room_test.go
@@ -39,7 +39,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	lift := limitFileSize(t, size.Size()+10)
+	restore := limitFileSize(t, size.Size()+10)
 	large := strings.Repeat("x", 500)
 	for range 3 {
 		if err := b.tryCommit(onePut("b", large), true); !errors.Is(err, errNoSpace) {
@@ -49,7 +49,7 @@
 	if got := loadStrings(t, b); got["a"] != "1" || got["b"] != "" {
 		t.Errorf("disk full: contains %v", got)
 	}
-	lift()
+	restore()
 	if err := b.Commit(onePut("b", large)); err != nil {
 		t.Fatalf("space available again: %v", err)
 	}
@@ -68,13 +68,13 @@
 // A disk that stays full for too long counts as failed, as after any other error.
 func TestADiskThatStaysWithoutRoomFails(t *testing.T) {
 	b := openDisk(t, t.TempDir())
-	lift := limitFileSize(t, 10)
+	restore := limitFileSize(t, 10)
 	err := b.tryCommit(onePut("b", strings.Repeat("x", 500)), false)
-	lift()
+	restore()
 	if err == nil {
 		t.Fatal("committed on a full disk")
 	}
-	if again := b.Commit(onePut("a", "1")); again == nil {
+	if retryErr := b.Commit(onePut("a", "1")); retryErr == nil {
 		t.Error("a failed disk was written to again")
 	}
 	if err := b.Close(); err != nil {
