--- a/internal/claim/claim.go
+++ b/internal/claim/claim.go
@@ -73,8 +73,8 @@
 )
 
 func init() {
-	link.Pair[TakeAsk, TakeTold]()
-	link.Pair[EndAsk, EndTold]()
+	link.RegisterPair[TakeAsk, TakeTold]()
+	link.RegisterPair[EndAsk, EndTold]()
 }
 
 // QuorumStore keeps claims as items in the quorum store, on a majority of the disks.
@@ -209,9 +209,9 @@
 }
 
 // Serve registers the handlers for TakeAsk and EndAsk.
-func (q *QuorumStore) Serve(d *link.Desk) {
-	link.On(d, func(ctx context.Context, _ link.Who, a TakeAsk) (TakeTold, error) { return q.Take(ctx, a) })
-	link.On(d, func(ctx context.Context, _ link.Who, a EndAsk) (EndTold, error) {
+func (q *QuorumStore) Serve(d *link.Mux) {
+	link.Handle(d, func(ctx context.Context, _ link.Identity, a TakeAsk) (TakeTold, error) { return q.Take(ctx, a) })
+	link.Handle(d, func(ctx context.Context, _ link.Identity, a EndAsk) (EndTold, error) {
 		err := q.End(ctx, a)
 		return EndTold{OK: err == nil}, err
 	})
--- a/internal/claim/coordinator.go
+++ b/internal/claim/coordinator.go
@@ -60,7 +60,7 @@
 	}
 )
 
-func init() { link.Pair[MarkAsk, MarkTold]() }
+func init() { link.RegisterPair[MarkAsk, MarkTold]() }
 
 // Store keeps claims on a majority of the disks.
 type Store interface {
@@ -111,8 +111,8 @@
 }
 
 // Serve registers the handler for MarkAsk.
-func (c *Coordinator) Serve(d *link.Desk) {
-	link.On(d, func(ctx context.Context, _ link.Who, a MarkAsk) (r MarkTold, err error) {
+func (c *Coordinator) Serve(d *link.Mux) {
+	link.Handle(d, func(ctx context.Context, _ link.Identity, a MarkAsk) (r MarkTold, err error) {
 		if len(a.Marks) > 2*maxBatch {
 			return r, steperr.New("mark", "", "message carries too many marks: %d", len(a.Marks))
 		}
@@ -262,7 +262,7 @@
 	ch := make(chan MarkTold, len(addrs)+1)
 	for _, a := range addrs {
 		go func() {
-			r, _ := link.Ask[MarkTold](cx, c.Link, a, MarkAsk{Marks: ms})
+			r, _ := link.Call[MarkTold](cx, c.Link, a, MarkAsk{Marks: ms})
 			ch <- r
 		}()
 	}
--- a/internal/commands/drain.go
+++ b/internal/commands/drain.go
@@ -57,7 +57,7 @@
 	}
 	d.Faults.Hit(fault.AfterLeaveDecided)
 	_, err := rollout.ForEachGateway(ctx, d.Membership, d.Clock, nil, func(callCtx context.Context, m membership.Member) bool {
-		r, err := link.Ask[registry.DrainTold](callCtx, d.Transport, m.Inner, registry.DrainAsk{Service: t.Service, ID: t.ID, Inc: t.Incarnation, Gone: prefix == ledger.GonePrefix})
+		r, err := link.Call[registry.DrainTold](callCtx, d.Transport, m.Inner, registry.DrainAsk{Service: t.Service, ID: t.ID, Inc: t.Incarnation, Gone: prefix == ledger.GonePrefix})
 		return err == nil && r.OK
 	})
 	if err != nil {
--- a/internal/commands/heartbeat.go
+++ b/internal/commands/heartbeat.go
@@ -43,7 +43,7 @@
 			}
 			callCtx, cancel := context.WithTimeout(ctx, 500*time.Millisecond)
 			defer cancel()
-			merge(link.Ask[registry.BeatTold](callCtx, h.Transport, m.Inner, registry.BeatAsk{Beat: beat}))
+			merge(link.Call[registry.BeatTold](callCtx, h.Transport, m.Inner, registry.BeatAsk{Beat: beat}))
 		})
 	}
 	if beat.Leaving {
--- a/internal/commands/supervisor.go
+++ b/internal/commands/supervisor.go
@@ -150,7 +150,7 @@
 	var wg sync.WaitGroup
 	for _, m := range sv.Membership.MembersOfKind("controller") {
 		wg.Go(func() {
-			_, _ = link.Ask[registry.MarkTold](callCtx, sv.Transport, m.Inner, registry.MarkAsk{Service: t.Service, ID: t.ID, Inc: t.Incarnation, Suspect: suspect, Gone: gone})
+			_, _ = link.Call[registry.MarkTold](callCtx, sv.Transport, m.Inner, registry.MarkAsk{Service: t.Service, ID: t.ID, Inc: t.Incarnation, Suspect: suspect, Gone: gone})
 		})
 	}
 	wg.Wait()
@@ -163,7 +163,7 @@
 	yes := 0
 	for _, m := range homes {
 		callCtx, cancel := context.WithTimeout(ctx, 500*time.Millisecond)
-		r, err := link.Ask[registry.JudgeTold](callCtx, sv.Transport, m.Inner, registry.JudgeAsk{Service: t.Service, ID: t.ID, Inc: t.Incarnation})
+		r, err := link.Call[registry.JudgeTold](callCtx, sv.Transport, m.Inner, registry.JudgeAsk{Service: t.Service, ID: t.ID, Inc: t.Incarnation})
 		cancel()
 		if err != nil {
 			continue
@@ -331,7 +331,7 @@
 	var sealed, joining []quorum.Seat
 	for _, s := range sv.sourceSeats(core, next) {
 		callCtx, cancel := context.WithTimeout(ctx, time.Second)
-		r, err := link.Ask[quorum.SealTold](callCtx, sv.Transport, s.Addr, quorum.SealAsk{Next: next})
+		r, err := link.Call[quorum.SealTold](callCtx, sv.Transport, s.Addr, quorum.SealAsk{Next: next})
 		cancel()
 		if err == nil && r.OK && r.Disk == s.Disk {
 			sealed = append(sealed, s)
@@ -355,7 +355,7 @@
 	voting := len(next.Seats) - len(joining)
 	for _, s := range joining {
 		callCtx, cancel := context.WithTimeout(ctx, 3*time.Second)
-		r, err := link.Ask[quorum.JoinTold](callCtx, sv.Transport, s.Addr, quorum.JoinAsk{Next: next, From: sealed})
+		r, err := link.Call[quorum.JoinTold](callCtx, sv.Transport, s.Addr, quorum.JoinAsk{Next: next, From: sealed})
 		cancel()
 		if err != nil || !r.OK {
 			sv.Log.Debug("new voter has not joined yet", "step", "join", "mate", s.ID, "err", err)
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -49,7 +49,7 @@
 // Controller is a control-plane node.
 type Controller struct {
 	Config
-	Mux        *link.Desk
+	Mux        *link.Mux
 	Voter      *quorum.Voter
 	Proposer   *quorum.Proposer
 	Membership *membership.LeaseClient
@@ -82,7 +82,7 @@
 		}
 	}
 	do.ProvideValue(injector, voter)
-	do.ProvideValue(injector, link.NewDesk())
+	do.ProvideValue(injector, link.NewMux())
 	do.Provide(injector, func(do.Injector) (*liveness.PauseMonitor, error) { return liveness.NewPauseMonitor(cfg.Clock), nil })
 	do.Provide(injector, func(do.Injector) (*quorum.Proposer, error) {
 		return quorum.NewProposer(cfg.Startup.ID+"."+cfg.NewDiskID, cfg.Transport, cfg.Clock), nil
@@ -119,7 +119,7 @@
 		return &commands.Supervisor{Registry: do.MustInvoke[*registry.HomeTable](injector), Ledger: do.MustInvoke[*ledger.Ledger](injector), Membership: do.MustInvoke[*membership.LeaseClient](injector),
 			Drainer: do.MustInvoke[*commands.Drainer](injector), Proposer: do.MustInvoke[*quorum.Proposer](injector), Transport: cfg.Transport, Clock: cfg.Clock, Faults: cfg.Faults, Log: cfg.Log}, nil
 	})
-	ctl := &Controller{Config: cfg, Voter: voter, Mux: do.MustInvoke[*link.Desk](injector), Proposer: do.MustInvoke[*quorum.Proposer](injector), Membership: do.MustInvoke[*membership.LeaseClient](injector),
+	ctl := &Controller{Config: cfg, Voter: voter, Mux: do.MustInvoke[*link.Mux](injector), Proposer: do.MustInvoke[*quorum.Proposer](injector), Membership: do.MustInvoke[*membership.LeaseClient](injector),
 		Ledger: do.MustInvoke[*ledger.Ledger](injector), Rollout: do.MustInvoke[*rollout.Executor](injector), Registry: do.MustInvoke[*registry.HomeTable](injector),
 		Changer: do.MustInvoke[*commands.Changer](injector), Heartbeats: do.MustInvoke[*commands.HeartbeatReceiver](injector), Drainer: do.MustInvoke[*commands.Drainer](injector),
 		Supervisor: do.MustInvoke[*commands.Supervisor](injector)}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -50,7 +50,7 @@
 // Gateway is a data-plane node.
 type Gateway struct {
 	Config
-	Mux        *link.Desk
+	Mux        *link.Mux
 	Membership *membership.LeaseClient
 	Routes     *rollout.SheetStore
 	Targets    *registry.GatewayTable
@@ -85,7 +85,7 @@
 	do.Provide(injector, newRoutes)
 	do.Provide(injector, newClaims)
 	do.Provide(injector, newProxy)
-	g := &Gateway{Config: cfg, created: cfg.Clock.Now(), Mux: link.NewDesk(), Membership: do.MustInvoke[*membership.LeaseClient](injector), Pauses: do.MustInvoke[*liveness.PauseMonitor](injector),
+	g := &Gateway{Config: cfg, created: cfg.Clock.Now(), Mux: link.NewMux(), Membership: do.MustInvoke[*membership.LeaseClient](injector), Pauses: do.MustInvoke[*liveness.PauseMonitor](injector),
 		Routes: do.MustInvoke[*rollout.SheetStore](injector), Targets: do.MustInvoke[*registry.GatewayTable](injector), Proxy: do.MustInvoke[*passage.Pipeline](injector)}
 	since := time.Now().UnixMilli()
 	g.Membership.Self = func() membership.Member {
@@ -210,7 +210,7 @@
 	for {
 		for _, a := range c.controllers() {
 			callCtx, cancel := context.WithTimeout(ctx, claimTimeout)
-			r, err = link.Ask[R](callCtx, c.transport, a, ask)
+			r, err = link.Call[R](callCtx, c.transport, a, ask)
 			cancel()
 			if err == nil {
 				return r, nil
@@ -277,7 +277,7 @@
 func (g *Gateway) Deregister(ctx context.Context) {
 	g.Membership.Release(ctx)
 	for _, a := range g.Routes.Controllers() {
-		if r, err := link.Ask[rollout.PartTold](ctx, g.Transport, a, rollout.PartAsk{ID: g.Startup.ID}); err == nil && r.OK {
+		if r, err := link.Call[rollout.PartTold](ctx, g.Transport, a, rollout.PartAsk{ID: g.Startup.ID}); err == nil && r.OK {
 			return
 		}
 	}
--- a/internal/link/link_test.go
+++ b/internal/link/link_test.go
@@ -19,53 +19,53 @@
 	boomAsk  struct{ N int }
 )
 
-func serve(t *testing.T) (*TCP, string) {
+func startServer(t *testing.T) (*TCP, string) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	d := NewDesk()
-	On(d, func(_ context.Context, w Who, a echoAsk) (echoTold, error) {
+	mux := NewMux()
+	Handle(mux, func(_ context.Context, w Identity, a echoAsk) (echoTold, error) {
 		if a.Text == "fail" {
 			return echoTold{}, errors.New("as asked")
 		}
 		return echoTold{w.ID + ":" + a.Text}, nil
 	})
-	On(d, func(context.Context, Who, boomAsk) (echoTold, error) { panic("boom") })
-	s := NewTCP(Who{ID: "srv", Kind: "controller"}, "", log.New(io.Discard))
-	go s.Serve(ln, d)
-	t.Cleanup(s.Close)
-	return s, ln.Addr().String()
+	Handle(mux, func(context.Context, Identity, boomAsk) (echoTold, error) { panic("boom") })
+	server := NewTCP(Identity{ID: "srv", Kind: "controller"}, "", log.New(io.Discard))
+	go server.Serve(ln, mux)
+	t.Cleanup(server.Close)
+	return server, ln.Addr().String()
 }
 
 func TestLinkAnswersAndSurvivesPanics(t *testing.T) {
-	_, addr := serve(t)
-	c := NewTCP(Who{ID: "cli", Kind: "tool"}, "", log.New(io.Discard))
-	defer c.Close()
+	_, addr := startServer(t)
+	client := NewTCP(Identity{ID: "cli", Kind: "tool"}, "", log.New(io.Discard))
+	defer client.Close()
 	ctx := context.Background()
 	for range 3 {
-		r, err := Ask[echoTold](ctx, c, addr, echoAsk{"hi"})
+		r, err := Call[echoTold](ctx, client, addr, echoAsk{"hi"})
 		if err != nil || r.Text != "cli:hi" {
 			t.Fatalf("%v %v", r, err)
 		}
-		if _, err := c.Call(ctx, addr, echoAsk{"fail"}); err == nil {
-			t.Fatal("an error was lost")
+		if _, err := client.Call(ctx, addr, echoAsk{"fail"}); err == nil {
+			t.Fatal("the handler's error was not returned")
 		}
-		if _, err := c.Call(ctx, addr, boomAsk{1}); err == nil {
-			t.Fatal("a panic looked like an answer")
+		if _, err := client.Call(ctx, addr, boomAsk{1}); err == nil {
+			t.Fatal("a panic in the handler was returned as a response")
 		}
 	}
 }
 
-// Whatever arrives, the link it came on ends, and the next one is served.
+// An invalid message ends its own connection only; the next connection is served.
 func TestBrokenFramesEndTheirLinkOnly(t *testing.T) {
-	_, addr := serve(t)
+	_, addr := startServer(t)
 	var good bytes.Buffer
-	if err := newFramer(nil, &good).write(greeting{magic, version, "x", "tool"}); err != nil {
+	if err := newFramer(nil, &good).write(greeting{protocolMagic, protocolVersion, "x", "tool"}); err != nil {
 		t.Fatal(err)
 	}
-	huge := binary.BigEndian.AppendUint32(nil, MaxFrame+1)
+	huge := binary.BigEndian.AppendUint32(nil, MaxFrameSize+1)
 	for name, raw := range map[string][]byte{
 		"no gob":             append(binary.BigEndian.AppendUint32(nil, 5), "hello"...),
 		"too large":          huge,
@@ -82,14 +82,14 @@
 		if _, err := io.Copy(io.Discard, c); err != nil {
 			var ne net.Error
 			if errors.As(err, &ne) && ne.Timeout() {
-				t.Errorf("%s: the link was left open", name)
+				t.Errorf("%s: the connection was left open", name)
 			}
 		}
 		_ = c.Close()
 	}
-	c := NewTCP(Who{ID: "cli", Kind: "tool"}, "", log.New(io.Discard))
+	c := NewTCP(Identity{ID: "cli", Kind: "tool"}, "", log.New(io.Discard))
 	defer c.Close()
-	if _, err := Ask[echoTold](context.Background(), c, addr, echoAsk{"still"}); err != nil {
+	if _, err := Call[echoTold](context.Background(), c, addr, echoAsk{"still"}); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -97,16 +97,16 @@
 func FuzzFrames(f *testing.F) {
 	var b bytes.Buffer
 	w := newFramer(nil, &b)
-	_ = w.write(greeting{magic, version, "x", "tool"})
+	_ = w.write(greeting{protocolMagic, protocolVersion, "x", "tool"})
 	_ = w.write(&envelope{ID: 1, Body: echoAsk{"x"}})
 	f.Add(b.Bytes())
 	f.Add([]byte{0, 0, 0, 1, 0})
 	f.Add([]byte{0xff, 0xff, 0xff, 0xff})
-	Pair[echoAsk, echoTold]()
+	RegisterPair[echoAsk, echoTold]()
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		r := newFramer(bytes.NewReader(raw), io.Discard)
 		var g greeting
-		if r.read(&g) != nil || g.check() != nil {
+		if r.read(&g) != nil || g.validate() != nil {
 			return
 		}
 		for range 10 {
@@ -123,20 +123,20 @@
 	Blob []byte
 }
 
-// TestALargeFrameIsNotKept: neither end keeps buffers of the size of the largest value
-// that ever passed, and small ones pass behind it as before, with their types told once.
+// TestALargeFrameIsNotKept: neither end retains buffers of the size of the largest value sent,
+// and small values are sent after it as before, with their types described once.
 func TestALargeFrameIsNotKept(t *testing.T) {
 	Register[blobAsk]()
 	var wire bytes.Buffer
-	w, r := newFramer(nil, &wire), newFramer(&wire, nil)
-	pass := func(n int) int {
+	writer, reader := newFramer(nil, &wire), newFramer(&wire, nil)
+	roundTrip := func(n int) int {
 		t.Helper()
-		if err := w.write(&envelope{ID: uint64(n), Body: blobAsk{"b", bytes.Repeat([]byte{7}, n)}}); err != nil {
+		if err := writer.write(&envelope{ID: uint64(n), Body: blobAsk{"b", bytes.Repeat([]byte{7}, n)}}); err != nil {
 			t.Fatal(err)
 		}
 		size := wire.Len()
 		var e envelope
-		if err := r.read(&e); err != nil {
+		if err := reader.read(&e); err != nil {
 			t.Fatal(err)
 		}
 		if a, ok := e.Body.(blobAsk); !ok || len(a.Blob) != n || e.ID != uint64(n) {
@@ -144,36 +144,36 @@
 		}
 		return size
 	}
-	first, again := pass(10), pass(10)
-	if again >= first {
-		t.Errorf("types are told with each frame: %d and %d bytes", first, again)
+	first, second := roundTrip(10), roundTrip(10)
+	if second >= first {
+		t.Errorf("types are described in each frame: %d and %d bytes", first, second)
 	}
-	enc, dec := w.enc, r.dec
-	pass(keepFrame / 2)
-	if w.enc != enc || r.dec != dec {
-		t.Error("a small frame began the stream anew")
+	enc, dec := writer.enc, reader.dec
+	roundTrip(maxRetainedFrame / 2)
+	if writer.enc != enc || reader.dec != dec {
+		t.Error("a small frame reset the stream")
 	}
-	pass(4 << 20)
-	if w.enc == enc || r.dec == dec {
-		t.Error("the stream, with its buffers, is kept")
+	roundTrip(4 << 20)
+	if writer.enc == enc || reader.dec == dec {
+		t.Error("the stream and its buffers were retained after a large frame")
 	}
-	for name, n := range map[string]int{"writer": w.out.Cap(), "reader": r.in.Cap()} {
-		if n > 2*keepFrame {
-			t.Errorf("the %s keeps %d bytes", name, n)
+	for name, n := range map[string]int{"writer": writer.writeBuf.Cap(), "reader": reader.readBuf.Cap()} {
+		if n > 2*maxRetainedFrame {
+			t.Errorf("the %s retains %d bytes", name, n)
 		}
 	}
-	pass(4 << 20)
+	roundTrip(4 << 20)
 	for range 3 {
-		pass(100)
+		roundTrip(100)
 	}
 }
 
-// A length with the mark of a new stream is still bounded.
+// The size limit also applies to a length with the stream reset bit.
 func TestAMarkedFrameIsBounded(t *testing.T) {
-	var h [4]byte
-	binary.BigEndian.PutUint32(h[:], anewBit|(MaxFrame+1))
+	var header [4]byte
+	binary.BigEndian.PutUint32(header[:], streamResetBit|(MaxFrameSize+1))
 	var v echoAsk
-	if err := newFramer(bytes.NewReader(h[:]), io.Discard).read(&v); !errors.Is(err, errFrameSize) {
+	if err := newFramer(bytes.NewReader(header[:]), io.Discard).read(&v); !errors.Is(err, errFrameSize) {
 		t.Errorf("%v", err)
 	}
 }
--- a/internal/membership/leaseclient.go
+++ b/internal/membership/leaseclient.go
@@ -127,7 +127,7 @@
 	answers := make(chan answer, len(core.Seats))
 	for _, s := range core.Seats {
 		go func() {
-			r, err := link.Ask[RenewTold](askCtx, c.Transport, s.Addr, RenewAsk{Epoch: core.Epoch, Member: self, Duties: wanted, Seen: seen[s.Disk], Held: c.Held()})
+			r, err := link.Call[RenewTold](askCtx, c.Transport, s.Addr, RenewAsk{Epoch: core.Epoch, Member: self, Duties: wanted, Seen: seen[s.Disk], Held: c.Held()})
 			answers <- answer{s, r, err}
 		}()
 	}
@@ -236,7 +236,7 @@
 	var wg sync.WaitGroup
 	for _, s := range core.Seats {
 		wg.Go(func() {
-			_, _ = link.Ask[RenewTold](ctx, c.Transport, s.Addr, RenewAsk{Epoch: core.Epoch, Member: c.Self(), Gone: true})
+			_, _ = link.Call[RenewTold](ctx, c.Transport, s.Addr, RenewAsk{Epoch: core.Epoch, Member: c.Self(), Gone: true})
 		})
 	}
 	wg.Wait()
@@ -255,7 +255,7 @@
 	ch := make(chan *TableTold, len(core.Seats))
 	for _, s := range core.Seats {
 		go func() {
-			r, err := link.Ask[TableTold](askCtx, c.Transport, s.Addr, TableAsk{Epoch: core.Epoch})
+			r, err := link.Call[TableTold](askCtx, c.Transport, s.Addr, TableAsk{Epoch: core.Epoch})
 			if err != nil {
 				ch <- nil
 				return
--- a/internal/membership/leaseclient_test.go
+++ b/internal/membership/leaseclient_test.go
@@ -30,7 +30,7 @@
 // cluster is three lease servers, each reached with a delay or not at all.
 type cluster struct {
 	mu      sync.Mutex
-	servers map[string]*link.Desk
+	servers map[string]*link.Mux
 	delay   map[string]time.Duration
 	core    quorum.Core
 }
@@ -47,7 +47,7 @@
 	if (clock.Wall{}).Sleep(ctx, time.Millisecond+w) != nil {
 		return nil, ctx.Err()
 	}
-	return d.Answer(ctx, link.Who{ID: "t"}, ask)
+	return d.Dispatch(ctx, link.Identity{ID: "t"}, ask)
 }
 
 // setDelay sets the delay of requests to a lease server; below 0 it is unreachable.
@@ -58,14 +58,14 @@
 }
 
 func newCluster(ctx context.Context, t *testing.T) *cluster {
-	l := &cluster{servers: map[string]*link.Desk{}, delay: map[string]time.Duration{}, core: quorum.Core{Epoch: 1}}
+	l := &cluster{servers: map[string]*link.Mux{}, delay: map[string]time.Duration{}, core: quorum.Core{Epoch: 1}}
 	var voters []*quorum.Voter
 	for _, id := range []string{"a", "b", "c"} {
 		v, err := quorum.NewVoter(quorum.Seat{ID: id, Addr: id}, memDisk{}, "disk-"+id, l, nil, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
-		d := link.NewDesk()
+		d := link.NewMux()
 		v.Serve(d)
 		NewLeaseServer(v, clock.Wall{}).Serve(d)
 		l.servers[id] = d
@@ -75,7 +75,7 @@
 	}
 	for i := range voters {
 		for _, seal := range []bool{false, true} {
-			if _, err := link.Ask[quorum.FormTold](ctx, l, l.core.Seats[i].Addr, quorum.FormAsk{By: "a", Core: l.core, Seal: seal}); err != nil {
+			if _, err := link.Call[quorum.FormTold](ctx, l, l.core.Seats[i].Addr, quorum.FormAsk{By: "a", Core: l.core, Seal: seal}); err != nil {
 				t.Fatal(err)
 			}
 		}
--- a/internal/membership/leaseserver.go
+++ b/internal/membership/leaseserver.go
@@ -122,9 +122,9 @@
 }
 
 // Serve registers the server's request handlers with d.
-func (s *LeaseServer) Serve(d *link.Desk) {
-	link.On(d, s.renew)
-	link.On(d, s.table)
+func (s *LeaseServer) Serve(d *link.Mux) {
+	link.Handle(d, s.renew)
+	link.Handle(d, s.table)
 }
 
 // checkEpoch follows the core and reports whether this server may answer for epoch.
@@ -144,7 +144,7 @@
 	return voting && epoch == core.Epoch
 }
 
-func (s *LeaseServer) renew(_ context.Context, _ link.Who, a RenewAsk) (r RenewTold, _ error) {
+func (s *LeaseServer) renew(_ context.Context, _ link.Identity, a RenewAsk) (r RenewTold, _ error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	ok := s.checkEpoch(a.Epoch)
@@ -207,7 +207,7 @@
 	return r, nil
 }
 
-func (s *LeaseServer) table(_ context.Context, _ link.Who, a TableAsk) (r TableTold, _ error) {
+func (s *LeaseServer) table(_ context.Context, _ link.Identity, a TableAsk) (r TableTold, _ error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	r.Disk = s.voter.Seat().Disk
@@ -250,8 +250,8 @@
 func byID(a, b Member) int { return cmp.Compare(a.ID, b.ID) }
 
 // ServeDrain registers with d the handler that starts and ends draining by an operator.
-func ServeDrain(d *link.Desk, on *atomic.Bool) {
-	link.On(d, func(_ context.Context, _ link.Who, a RestAsk) (RestTold, error) {
+func ServeDrain(d *link.Mux, on *atomic.Bool) {
+	link.Handle(d, func(_ context.Context, _ link.Identity, a RestAsk) (RestTold, error) {
 		on.Store(a.On)
 		return RestTold{true}, nil
 	})
--- a/internal/passage/story.go
+++ b/internal/passage/story.go
@@ -46,7 +46,7 @@
 	}
 )
 
-func init() { link.Pair[StoryAsk, StoryTold]() }
+func init() { link.RegisterPair[StoryAsk, StoryTold]() }
 
 // ring holds the IDs of the most recent calls.
 type ring struct {
@@ -80,8 +80,8 @@
 }
 
 // Serve registers the handler for StoryAsk.
-func (p *Pipeline) Serve(d *link.Desk) {
-	link.On(d, func(ctx context.Context, _ link.Who, a StoryAsk) (StoryTold, error) {
+func (p *Pipeline) Serve(d *link.Mux) {
+	link.Handle(d, func(ctx context.Context, _ link.Identity, a StoryAsk) (StoryTold, error) {
 		return owner.Call(ctx, p.stories.owner, func() StoryTold {
 			x, ok := p.stories.byCall[a.Call]
 			return StoryTold{ok, x}
--- a/internal/queries/queries.go
+++ b/internal/queries/queries.go
@@ -266,7 +266,7 @@
 	if strconv.FormatUint(m.Inc, 36) != inc {
 		return passage.Story{}, steperr.New("find call", gateway, "that run of the gateway has ended; its log has what it gave up")
 	}
-	r, err := link.Ask[passage.StoryTold](ctx, rd.Transport, m.Inner, passage.StoryAsk{Call: call})
+	r, err := link.Call[passage.StoryTold](ctx, rd.Transport, m.Inner, passage.StoryAsk{Call: call})
 	if err != nil {
 		return passage.Story{}, steperr.Wrap("find call", gateway, err)
 	}
--- a/internal/registry/gatewaytable.go
+++ b/internal/registry/gatewaytable.go
@@ -227,7 +227,7 @@
 			addr, incarnation, seen = home.Inner, 0, 0
 		}
 		askCtx, cancel := context.WithTimeout(ctx, 900*time.Millisecond)
-		t, err := link.Ask[WatchTold](askCtx, g.Transport, home.Inner, WatchAsk{Service: service, Run: incarnation, Seen: seen, WaitMS: 500})
+		t, err := link.Call[WatchTold](askCtx, g.Transport, home.Inner, WatchAsk{Service: service, Run: incarnation, Seen: seen, WaitMS: 500})
 		cancel()
 		if err != nil {
 			failures++
@@ -396,10 +396,10 @@
 }
 
 // Serve registers the handlers for leave notifications and for queries of the gateway's views.
-func (g *GatewayTable) Serve(d *link.Desk) {
-	link.On(d, func(ctx context.Context, _ link.Who, a DrainAsk) (DrainTold, error) {
+func (g *GatewayTable) Serve(d *link.Mux) {
+	link.Handle(d, func(ctx context.Context, _ link.Identity, a DrainAsk) (DrainTold, error) {
 		err := g.Drain(ctx, a.Service, a.ID, a.Inc, a.Gone)
 		return DrainTold{OK: err == nil}, err
 	})
-	link.On(d, func(context.Context, link.Who, ViewAsk) (ViewTold, error) { return ViewTold{g.Views()}, nil })
+	link.Handle(d, func(context.Context, link.Identity, ViewAsk) (ViewTold, error) { return ViewTold{g.Views()}, nil })
 }
--- a/internal/registry/hometable.go
+++ b/internal/registry/hometable.go
@@ -225,7 +225,7 @@
 			continue
 		}
 		wg.Go(func() {
-			r, err := link.Ask[SeenTold](askCtx, l, m.Inner, SeenAsk{})
+			r, err := link.Call[SeenTold](askCtx, l, m.Inner, SeenAsk{})
 			if err != nil {
 				return
 			}
@@ -290,16 +290,18 @@
 }
 
 // Serve registers the table's request handlers with d.
-func (h *HomeTable) Serve(d *link.Desk) {
-	link.On(d, func(ctx context.Context, _ link.Who, a BeatAsk) (BeatTold, error) { return h.MergeBeat(ctx, a.Beat) })
-	link.On(d, func(ctx context.Context, _ link.Who, a WatchAsk) (WatchTold, error) { return h.Watch(ctx, a) })
-	link.On(d, func(ctx context.Context, _ link.Who, a MarkAsk) (MarkTold, error) {
+func (h *HomeTable) Serve(d *link.Mux) {
+	link.Handle(d, func(ctx context.Context, _ link.Identity, a BeatAsk) (BeatTold, error) {
+		return h.MergeBeat(ctx, a.Beat)
+	})
+	link.Handle(d, func(ctx context.Context, _ link.Identity, a WatchAsk) (WatchTold, error) { return h.Watch(ctx, a) })
+	link.Handle(d, func(ctx context.Context, _ link.Identity, a MarkAsk) (MarkTold, error) {
 		err := h.Mark(ctx, a.Service, a.ID, a.Inc, func(e *Entry) { e.Suspect, e.Gone = a.Suspect, e.Gone || a.Gone })
 		return MarkTold{OK: err == nil}, err
 	})
-	link.On(d, func(ctx context.Context, _ link.Who, _ SeenAsk) (SeenTold, error) {
+	link.Handle(d, func(ctx context.Context, _ link.Identity, _ SeenAsk) (SeenTold, error) {
 		s, err := h.List(ctx)
 		return SeenTold{s}, err
 	})
-	link.On(d, func(ctx context.Context, _ link.Who, a JudgeAsk) (JudgeTold, error) { return h.Judge(ctx, a) })
+	link.Handle(d, func(ctx context.Context, _ link.Identity, a JudgeAsk) (JudgeTold, error) { return h.Judge(ctx, a) })
 }
--- a/internal/registry/tables_test.go
+++ b/internal/registry/tables_test.go
@@ -18,7 +18,7 @@
 // network connects to the tables of two homes in two zones; each can be made unreachable.
 type network struct {
 	mu          sync.Mutex
-	homes       map[string]*link.Desk
+	homes       map[string]*link.Mux
 	unreachable map[string]bool
 }
 
@@ -32,7 +32,7 @@
 	if err := (clock.Wall{}).Sleep(ctx, time.Millisecond); err != nil {
 		return nil, err
 	}
-	v, err := d.Answer(ctx, link.Who{}, ask)
+	v, err := d.Dispatch(ctx, link.Identity{}, ask)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.unreachable[addr] {
@@ -54,14 +54,14 @@
 func TestGatewayKeepsItsTargetsWhileHomesChange(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, end := context.WithCancel(t.Context())
-		l := &network{homes: map[string]*link.Desk{}, unreachable: map[string]bool{}}
+		l := &network{homes: map[string]*link.Mux{}, unreachable: map[string]bool{}}
 		p := liveness.NewPauseMonitor(clock.Wall{})
 		go p.Run(ctx)
 		newHome := func(addr string, run uint64) *HomeTable {
 			h := &HomeTable{Clock: clock.Wall{}, Pauses: p, Incarnation: run}
 			h.Init()
 			go h.Run(ctx)
-			d := link.NewDesk()
+			d := link.NewMux()
 			h.Serve(d)
 			l.mu.Lock()
 			l.homes[addr] = d
--- a/internal/registry/views.go
+++ b/internal/registry/views.go
@@ -42,7 +42,7 @@
 			continue
 		}
 		wg.Go(func() {
-			r, err := link.Ask[ViewTold](askCtx, l, m.Inner, ViewAsk{})
+			r, err := link.Call[ViewTold](askCtx, l, m.Inner, ViewAsk{})
 			if err != nil {
 				return
 			}
--- a/internal/statement/executor.go
+++ b/internal/statement/executor.go
@@ -161,7 +161,7 @@
 	if !ok {
 		return Reply{}, fmt.Errorf("no node %s has a lease now", id)
 	}
-	if _, err := link.Ask[membership.RestTold](ctx, ex.Queries.Transport, m.Inner, membership.RestAsk{On: on}); err != nil {
+	if _, err := link.Call[membership.RestTold](ctx, ex.Queries.Transport, m.Inner, membership.RestAsk{On: on}); err != nil {
 		return Reply{}, err
 	}
 	return Reply{lo.Ternary(on, "drained", "resumed"), id}, nil
--- a/internal/storage/meter_test.go
+++ b/internal/storage/meter_test.go
@@ -9,69 +9,69 @@
 	"walkrudder/internal/clock"
 )
 
-// slowDisk takes a while for each commit, and fails when told to.
+// slowDisk delays each commit and fails it if err is set.
 type slowDisk struct {
 	Disk
-	takes time.Duration
+	delay time.Duration
 	err   error
 }
 
 func (d *slowDisk) Commit([]Put) error {
-	time.Sleep(d.takes)
+	time.Sleep(d.delay)
 	return d.err
 }
 
 func TestAMeterTellsOfWrites(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		in := &slowDisk{takes: 3 * time.Millisecond}
-		d, m := MeterDisk(in, clock.Wall{})
-		if f := m.Figures(); f != (Figures{Name: "disk"}) {
-			t.Errorf("before any write: %+v", f)
+		inner := &slowDisk{delay: 3 * time.Millisecond}
+		disk, meter := MeterDisk(inner, clock.Wall{})
+		if stats := meter.Stats(); stats != (WriteStats{Name: "disk"}) {
+			t.Errorf("before any write: %+v", stats)
 		}
-		_ = d.Commit(nil)
-		in.takes = time.Millisecond
-		_ = d.Commit(nil)
+		_ = disk.Commit(nil)
+		inner.delay = time.Millisecond
+		_ = disk.Commit(nil)
 		time.Sleep(time.Second)
-		want := Figures{Name: "disk", Writes: 2, Last: time.Second, Took: time.Millisecond, Longest: 3 * time.Millisecond}
-		if f := m.Figures(); f != want {
-			t.Errorf("%+v, want %+v", f, want)
+		want := WriteStats{Name: "disk", Writes: 2, SinceLastSuccess: time.Second, LastDuration: time.Millisecond, LongestDuration: 3 * time.Millisecond}
+		if stats := meter.Stats(); stats != want {
+			t.Errorf("%+v, want %+v", stats, want)
 		}
-		// A write that hangs shows while it does, and a meter does not wait for it.
-		in.takes, in.err = time.Minute, errors.New("no space")
+		// A hanging write is visible while it is in progress, and Stats does not block on it.
+		inner.delay, inner.err = time.Minute, errors.New("no space")
 		done := make(chan error)
-		go func() { done <- d.Commit(nil) }()
+		go func() { done <- disk.Commit(nil) }()
 		time.Sleep(10 * time.Second)
-		if f := m.Figures(); f.Busy != 10*time.Second || f.Writes != 2 {
-			t.Errorf("%+v", f)
+		if stats := meter.Stats(); stats.InProgressFor != 10*time.Second || stats.Writes != 2 {
+			t.Errorf("%+v", stats)
 		}
-		if err := <-done; !errors.Is(err, in.err) {
-			t.Errorf("the disk's error became %v", err)
+		if err := <-done; !errors.Is(err, inner.err) {
+			t.Errorf("the disk's error was changed to %v", err)
 		}
-		if f := m.Figures(); f.Busy != 0 || f.Failures != 1 || f.Err != "no space" || f.Last != time.Minute+time.Second || f.Longest != time.Minute {
-			t.Errorf("%+v", f)
+		if stats := meter.Stats(); stats.InProgressFor != 0 || stats.Failures != 1 || stats.LastError != "no space" || stats.SinceLastSuccess != time.Minute+time.Second || stats.LongestDuration != time.Minute {
+			t.Errorf("%+v", stats)
 		}
 	})
 }
 
 func TestAMeterKnowsItsFile(t *testing.T) {
 	dir := t.TempDir()
-	b := open(t, dir)
+	b := openDisk(t, dir)
 	defer b.Close()
-	d, m := MeterDisk(b, clock.Wall{})
-	if err := d.Commit(put("a", "1")); err != nil {
+	d, diskMeter := MeterDisk(b, clock.Wall{})
+	if err := d.Commit(onePut("a", "1")); err != nil {
 		t.Fatal(err)
 	}
-	if f := m.Figures(); f.Name != "x.db" || !f.Sized || f.Size == 0 || f.Writes != 1 {
-		t.Errorf("%+v", f)
+	if stats := diskMeter.Stats(); stats.Name != "x.db" || !stats.SizeKnown || stats.Size == 0 || stats.Writes != 1 {
+		t.Errorf("%+v", stats)
 	}
-	j, n := MeterJournal(OpenJournal(dir, "y"), clock.Wall{})
-	if f := n.Figures(); f.Name != "y" || f.Sized {
-		t.Errorf("before there is a file: %+v", f)
+	j, journalMeter := MeterJournal(OpenJournal(dir, "y"), clock.Wall{})
+	if stats := journalMeter.Stats(); stats.Name != "y" || stats.SizeKnown {
+		t.Errorf("before the file exists: %+v", stats)
 	}
 	if j.Append(nil) == nil || j.Replace([][]byte{[]byte("a")}) != nil || j.Append([][]byte{[]byte("b")}) != nil || j.Close() != nil {
-		t.Error("the journal behaves in another way")
+		t.Error("the metered journal behaves differently from the journal itself")
 	}
-	if f := n.Figures(); f.Writes != 3 || f.Failures != 1 || f.Err == "" || f.Size != 2*10 {
-		t.Errorf("%+v", f)
+	if stats := journalMeter.Stats(); stats.Writes != 3 || stats.Failures != 1 || stats.LastError == "" || stats.Size != 2*10 {
+		t.Errorf("%+v", stats)
 	}
 }
--- a/internal/upgrade/reporter.go
+++ b/internal/upgrade/reporter.go
@@ -76,7 +76,7 @@
 			callCtx, cancel := context.WithTimeout(ctx, reportTimeout)
 			defer cancel()
 			// Errors are ignored: counts are cumulative, so a later report covers a lost one.
-			_, _ = link.Ask[ReportTold](callCtx, r.Link, controllers[id], *ask)
+			_, _ = link.Call[ReportTold](callCtx, r.Link, controllers[id], *ask)
 		}()
 	}
 }
--- a/internal/watch/follow.go
+++ b/internal/watch/follow.go
@@ -46,7 +46,7 @@
 			}
 			a.Me, a.Sums = me, state.sums
 		}
-		if t, err = link.Ask[WatchTold](ctx, p.line, state.addr, a); err != nil {
+		if t, err = link.Call[WatchTold](ctx, p.line, state.addr, a); err != nil {
 			return t, nil, nil, err
 		}
 		if t.Anew {
--- a/internal/watch/publisher.go
+++ b/internal/watch/publisher.go
@@ -78,8 +78,10 @@
 }
 
 // Serve registers the handler for WatchAsk at d.
-func (t *Publisher) Serve(d *link.Desk) {
-	link.On(d, func(ctx context.Context, _ link.Who, a WatchAsk) (WatchTold, error) { return t.handleWatch(ctx, a) })
+func (t *Publisher) Serve(d *link.Mux) {
+	link.Handle(d, func(ctx context.Context, _ link.Identity, a WatchAsk) (WatchTold, error) {
+		return t.handleWatch(ctx, a)
+	})
 }
 
 // handleWatch waits for changes and returns them.
--- a/internal/watch/types.go
+++ b/internal/watch/types.go
@@ -98,5 +98,5 @@
 )
 
 func init() {
-	link.Pair[WatchAsk, WatchTold]()
+	link.RegisterPair[WatchAsk, WatchTold]()
 }
