--- a/internal/sim/day/caller.go
+++ b/internal/sim/day/caller.go
@@ -9,129 +9,129 @@
 	"walkrudder/internal/sim/simnet"
 )
 
-// crowd are the callers of one zone and one stream. Some keep connections.
-type crowd struct {
-	w    *World
-	s    Stream
-	zone string
-	p    *simnet.Proc
+// callerPool simulates the callers of one zone and one stream. Some reuse connections.
+type callerPool struct {
+	world  *World
+	stream Stream
+	zone   string
+	proc   *simnet.Proc
 
 	mu   sync.Mutex
-	kept []*session
+	idle []*callerConn
 }
 
-// callers sends a stream's requests from one zone for the length of the day.
-func (w *World) callers(s Stream, zone string, length time.Duration) {
+// runCallers sends a stream's requests from one zone until the given length of time has passed.
+func (w *World) runCallers(s Stream, zone string, length time.Duration) {
 	p := w.net.Host("c-"+s.Route+"-"+zone, zone).Start(w.ctx, "caller")
-	cr := &crowd{w: w, s: s, zone: zone, p: p}
+	callers := &callerPool{world: w, stream: s, zone: zone, proc: p}
 	var wg sync.WaitGroup
 	for end := w.now() + length; w.now() < end; {
 		w.mu.Lock()
-		press := w.press
+		loadFactor := w.loadFactor
 		w.mu.Unlock()
-		time.Sleep(time.Duration(w.exp() * float64(time.Second) * float64(w.Shape.Zones) / (s.Rate * press)))
-		wg.Go(cr.call)
+		time.Sleep(time.Duration(w.randExp() * float64(time.Second) * float64(w.Deployment.Zones) / (s.Rate * loadFactor)))
+		wg.Go(callers.call)
 	}
 	wg.Wait()
 	p.Kill()
 }
 
-// front chooses a machine as the callers' side does: of the zone those that are in; all
-// of it where fewer than half are; others where none is.
-func (w *World) front(zone string) *Machine {
-	var own, in, far []*Machine
+// chooseMachine selects a machine as a load balancer for the callers does: one of the zone that is in rotation;
+// any of the zone if fewer than half are in rotation; one of another zone if the zone has none in rotation.
+func (w *World) chooseMachine(zone string) *Machine {
+	var zoneAll, zoneReady, otherReady []*Machine
 	for _, m := range w.Machines {
-		ok, _ := m.isIn()
+		ok, _ := m.rotationState()
 		switch {
 		case m.Zone == zone && ok:
-			own, in = append(own, m), append(in, m)
+			zoneAll, zoneReady = append(zoneAll, m), append(zoneReady, m)
 		case m.Zone == zone:
-			own = append(own, m)
+			zoneAll = append(zoneAll, m)
 		case ok:
-			far = append(far, m)
+			otherReady = append(otherReady, m)
 		}
 	}
 	switch {
-	case len(in) == 0 && len(far) > 0:
-		return pick(w, far)
-	case 2*len(in) < len(own) || len(in) == 0:
-		return pick(w, own)
+	case len(zoneReady) == 0 && len(otherReady) > 0:
+		return pickOne(w, otherReady)
+	case 2*len(zoneReady) < len(zoneAll) || len(zoneReady) == 0:
+		return pickOne(w, zoneAll)
 	}
-	return pick(w, in)
+	return pickOne(w, zoneReady)
 }
 
-// call is one thing that a caller wants, with its further tries.
-func (cr *crowd) call() {
-	w, s := cr.w, cr.s
+// call performs one call of a caller, including retries.
+func (cr *callerPool) call() {
+	w, s := cr.world, cr.stream
 	deadline := time.Now().Add(s.Deadline)
-	path := "/" + s.Route + "/" + w.id("p")
+	path := "/" + s.Route + "/" + w.newID("p")
 	method, body := "GET", ""
 	if s.Repeat == route.Once {
-		method, body = "POST", "order "+path+strings.Repeat(".", w.chance(300))
+		method, body = "POST", "order "+path+strings.Repeat(".", w.randIntN(300))
 	}
-	tries := s.Tries
+	retries := s.Retries
 	for n := 0; ; n++ {
-		q := &Request{ID: w.id("q-"), Method: method, Path: path, Host: host, Body: body, Route: s.Route, Once: s.Repeat == route.Once, Zone: cr.zone}
-		unsent := cr.try(q, deadline, n > 0)
+		q := &Request{ID: w.newID("q-"), Method: method, Path: path, Host: requestHost, Body: body, Route: s.Route, AtMostOnce: s.Repeat == route.Once, Zone: cr.zone}
+		unsent := cr.attempt(q, deadline, n > 0)
 		left := time.Until(deadline)
 		w.mu.Lock()
-		abuse := w.abuse
+		aggressive := w.aggressiveRetries
 		w.mu.Unlock()
-		if abuse {
-			tries = 3*s.Tries + 2
+		if aggressive {
+			retries = 3*s.Retries + 2
 		}
-		promised := q.Status == 429 || q.Status == 503 || q.Status == 408 || q.Status == 421
+		notRun := q.Status == 429 || q.Status == 503 || q.Status == 408 || q.Status == 421
 		final := q.Status >= 200 && q.Status < 300 || q.Status == 400 || q.Status == 401 || q.Status == 404 || q.Status == 413 || q.Status == 431
-		if n >= tries || final || q.Left || left < 20*time.Millisecond || q.Once && !promised && !unsent {
+		if n >= retries || final || q.Disconnected || left < 20*time.Millisecond || q.AtMostOnce && !notRun && !unsent {
 			return
 		}
 		switch {
-		case abuse:
-			time.Sleep(w.within(10 * time.Millisecond))
+		case aggressive:
+			time.Sleep(w.randDuration(10 * time.Millisecond))
 		case q.RetryAfter > 0:
 			time.Sleep(min(q.RetryAfter, left/3))
 		default:
-			time.Sleep(w.within(100 * time.Millisecond))
+			time.Sleep(w.randDuration(100 * time.Millisecond))
 		}
 	}
 }
 
-// try sends one request over a kept connection or a new one. unsent tells that no byte of
-// it was taken.
-func (cr *crowd) try(q *Request, deadline time.Time, fresh bool) (unsent bool) {
-	w := cr.w
-	var s *session
-	if !fresh && w.chance(3) > 0 {
-		s = cr.rested()
+// attempt sends one request over an idle connection or a new one. unsent reports that no byte of
+// it was accepted.
+func (cr *callerPool) attempt(q *Request, deadline time.Time, fresh bool) (unsent bool) {
+	w := cr.world
+	var s *callerConn
+	if !fresh && w.randIntN(3) > 0 {
+		s = cr.takeIdle()
 	}
 	if s == nil {
 		var err error
-		if s, err = w.dial(cr.p, w.front(cr.zone), deadline); err != nil {
+		if s, err = w.dial(cr.proc, w.chooseMachine(cr.zone), deadline); err != nil {
 			return true
 		}
 	}
 	if w.exchange(s, q, deadline) {
-		cr.rest(s)
+		cr.putIdle(s)
 	}
 	return false
 }
 
-func (cr *crowd) rested() *session {
+func (cr *callerPool) takeIdle() *callerConn {
 	cr.mu.Lock()
 	defer cr.mu.Unlock()
-	for len(cr.kept) > 0 {
-		s := cr.kept[len(cr.kept)-1]
-		cr.kept = cr.kept[:len(cr.kept)-1]
-		if time.Now().Before(s.until) && !s.c.Gone() {
+	for len(cr.idle) > 0 {
+		s := cr.idle[len(cr.idle)-1]
+		cr.idle = cr.idle[:len(cr.idle)-1]
+		if time.Now().Before(s.idleUntil) && !s.conn.Gone() {
 			return s
 		}
-		_ = s.c.Close()
+		_ = s.conn.Close()
 	}
 	return nil
 }
 
-func (cr *crowd) rest(s *session) {
+func (cr *callerPool) putIdle(s *callerConn) {
 	cr.mu.Lock()
 	defer cr.mu.Unlock()
-	cr.kept = append(cr.kept, s)
+	cr.idle = append(cr.idle, s)
 }
--- a/internal/sim/day/day_test.go
+++ b/internal/sim/day/day_test.go
@@ -11,23 +11,23 @@
 	"github.com/samber/lo"
 )
 
-// together is how many days are played at once: each takes memory, five times as much
+// parallelDays limits how many days run at the same time: each needs memory, five times as much
 // under the race detector.
-var together = make(chan struct{}, lo.Ternary(raced, 1, 2))
+var parallelDays = make(chan struct{}, lo.Ternary(raceEnabled, 1, 2))
 
 func TestMain(m *testing.M) {
-	debug.SetGCPercent(50) // a day makes much garbage and keeps little
+	debug.SetGCPercent(50) // a day produces much garbage and little live data
 	os.Exit(m.Run())
 }
 
-// play runs a day in a bubble and has it judged. served is the least share of what callers
-// want, with their further tries, that is to be served.
-func play(t *testing.T, seed uint64, s Shape, length time.Duration, served float64, troubles ...Trouble) {
+// runAndCheck runs a day in a synctest bubble and checks its record. served is the minimum share of calls, each
+// with its retries, that must be served.
+func runAndCheck(t *testing.T, seed uint64, s Deployment, length time.Duration, served float64, scenarios ...Scenario) {
 	t.Helper()
-	together <- struct{}{}
-	defer func() { <-together }()
+	parallelDays <- struct{}{}
+	defer func() { <-parallelDays }()
 	var r *Record
-	synctest.Test(t, func(t *testing.T) { r = Play(t, seed, s, length, troubles...) })
+	synctest.Test(t, func(t *testing.T) { r = RunDay(t, seed, s, length, scenarios...) })
 	calls := map[string]bool{}
 	for _, q := range r.Requests {
 		if !q.Probe {
@@ -40,47 +40,47 @@
 			ok++
 		}
 	}
-	t.Logf("%d tries, %d of %d calls served, %d arrivals, %d orders, %d leavings", len(r.Requests), ok, len(calls), len(r.Arrivals), len(r.Orders), len(r.Leavings))
+	t.Logf("%d attempts, %d of %d calls served, %d arrivals, %d changes, %d departures", len(r.Requests), ok, len(calls), len(r.Arrivals), len(r.Changes), len(r.Departures))
 	if ok == 0 || float64(ok) < served*float64(len(calls)) {
-		t.Errorf("%d of %d calls were served", ok, len(calls))
+		t.Errorf("only %d of %d calls were served", ok, len(calls))
 	}
-	bs := Judge(r)
-	for i, b := range bs {
+	violations := CheckAll(r)
+	for i, b := range violations {
 		if i == 20 {
-			t.Errorf("and %d more", len(bs)-i)
+			t.Errorf("%d more violations", len(violations)-i)
 			break
 		}
-		t.Errorf("%v %s: %s", b.At, b.Rule, b.What)
+		t.Errorf("%v %s: %s", b.At, b.Rule, b.Detail)
 	}
 	if t.Failed() {
-		for _, s := range r.Spans {
-			t.Logf("trouble of %s, kind %d, from %v to %v", s.Machine, s.Kind, s.From, s.To)
+		for _, s := range r.Faults {
+			t.Logf("fault of %s, kind %d, from %v to %v", s.Machine, s.Kind, s.From, s.To)
 		}
 	}
 }
 
 func TestCalmDay(t *testing.T) {
 	t.Parallel()
-	play(t, 1, Small(), 20*time.Second, 0.99)
+	runAndCheck(t, 1, SmallDeployment(), 20*time.Second, 0.99)
 }
 
-// On narrow links downloads go on while they come in, whatever befalls targets and machines.
+// Checks that on narrow links downloads are forwarded while they are received, during faults of targets and machines.
 func TestNarrowDay(t *testing.T) {
 	t.Parallel()
-	play(t, 2, Narrow(), 25*time.Second, 0.95,
-		At(2*time.Second, Faulty("archive", .5, Fault{Garbles: .2, Garble: Short}, 4*time.Second)),
-		At(7*time.Second, Faulty("archive", .5, Fault{Resets: .2}, 4*time.Second)),
-		At(12*time.Second, Killed(1, Gateway, time.Second)),
-		At(16*time.Second, NodeCut(1, true, 3*time.Second)),
-		At(20*time.Second, Rolled(500*time.Millisecond)))
+	runAndCheck(t, 2, NarrowLinkDeployment(), 25*time.Second, 0.95,
+		StartAt(2*time.Second, FaultyTargets("archive", .5, TargetFault{Corrupt: .2, Corruption: TruncatedBody}, 4*time.Second)),
+		StartAt(7*time.Second, FaultyTargets("archive", .5, TargetFault{ResetAfterRun: .2}, 4*time.Second)),
+		StartAt(12*time.Second, KillProcesses(1, Gateway, time.Second)),
+		StartAt(16*time.Second, IsolateMachines(1, true, 3*time.Second)),
+		StartAt(20*time.Second, RollingRestart(500*time.Millisecond)))
 }
 
-// Planned stops cut no download off, though the links carry all that they can.
+// Checks that orderly shutdowns cut no download short while the links are saturated.
 func TestStopsUnderHeavyDownloads(t *testing.T) {
 	t.Parallel()
-	for seed := range lo.Ternary(raced, uint64(1), 3) {
+	for seed := range lo.Ternary(raceEnabled, uint64(1), 3) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
-			play(t, 51+seed, Heavy(), 40*time.Second, 0.6, At(6*time.Second, Rolled(200*time.Millisecond)))
+			runAndCheck(t, 51+seed, OverloadedLinkDeployment(), 40*time.Second, 0.6, StartAt(6*time.Second, RollingRestart(200*time.Millisecond)))
 		})
 	}
 }
--- a/internal/sim/day/drain.go
+++ b/internal/sim/day/drain.go
@@ -5,25 +5,25 @@
 	"slices"
 )
 
-// Drain: nothing is sent to a target that said that it leaves, from a bound after the
-// acknowledgement on.
-func Drain(r *Record) (out []Breach) {
-	t := newTouch(r)
-	first := map[string]*Leaving{}
-	for _, l := range r.Leavings {
-		if o := first[l.Run]; l.Acknowledged && t.in(l.By, l.Acked, l.Acked) && (o == nil || l.Acked < o.Acked) {
-			first[l.Run] = l
+// CheckDrain checks that nothing is sent to a target later than Bounds.Drain after its departure was
+// acknowledged.
+func CheckDrain(r *Record) (out []Violation) {
+	contacts := newContactHistory(r)
+	firstAcked := map[string]*Departure{}
+	for _, l := range r.Departures {
+		if o := firstAcked[l.Run]; l.Acknowledged && contacts.inContact(l.AckedBy, l.AckedAt, l.AckedAt) && (o == nil || l.AckedAt < o.AckedAt) {
+			firstAcked[l.Run] = l
 		}
 	}
 	for _, a := range r.Arrivals {
-		l := first[a.Run]
-		if l == nil || a.Misdirected || a.At <= l.Acked+r.Bounds.Drain || !t.in(a.Machine, a.At, a.At) {
+		l := firstAcked[a.Run]
+		if l == nil || a.Misdirected || a.ArrivedAt <= l.AckedAt+r.Bounds.Drain || !contacts.inContact(a.Machine, a.ArrivedAt, a.ArrivedAt) {
 			continue
 		}
-		if slices.ContainsFunc(r.Harmed[a.Run], func(s *Span) bool { return s.From <= a.At && a.At-r.Bounds.Contact <= s.To }) {
+		if slices.ContainsFunc(r.TargetPathFaults[a.Run], func(s *FaultSpan) bool { return s.From <= a.ArrivedAt && a.ArrivedAt-r.Bounds.Contact <= s.To }) {
 			continue
 		}
-		out = append(out, Breach{"DRAIN", a.At, fmt.Sprintf("%s sent %s to %s, %v after %s acknowledged its leaving (state %d) at %v", a.Machine, a.ID, a.Run, a.At-l.Acked, l.By, l.State, l.Acked)})
+		out = append(out, Violation{"DRAIN", a.ArrivedAt, fmt.Sprintf("%s sent %s to %s, %v after %s acknowledged its departure (state %d) at %v", a.Machine, a.ID, a.Run, a.ArrivedAt-l.AckedAt, l.AckedBy, l.State, l.AckedAt)})
 	}
 	return out
 }
--- a/internal/sim/day/fault.go
+++ b/internal/sim/day/fault.go
@@ -1,32 +1,32 @@
 package day
 
-// Fault is what is wrong with a target for a while. Shares are of its requests.
-type Fault struct {
-	Silent   float64 // runs, and never answers
-	Resets   float64 // runs, and resets the connection instead of an answer
-	Grey     float64 // resets before it runs
-	Garbles  float64 // hands out wrong bytes
-	Garble   Garble
-	Factor   float64 // of its work time; 0 is 1
-	Full     bool    // turns all away
-	FullHard bool    // and does so by a reset
-	Unwell   bool    // its health answer says 503, though it serves
-	Mute     bool    // its health answer says 200, though it answers nothing else
-	Forgets  bool    // closes idle connections against its word
+// TargetFault describes a temporary fault of a target. Shares are shares of its requests.
+type TargetFault struct {
+	NoResponse        float64 // share that is run and never answered
+	ResetAfterRun     float64 // share that is run and answered by a connection reset
+	ResetBeforeRun    float64 // share that is reset before it runs
+	Corrupt           float64 // share that gets a corrupted response
+	Corruption        CorruptionKind
+	WorkFactor        float64 // multiplies the work time; 0 is 1
+	Full              bool    // rejects all requests
+	FullByReset       bool    // rejects them by a connection reset
+	HealthFails       bool    // health checks are answered with 503 although the target serves
+	AnswersOnlyHealth bool    // health checks are answered with 200 although nothing else is answered
+	ClosesIdleEarly   bool    // closes idle connections before the announced timeout
 }
 
-// Garble is a way to spoil an answer.
-type Garble int
+// CorruptionKind is a way in which a response is corrupted.
+type CorruptionKind int
 
-// Ways to spoil an answer.
+// Kinds of corrupted responses.
 const (
-	WrongBytes Garble = iota // that are no answer
-	Extra                    // more behind a whole answer, at once or late
-	Short                    // breaks off
-	OtherID                  // names another request
-	Surplus                  // the answer before once more, in front of the one that is due
-	Unsealed                 // a success that is not the target's own
-	Unframed                 // its end is that of the connection, and comes early
-	Promise                  // says 503 though it ran, without the word that it did not
-	garbles
+	WrongBytes        CorruptionKind = iota // bytes that are not HTTP
+	TrailingBytes                           // more bytes after a complete response, at once or later
+	TruncatedBody                           // ends before its declared length
+	OtherRequestID                          // carries the ID of another request
+	PreviousRepeated                        // the previous response is repeated before the current one
+	Unsealed                                // a success without the target's seal
+	EndsEarlyUnframed                       // delimited by the end of the connection, which comes early
+	FalseUnavailable                        // status 503 although the request ran, without the header that says it did not run
+	corruptionKinds
 )
--- a/internal/sim/day/herd.go
+++ b/internal/sim/day/herd.go
@@ -10,128 +10,128 @@
 	"walkrudder/internal/target"
 )
 
-// herd are all targets of a world.
-type herd struct {
-	w *World
-
-	mu    sync.Mutex
-	list  []*Target // that run
-	hosts int
-	// versions are those that services have after a completed upgrade.
+// targetSet holds all targets of a world.
+type targetSet struct {
+	world *World
+
+	mu        sync.Mutex
+	running   []*Target
+	hostCount int
+	// versions are the software versions of services after a completed upgrade.
 	versions map[string]softwareVersion
-	// retired are versions that no target starts with any more.
+	// retired are versions with which no more targets are started.
 	retired map[string]bool
 	wg      sync.WaitGroup
 }
 
-// softwareVersion is a version of a service's software and what is wrong with it.
+// softwareVersion is a version of a service's software and its defect.
 type softwareVersion struct {
-	name string
-	flaw Flaw
+	name   string
+	defect Defect
 }
 
-// versionOf is the version that a service has.
-func (h *herd) versionOf(service string) (string, Flaw) {
+// versionOf returns the current software version of a service.
+func (h *targetSet) versionOf(service string) (string, Defect) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	v, ok := h.versions[service]
 	if !ok {
-		return firstVersion, Flaw{}
+		return firstVersion, Defect{}
 	}
-	return v.name, v.flaw
+	return v.name, v.defect
 }
 
-// setVersion has a service's later targets be of a version.
-func (h *herd) setVersion(service, version string, flaw Flaw) {
+// setVersion sets the software version of targets that a service starts from now on.
+func (h *targetSet) setVersion(service, version string, defect Defect) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.versions[service] = softwareVersion{version, flaw}
+	h.versions[service] = softwareVersion{version, defect}
 }
 
-func newHerd(w *World) *herd {
-	return &herd{w: w, versions: map[string]softwareVersion{}, retired: map[string]bool{}}
+func newTargetSet(w *World) *targetSet {
+	return &targetSet{world: w, versions: map[string]softwareVersion{}, retired: map[string]bool{}}
 }
 
-// startAll starts the targets that the shape asks for.
-func (h *herd) startAll() {
-	names := make([]string, 0, len(h.w.Shape.Targets))
-	for n := range h.w.Shape.Targets {
+// startInitial starts the targets that the deployment declares.
+func (h *targetSet) startInitial() {
+	names := make([]string, 0, len(h.world.Deployment.Targets))
+	for n := range h.world.Deployment.Targets {
 		names = append(names, n)
 	}
 	slices.Sort(names)
 	for _, n := range names {
-		for i := range h.w.Shape.Targets[n] {
-			h.start(n, zone(i%h.w.Shape.Zones), nil)
+		for i := range h.world.Deployment.Targets[n] {
+			h.start(n, zone(i%h.world.Deployment.Zones), nil)
 		}
 	}
 }
 
-// start begins a run of the version that its service has, on a host of its own or on one that another run has left.
-func (h *herd) start(service, zone string, on *simnet.Host) *Target {
-	version, flaw := h.versionOf(service)
-	return h.startAs(service, zone, on, version, flaw)
+// start starts a run of the service's current version, on a new host or on one that another run has left.
+func (h *targetSet) start(service, zone string, on *simnet.Host) *Target {
+	version, defect := h.versionOf(service)
+	return h.startVersion(service, zone, on, version, defect)
 }
 
-// startLike begins a run in the place of one that ended, of the same version where that is not retired.
-func (h *herd) startLike(t *Target) *Target {
+// replace starts a run in place of one that ended, with the same version unless that is retired.
+func (h *targetSet) replace(t *Target) *Target {
 	h.mu.Lock()
 	retired := h.retired[t.Version]
 	h.mu.Unlock()
 	if retired {
 		return h.start(t.Service, t.Zone, t.host)
 	}
-	return h.startAs(t.Service, t.Zone, t.host, t.Version, t.flaw)
+	return h.startVersion(t.Service, t.Zone, t.host, t.Version, t.defect)
 }
 
-// retire has no target start with a version any more.
-func (h *herd) retire(version string) {
+// retire prevents targets from being started with a version.
+func (h *targetSet) retire(version string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.retired[version] = true
 }
 
-// startAs begins a run of a version.
-func (h *herd) startAs(service, zone string, on *simnet.Host, version string, flaw Flaw) *Target {
-	w := h.w
-	if w.over() {
+// startVersion starts a run of a version.
+func (h *targetSet) startVersion(service, zone string, on *simnet.Host, version string, defect Defect) *Target {
+	w := h.world
+	if w.isFinished() {
 		return nil
 	}
 	h.mu.Lock()
 	if on == nil {
-		h.hosts++
-		on = w.net.Host(fmt.Sprintf("t%d", h.hosts), zone)
+		h.hostCount++
+		on = w.net.Host(fmt.Sprintf("t%d", h.hostCount), zone)
 	}
 	h.mu.Unlock()
 	on.Dark(false)
 	on.Thaw()
-	t := &Target{w: w, ID: w.id("i-"), Service: service, Zone: zone, Version: version, flaw: flaw, host: on, state: target.Ready, started: w.now(), warm: 3 * time.Second,
-		speed: 0.7 + 0.6*w.real(), keep: 2 + w.chance(8), leaving: make(chan struct{}), drained: make(chan struct{}), gone: make(chan struct{})}
-	t.p = on.Start(w.ctx, "http")
-	ln := t.p.Listen()
-	t.p.Open(nil)
+	t := &Target{world: w, ID: w.newID("i-"), Service: service, Zone: zone, Version: version, defect: defect, host: on, state: target.Ready, startedAt: w.now(), warmup: 3 * time.Second,
+		workFactor: 0.7 + 0.6*w.randFloat(), idleSeconds: 2 + w.randIntN(8), drainStarted: make(chan struct{}), drainAcked: make(chan struct{}), ended: make(chan struct{})}
+	t.proc = on.Start(w.ctx, "http")
+	ln := t.proc.Listen()
+	t.proc.Open(nil)
 	h.mu.Lock()
-	h.list = append(h.list, t)
+	h.running = append(h.running, t)
 	h.mu.Unlock()
 	h.wg.Go(func() { t.accept(ln) })
-	h.wg.Go(t.beat)
+	h.wg.Go(t.sendHeartbeats)
 	return t
 }
 
-// of are the runs of a service that are ready, all for "".
-func (h *herd) of(service string) (out []*Target) {
+// ready returns the runs of a service that are ready, or of all services for "".
+func (h *targetSet) ready(service string) (out []*Target) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for _, t := range h.list {
-		if (service == "" || t.Service == service) && t.now() == target.Ready {
+	for _, t := range h.running {
+		if (service == "" || t.Service == service) && t.currentState() == target.Ready {
 			out = append(out, t)
 		}
 	}
 	return out
 }
 
-func (h *herd) end() {
+func (h *targetSet) killAll() {
 	h.mu.Lock()
-	list := slices.Clone(h.list)
+	list := slices.Clone(h.running)
 	h.mu.Unlock()
 	for _, t := range list {
 		t.host.Thaw()
@@ -140,7 +140,7 @@
 	h.wg.Wait()
 }
 
-func (t *Target) now() target.State {
+func (t *Target) currentState() target.State {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.state
--- a/internal/sim/day/history.go
+++ b/internal/sim/day/history.go
@@ -10,19 +10,19 @@
 	"walkrudder/internal/item"
 )
 
-// stored is what a register with versions holds: nothing where the version is 0.
-type stored struct {
+// registerValue is the state of a versioned register; version 0 is empty.
+type registerValue struct {
 	version uint64
 	content string
 }
 
 const (
 	droppedContent = "dropped"
-	// historyTime bounds the search for an order of one item's history.
-	historyTime = 20 * time.Second
+	// historyCheckTimeout limits the search for a linearization of one item's history.
+	historyCheckTimeout = 20 * time.Second
 )
 
-// contentOf is what tells two contents of one version apart.
+// contentOf returns a string that identifies the content of an item.
 func contentOf(i item.Item) string {
 	if i.Gone {
 		return droppedContent
@@ -30,69 +30,69 @@
 	return string(i.Body)
 }
 
-// operation is one call for one item.
-type operation struct {
-	read bool
-	of   stored
-	// unsure says that the operator was never told whether a change was taken.
-	unsure bool
+// registerOp is one operation on one item.
+type registerOp struct {
+	read  bool
+	value registerValue
+	// uncertain reports that the operator was never told whether the change was applied.
+	uncertain bool
 }
 
-// register is an item with versions: the highest stands, of one version one content, and a
-// read tells what stands.
-var register = porcupine.NondeterministicModel{
-	Init: func() []any { return []any{stored{}} },
+// registerModel models an item as a versioned register: the highest version is current, each version has
+// one content, and a read returns the current content.
+var registerModel = porcupine.NondeterministicModel{
+	Init: func() []any { return []any{registerValue{}} },
 	Step: func(state, input, _ any) []any {
-		now, x := state.(stored), input.(operation)
+		now, x := state.(registerValue), input.(registerOp)
 		switch {
-		case x.read && (x.of == now || x.of.content == "" && now.content == droppedContent):
+		case x.read && (x.value == now || x.value.content == "" && now.content == droppedContent):
 			return []any{now}
 		case x.read:
 			return nil
-		case x.of.version > now.version && x.unsure:
-			return []any{x.of, now}
-		case x.of.version > now.version:
-			return []any{x.of}
-		case x.of.version == now.version && x.of.content != now.content && !x.unsure:
+		case x.value.version > now.version && x.uncertain:
+			return []any{x.value, now}
+		case x.value.version > now.version:
+			return []any{x.value}
+		case x.value.version == now.version && x.value.content != now.content && !x.uncertain:
 			return nil
 		}
 		return []any{now}
 	},
 }
 
-// History: the changes and reads of each item have an order in which every read tells what stood,
-// as if there were one copy.
-func History(r *Record) (out []Breach) {
-	by := map[item.Key][]porcupine.Operation{}
-	for client, o := range r.Orders {
-		if !o.Valid || o.lostRace() {
+// CheckHistory checks that the changes and reads of each item are linearizable: some order exists in which every
+// read returns the current content, as if there were a single copy.
+func CheckHistory(r *Record) (out []Violation) {
+	opsByItem := map[item.Key][]porcupine.Operation{}
+	for client, o := range r.Changes {
+		if !o.Valid || o.rejectedAsConflict() {
 			continue
 		}
 		for _, i := range o.Items {
-			op := porcupine.Operation{ClientId: client, Input: operation{of: stored{i.Version, contentOf(i)}, unsure: !o.Acknowledged}, Call: int64(o.Sent), Return: int64(o.Acked)}
+			op := porcupine.Operation{ClientId: client, Input: registerOp{value: registerValue{i.Version, contentOf(i)}, uncertain: !o.Acknowledged}, Call: int64(o.SentAt), Return: int64(o.AckedAt)}
 			if !o.Acknowledged {
 				op.Return = math.MaxInt64
 			}
-			by[i.Key] = append(by[i.Key], op)
+			opsByItem[i.Key] = append(opsByItem[i.Key], op)
 		}
 	}
 	reads := r.Reads
-	if r.Read != nil {
-		reads = append(reads[:len(reads):len(reads)], ConfigRead{r.ReadAt, r.Length, r.Read})
+	if r.FinalRead != nil {
+		reads = append(reads[:len(reads):len(reads)], ConfigRead{r.FinalReadAt, r.Length, r.FinalRead})
 	}
 	for n, x := range reads {
-		got := map[item.Key]stored{}
+		values := map[item.Key]registerValue{}
 		for _, i := range x.Items {
-			got[i.Key] = stored{i.Version, contentOf(i)}
+			values[i.Key] = registerValue{i.Version, contentOf(i)}
 		}
-		for k := range by {
-			by[k] = append(by[k], porcupine.Operation{ClientId: len(r.Orders) + n, Input: operation{read: true, of: got[k]}, Call: int64(x.From), Return: int64(x.To)})
+		for k := range opsByItem {
+			opsByItem[k] = append(opsByItem[k], porcupine.Operation{ClientId: len(r.Changes) + n, Input: registerOp{read: true, value: values[k]}, Call: int64(x.From), Return: int64(x.To)})
 		}
 	}
-	model := register.ToModel()
-	for k, ops := range by {
-		if porcupine.CheckOperationsTimeout(model, ops, historyTime) == porcupine.Illegal {
-			out = append(out, Breach{"CONFIG", r.ReadAt, fmt.Sprintf("the history of %v has no order in which every read tells what stood", k)})
+	model := registerModel.ToModel()
+	for k, ops := range opsByItem {
+		if porcupine.CheckOperationsTimeout(model, ops, historyCheckTimeout) == porcupine.Illegal {
+			out = append(out, Violation{"CONFIG", r.FinalReadAt, fmt.Sprintf("the history of %v is not linearizable", k)})
 		}
 	}
 	return out
--- a/internal/sim/day/machine.go
+++ b/internal/sim/day/machine.go
@@ -19,94 +19,94 @@
 )
 
 const (
-	controllerPart = "controller"
-	gatewayPart    = "gateway"
-	// goingTime is how long a controller that stops still answers.
-	goingTime = 300 * time.Millisecond
-	// readyEvery is how often a machine is asked whether it is ready; after two misses it
-	// gets no new callers.
-	readyEvery = time.Second
+	controllerName = "controller"
+	gatewayName    = "gateway"
+	// controllerStopTime is how long a stopping controller keeps answering.
+	controllerStopTime = 300 * time.Millisecond
+	// readinessInterval is how often a machine's readiness is checked. After two failed checks it
+	// receives no new callers.
+	readinessInterval = time.Second
 )
 
-// Machine runs a gateway, and where it serves a controller beside it.
+// Machine runs a gateway and, if hasController is set, a controller.
 type Machine struct {
-	w      *World
-	ID     string
-	Zone   string
-	host   *simnet.Host
-	disk   *simnet.Disk
-	serves bool
+	world         *World
+	ID            string
+	Zone          string
+	host          *simnet.Host
+	disk          *simnet.Disk
+	hasController bool
 
-	booting sync.Mutex // held while a process is started, which takes no time
+	startMu sync.Mutex // held while a process is started, which takes no virtual time
 
-	mu            sync.Mutex
-	controller    *control.Node
-	controllerRun *life
-	gateway       *proxy.Node
-	sub           *watch.Subscriber
-	gatewayRun    *life
-	lives         int // of the gateway
-	in            bool
-	misses        int
-	inc           uint64
-	ending        bool // a planned stop is under way
+	mu                sync.Mutex
+	controller        *control.Node
+	controllerProcess *process
+	gateway           *proxy.Node
+	subscriber        *watch.Subscriber
+	gatewayProcess    *process
+	gatewayRuns       int // number of starts of the gateway
+	inRotation        bool
+	failedChecks      int
+	incarnation       uint64
+	stopping          bool // an orderly shutdown is in progress
 }
 
-// life is one run of a process.
-type life struct {
-	p    *simnet.Proc
+// process is one run of a controller or gateway.
+type process struct {
+	proc *simnet.Proc
 	done chan struct{}
 }
 
 func (w *World) addMachine(i int) {
-	s := w.Shape
+	s := w.Deployment
 	id := fmt.Sprintf("m%d", i)
-	m := &Machine{w: w, ID: id, Zone: zone(i % s.Zones), host: w.net.Host(id, zone(i%s.Zones)), serves: i < max(s.Disks, 2*s.Zones), in: true}
+	m := &Machine{world: w, ID: id, Zone: zone(i % s.Zones), host: w.net.Host(id, zone(i%s.Zones)), hasController: i < max(s.Disks, 2*s.Zones), inRotation: true}
 	if i < s.Disks {
 		dir := w.diskDir(id)
 		if err := os.Mkdir(dir, 0o700); err != nil {
 			w.t.Fatal(err)
 		}
-		m.disk = simnet.NewDisk(rand.New(rand.NewPCG(w.rnd.Uint64(), 3)), dir)
+		m.disk = simnet.NewDisk(rand.New(rand.NewPCG(w.rng.Uint64(), 3)), dir)
 	}
 	w.Machines = append(w.Machines, m)
 }
 
-func (m *Machine) innerAddr() string { return simnet.Addr(m.ID, controllerPart) }
-func (m *Machine) frontAddr() string { return simnet.Addr(m.ID, gatewayPart) }
+func (m *Machine) internalAddr() string { return simnet.Addr(m.ID, controllerName) }
+func (m *Machine) gatewayAddr() string  { return simnet.Addr(m.ID, gatewayName) }
 
-func (m *Machine) nextInc() uint64 {
+func (m *Machine) nextIncarnation() uint64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.inc += 1 + uint64(m.w.chance(1000))
-	return m.inc
+	m.incarnation += 1 + uint64(m.world.randIntN(1000))
+	return m.incarnation
 }
 
-// bootController starts the controller, if the machine has one and it does not run.
-func (m *Machine) bootController() {
-	w := m.w
-	m.booting.Lock()
-	defer m.booting.Unlock()
-	if !m.serves || m.controllerLife() != nil || w.over() {
+// startController starts the controller if the machine has one and it is not running.
+func (m *Machine) startController() {
+	w := m.world
+	m.startMu.Lock()
+	defer m.startMu.Unlock()
+	if !m.hasController || m.runningController() != nil || w.isFinished() {
 		return
 	}
-	p := m.host.Start(w.ctx, controllerPart)
-	inc := m.nextInc()
-	parts := control.Parts{Settings: control.Settings{ID: m.ID, Zone: m.Zone, Region: w.Shape.region(m.Zone), Zones: w.Shape.regions(), InternalAddr: m.innerAddr(), PublicAddr: m.innerAddr(), Seeds: w.seedList(),
-		Tolerance: quorum.Tolerance{Machines: w.Shape.Bear, Zones: w.Shape.BearZones, Regions: w.Shape.BearRegions}, InitialStart: w.first, HeartbeatInterval: beatEvery},
-		Incarnation: inc, NewDiskID: fmt.Sprintf("%s-%d", m.ID, inc), Line: simnet.Line{P: p}, Clock: simnet.Clock{P: p}, Log: quietLog()}
-	l := &life{p: p, done: make(chan struct{})}
+	p := m.host.Start(w.ctx, controllerName)
+	incarnation := m.nextIncarnation()
+	parts := control.Parts{Settings: control.Settings{ID: m.ID, Zone: m.Zone, Region: w.Deployment.region(m.Zone), Zones: w.Deployment.regions(), InternalAddr: m.internalAddr(), PublicAddr: m.internalAddr(), Seeds: w.seedList(),
+		Tolerance: quorum.Tolerance{Machines: w.Deployment.MaxLostMachines, Zones: w.Deployment.MaxLostZones, Regions: w.Deployment.MaxLostRegions}, InitialStart: w.initialStart, HeartbeatInterval: heartbeatInterval},
+		Incarnation: incarnation, NewDiskID: fmt.Sprintf("%s-%d", m.ID, incarnation), Line: simnet.Line{P: p}, Clock: simnet.Clock{P: p}, Log: discardLogger()}
+	l := &process{proc: p, done: make(chan struct{})}
 	parts.OnDiskFailure = func(error) { go m.endController(l) }
 	var h *simnet.Handle
-	var notes *storage.FileJournal
+	var journal *storage.FileJournal
 	if m.disk != nil {
 		h = &simnet.Handle{D: m.disk, P: p, Calm: true}
-		notes = storage.OpenJournal(m.disk.Dir, "runs.journal")
-		parts.Disk, parts.RunJournal = h, notes
+		journal = storage.OpenJournal(m.disk.Dir, "runs.journal")
+		parts.Disk, parts.RunJournal = h, journal
 	}
 	n, err := control.New(parts)
 	if err != nil {
-		// On a disk that refuses a process ends at once; the platform starts it again when that is over.
+		// On a disk that refuses writes the process exits at once; the platform restarts it when the disk works again.
 		if m.disk == nil || !m.disk.Refuses() {
 			w.t.Errorf("%s can't start: %v", m.ID, err)
 		}
@@ -117,106 +117,106 @@
 		h.Calm = false
 	}
 	m.mu.Lock()
-	m.controller, m.controllerRun = n, l
+	m.controller, m.controllerProcess = n, l
 	m.mu.Unlock()
 	p.Open(n.Desk)
-	w.procs.Go(func() {
+	w.processes.Go(func() {
 		n.Run(p.Context())
-		if notes != nil {
-			_ = notes.Close()
+		if journal != nil {
+			_ = journal.Close()
 		}
 		close(l.done)
 	})
 }
 
-// bootGateway starts the gateway, if it does not run.
-func (m *Machine) bootGateway() {
-	w := m.w
-	m.booting.Lock()
-	defer m.booting.Unlock()
-	if m.gatewayLife() != nil || w.over() {
+// startGateway starts the gateway if it is not running.
+func (m *Machine) startGateway() {
+	w := m.world
+	m.startMu.Lock()
+	defer m.startMu.Unlock()
+	if m.runningGateway() != nil || w.isFinished() {
 		return
 	}
-	p := m.host.Start(w.ctx, gatewayPart)
-	s := w.Shape
-	set := proxy.Settings{ID: m.ID, Zone: m.Zone, Zones: w.zones, Headers: dialect, BudgetRatio: s.Bounds.BudgetRatio, BudgetWindow: s.Bounds.BudgetWindow, BudgetSlack: s.Bounds.BudgetSlack,
+	p := m.host.Start(w.ctx, gatewayName)
+	s := w.Deployment
+	settings := proxy.Settings{ID: m.ID, Zone: m.Zone, Zones: w.zones, Headers: headerNames, BudgetRatio: s.Bounds.BudgetRatio, BudgetWindow: s.Bounds.BudgetWindow, BudgetSlack: s.Bounds.BudgetSlack,
 		MemoryMB: 284, MaxFiles: 4100, LinkMbps: s.LinkMbps, Grace: s.Bounds.Grace, NewsWithin: s.Bounds.Apply, NewsLost: s.Bounds.Contact}
-	if err := set.Check(); err != nil {
+	if err := settings.Check(); err != nil {
 		w.t.Fatal(err)
 	}
-	n := proxy.New(proxy.Options{Settings: set, Clock: simnet.Clock{P: p}, Log: quietLog(), Dial: p.Dial})
-	sub := &watch.Subscriber{Me: watch.Member{ID: m.ID, Kind: watch.Gateway, Zone: m.Zone, Inc: m.nextInc()}, Line: simnet.Line{P: p}, Clock: simnet.Clock{P: p}, Log: quietLog(), Within: s.Bounds.Apply, Narrow: set.NarrowLink()}
-	n.Follow(sub)
-	sub.Init(w.seedList())
-	l := &life{p: p, done: make(chan struct{})}
+	n := proxy.New(proxy.Options{Settings: settings, Clock: simnet.Clock{P: p}, Log: discardLogger(), Dial: p.Dial})
+	subscriber := &watch.Subscriber{Me: watch.Member{ID: m.ID, Kind: watch.Gateway, Zone: m.Zone, Inc: m.nextIncarnation()}, Line: simnet.Line{P: p}, Clock: simnet.Clock{P: p}, Log: discardLogger(), Within: s.Bounds.Apply, Narrow: settings.NarrowLink()}
+	n.Follow(subscriber)
+	subscriber.Init(w.seedList())
+	l := &process{proc: p, done: make(chan struct{})}
 	ln := p.Listen()
 	m.mu.Lock()
-	m.gateway, m.sub, m.gatewayRun = n, sub, l
-	m.lives++
+	m.gateway, m.subscriber, m.gatewayProcess = n, subscriber, l
+	m.gatewayRuns++
 	m.mu.Unlock()
 	p.Open(link.NewDesk())
-	w.procs.Go(func() {
+	w.processes.Go(func() {
 		var wg sync.WaitGroup
-		wg.Go(func() { _ = n.Serve(ln) }) // ends with the process
-		wg.Go(func() { sub.Run(p.Context()) })
+		wg.Go(func() { _ = n.Serve(ln) }) // returns when the process ends
+		wg.Go(func() { subscriber.Run(p.Context()) })
 		wg.Go(func() { n.Run(p.Context()) })
-		reporter := &upgrade.Reporter{Line: simnet.Line{P: p}, Clock: simnet.Clock{P: p}, Inc: sub.Me.Inc, Reports: n.UpgradeReports, Controllers: sub.Controllers}
+		reporter := &upgrade.Reporter{Line: simnet.Line{P: p}, Clock: simnet.Clock{P: p}, Inc: subscriber.Me.Inc, Reports: n.UpgradeReports, Controllers: subscriber.Controllers}
 		wg.Go(func() { reporter.Run(p.Context()) })
 		wg.Wait()
 		close(l.done)
 	})
 }
 
-func (m *Machine) controllerLife() *life {
+func (m *Machine) runningController() *process {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.controllerRun
+	return m.controllerProcess
 }
 
-func (m *Machine) gatewayLife() *life {
+func (m *Machine) runningGateway() *process {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.gatewayRun
+	return m.gatewayProcess
 }
 
-func (m *Machine) node() *control.Node {
+func (m *Machine) controllerNode() *control.Node {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.controller
 }
 
-// end kills one life, and has what was of it forgotten.
-func (m *Machine) end(l *life, forget func()) {
+// endProcess kills one process, waits for its end and clears the references to it.
+func (m *Machine) endProcess(l *process, clear func()) {
 	if l == nil {
 		return
 	}
-	l.p.Kill()
+	l.proc.Kill()
 	<-l.done
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	forget()
+	clear()
 }
 
-func (m *Machine) endController(l *life) {
-	m.end(l, func() {
-		if m.controllerRun == l {
-			m.controller, m.controllerRun = nil, nil
+func (m *Machine) endController(l *process) {
+	m.endProcess(l, func() {
+		if m.controllerProcess == l {
+			m.controller, m.controllerProcess = nil, nil
 		}
 	})
 }
 
-func (m *Machine) endGateway(l *life) {
-	m.end(l, func() {
-		if m.gatewayRun == l {
-			m.gateway, m.sub, m.gatewayRun = nil, nil, nil
+func (m *Machine) endGateway(l *process) {
+	m.endProcess(l, func() {
+		if m.gatewayProcess == l {
+			m.gateway, m.subscriber, m.gatewayProcess = nil, nil, nil
 		}
 	})
 }
 
-func (m *Machine) killController() { m.endController(m.controllerLife()) }
-func (m *Machine) killGateway()    { m.endGateway(m.gatewayLife()) }
+func (m *Machine) killController() { m.endController(m.runningController()) }
+func (m *Machine) killGateway()    { m.endGateway(m.runningGateway()) }
 
-// killAll kills all processes of the machine at one moment.
+// killAll kills all processes of the machine at the same time.
 func (m *Machine) killAll() {
 	var wg sync.WaitGroup
 	wg.Go(m.killController)
@@ -224,91 +224,92 @@
 	wg.Wait()
 }
 
-// bootAll starts what does not run.
-func (m *Machine) bootAll() {
-	m.bootController()
-	m.bootGateway()
+// startAll starts the processes that are not running.
+func (m *Machine) startAll() {
+	m.startController()
+	m.startGateway()
 }
 
-// powerLoss ends everything at one moment, with what the disk had not synced.
+// powerLoss kills all processes at the same time and discards disk writes that were not synced.
 func (m *Machine) powerLoss() {
 	m.host.Dark(true)
 	m.killAll()
 	if m.disk != nil {
 		if err := m.disk.PowerLoss(); err != nil {
-			m.w.t.Error(err)
+			m.world.t.Error(err)
 		}
 	}
 }
 
-// stop ends the machine's processes in order, as a SIGTERM does, and a SIGKILL after the
-// grace.
+// stop shuts the machine's processes down in order, as a SIGTERM does, followed by a SIGKILL after
+// the grace period.
 func (m *Machine) stop() {
-	w := m.w
+	w := m.world
 	var wg sync.WaitGroup
 	m.mu.Lock()
-	if m.ending {
+	if m.stopping {
 		m.mu.Unlock()
-		return // the one who began it ends it
+		return // the goroutine that began the shutdown completes it
 	}
-	m.ending = true
-	fl, n, ml, controller := m.gatewayRun, m.gateway, m.controllerRun, m.controller
+	m.stopping = true
+	gateway, gatewayNode, controllerProc, controller := m.gatewayProcess, m.gateway, m.controllerProcess, m.controller
 	m.mu.Unlock()
 	defer func() {
 		m.mu.Lock()
 		defer m.mu.Unlock()
-		m.ending = false
+		m.stopping = false
 	}()
-	if fl != nil {
-		w.note(func(r *Record) { r.Stops = append(r.Stops, Stop{m.ID, w.now()}) })
+	if gateway != nil {
+		w.updateRecord(func(r *Record) { r.GatewayStops = append(r.GatewayStops, GatewayStop{m.ID, w.now()}) })
 		wg.Go(func() {
-			cx, end := context.WithTimeout(fl.p.Context(), w.Shape.Bounds.Grace)
-			defer end()
-			_ = n.Stop(cx) // what it could not finish shows at the callers
-			m.endGateway(fl)
+			ctx, cancel := context.WithTimeout(gateway.proc.Context(), w.Deployment.Bounds.Grace)
+			defer cancel()
+			_ = gatewayNode.Stop(ctx) // requests that it could not finish are seen by their callers
+			m.endGateway(gateway)
 		})
 	}
-	if ml != nil {
+	if controllerProc != nil {
 		wg.Go(func() {
 			controller.Stop()
-			time.Sleep(goingTime)
-			m.endController(ml)
+			time.Sleep(controllerStopTime)
+			m.endController(controllerProc)
 		})
 	}
 	wg.Wait()
 }
 
-// watchReadiness asks the machine each second, as the callers' side does.
+// watchReadiness checks the machine's readiness every second, as a load balancer in front of it does.
 func (m *Machine) watchReadiness() {
-	me := m.w.net.Host("ready-"+m.ID, m.Zone).Start(m.w.ctx, "watch")
-	defer me.Kill()
-	for m.w.ctx.Err() == nil {
-		cx, end := context.WithTimeout(m.w.ctx, readyEvery)
-		ok, err := simnet.Do(cx, me, m.frontAddr(), func(context.Context, *simnet.Proc) (bool, error) {
+	probe := m.world.net.Host("ready-"+m.ID, m.Zone).Start(m.world.ctx, "watch")
+	defer probe.Kill()
+	for m.world.ctx.Err() == nil {
+		ctx, cancel := context.WithTimeout(m.world.ctx, readinessInterval)
+		ok, err := simnet.Do(ctx, probe, m.gatewayAddr(), func(context.Context, *simnet.Proc) (bool, error) {
 			m.mu.Lock()
 			n := m.gateway
 			m.mu.Unlock()
 			return n != nil && n.Ready(), nil
 		})
-		end()
+		cancel()
 		m.mu.Lock()
 		if ok && err == nil {
-			m.in, m.misses = true, 0
-		} else if m.misses++; m.misses >= 2 {
-			m.in = false
+			m.inRotation, m.failedChecks = true, 0
+		} else if m.failedChecks++; m.failedChecks >= 2 {
+			m.inRotation = false
 		}
 		m.mu.Unlock()
-		t := time.NewTimer(readyEvery)
+		t := time.NewTimer(readinessInterval)
 		select {
 		case <-t.C:
-		case <-m.w.ctx.Done():
+		case <-m.world.ctx.Done():
 		}
 		t.Stop()
 	}
 }
 
-func (m *Machine) isIn() (in bool, lives int) {
+// rotationState reports whether the machine receives new callers, and how often its gateway was started.
+func (m *Machine) rotationState() (inRotation bool, runs int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.in, m.lives
+	return m.inRotation, m.gatewayRuns
 }
--- a/internal/sim/day/operator.go
+++ b/internal/sim/day/operator.go
@@ -14,78 +14,78 @@
 	"walkrudder/internal/sim/simnet"
 )
 
-// operator changes the configuration.
+// operator simulates an operator who changes the configuration.
 type operator struct {
-	w *World
-	p *simnet.Proc
+	world *World
+	proc  *simnet.Proc
 }
 
 func (w *World) operator(name string) *operator {
-	return &operator{w, w.net.Host("op-"+name, zone(w.chance(w.Shape.Zones))).Start(w.ctx, "operator")}
+	return &operator{w, w.net.Host("op-"+name, zone(w.randIntN(w.Deployment.Zones))).Start(w.ctx, "operator")}
 }
 
-// nextVersion rises in uneven steps.
+// nextVersion returns increasing version numbers with gaps.
 func (w *World) nextVersion() uint64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.version += 1 + uint64(w.rnd.IntN(9))
+	w.version += 1 + uint64(w.rng.IntN(9))
 	return w.version
 }
 
-// pressTime is for how long an operator sends the same: longer than any day's troubles. A core that
-// acknowledges nothing for so long has the day end and be judged.
-const pressTime = 2 * time.Minute
+// maxSendTime is how long an operator resends a change. It is longer than the faults of any day, so that a
+// day ends and is checked even if the core acknowledges nothing for that long.
+const maxSendTime = 2 * time.Minute
 
-// send has a change acknowledged or refused: at one controller after the other, unchanged, until
-// one of them says a clear word, or for pressTime. It tells which did.
-func (o *operator) send(c control.Change, valid bool) (*Order, *Machine) {
-	order := o.begin(c, valid)
-	return order, o.press(order, c, o.w.controllers(), o.w.now()+pressTime)
+// sendToAny sends the same change to one controller after another until one acknowledges or refuses it, or
+// until maxSendTime has passed. It returns the controller that did.
+func (o *operator) sendToAny(c control.Change, valid bool) (*ChangeRequest, *Machine) {
+	change := o.recordChange(c, valid)
+	return change, o.sendUntil(change, c, o.world.controllers(), o.world.now()+maxSendTime)
 }
 
-// begin notes an order before its first call.
-func (o *operator) begin(c control.Change, valid bool) *Order {
-	w := o.w
-	order := &Order{By: o.p.Host.ID, Items: itemsOf(c), Valid: valid, Sent: w.now()}
-	w.note(func(r *Record) {
-		for _, old := range r.Orders {
-			if !old.Acknowledged && slices.ContainsFunc(order.Items, func(i item.Item) bool {
+// recordChange records a change before its first attempt.
+func (o *operator) recordChange(c control.Change, valid bool) *ChangeRequest {
+	w := o.world
+	change := &ChangeRequest{Operator: o.proc.Host.ID, Items: changeItems(c), Valid: valid, SentAt: w.now()}
+	w.updateRecord(func(r *Record) {
+		for _, old := range r.Changes {
+			if !old.Acknowledged && slices.ContainsFunc(change.Items, func(i item.Item) bool {
 				return slices.ContainsFunc(old.Items, func(j item.Item) bool { return i.Key == j.Key && i.Version > j.Version })
 			}) {
-				old.Overtaken = true
+				old.Superseded = true
 			}
 		}
-		r.Orders = append(r.Orders, order)
+		r.Changes = append(r.Changes, change)
 	})
-	return order
+	return change
 }
 
-// settled tells whether a clear word was said.
-func (o *Order) settled() bool { return o.Acknowledged || o.Refused }
+// answered reports whether the change was acknowledged or refused.
+func (o *ChangeRequest) answered() bool { return o.Acknowledged || o.Refused }
 
-// press sends an order to some of the controllers until one says a clear word, or until a
-// moment.
-func (o *operator) press(order *Order, c control.Change, to []*Machine, until time.Duration) *Machine {
-	w := o.w
+// sendUntil sends a change to random ones of the given controllers until one acknowledges or refuses it, or
+// until a point in time.
+func (o *operator) sendUntil(change *ChangeRequest, c control.Change, to []*Machine, until time.Duration) *Machine {
+	w := o.world
 	pause := 50 * time.Millisecond
-	for !w.over() && w.ctx.Err() == nil && w.now() < until {
-		m := pick(w, to)
-		cx, end := context.WithTimeout(w.ctx, 1500*time.Millisecond)
-		ps, err := simnet.Do(cx, o.p, m.innerAddr(), func(cx context.Context, _ *simnet.Proc) ([]route.Problem, error) {
-			n := m.node()
+	for !w.isFinished() && w.ctx.Err() == nil && w.now() < until {
+		m := pickOne(w, to)
+		ctx, cancel := context.WithTimeout(w.ctx, 1500*time.Millisecond)
+		ps, err := simnet.Do(ctx, o.proc, m.internalAddr(), func(ctx context.Context, _ *simnet.Proc) ([]route.Problem, error) {
+			n := m.controllerNode()
 			if n == nil {
 				return nil, net.ErrClosed
 			}
-			cx, end := context.WithTimeout(cx, 3500*time.Millisecond)
-			defer end()
-			return n.Apply(cx, c)
+			ctx, cancel := context.WithTimeout(ctx, 3500*time.Millisecond)
+			defer cancel()
+			return n.Apply(ctx, c)
 		})
-		end()
+		cancel()
 		switch {
 		case control.IsConflict(err):
-			w.note(func(*Record) { order.Refused = true })
-		case err == nil && len(ps) == 0 && w.losesAck():
-			w.note(func(*Record) { order.Lost = true })
+			w.updateRecord(func(*Record) { change.Refused = true })
+		case err == nil && len(ps) == 0 && w.drawAckLoss():
+			w.updateRecord(func(*Record) { change.AckLost = true })
 			continue
 		case err != nil:
 			t := time.NewTimer(pause)
@@ -97,67 +97,67 @@
 			pause = min(2*pause, time.Second)
 			continue
 		case len(ps) > 0:
-			w.note(func(*Record) { order.Refused = true })
+			w.updateRecord(func(*Record) { change.Refused = true })
 		default:
-			w.note(func(*Record) { order.Acknowledged, order.Acked = true, w.now() })
+			w.updateRecord(func(*Record) { change.Acknowledged, change.AckedAt = true, w.now() })
 		}
 		return m
 	}
 	return nil
 }
 
-// firstOrder declares everything before the callers come.
-func (w *World) firstOrder() {
-	o := w.operator("first")
-	if x, _ := o.send(w.firstChange(), true); !x.Acknowledged {
+// sendInitialChange declares the whole configuration before the first callers.
+func (w *World) sendInitialChange() {
+	operator := w.operator("first")
+	if x, _ := operator.sendToAny(w.initialChange(), true); !x.Acknowledged {
 		w.t.Error("the first configuration was not acknowledged")
 	}
-	o.p.Kill()
+	operator.proc.Kill()
 }
 
-// shift is a change that sends a stream's route to another service, or to two.
-func (w *World) shift() control.Change {
-	s := pick(w, w.Shape.Streams[len(w.Shape.Streams)-2:])
-	names := make([]string, 0, len(w.Shape.Targets))
-	for n := range w.Shape.Targets {
+// rerouteChange returns a change that sends a stream's route to another service, or to two.
+func (w *World) rerouteChange() control.Change {
+	s := pickOne(w, w.Deployment.Streams[len(w.Deployment.Streams)-2:])
+	names := make([]string, 0, len(w.Deployment.Targets))
+	for n := range w.Deployment.Targets {
 		names = append(names, n)
 	}
 	slices.Sort(names)
 	v := w.nextVersion()
-	if w.chance(4) == 0 {
+	if w.randIntN(4) == 0 {
 		return control.Change{Routes: []route.Route{s.route(v, route.Share{Service: names[0], Weight: 3}, route.Share{Service: names[1], Weight: 1})}}
 	}
-	return control.Change{Routes: []route.Route{s.route(v, only(pick(w, names)))}}
+	return control.Change{Routes: []route.Route{s.route(v, singleShare(pickOne(w, names)))}}
 }
 
-// added is a route that operators add, drop and move.
-func (w *World) added(name string, version uint64) route.Route {
+// extraRoute returns a route that operators add, move and drop.
+func (w *World) extraRoute(name string, version uint64) route.Route {
 	to := "orders"
 	if version%2 == 0 {
 		to = "archive"
 	}
-	return Stream{Route: name, Repeat: route.Idempotent, Aim: 400 * time.Millisecond, Priority: 3}.route(version, only(to))
+	return Stream{Route: name, Repeat: route.Idempotent, LatencyTarget: 400 * time.Millisecond, Priority: 3}.route(version, singleShare(to))
 }
 
-// edit adds, moves or drops one of a few routes. Where no such was added yet a drop is as
-// good a word.
-func (w *World) edit() (control.Change, string) {
-	name := fmt.Sprintf("x%d", w.chance(3))
+// randomEdit returns a change that adds, moves or drops one of a few extra routes. Dropping a route that was
+// not added yet is valid too.
+func (w *World) randomEdit() (control.Change, string) {
+	name := fmt.Sprintf("x%d", w.randIntN(3))
 	v := w.nextVersion()
-	if w.chance(3) == 0 {
+	if w.randIntN(3) == 0 {
 		return control.Change{Drops: []control.Drop{{Kind: item.Route, Name: name, Version: v}}}, name
 	}
-	return control.Change{Routes: []route.Route{w.added(name, v)}}, name
+	return control.Change{Routes: []route.Route{w.extraRoute(name, v)}}, name
 }
 
-// invalid is a change of which nothing may come into force.
-func (w *World) invalid() control.Change {
+// invalidChange returns a change of which no part may take effect.
+func (w *World) invalidChange() control.Change {
 	v := w.nextVersion()
-	bad := w.added("bad", v)
+	bad := w.extraRoute("bad", v)
 	bad.Prefix = "/x0/"
-	switch w.chance(5) {
+	switch w.randIntN(5) {
 	case 0:
-		bad.Shares = []route.Share{only("nowhere")}
+		bad.Shares = []route.Share{singleShare("nowhere")}
 	case 1:
 		bad.Prefix = "x0/"
 	case 2:
@@ -165,58 +165,58 @@
 	case 3:
 		bad.HoldMS = route.MaxHoldMS + 1
 	default:
-		// The place of another route.
-		bad.Prefix = "/" + w.Shape.Streams[0].Route + "/"
+		// The path prefix of another route.
+		bad.Prefix = "/" + w.Deployment.Streams[0].Route + "/"
 	}
-	// What is right beside it may not come into force either.
-	good := w.added("never", v)
+	// A valid route in the same change may not take effect either.
+	good := w.extraRoute("never", v)
 	return control.Change{Routes: []route.Route{good, bad}}
 }
 
-// look asks every machine by a route, which shows the configuration in force there.
-func (o *operator) look(name string) {
-	w := o.w
+// probeMachines sends a request for a route to every machine in rotation, which reveals the configuration in effect there.
+func (o *operator) probeMachines(name string) {
+	w := o.world
 	for _, m := range w.Machines {
-		if in, _ := m.isIn(); !in {
+		if in, _ := m.rotationState(); !in {
 			continue
 		}
-		w.wg.Go(func() {
+		w.activities.Go(func() {
 			deadline := time.Now().Add(time.Second)
-			s, err := w.dial(o.p, m, deadline)
+			s, err := w.dial(o.proc, m, deadline)
 			if err != nil {
 				return
 			}
-			w.exchange(s, &Request{ID: w.id("q-"), Method: "GET", Path: "/" + name + "/" + w.id("p"), Host: host, Route: name, Probe: true}, deadline)
-			_ = s.c.Close()
+			w.exchange(s, &Request{ID: w.newID("q-"), Method: "GET", Path: "/" + name + "/" + w.newID("p"), Host: requestHost, Route: name, Probe: true}, deadline)
+			_ = s.conn.Close()
 		})
 	}
 }
 
-// watch looks a few times, before and after the bound.
-func (o *operator) watch(name string) {
-	w := o.w
-	w.wg.Go(func() {
+// probeRepeatedly probes the machines several times, before and after the apply bound.
+func (o *operator) probeRepeatedly(name string) {
+	w := o.world
+	w.activities.Go(func() {
 		for range 12 {
-			time.Sleep(300*time.Millisecond + w.within(200*time.Millisecond))
-			if w.over() {
+			time.Sleep(300*time.Millisecond + w.randDuration(200*time.Millisecond))
+			if w.isFinished() {
 				return
 			}
-			o.look(name)
+			o.probeMachines(name)
 		}
 	})
 }
 
-// readBack reads what stands, from one controller after the other until one answers; who is
-// silent is left after a second. Then it asks every controller once more, for the contact time in all: each
-// answer must be the newest, too (rule "history").
-func (w *World) readBack() {
+// readFinalConfiguration reads the configuration from one controller after another until one answers, waiting
+// at most a second for each. Then it asks every controller once more, spread over Bounds.Contact in all: each of
+// these answers must be the newest, too (rule "history").
+func (w *World) readFinalConfiguration() {
 	o := w.operator("reader")
-	defer o.p.Kill()
-	w.note(func(r *Record) { r.ReadAt = w.now() })
-	turn := some(w, w.controllers(), len(w.controllers()))
-	for n, until := 0, w.now()+3*w.Shape.Bounds.Contact; w.now() < until; n++ {
+	defer o.proc.Kill()
+	w.updateRecord(func(r *Record) { r.FinalReadAt = w.now() })
+	turn := pickN(w, w.controllers(), len(w.controllers()))
+	for n, until := 0, w.now()+3*w.Deployment.Bounds.Contact; w.now() < until; n++ {
 		m := turn[n%len(turn)]
-		got, err := o.current(m)
+		got, err := o.readConfiguration(m)
 		if err != nil {
 			if errors.Is(err, context.Canceled) {
 				return
@@ -224,38 +224,38 @@
 			time.Sleep(200 * time.Millisecond)
 			continue
 		}
-		w.note(func(r *Record) { r.Read = got })
+		w.updateRecord(func(r *Record) { r.FinalRead = got })
 		break
 	}
 	for _, m := range turn {
-		o.ask(m)
-		time.Sleep(w.Shape.Bounds.Contact / time.Duration(len(turn)))
+		o.recordRead(m)
+		time.Sleep(w.Deployment.Bounds.Contact / time.Duration(len(turn)))
 	}
 }
 
-// current asks a machine for what stands, and waits for a second.
-func (o *operator) current(m *Machine) ([]item.Item, error) {
-	cx, end := context.WithTimeout(o.w.ctx, time.Second)
-	defer end()
-	st, err := simnet.Do(cx, o.p, m.innerAddr(), func(cx context.Context, _ *simnet.Proc) (control.Configuration, error) {
-		n := m.node()
+// readConfiguration reads the configuration from a machine, waiting at most a second.
+func (o *operator) readConfiguration(m *Machine) ([]item.Item, error) {
+	ctx, cancel := context.WithTimeout(o.world.ctx, time.Second)
+	defer cancel()
+	configuration, err := simnet.Do(ctx, o.proc, m.internalAddr(), func(ctx context.Context, _ *simnet.Proc) (control.Configuration, error) {
+		n := m.controllerNode()
 		if n == nil {
 			return control.Configuration{}, net.ErrClosed
 		}
-		cx, end := context.WithTimeout(cx, 3*time.Second)
-		defer end()
-		return n.Current(cx)
+		ctx, cancel := context.WithTimeout(ctx, 3*time.Second)
+		defer cancel()
+		return n.Current(ctx)
 	})
-	return itemsOf(control.Change{Routes: st.Routes, Services: st.Services, Limits: st.Limits}), err
+	return changeItems(control.Change{Routes: configuration.Routes, Services: configuration.Services, Limits: configuration.Limits}), err
 }
 
-// ask notes what a machine says that stands; one that can't be sure says nothing.
-func (o *operator) ask(m *Machine) {
-	from := o.w.now()
-	got, err := o.current(m)
+// recordRead records the configuration that a machine returns, and nothing if the machine can't confirm it.
+func (o *operator) recordRead(m *Machine) {
+	from := o.world.now()
+	got, err := o.readConfiguration(m)
 	if err != nil {
 		return
 	}
-	to := o.w.now()
-	o.w.note(func(r *Record) { r.Reads = append(r.Reads, ConfigRead{from, to, got}) })
+	to := o.world.now()
+	o.world.updateRecord(func(r *Record) { r.Reads = append(r.Reads, ConfigRead{from, to, got}) })
 }
--- a/internal/sim/day/race_off_test.go
+++ b/internal/sim/day/race_off_test.go
@@ -2,4 +2,4 @@
 
 package day
 
-const raced = false
+const raceEnabled = false
--- a/internal/sim/day/race_on_test.go
+++ b/internal/sim/day/race_on_test.go
@@ -2,5 +2,5 @@
 
 package day
 
-// raced says that the race detector is on, under which a day costs five times as much.
-const raced = true
+// raceEnabled reports that the race detector is on, under which a day costs five times as much.
+const raceEnabled = true
--- a/internal/sim/day/record.go
+++ b/internal/sim/day/record.go
@@ -1,7 +1,7 @@
-// Package day plays whole days of the system on the users' side of it (design 15): zones of
-// machines with a gateway and some with a controller, targets, callers and operators over a
-// simulated network, with troubles drawn from a seed. What callers, targets and operators
-// saw is recorded, and checkers judge the record by the rules.
+// Package day simulates whole days of the system from its users' point of view (design 15). Zones
+// of machines, each with a gateway and some with a controller, serve targets, callers and operators
+// over a simulated network while scenarios drawn from a seed inject faults. What callers, targets
+// and operators observe is recorded, and checkers test the record against the rules.
 package day
 
 import (
@@ -14,12 +14,16 @@
 	"walkrudder/internal/target"
 )
 
-// Bounds are the figures that the rules go by.
+// Bounds are the limits that the rules check against. A machine is in contact after Contact without faults.
+// A change must take effect within Apply, or up to MaxApplyExtension later if the core is unstable. A version
+// that was in effect must hold for requests sent more than OverlapTolerance later. A request that reached no
+// target may be dropped by a stopping gateway within DropTolerance of being sent. CatchUp is how long machines
+// need to recover after a restart.
 type Bounds struct {
-	Contact, Apply, Revert, StretchMax, Drain, Grace, LossSlack, Ack, Recovery, CatchUp time.Duration
+	Contact, Apply, OverlapTolerance, MaxApplyExtension, Drain, Grace, DropTolerance, Ack, Recovery, CatchUp time.Duration
 
-	// ExposureShare is the part of a service's requests that a bad version may get in its term, besides ExposureSlack of them;
-	// from Rollback after its 50th bad answer on it may get none.
+	// ExposureShare is the share of a service's requests that a bad version may receive during its term, plus ExposureSlack
+	// requests. After its 50th bad response and a further Rollback it may receive none.
 	ExposureShare float64
 	ExposureSlack int
 	Rollback      time.Duration
@@ -29,163 +33,163 @@
 	BudgetSlack  int
 }
 
-// Usual are the bounds of most days.
-func Usual() Bounds {
-	return Bounds{Contact: 3 * time.Second, Apply: 2 * time.Second, Revert: 250 * time.Millisecond, StretchMax: 5 * time.Second, Drain: 2 * time.Second,
-		Grace: 6 * time.Second, LossSlack: 200 * time.Millisecond, Ack: 4 * time.Second, Recovery: 15 * time.Second, CatchUp: 4 * time.Second,
+// DefaultBounds returns the limits used by most deployments.
+func DefaultBounds() Bounds {
+	return Bounds{Contact: 3 * time.Second, Apply: 2 * time.Second, OverlapTolerance: 250 * time.Millisecond, MaxApplyExtension: 5 * time.Second, Drain: 2 * time.Second,
+		Grace: 6 * time.Second, DropTolerance: 200 * time.Millisecond, Ack: 4 * time.Second, Recovery: 15 * time.Second, CatchUp: 4 * time.Second,
 		ExposureShare: 0.1, ExposureSlack: 20, Rollback: 5 * time.Second, BudgetRatio: 0.2, BudgetWindow: 10 * time.Second, BudgetSlack: 40}
 }
 
-// Request is one try of a caller, as the caller saw it. Times count from the day's start.
+// Request is one attempt by a caller, as observed by the caller. Times are relative to the start of the day.
 type Request struct {
 	ID, Method, Path, Host, Body string
 	Route                        string
-	Once                         bool
+	AtMostOnce                   bool
 	Zone                         string
-	Machine                      string // that took the connection
-	Life                         int    // of its gateway
+	Machine                      string // the machine that accepted the connection
+	GatewayRun                   int    // which run of its gateway, counted from 1
 	Sent, Done, Deadline         time.Duration
-	Whole                        bool // it left whole, and the machine's system took it
-	// Probe says that it shows the configuration and earns nothing.
+	FullySent                    bool // the whole request was written and accepted by the machine's network stack
+	// Probe marks requests that only reveal the active configuration; they are not counted as traffic.
 	Probe bool
 
-	Status     int // 0 is no whole answer
-	AnswerID   string
+	Status     int // 0 if no complete response was received
+	ResponseID string
 	Seal       string
-	Answer     string // digest of its body
+	BodyDigest string
 	RetryAfter time.Duration
-	// Broken says that an answer began and ended early, or was none.
-	Broken bool
-	// Short says of a broken one that it began as it should, and ended before the length that
-	// it had told: it does not look whole.
-	Short bool
-	// Surplus says that bytes came that no request was waiting for.
-	Surplus bool
-	// GaveUp says that the caller stopped waiting.
-	GaveUp bool
-	// Left says that it closed its connection before its deadline, at Done.
-	Left bool
+	// BadResponse reports that a response began and ended early, or was not valid HTTP.
+	BadResponse bool
+	// Truncated qualifies BadResponse: the response began correctly and ended before its declared
+	// length, so that the caller can tell that it is incomplete.
+	Truncated bool
+	// UnsolicitedBytes reports that bytes arrived that no request was waiting for.
+	UnsolicitedBytes bool
+	// TimedOut reports that the caller stopped waiting.
+	TimedOut bool
+	// Disconnected reports that the caller closed its connection at Done, before its deadline.
+	Disconnected bool
 }
 
-// digest stands for a body in a record, which would else hold all bodies of a day.
-func digest(body string) string {
+// bodyDigest represents a body in a record; keeping all bodies of a day would take too much memory.
+func bodyDigest(body string) string {
 	return fmt.Sprintf("%d bytes %x", len(body), xxhash.Sum64String(body))
 }
 
-// Arrival is a request at a target, as the target saw it.
+// Arrival is a request received by a target, as observed by the target.
 type Arrival struct {
 	ID, Method, Path, Host, Body string
 	Run, Service, Machine        string
 	Version                      string // of the target's software
-	At                           time.Duration
+	ArrivedAt                    time.Duration
 	Ran                          bool
-	RanAt                        time.Duration
-	Due                          time.Duration // when the work would have ended by itself
-	Done                         time.Duration // when work ended
-	Misdirected                  bool          // answered 421
-	Status                       int           // of its answer; 0 is none
-	Seal, Answer                 string        // the digest of the whole body that it has for the request
-	BrokeOff                     bool          // the target broke its own answer off or spoilt it
+	StartedAt                    time.Duration
+	DueAt                        time.Duration // when the work would have ended if not interrupted
+	FinishedAt                   time.Duration // when the work ended
+	Misdirected                  bool          // answered with status 421
+	Status                       int           // of the response; 0 if none was sent
+	Seal, BodyDigest             string        // of the complete response body that the target has for the request
+	ResponseFault                bool          // the target cut its own response short or corrupted it
 }
 
-// Order is a call of an operator, with all its resends.
-type Order struct {
-	By           string
+// ChangeRequest is a configuration change sent by an operator, including all resends.
+type ChangeRequest struct {
+	Operator     string
 	Items        []item.Item
 	Valid        bool
-	Sent         time.Duration // the first time
+	SentAt       time.Duration // of the first attempt
 	Acknowledged bool
-	Acked        time.Duration
+	AckedAt      time.Duration
 	Refused      bool
-	// Contested says that another order has another content of one of its versions: one of the
-	// two is to be refused.
+	// Contested reports that another change has different content for one of its versions, so that
+	// one of the two must be refused.
 	Contested bool
-	// Lost says that an acknowledgement of it did not reach the operator.
-	Lost bool
-	// Overtaken says that a higher version was sent before the acknowledgement.
-	Overtaken bool
+	// AckLost reports that an acknowledgement did not reach the operator.
+	AckLost bool
+	// Superseded reports that a higher version was sent before this one was acknowledged.
+	Superseded bool
 }
 
-// ConfigRead is an answer to an operator who asked for what stands.
+// ConfigRead is a successful read of the configuration by an operator.
 type ConfigRead struct {
 	From, To time.Duration
 	Items    []item.Item
 }
 
-// Leaving is a target's word that it leaves.
-type Leaving struct {
+// Departure is a target's announcement that it is draining or has ended.
+type Departure struct {
 	Run          string
 	State        target.State
-	Said         time.Duration
+	SentAt       time.Duration
 	Acknowledged bool
-	Acked        time.Duration
-	By           string // the machine that acknowledged it
+	AckedAt      time.Duration
+	AckedBy      string // the machine that acknowledged it
 }
 
-// Kind of a trouble of machines.
-type Kind int
+// FaultKind is the kind of a fault of a machine.
+type FaultKind int
 
-// Kinds of trouble.
+// Kinds of machine faults.
 const (
-	Down    Kind = iota + 1 // killed, without power, stopped: from the end to the next start
-	Planned                 // the same, in order
+	Down        FaultKind = iota + 1 // killed, powered off or stopped, until the next start
+	PlannedStop                      // the same, by an orderly shutdown
 	Frozen
-	CutOff
+	Partitioned
 	Slow
-	DiskTrouble
-	Links // connections reset, loss
+	DiskFault
+	LinkFault // connections reset, or messages lost
 )
 
-// Span is a time of trouble at a machine.
-type Span struct {
+// FaultSpan is the time during which a machine has a fault.
+type FaultSpan struct {
 	Machine  string
-	Kind     Kind
-	From, To time.Duration // To is the day's length while it lasts
+	Kind     FaultKind
+	From, To time.Duration // To is the length of the day if the fault lasts to its end
 }
 
-// Stop is a SIGTERM of a machine's gateway.
-type Stop struct {
+// GatewayStop is a SIGTERM sent to a machine's gateway.
+type GatewayStop struct {
 	Machine string
 	At      time.Duration
 }
 
-// Closing is a closing fault.
-type Closing struct {
-	At, Back time.Duration
+// FinalFault is a fault of all machines at the end of a day.
+type FinalFault struct {
+	At, RestartedAt time.Duration
 }
 
-// Record is what a day showed.
+// Record is everything that was observed during a day.
 type Record struct {
-	Bounds Bounds
-	Length time.Duration
-	Core   []string // machines with a disk that serve control
-	// PassOn says that large answers go on while they come in, as on narrow links: what
-	// breaks off then, breaks off on the way out as well.
-	PassOn   bool
-	Requests []*Request
-	Arrivals []*Arrival
-	Orders   []*Order
-	Leavings []*Leaving
-	Upgrades []*UpgradeOrder
-	Spans    []*Span
-	Stops    []Stop
-	// Harmed are the spans in which the way to a target was cut or harmed, by run.
-	Harmed  map[string][]*Span
-	Closing *Closing
-	// Read is what came back at the end of the day; nil is nothing.
-	Read []item.Item
-	// Reads are those during the day.
+	Bounds       Bounds
+	Length       time.Duration
+	CoreMachines []string // controller machines that have a disk
+	// ForwardsEarly reports that large responses are forwarded while they are still being received,
+	// as on narrow links. A response that breaks off then also breaks off at the caller.
+	ForwardsEarly bool
+	Requests      []*Request
+	Arrivals      []*Arrival
+	Changes       []*ChangeRequest
+	Departures    []*Departure
+	Upgrades      []*UpgradeOrder
+	Faults        []*FaultSpan
+	GatewayStops  []GatewayStop
+	// TargetPathFaults are the spans in which the network path to a target was cut or impaired, by run.
+	TargetPathFaults map[string][]*FaultSpan
+	FinalFault       *FinalFault
+	// FinalRead is the configuration read at the end of the day; nil if every read failed.
+	FinalRead []item.Item
+	// Reads are the reads during the day.
 	Reads []ConfigRead
-	// ReadAt is when the reading began.
-	ReadAt time.Duration
+	// FinalReadAt is when the final read began.
+	FinalReadAt time.Duration
 }
 
-// Breach is a broken rule.
-type Breach struct {
-	Rule string
-	At   time.Duration
-	What string
+// Violation is a rule that was broken.
+type Violation struct {
+	Rule   string
+	At     time.Duration
+	Detail string
 }
 
-// lostRace tells whether another content of one of its versions is the one that counts.
-func (o *Order) lostRace() bool { return o.Contested && o.Refused }
+// rejectedAsConflict reports whether the change was refused because other content was accepted for one of its versions.
+func (o *ChangeRequest) rejectedAsConflict() bool { return o.Contested && o.Refused }
--- a/internal/sim/day/session.go
+++ b/internal/sim/day/session.go
@@ -15,96 +15,96 @@
 	"walkrudder/internal/sim/simnet"
 )
 
-// session is a caller's connection.
-type session struct {
-	c       *simnet.Conn
-	r       *bufio.Reader
-	machine string
-	life    int
-	until   time.Time // how long it may lie idle
+// callerConn is a connection of a caller.
+type callerConn struct {
+	conn       *simnet.Conn
+	reader     *bufio.Reader
+	machine    string
+	gatewayRun int
+	idleUntil  time.Time // until when it may be reused while idle
 }
 
-// dial connects to a machine, for a second at most.
-func (w *World) dial(p *simnet.Proc, m *Machine, deadline time.Time) (*session, error) {
+// dial connects to a machine, waiting at most a second.
+func (w *World) dial(p *simnet.Proc, m *Machine, deadline time.Time) (*callerConn, error) {
 	limit := time.Now().Add(time.Second)
 	if deadline.Before(limit) {
 		limit = deadline
 	}
-	cx, end := context.WithDeadline(p.Context(), limit)
-	defer end()
-	nc, err := p.Dial(cx, m.frontAddr())
+	ctx, cancel := context.WithDeadline(p.Context(), limit)
+	defer cancel()
+	nc, err := p.Dial(ctx, m.gatewayAddr())
 	if err != nil {
 		return nil, err
 	}
-	_, life := m.isIn()
-	return &session{c: nc.(*simnet.Conn), r: bufio.NewReader(nc), machine: m.ID, life: life}, nil
+	_, life := m.rotationState()
+	return &callerConn{conn: nc.(*simnet.Conn), reader: bufio.NewReader(nc), machine: m.ID, gatewayRun: life}, nil
 }
 
-// exchange sends a request and reads its answer, and tells whether the connection stays.
-func (w *World) exchange(s *session, q *Request, deadline time.Time) (stays bool) {
-	q.Machine, q.Life, q.Sent, q.Deadline = s.machine, s.life, w.now(), deadline.Sub(w.began)
-	w.note(func(r *Record) { r.Requests = append(r.Requests, q) })
+// exchange sends a request, reads its response and reports whether the connection stays open.
+func (w *World) exchange(s *callerConn, q *Request, deadline time.Time) (stays bool) {
+	q.Machine, q.GatewayRun, q.Sent, q.Deadline = s.machine, s.gatewayRun, w.now(), deadline.Sub(w.startedAt)
+	w.updateRecord(func(r *Record) { r.Requests = append(r.Requests, q) })
 	got := *q
 	defer func() {
 		got.Done = w.now()
-		w.note(func(*Record) { *q = got })
+		w.updateRecord(func(*Record) { *q = got })
 		if !stays {
-			_ = s.c.Close()
+			_ = s.conn.Close()
 		}
 	}()
-	if s.r.Buffered() > 0 {
-		got.Surplus = true
+	if s.reader.Buffered() > 0 {
+		got.UnsolicitedBytes = true
 	}
-	patience, leaves := w.patienceOf(deadline)
-	if s.c.SetDeadline(patience) != nil {
+	waitUntil, disconnects := w.callerWait(deadline)
+	if s.conn.SetDeadline(waitUntil) != nil {
 		return false
 	}
-	text := fmt.Sprintf("%s %s HTTP/1.1\r\nHost: %s\r\n%s: %s\r\n%s: %d\r\n", q.Method, q.Path, q.Host, dialect.RequestID, q.ID, dialect.RemainingTime, time.Until(deadline).Milliseconds())
+	text := fmt.Sprintf("%s %s HTTP/1.1\r\nHost: %s\r\n%s: %s\r\n%s: %d\r\n", q.Method, q.Path, q.Host, headerNames.RequestID, q.ID, headerNames.RemainingTime, time.Until(deadline).Milliseconds())
 	switch {
 	case q.Body == "":
 		text += "\r\n"
-	case w.chance(2) == 0:
+	case w.randIntN(2) == 0:
 		text += fmt.Sprintf("Content-Length: %d\r\n\r\n%s", len(q.Body), q.Body)
 	default:
-		k := 1 + w.chance(len(q.Body))
+		k := 1 + w.randIntN(len(q.Body))
 		text += fmt.Sprintf("Transfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n", k, q.Body[:k])
 		if k < len(q.Body) {
 			text += fmt.Sprintf("%x\r\n%s\r\n", len(q.Body)-k, q.Body[k:])
 		}
 		text += "0\r\n\r\n"
 	}
-	if _, err := io.WriteString(s.c, text); err != nil {
+	if _, err := io.WriteString(s.conn, text); err != nil {
 		return false
 	}
-	got.Whole = true
+	got.FullySent = true
 	fail := func(err error, begun bool) bool {
 		if errors.Is(err, os.ErrDeadlineExceeded) {
-			got.GaveUp, got.Left = true, leaves
+			got.TimedOut, got.Disconnected = true, disconnects
 		} else {
-			got.Broken = begun
+			got.BadResponse = begun
 		}
 		return false
 	}
-	if _, err := s.r.Peek(1); err != nil {
+	if _, err := s.reader.Peek(1); err != nil {
 		return fail(err, false)
 	}
-	p, err := http.ReadResponse(s.r, &http.Request{Method: q.Method})
+	p, err := http.ReadResponse(s.reader, &http.Request{Method: q.Method})
 	if err != nil {
 		return fail(err, true)
 	}
 	b, err := io.ReadAll(p.Body)
 	if err != nil {
-		got.Short = p.ContentLength > int64(len(b)) && p.StatusCode == 200 && p.Header.Get(dialect.RequestID) == q.ID && p.Header.Get(dialect.Seal) != ""
+		got.Truncated = p.ContentLength > int64(len(b)) && p.StatusCode == 200 && p.Header.Get(headerNames.RequestID) == q.ID && p.Header.Get(headerNames.Seal) != ""
 		return fail(err, true)
 	}
-	got.Status, got.AnswerID, got.Seal, got.Answer = p.StatusCode, p.Header.Get(dialect.RequestID), p.Header.Get(dialect.Seal), digest(string(b))
-	if x := p.Header.Get(dialect.RetryAfter); x != "" {
+	got.Status, got.ResponseID, got.Seal, got.BodyDigest = p.StatusCode, p.Header.Get(headerNames.RequestID), p.Header.Get(headerNames.Seal), bodyDigest(string(b))
+	if x := p.Header.Get(headerNames.RetryAfter); x != "" {
 		if sec, err := strconv.ParseFloat(x, 64); err == nil {
 			got.RetryAfter = time.Duration(sec * float64(time.Second))
 		}
 	}
-	if s.r.Buffered() > 0 {
-		got.Surplus = true
+	if s.reader.Buffered() > 0 {
+		got.UnsolicitedBytes = true
 		return false
 	}
 	idle := 10 * time.Second
@@ -113,6 +113,6 @@
 			idle = time.Duration(sec) * time.Second
 		}
 	}
-	s.until = time.Now().Add(idle - time.Second)
+	s.idleUntil = time.Now().Add(idle - time.Second)
 	return !p.Close
 }
--- a/internal/sim/day/target.go
+++ b/internal/sim/day/target.go
@@ -14,231 +14,231 @@
 	"walkrudder/internal/target"
 )
 
-// Target is one run.
+// Target is one run of a service instance.
 type Target struct {
-	w       *World
-	ID      string
-	Service string
-	Zone    string
-	Version string // of its software
-	flaw    Flaw   // of that version
-	host    *simnet.Host
-	p       *simnet.Proc
-	started time.Duration
-	warm    time.Duration // how long it is slow after its start
-	speed   float64
-	keep    int // seconds for which an idle connection stays
+	world       *World
+	ID          string
+	Service     string
+	Zone        string
+	Version     string // of its software
+	defect      Defect // of that version
+	host        *simnet.Host
+	proc        *simnet.Proc
+	startedAt   time.Duration
+	warmup      time.Duration // how long it is slow after its start
+	workFactor  float64
+	idleSeconds int // keep-alive timeout of idle connections
 
-	mu      sync.Mutex
-	fault   Fault
-	state   target.State
-	active  int
-	queue   []chan struct{}
-	conns   int
-	seq     uint64
-	home    string
-	unsaid  bool          // it says that it is gone, and serves on
-	by      string        // the machine that acknowledged the last call
-	leaving chan struct{} // closed when it begins to leave
-	drained chan struct{} // closed when that was acknowledged
-	gone    chan struct{}
+	mu             sync.Mutex
+	fault          TargetFault
+	state          target.State
+	active         int
+	queue          []chan struct{}
+	conns          int
+	seq            uint64
+	homeController string
+	reportedGone   bool          // it has reported that it is gone but keeps serving
+	ackedBy        string        // the machine that acknowledged the last report
+	drainStarted   chan struct{} // closed when it begins to drain
+	drainAcked     chan struct{} // closed when the drain was acknowledged
+	ended          chan struct{}
 }
 
-// kill ends the run at once.
+// kill ends the run immediately.
 func (t *Target) kill() {
 	t.mu.Lock()
 	dead := t.state == target.Ended
 	t.state = target.Ended
 	t.mu.Unlock()
-	t.p.Kill()
+	t.proc.Kill()
 	if dead {
 		return
 	}
-	close(t.gone)
-	h := t.w.herd
+	close(t.ended)
+	h := t.world.targets
 	h.mu.Lock()
-	h.list = slices.DeleteFunc(h.list, func(x *Target) bool { return x == t })
+	h.running = slices.DeleteFunc(h.running, func(x *Target) bool { return x == t })
 	h.mu.Unlock()
 }
 
-// leave ends the run in order: it says that it drains, serves on for a while after that
-// is acknowledged, says that it has ended, and ends.
-func (t *Target) leave() {
+// drainAndStop ends the run in order: it reports that it drains, keeps serving for a while after the
+// acknowledgement, reports that it has ended, and ends.
+func (t *Target) drainAndStop() {
 	t.mu.Lock()
 	if t.state != target.Ready {
 		t.mu.Unlock()
 		return
 	}
 	t.state = target.Draining
-	close(t.leaving)
+	close(t.drainStarted)
 	t.mu.Unlock()
 	pause := time.NewTimer(8 * time.Second)
 	defer pause.Stop()
 	select {
-	case <-t.drained:
+	case <-t.drainAcked:
 	case <-pause.C:
-	case <-t.gone:
+	case <-t.ended:
 		return
 	}
-	time.Sleep(t.w.Shape.Bounds.Drain + 1500*time.Millisecond)
+	time.Sleep(t.world.Deployment.Bounds.Drain + 1500*time.Millisecond)
 	for range 3 {
-		if t.tell(true) {
+		if t.report(true) {
 			break
 		}
 	}
 	t.kill()
 }
 
-// leaveUnsaid ends the run without a word before the end: it says that it is gone, serves on
-// for as long as one that drains, and ends.
-func (t *Target) leaveUnsaid() {
+// stopWithoutDrain ends the run without a drain: it reports that it is gone, keeps serving for as long as
+// a draining target would, and ends.
+func (t *Target) stopWithoutDrain() {
 	t.mu.Lock()
-	if t.state != target.Ready || t.unsaid {
+	if t.state != target.Ready || t.reportedGone {
 		t.mu.Unlock()
 		return
 	}
-	t.unsaid = true
+	t.reportedGone = true
 	t.mu.Unlock()
 	for range 6 {
-		if t.p.Dead() || t.tell(true) {
+		if t.proc.Dead() || t.report(true) {
 			break
 		}
 		time.Sleep(200 * time.Millisecond)
 	}
-	time.Sleep(t.w.Shape.Bounds.Drain + 4*time.Second)
+	time.Sleep(t.world.Deployment.Bounds.Drain + 4*time.Second)
 	t.kill()
 }
 
-// hushed tells whether it has said that it is gone.
-func (t *Target) hushed() bool {
+// hasReportedGone reports whether it has reported that it is gone.
+func (t *Target) hasReportedGone() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.unsaid
+	return t.reportedGone
 }
 
-// beat tells the control plane of the run each second, and at once when it begins to
-// leave.
-func (t *Target) beat() {
-	wait := t.w.within(beatEvery)
+// sendHeartbeats sends a heartbeat to the control plane every second, and immediately when it begins to
+// drain.
+func (t *Target) sendHeartbeats() {
+	wait := t.world.randDuration(heartbeatInterval)
 	for {
-		leaving := t.now() == target.Draining
-		var hurry <-chan struct{}
-		if !leaving {
-			hurry = t.leaving
+		draining := t.currentState() == target.Draining
+		var immediate <-chan struct{}
+		if !draining {
+			immediate = t.drainStarted
 		}
 		timer := time.NewTimer(wait)
 		select {
 		case <-timer.C:
-		case <-hurry:
-		case <-t.p.Context().Done():
+		case <-immediate:
+		case <-t.proc.Context().Done():
 		}
 		timer.Stop()
-		if t.p.Dead() {
+		if t.proc.Dead() {
 			return
 		}
-		if t.hushed() {
+		if t.hasReportedGone() {
 			return
 		}
-		leaving = t.now() == target.Draining
-		ok := t.tell(false)
-		wait = beatEvery*95/100 + t.w.within(beatEvery/10)
+		draining = t.currentState() == target.Draining
+		ok := t.report(false)
+		wait = heartbeatInterval*95/100 + t.world.randDuration(heartbeatInterval/10)
 		switch {
-		case leaving && ok:
-			t.acknowledged()
-		case leaving:
+		case draining && ok:
+			t.markDrainAcked()
+		case draining:
 			wait = 50 * time.Millisecond
 		}
 	}
 }
 
-func (t *Target) acknowledged() {
+func (t *Target) markDrainAcked() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	select {
-	case <-t.drained:
+	case <-t.drainAcked:
 	default:
-		close(t.drained)
+		close(t.drainAcked)
 	}
 }
 
-// tell makes one call, to the controller that was named or to others in turn, and tells whether
-// it was acknowledged.
-func (t *Target) tell(end bool) bool {
-	w := t.w
+// report sends one heartbeat or end report to the home controller or, if that fails, to others in turn. It
+// returns whether one was acknowledged.
+func (t *Target) report(ending bool) bool {
+	w := t.world
 	t.mu.Lock()
 	t.seq++
-	b := target.Beat{ID: t.ID, Service: t.Service, Addr: t.p.Addr, Zone: t.Zone, Version: t.Version, Slots: w.Shape.Slots, Draining: t.state == target.Draining, Seq: t.seq,
-		Cold: max(0, t.warm-(w.now()-t.started))}
-	home := t.home
+	b := target.Beat{ID: t.ID, Service: t.Service, Addr: t.proc.Addr, Zone: t.Zone, Version: t.Version, Slots: w.Deployment.Slots, Draining: t.state == target.Draining, Seq: t.seq,
+		Cold: max(0, t.warmup-(w.now()-t.startedAt))}
+	home := t.homeController
 	t.mu.Unlock()
-	var said *Leaving
-	if end || b.Draining {
-		said = &Leaving{Run: t.ID, State: target.Draining, Said: w.now()}
-		if end {
-			said.State = target.Ended
+	var departure *Departure
+	if ending || b.Draining {
+		departure = &Departure{Run: t.ID, State: target.Draining, SentAt: w.now()}
+		if ending {
+			departure.State = target.Ended
 		}
 	}
-	controllers := some(w, w.controllers(), 3)
+	controllers := pickN(w, w.controllers(), 3)
 	if home != "" {
 		if m := w.machine(home); m != nil {
 			controllers = append([]*Machine{m}, controllers...)
 		}
 	}
 	for _, m := range controllers {
-		cx, stop := context.WithTimeout(t.p.Context(), time.Second)
-		next, err := simnet.Do(cx, t.p, m.innerAddr(), func(cx context.Context, _ *simnet.Proc) (string, error) {
-			n := m.node()
+		ctx, cancel := context.WithTimeout(t.proc.Context(), time.Second)
+		next, err := simnet.Do(ctx, t.proc, m.internalAddr(), func(ctx context.Context, _ *simnet.Proc) (string, error) {
+			n := m.controllerNode()
 			if n == nil {
 				return "", net.ErrClosed
 			}
-			cx, stop := context.WithTimeout(cx, 900*time.Millisecond)
-			defer stop()
-			if end {
-				return "", n.Leave(cx, t.ID)
+			ctx, cancel := context.WithTimeout(ctx, 900*time.Millisecond)
+			defer cancel()
+			if ending {
+				return "", n.Leave(ctx, t.ID)
 			}
-			if err := n.Beat(cx, b); err != nil {
+			if err := n.Beat(ctx, b); err != nil {
 				return "", err
 			}
 			x, _ := n.HomeMember(b.Service, b.Zone)
 			return x.ID, nil
 		})
-		stop()
-		if t.p.Dead() {
+		cancel()
+		if t.proc.Dead() {
 			return false
 		}
 		if err != nil {
 			continue
 		}
 		t.mu.Lock()
-		t.home, t.by = next, m.ID
+		t.homeController, t.ackedBy = next, m.ID
 		t.mu.Unlock()
-		if said != nil {
-			w.note(func(r *Record) {
-				said.Acknowledged, said.Acked, said.By = true, w.now(), m.ID
-				r.Leavings = append(r.Leavings, said)
+		if departure != nil {
+			w.updateRecord(func(r *Record) {
+				departure.Acknowledged, departure.AckedAt, departure.AckedBy = true, w.now(), m.ID
+				r.Departures = append(r.Departures, departure)
 			})
 		}
 		return true
 	}
 	t.mu.Lock()
-	t.home = ""
+	t.homeController = ""
 	t.mu.Unlock()
 	return false
 }
 
-// faulty changes what is wrong with the target, and the function that it returns ends it.
-func (t *Target) faulty(f Fault) (over func()) {
+// injectFault sets the target's fault; the returned function clears it.
+func (t *Target) injectFault(f TargetFault) (end func()) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.fault = f
 	return func() {
 		t.mu.Lock()
 		defer t.mu.Unlock()
-		t.fault = Fault{}
+		t.fault = TargetFault{}
 	}
 }
 
-func (t *Target) wrong() Fault {
+func (t *Target) currentFault() TargetFault {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.fault
@@ -253,9 +253,9 @@
 		c := nc.(*simnet.Conn)
 		t.mu.Lock()
 		t.conns++
-		full := t.conns > t.w.Shape.MaxConns
+		full := t.conns > t.world.Deployment.MaxConns
 		t.mu.Unlock()
-		t.w.herd.wg.Go(func() {
+		t.world.targets.wg.Go(func() {
 			defer func() {
 				t.mu.Lock()
 				t.conns--
@@ -271,14 +271,14 @@
 	}
 }
 
-// serve answers the requests of one connection, one after the other.
+// serve answers the requests of one connection in sequence.
 func (t *Target) serve(c *simnet.Conn) {
 	r := bufio.NewReader(c)
-	before := ""
+	previous := ""
 	for {
-		idle := time.Duration(t.keep) * time.Second
-		if t.wrong().Forgets {
-			idle = t.w.within(time.Second)
+		idle := time.Duration(t.idleSeconds) * time.Second
+		if t.currentFault().ClosesIdleEarly {
+			idle = t.world.randDuration(time.Second)
 		}
 		if c.SetReadDeadline(time.Now().Add(idle)) != nil {
 			return
@@ -297,10 +297,10 @@
 		if err != nil {
 			return
 		}
-		x := &visit{t: t, c: c, q: q, body: string(b), before: before}
+		x := &targetRequest{target: t, conn: c, request: q, body: string(b), previous: previous}
 		if !x.serve() {
 			return
 		}
-		before = x.sent
+		previous = x.response
 	}
 }
--- a/internal/sim/day/touch.go
+++ b/internal/sim/day/touch.go
@@ -5,92 +5,92 @@
 	"time"
 )
 
-// touch answers whether machines were in touch. It excuses a little more than the rules
-// do: a trouble of a machine counts from its beginning to its end, and core machines that
-// are cut off count as troubled, whoever they could still reach.
-type touch struct {
-	r  *Record
-	by map[string][]*Span
-	// core are the moments at which the core was unsettled, and lost the times in which
-	// no majority of it was well.
-	core []time.Duration
-	lost []*Span
+// contactHistory reports when machines were in contact with a stable core. It excuses slightly more than
+// the rules do: a fault of a machine counts from its beginning to its end, and core machines that
+// are partitioned count as faulty even if they can still reach some others.
+type contactHistory struct {
+	record    *Record
+	byMachine map[string][]*FaultSpan
+	// unstableAt are the times at which faults of core machines began or ended, and majorityLost the spans in
+	// which no majority of the core was healthy or a core machine was slow.
+	unstableAt   []time.Duration
+	majorityLost []*FaultSpan
 }
 
-func newTouch(r *Record) *touch {
-	t := &touch{r: r, by: map[string][]*Span{}}
-	var all []*Span
-	for _, s := range r.Spans {
-		t.by[s.Machine] = append(t.by[s.Machine], s)
-		if slices.Contains(r.Core, s.Machine) {
+func newContactHistory(r *Record) *contactHistory {
+	t := &contactHistory{record: r, byMachine: map[string][]*FaultSpan{}}
+	var all []*FaultSpan
+	for _, s := range r.Faults {
+		t.byMachine[s.Machine] = append(t.byMachine[s.Machine], s)
+		if slices.Contains(r.CoreMachines, s.Machine) {
 			all = append(all, s)
-			t.core = append(t.core, s.From, s.To)
+			t.unstableAt = append(t.unstableAt, s.From, s.To)
 			if s.Kind == Slow {
-				t.lost = append(t.lost, s)
+				t.majorityLost = append(t.majorityLost, s)
 			}
 		}
 	}
 	for _, s := range all {
-		// A majority can only be lost when some trouble begins.
-		bad := map[string]bool{}
+		// A majority can only be lost at the beginning of a fault.
+		faulty := map[string]bool{}
 		end := time.Duration(0)
 		for _, x := range all {
 			if x.From <= s.From && s.From < x.To {
-				bad[x.Machine] = true
+				faulty[x.Machine] = true
 			}
 			end = max(end, x.To)
 		}
-		if 2*(len(r.Core)-len(bad)) <= len(r.Core) {
-			t.lost = append(t.lost, &Span{From: s.From, To: t.regained(all, s.From, end)})
+		if 2*(len(r.CoreMachines)-len(faulty)) <= len(r.CoreMachines) {
+			t.majorityLost = append(t.majorityLost, &FaultSpan{From: s.From, To: t.majorityRegainedAt(all, s.From, end)})
 		}
 	}
-	slices.Sort(t.core)
+	slices.Sort(t.unstableAt)
 	return t
 }
 
-// regained is when a majority is well again.
-func (t *touch) regained(all []*Span, from, end time.Duration) time.Duration {
+// majorityRegainedAt returns when a majority is healthy again.
+func (t *contactHistory) majorityRegainedAt(all []*FaultSpan, from, end time.Duration) time.Duration {
 	at := end
 	for _, s := range all {
 		if s.To <= from || s.To >= at {
 			continue
 		}
-		bad := map[string]bool{}
+		faulty := map[string]bool{}
 		for _, x := range all {
 			if x.From <= s.To && s.To < x.To {
-				bad[x.Machine] = true
+				faulty[x.Machine] = true
 			}
 		}
-		if 2*(len(t.r.Core)-len(bad)) > len(t.r.Core) {
+		if 2*(len(t.record.CoreMachines)-len(faulty)) > len(t.record.CoreMachines) {
 			at = s.To
 		}
 	}
 	return at
 }
 
-// settled tells whether the core was settled in all of a time.
-func (t *touch) settled(from, to time.Duration) bool {
-	from -= t.r.Bounds.Contact
-	i, _ := slices.BinarySearch(t.core, from)
-	if i < len(t.core) && t.core[i] <= to {
+// coreStable reports whether the core was stable for a whole span of time.
+func (t *contactHistory) coreStable(from, to time.Duration) bool {
+	from -= t.record.Bounds.Contact
+	i, _ := slices.BinarySearch(t.unstableAt, from)
+	if i < len(t.unstableAt) && t.unstableAt[i] <= to {
 		return false
 	}
-	return !t.lacking(from, to)
+	return !t.majorityLostDuring(from, to)
 }
 
-// lacking tells whether no majority of the core was well at some moment of a time, or
-// one of it was slowed.
-func (t *touch) lacking(from, to time.Duration) bool {
-	return slices.ContainsFunc(t.lost, func(s *Span) bool { return s.From <= to && from <= s.To })
+// majorityLostDuring reports whether at some time in a span no majority of the core was healthy, or
+// a core machine was slow.
+func (t *contactHistory) majorityLostDuring(from, to time.Duration) bool {
+	return slices.ContainsFunc(t.majorityLost, func(s *FaultSpan) bool { return s.From <= to && from <= s.To })
 }
 
-// calm tells whether the machine itself had no trouble in a time and contact before it.
-func (t *touch) calm(machine string, from, to time.Duration) bool {
-	from -= t.r.Bounds.Contact
-	return !slices.ContainsFunc(t.by[machine], func(s *Span) bool { return s.From <= to && from <= s.To })
+// machineHealthy reports whether the machine itself had no fault in a span and for Bounds.Contact before it.
+func (t *contactHistory) machineHealthy(machine string, from, to time.Duration) bool {
+	from -= t.record.Bounds.Contact
+	return !slices.ContainsFunc(t.byMachine[machine], func(s *FaultSpan) bool { return s.From <= to && from <= s.To })
 }
 
-// in tells whether a machine was in touch in all of a time.
-func (t *touch) in(machine string, from, to time.Duration) bool {
-	return t.calm(machine, from, to) && t.settled(from, to)
+// inContact reports whether a machine was in contact with a stable core for a whole span of time.
+func (t *contactHistory) inContact(machine string, from, to time.Duration) bool {
+	return t.machineHealthy(machine, from, to) && t.coreStable(from, to)
 }
--- a/internal/sim/day/trouble.go
+++ b/internal/sim/day/trouble.go
@@ -5,36 +5,36 @@
 	"time"
 )
 
-// Trouble is what befalls a world. It returns when it is over.
-type Trouble func(w *World)
+// Scenario is a sequence of events, such as a fault or a change. It returns when it is over.
+type Scenario func(w *World)
 
-// At begins a trouble at a moment after the callers have come.
-func At(at time.Duration, x Trouble) Trouble {
+// StartAt runs a scenario at a time after the first callers.
+func StartAt(at time.Duration, x Scenario) Scenario {
 	return func(w *World) {
 		w.sleepUntil(warmUp + at)
 		x(w)
 	}
 }
 
-// Together has several troubles begin at once.
-func Together(xs ...Trouble) Trouble {
+// Parallel runs several scenarios concurrently.
+func Parallel(scenarios ...Scenario) Scenario {
 	return func(w *World) {
-		each(xs, func(x Trouble) { x(w) })
+		inParallel(scenarios, func(x Scenario) { x(w) })
 	}
 }
 
-// Again repeats a trouble, with a pause of mean pause between.
-func Again(n int, pause time.Duration, x Trouble) Trouble {
+// Repeat runs a scenario n times with random pauses of the given mean between.
+func Repeat(n int, pause time.Duration, x Scenario) Scenario {
 	return func(w *World) {
 		for range n {
 			x(w)
-			time.Sleep(pause/2 + w.within(pause))
+			time.Sleep(pause/2 + w.randDuration(pause))
 		}
 	}
 }
 
-// For ends what begin began after a time.
-func For(d time.Duration, begin func(*World) (over func())) Trouble {
+// During calls begin and, after a time, the function that it returned.
+func During(d time.Duration, begin func(*World) (over func())) Scenario {
 	return func(w *World) {
 		over := begin(w)
 		time.Sleep(d)
@@ -42,12 +42,12 @@
 	}
 }
 
-// share is a part of a list, one at least.
-func share[T any](w *World, of []T, part float64) []T {
-	return some(w, of, max(1, int(part*float64(len(of))+0.5)))
+// pickShare returns a random share of a list, at least one element.
+func pickShare[T any](w *World, of []T, share float64) []T {
+	return pickN(w, of, max(1, int(share*float64(len(of))+0.5)))
 }
 
-func each[T any](of []T, f func(T)) {
+func inParallel[T any](of []T, f func(T)) {
 	var wg sync.WaitGroup
 	for _, x := range of {
 		wg.Go(func() { f(x) })
@@ -55,40 +55,40 @@
 	wg.Wait()
 }
 
-// Burst has many more callers come.
-func Burst(times float64, d time.Duration) Trouble {
-	return For(d, func(w *World) func() {
+// TrafficBurst multiplies the rate of calls.
+func TrafficBurst(times float64, d time.Duration) Scenario {
+	return During(d, func(w *World) func() {
 		w.mu.Lock()
-		w.press *= times
+		w.loadFactor *= times
 		w.mu.Unlock()
 		return func() {
 			w.mu.Lock()
-			w.press /= times
+			w.loadFactor /= times
 			w.mu.Unlock()
 		}
 	})
 }
 
-// Abuse has refused callers try again at once and often.
-func Abuse(d time.Duration) Trouble {
-	return For(d, func(w *World) func() {
+// AggressiveRetries makes callers retry immediately and often after a refusal.
+func AggressiveRetries(d time.Duration) Scenario {
+	return During(d, func(w *World) func() {
 		w.mu.Lock()
-		w.abuse = true
+		w.aggressiveRetries = true
 		w.mu.Unlock()
 		return func() {
 			w.mu.Lock()
-			w.abuse = false
+			w.aggressiveRetries = false
 			w.mu.Unlock()
 		}
 	})
 }
 
-// Lasting begins what lasts until all was read back at the end of the day.
-func Lasting(begin func(*World) (over func())) Trouble {
+// UntilFinalRead begins a fault that lasts until the final read at the end of the day.
+func UntilFinalRead(begin func(*World) (over func())) Scenario {
 	return func(w *World) {
 		over := begin(w)
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		w.lasting = append(w.lasting, over)
+		w.finalCleanups = append(w.finalCleanups, over)
 	}
 }
--- a/internal/sim/day/trouble_cores.go
+++ b/internal/sim/day/trouble_cores.go
@@ -6,72 +6,72 @@
 	"time"
 )
 
-// divide draws as many core machines as may be lost, and the other ones.
-func (w *World) divide() (few, others []*Machine) {
-	core := w.core()
-	few = w.losableDisks()
-	others = slices.DeleteFunc(slices.Clone(core), func(m *Machine) bool { return slices.Contains(few, m) })
-	return few, others
+// splitLosableDisks returns as many random core machines as may be lost, and the remaining ones.
+func (w *World) splitLosableDisks() (losable, others []*Machine) {
+	core := w.coreMachines()
+	losable = w.pickLosableDisks()
+	others = slices.DeleteFunc(slices.Clone(core), func(m *Machine) bool { return slices.Contains(losable, m) })
+	return losable, others
 }
 
-// restart kills the processes of a machine, and starts them again.
+// restart kills a machine's processes and starts them again after a pause.
 func (w *World) restart(m *Machine, pause time.Duration) {
-	over := w.trouble(m, Down)
+	endFault := w.beginFault(m, Down)
 	m.killAll()
 	time.Sleep(pause)
-	m.bootAll()
-	over()
+	m.startAll()
+	endFault()
 }
 
-// CoreSplit cuts half of the core machines from the other half; all other machines reach both.
-func CoreSplit(d time.Duration) Trouble {
-	return For(d, func(w *World) func() {
-		core := some(w, w.core(), len(w.core()))
+// SplitCore partitions the core machines into halves; all other machines reach both.
+func SplitCore(d time.Duration) Scenario {
+	return During(d, func(w *World) func() {
+		core := pickN(w, w.coreMachines(), len(w.coreMachines()))
 		half := len(core) / 2
-		return w.apart(core[:half], core[half:], true)
+		return w.partition(core[:half], core[half:], true)
 	})
 }
 
-// CoreReset resets the connections of core machines, one or all, again and again: changes and reads are
-// struck at every moment.
-func CoreReset(times int) Trouble {
+// ResetCoreConnections repeatedly resets the connections of one or all core machines, so that changes and reads are
+// interrupted at any step.
+func ResetCoreConnections(times int) Scenario {
 	return func(w *World) {
 		for range times {
-			struck := w.core()
-			if w.chance(3) > 0 {
-				struck = []*Machine{pick(w, struck)}
+			machines := w.coreMachines()
+			if w.randIntN(3) > 0 {
+				machines = []*Machine{pickOne(w, machines)}
 			}
-			for _, m := range struck {
-				over := w.trouble(m, Links)
+			for _, m := range machines {
+				endFault := w.beginFault(m, LinkFault)
 				m.host.Reset()
-				over()
+				endFault()
 			}
-			time.Sleep(w.within(60 * time.Millisecond))
+			time.Sleep(w.randDuration(60 * time.Millisecond))
 		}
 	}
 }
 
-// CoreNotHeard lets nobody hear some of the core machines, which hear all others.
-func CoreNotHeard(d time.Duration) Trouble {
-	return For(d, func(w *World) func() {
-		few, _ := w.divide()
-		rest := slices.DeleteFunc(slices.Clone(w.Machines), func(m *Machine) bool { return slices.Contains(few, m) })
+// DropFromCore drops all messages from some core machines, which still receive those of all others.
+func DropFromCore(d time.Duration) Scenario {
+	return During(d, func(w *World) func() {
+		isolated, _ := w.splitLosableDisks()
+		rest := slices.DeleteFunc(slices.Clone(w.Machines), func(m *Machine) bool { return slices.Contains(isolated, m) })
 		var ends []func()
-		for _, m := range few {
-			ends = append(ends, w.trouble(m, CutOff))
+		for _, m := range isolated {
+			ends = append(ends, w.beginFault(m, Partitioned))
 		}
-		return all(append(ends, w.net.Between(ids(few), ids(rest), false)))
+		return runAll(append(ends, w.net.Between(machineIDs(isolated), machineIDs(rest), false)))
 	})
 }
 
-// CoreCutAndRestarted cuts some core machines off, starts them anew while they are cut off, and
-// then the other ones, one after the other.
-func CoreCutAndRestarted(d time.Duration) Trouble {
+// RestartPartitionedCore partitions some core machines, restarts them during the partition, and then
+// restarts the remaining ones one after another.
+func RestartPartitionedCore(d time.Duration) Scenario {
 	return func(w *World) {
-		few, others := w.divide()
-		heal := w.apart(few, others, true)
+		isolated, others := w.splitLosableDisks()
+		heal := w.partition(isolated, others, true)
 		time.Sleep(d / 3)
-		each(few, func(m *Machine) { w.restart(m, time.Second) })
+		inParallel(isolated, func(m *Machine) { w.restart(m, time.Second) })
 		time.Sleep(d / 3)
 		for _, m := range others {
 			w.restart(m, time.Second)
@@ -81,31 +81,31 @@
 	}
 }
 
-// CoreRelieved cuts some core machines off while changes are made, and kills the other ones just
-// after the cut has healed: those that missed the changes are the first to be there.
-func CoreRelieved(d time.Duration) Trouble {
+// RestartMajorityAfterHeal partitions some core machines while changes are made and kills the remaining ones
+// right after the partition heals, so that those that missed the changes are the first to be available.
+func RestartMajorityAfterHeal(d time.Duration) Scenario {
 	return func(w *World) {
-		few, others := w.divide()
-		heal := w.apart(few, others, true)
-		Changes(4, d/8)(w)
+		isolated, others := w.splitLosableDisks()
+		heal := w.partition(isolated, others, true)
+		ApplyChanges(4, d/8)(w)
 		time.Sleep(d / 2)
 		heal()
-		time.Sleep(w.within(300 * time.Millisecond))
-		each(others, func(m *Machine) { w.restart(m, 2*time.Second) })
+		time.Sleep(w.randDuration(300 * time.Millisecond))
+		inParallel(others, func(m *Machine) { w.restart(m, 2*time.Second) })
 	}
 }
 
-// CoreBehind has some core machines miss changes; then one of the others loses its disk, and the
-// rest are dark for a time before the cut heals.
-func CoreBehind(d time.Duration) Trouble {
+// LoseDiskWhileOthersBehind makes some core machines miss changes. Then one of the others loses its disk, and the
+// rest are without power for a while before the partition heals.
+func LoseDiskWhileOthersBehind(d time.Duration) Scenario {
 	return func(w *World) {
-		few, others := w.divide()
-		heal := w.apart(few, others, true)
-		Changes(4, d/8)(w)
+		isolated, others := w.splitLosableDisks()
+		heal := w.partition(isolated, others, true)
+		ApplyChanges(4, d/8)(w)
 		var wg sync.WaitGroup
-		wg.Go(func() { w.dark(others[0], true, time.Second) })
+		wg.Go(func() { w.powerOff(others[0], true, time.Second) })
 		for _, m := range others[1:] {
-			wg.Go(func() { w.dark(m, false, d) })
+			wg.Go(func() { w.powerOff(m, false, d) })
 		}
 		time.Sleep(d / 2)
 		heal()
@@ -113,20 +113,20 @@
 	}
 }
 
-// CoreLured cuts a core machine off, and has targets that leave tell it first.
-func CoreLured(service string, part float64, d time.Duration) Trouble {
+// DrainViaPartitionedController isolates a core machine and makes draining targets report to it first.
+func DrainViaPartitionedController(service string, share float64, d time.Duration) Scenario {
 	return func(w *World) {
-		few, others := w.divide()
-		heal := w.apart(few, others, true)
-		leaving := share(w, w.herd.of(service), part)
-		for _, t := range leaving {
+		isolated, others := w.splitLosableDisks()
+		heal := w.partition(isolated, others, true)
+		draining := pickShare(w, w.targets.ready(service), share)
+		for _, t := range draining {
 			t.mu.Lock()
-			t.home = few[0].ID
+			t.homeController = isolated[0].ID
 			t.mu.Unlock()
 		}
 		var wg sync.WaitGroup
-		for _, t := range leaving {
-			wg.Go(t.leave)
+		for _, t := range draining {
+			wg.Go(t.drainAndStop)
 		}
 		time.Sleep(d)
 		heal()
@@ -134,24 +134,24 @@
 	}
 }
 
-// CoreSeeded cuts some core machines off, names them as the only seeds, and starts other machines
-// anew, which then know nobody else.
-func CoreSeeded(restarted int, d time.Duration) Trouble {
+// RestartWithPartitionedSeeds partitions some core machines, configures them as the only seeds and restarts other
+// machines, which then know no other member.
+func RestartWithPartitionedSeeds(restarted int, d time.Duration) Scenario {
 	return func(w *World) {
-		few, others := w.divide()
-		heal := w.apart(few, others, true)
+		isolated, others := w.splitLosableDisks()
+		heal := w.partition(isolated, others, true)
 		w.mu.Lock()
-		before := w.seeds
+		seeds := w.seeds
 		w.seeds = nil
-		for _, m := range few {
-			w.seeds = append(w.seeds, m.innerAddr())
+		for _, m := range isolated {
+			w.seeds = append(w.seeds, m.internalAddr())
 		}
 		w.mu.Unlock()
 		free := slices.DeleteFunc(slices.Clone(w.Machines), func(m *Machine) bool { return m.disk != nil })
-		each(some(w, free, min(restarted, len(free))), func(m *Machine) { w.restart(m, time.Second) })
+		inParallel(pickN(w, free, min(restarted, len(free))), func(m *Machine) { w.restart(m, time.Second) })
 		time.Sleep(d)
 		w.mu.Lock()
-		w.seeds = before
+		w.seeds = seeds
 		w.mu.Unlock()
 		heal()
 	}
--- a/internal/sim/day/trouble_disks.go
+++ b/internal/sim/day/trouble_disks.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// dark takes the power of a machine for a time, and its disk with it where that is lost.
-func (w *World) dark(m *Machine, diskLost bool, d time.Duration) {
-	over := w.trouble(m, Down)
+// powerOff cuts the power of a machine for a time and, if diskLost is set, erases its disk.
+func (w *World) powerOff(m *Machine, diskLost bool, d time.Duration) {
+	endFault := w.beginFault(m, Down)
 	m.powerLoss()
 	if diskLost && m.disk != nil {
 		if err := m.disk.Wipe(); err != nil {
@@ -16,98 +16,98 @@
 	}
 	time.Sleep(d)
 	m.host.Dark(false)
-	m.bootAll()
-	over()
+	m.startAll()
+	endFault()
 }
 
-// AfterAck takes the power, or the whole disk, from the machine that has just
-// acknowledged a change.
-func AfterAck(disk bool, d time.Duration) Trouble {
+// PowerLossAfterAck cuts the power of the machine that has just acknowledged a change, and erases its disk if
+// that is set.
+func PowerLossAfterAck(disk bool, d time.Duration) Scenario {
 	return func(w *World) {
-		o := w.operator(w.id("ack"))
-		c, name := w.edit()
-		_, m := o.send(c, true)
+		o := w.operator(w.newID("ack"))
+		c, name := w.randomEdit()
+		_, m := o.sendToAny(c, true)
 		if m == nil {
 			return
 		}
-		o.watch(name)
-		w.dark(m, disk, d)
+		o.probeRepeatedly(name)
+		w.powerOff(m, disk, d)
 	}
 }
 
-// CutAndLost cuts a machine with a disk off from all others, has an operator send a change
-// to it alone, and takes its power and its disk once it has said yes or the patience is
-// over. The change is then sent to the others.
-func CutAndLost(patience, d time.Duration) Trouble {
+// LoseIsolatedMachine isolates a machine with a disk from all others, has an operator send a change to it
+// alone, and cuts its power and erases its disk once it has acknowledged or the wait is over. The change is
+// then sent to the other controllers.
+func LoseIsolatedMachine(wait, d time.Duration) Scenario {
 	return func(w *World) {
-		m := pick(w, w.core())
-		mend := w.apart([]*Machine{m}, slices.DeleteFunc(slices.Clone(w.Machines), func(o *Machine) bool { return o == m }), true)
-		o := w.operator(w.id("alone"))
-		c, name := w.edit()
-		order := o.begin(c, true)
-		o.press(order, c, []*Machine{m}, w.now()+patience)
+		m := pickOne(w, w.coreMachines())
+		heal := w.partition([]*Machine{m}, slices.DeleteFunc(slices.Clone(w.Machines), func(o *Machine) bool { return o == m }), true)
+		o := w.operator(w.newID("alone"))
+		c, name := w.randomEdit()
+		change := o.recordChange(c, true)
+		o.sendUntil(change, c, []*Machine{m}, w.now()+wait)
 		m.powerLoss()
 		if err := m.disk.Wipe(); err != nil {
 			w.t.Error(err)
 		}
-		mend()
-		over := w.trouble(m, Down)
-		o.watch(name)
-		if !order.settled() {
-			o.press(order, c, w.controllers(), w.now()+pressTime)
+		heal()
+		endFault := w.beginFault(m, Down)
+		o.probeRepeatedly(name)
+		if !change.answered() {
+			o.sendUntil(change, c, w.controllers(), w.now()+maxSendTime)
 		}
 		time.Sleep(d)
 		m.host.Dark(false)
-		m.bootAll()
-		over()
+		m.startAll()
+		endFault()
 	}
 }
 
-// AfterLeaving takes the power from the machine that has just acknowledged that a target
-// leaves.
-func AfterLeaving(service string, d time.Duration) Trouble {
+// PowerLossAfterDrainAck cuts the power of the machine that has just acknowledged that a target
+// drains.
+func PowerLossAfterDrainAck(service string, d time.Duration) Scenario {
 	return func(w *World) {
-		list := w.herd.of(service)
+		list := w.targets.ready(service)
 		if len(list) < 2 {
 			return
 		}
-		t := pick(w, list)
-		w.wg.Go(t.leave)
+		t := pickOne(w, list)
+		w.activities.Go(t.drainAndStop)
 		select {
-		case <-t.drained:
-		case <-t.gone:
+		case <-t.drainAcked:
+		case <-t.ended:
 			return
 		}
 		t.mu.Lock()
-		m := w.machine(t.by)
+		m := w.machine(t.ackedBy)
 		t.mu.Unlock()
-		w.dark(m, false, d)
+		w.powerOff(m, false, d)
 	}
 }
 
-// DiskSlow slows the syncs of n disks.
-func DiskSlow(n int, d time.Duration) Trouble {
-	return For(d, func(w *World) func() {
+// SlowDisks slows down the syncs of n disks.
+func SlowDisks(n int, d time.Duration) Scenario {
+	return During(d, func(w *World) func() {
 		var ends []func()
-		for _, m := range some(w, w.core(), n) {
-			over := w.trouble(m, DiskTrouble)
+		for _, m := range pickN(w, w.coreMachines(), n) {
+			endFault := w.beginFault(m, DiskFault)
 			m.disk.Pace(100*time.Millisecond, 900*time.Millisecond)
-			ends = append(ends, func() { m.disk.Pace(200*time.Microsecond, 3*time.Millisecond); over() })
+			ends = append(ends, func() { m.disk.Pace(200*time.Microsecond, 3*time.Millisecond); endFault() })
 		}
-		return all(ends)
+		return runAll(ends)
 	})
 }
 
-// DiskRefuses has a disk refuse its syncs; the controller on it ends, and comes back.
-func DiskRefuses(d time.Duration) Trouble {
+// RefuseSyncs makes a disk refuse its syncs, which ends the controller on it; later both work again.
+func RefuseSyncs(d time.Duration) Scenario {
 	return func(w *World) {
-		m := pick(w, w.core())
-		over := w.trouble(m, DiskTrouble)
+		m := pickOne(w, w.coreMachines())
+		endFault := w.beginFault(m, DiskFault)
 		m.disk.Refuse(true)
 		time.Sleep(d)
 		m.disk.Refuse(false)
 		m.killController()
-		m.bootAll()
-		over()
+		m.startAll()
+		endFault()
 	}
 }
--- a/internal/sim/day/trouble_domains.go
+++ b/internal/sim/day/trouble_domains.go
@@ -9,26 +9,26 @@
 	"walkrudder/internal/quorum"
 )
 
-// Zoned is a deployment of three zones with two machines with a disk each, of which one zone may be lost.
-func Zoned() Shape {
-	s := Small()
-	s.Disks, s.BearZones = 6, 1
+// ZoneTolerantDeployment has three zones with two disk machines each, of which one zone may be lost.
+func ZoneTolerantDeployment() Deployment {
+	s := SmallDeployment()
+	s.Disks, s.MaxLostZones = 6, 1
 	return s
 }
 
-// Regional is a deployment of three regions of two zones, of which one region may be lost. The seeds stand in the
-// first two regions.
-func Regional() Shape {
-	s := Small()
-	s.Zones, s.Disks, s.Regions, s.BearRegions = 6, 6, 3, 1
+// RegionTolerantDeployment has three regions of two zones each, of which one region may be lost. The seeds are in
+// the first two regions.
+func RegionTolerantDeployment() Deployment {
+	s := SmallDeployment()
+	s.Zones, s.Disks, s.Regions, s.MaxLostRegions = 6, 6, 3, 1
 	return s
 }
 
-// region is that of a zone, "" where the deployment has none.
-func (s Shape) region(zoneName string) string { return s.regions()[zoneName] }
+// region returns the region of a zone, or "" if the deployment has none.
+func (s Deployment) region(zoneName string) string { return s.regions()[zoneName] }
 
-// regions are those of all zones; neighbours share one.
-func (s Shape) regions() map[string]string {
+// regions returns the regions of all zones; neighbouring zones share one.
+func (s Deployment) regions() map[string]string {
 	out := map[string]string{}
 	for i := range s.Zones * min(1, s.Regions) {
 		out[zone(i)] = fmt.Sprintf("region%d", i*s.Regions/s.Zones)
@@ -36,77 +36,77 @@
 	return out
 }
 
-// domain is the one with most voters of those that may be lost at once, or a zone where none may; of several it is drawn.
-func (w *World) domain() []*Machine {
+// pickDomain returns the machines of the failure domain with the most voters: a region if regions may be lost, else a zone. Ties are broken at random.
+func (w *World) pickDomain() []*Machine {
 	label := func(m *Machine) string { return m.Zone }
-	if w.Shape.BearRegions > 0 {
-		label = func(m *Machine) string { return w.Shape.region(m.Zone) }
+	if w.Deployment.MaxLostRegions > 0 {
+		label = func(m *Machine) string { return w.Deployment.region(m.Zone) }
 	}
 	voters := lo.CountValuesBy(w.voters(), label)
-	lost := lo.MaxBy(some(w, w.core(), len(w.core())), func(a, b *Machine) bool { return voters[label(a)] > voters[label(b)] })
+	lost := lo.MaxBy(pickN(w, w.coreMachines(), len(w.coreMachines())), func(a, b *Machine) bool { return voters[label(a)] > voters[label(b)] })
 	return lo.Filter(w.Machines, func(m *Machine, _ int) bool { return label(m) == label(lost) })
 }
 
-// voters are the machines with a seat in the newest core that a controller knows.
+// voters returns the machines with a seat in the newest core configuration known to any controller.
 func (w *World) voters() []*Machine {
 	var core quorum.Core
-	for _, m := range w.core() {
-		if n := m.node(); n != nil && n.Proposer.Core().Epoch > core.Epoch {
+	for _, m := range w.coreMachines() {
+		if n := m.controllerNode(); n != nil && n.Proposer.Core().Epoch > core.Epoch {
 			core = n.Proposer.Core()
 		}
 	}
-	return lo.Filter(w.core(), func(m *Machine, _ int) bool {
+	return lo.Filter(w.coreMachines(), func(m *Machine, _ int) bool {
 		_, votes := core.Seat(m.ID)
 		return votes
 	})
 }
 
-// smallerPart draws the core machines of the smaller side of a cut: less than half, and those of one domain where
-// domains may be lost, for machines that are cut off count as lost.
-func (w *World) smallerPart() []*Machine {
-	if w.Shape.BearZones+w.Shape.BearRegions > 0 {
-		return w.losableDisks()
+// pickMinority returns random core machines for the smaller side of a partition: fewer than half, and those of one domain if
+// domains may be lost, since partitioned machines count as lost.
+func (w *World) pickMinority() []*Machine {
+	if w.Deployment.MaxLostZones+w.Deployment.MaxLostRegions > 0 {
+		return w.pickLosableDisks()
 	}
-	return some(w, w.core(), (len(w.core())-1)/2)
+	return pickN(w, w.coreMachines(), (len(w.coreMachines())-1)/2)
 }
 
-// losableDisks draws the machines whose disks may be lost at once: those of a domain, or so many.
-func (w *World) losableDisks() []*Machine {
-	if w.Shape.BearZones+w.Shape.BearRegions > 0 {
-		return lo.Filter(w.domain(), func(m *Machine, _ int) bool { return m.disk != nil })
+// pickLosableDisks returns random machines whose disks may be lost at once: those of a domain, or MaxLostMachines of them.
+func (w *World) pickLosableDisks() []*Machine {
+	if w.Deployment.MaxLostZones+w.Deployment.MaxLostRegions > 0 {
+		return lo.Filter(w.pickDomain(), func(m *Machine, _ int) bool { return m.disk != nil })
 	}
-	return some(w, w.core(), w.Shape.Bear)
+	return pickN(w, w.coreMachines(), w.Deployment.MaxLostMachines)
 }
 
-// DomainLost takes the power of all machines of a zone, or of a region where one may be lost, and their disks where
-// that is said.
-func DomainLost(disks bool, d time.Duration) Trouble {
+// LoseDomain cuts the power of all machines of a zone, or of a region if one may be lost, and erases their disks if
+// that is set.
+func LoseDomain(disks bool, d time.Duration) Scenario {
 	return func(w *World) {
-		each(w.domain(), func(m *Machine) { w.dark(m, disks, d) })
+		inParallel(w.pickDomain(), func(m *Machine) { w.powerOff(m, disks, d) })
 	}
 }
 
-// DomainsLostInTurn takes the power of a domain, and, when its machines count as there again, that of
-// another one with its disks.
-func DomainsLostInTurn(d time.Duration) Trouble {
+// LoseDomainsInTurn cuts the power of a domain and, once its machines count as recovered, that of
+// another one, whose disks are erased.
+func LoseDomainsInTurn(d time.Duration) Scenario {
 	return func(w *World) {
-		DomainLost(false, d)(w)
-		time.Sleep(w.Shape.Bounds.CatchUp)
-		DomainLost(true, d)(w)
+		LoseDomain(false, d)(w)
+		time.Sleep(w.Deployment.Bounds.CatchUp)
+		LoseDomain(true, d)(w)
 	}
 }
 
-// DomainDownBesideDisks takes the power of a domain and, before it is back, that of another one with its disks: more than
-// may be down at once, and no more disks than may be lost.
-func DomainDownBesideDisks(d time.Duration) Trouble {
+// LoseDomainWhileAnotherDown cuts the power of a domain and, before it is back, that of another one, whose disks are erased:
+// more machines may be down at once than tolerated, but not more disks are lost.
+func LoseDomainWhileAnotherDown(d time.Duration) Scenario {
 	return func(w *World) {
-		first, second := w.domain(), w.domain()
+		first, second := w.pickDomain(), w.pickDomain()
 		second = lo.Without(second, first...)
-		Together(
-			func(w *World) { each(first, func(m *Machine) { w.dark(m, false, 2*d) }) },
+		Parallel(
+			func(w *World) { inParallel(first, func(m *Machine) { w.powerOff(m, false, 2*d) }) },
 			func(w *World) {
 				time.Sleep(d)
-				each(second, func(m *Machine) { w.dark(m, true, d/2) })
+				inParallel(second, func(m *Machine) { w.powerOff(m, true, d/2) })
 			},
 		)(w)
 	}
--- a/internal/sim/day/trouble_ends.go
+++ b/internal/sim/day/trouble_ends.go
@@ -5,42 +5,42 @@
 	"time"
 )
 
-// End is how a day's closing fault takes the machines.
-type End int
+// FinalFaultKind is how the final fault of a day affects the machines.
+type FinalFaultKind int
 
-// Ends of a day.
+// Kinds of final faults.
 const (
-	AllKilled     End = iota
-	AllPower          // with what was not synced
-	DisksLost         // as many disks, or those of a domain, as may be lost, and all killed
-	DisksAndPower     // the same, and all other machines lose power, also those without a disk
+	AllKilled             FinalFaultKind = iota
+	AllLosePower                         // with the loss of unsynced writes
+	DisksLostAllKilled                   // as many disks, or those of a domain, as may be lost, and all processes are killed
+	DisksLostAllLosePower                // the same disks, and all machines lose power, also those without a disk
 )
 
-// Closes ends all processes at one moment, and starts them again. The day goes on for
-// long enough to see whether requests are served.
-func Closes(how End, d time.Duration) Trouble {
+// FailAllMachines ends all processes at the same time and starts them again. The day continues long
+// enough to observe whether requests are served.
+func FailAllMachines(how FinalFaultKind, d time.Duration) Scenario {
 	return func(w *World) {
 		at := w.now()
-		w.note(func(r *Record) { r.Closing = &Closing{At: at} })
-		lost := w.losableDisks()
-		each(w.Machines, func(m *Machine) {
-			over := w.trouble(m, Down)
+		w.updateRecord(func(r *Record) { r.FinalFault = &FinalFault{At: at} })
+		lost := w.pickLosableDisks()
+		inParallel(w.Machines, func(m *Machine) {
+			endFault := w.beginFault(m, Down)
 			switch how {
-			case AllPower, DisksAndPower:
+			case AllLosePower, DisksLostAllLosePower:
 				m.powerLoss()
 			default:
 				m.killAll()
 			}
-			if (how == DisksLost || how == DisksAndPower) && slices.Contains(lost, m) {
+			if (how == DisksLostAllKilled || how == DisksLostAllLosePower) && slices.Contains(lost, m) {
 				if err := m.disk.Wipe(); err != nil {
 					w.t.Error(err)
 				}
 			}
 			time.Sleep(d)
 			m.host.Dark(false)
-			m.bootAll()
-			over()
+			m.startAll()
+			endFault()
 		})
-		w.note(func(r *Record) { r.Closing.Back = w.now() })
+		w.updateRecord(func(r *Record) { r.FinalFault.RestartedAt = w.now() })
 	}
 }
--- a/internal/sim/day/trouble_machines.go
+++ b/internal/sim/day/trouble_machines.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// Part is a process of a machine.
-type Part int
+// ProcessSet is a set of processes of a machine.
+type ProcessSet int
 
-// Parts.
+// Process sets.
 const (
-	Gateway Part = 1 << iota
+	Gateway ProcessSet = 1 << iota
 	Controller
 	Both = Gateway | Controller
 )
 
-func (m *Machine) kill(p Part) {
+func (m *Machine) kill(p ProcessSet) {
 	var wg sync.WaitGroup
 	if p&Gateway != 0 {
 		wg.Go(m.killGateway)
@@ -27,14 +27,14 @@
 	wg.Wait()
 }
 
-// among chooses n machines: all, those that serve the control plane, or those with a
-// disk. Of the latter no more than may be lost.
-func (w *World) among(n int, of []*Machine) []*Machine {
+// pickMachines returns n random machines of a list, with no more disk machines among them than may
+// be lost.
+func (w *World) pickMachines(n int, of []*Machine) []*Machine {
 	var out []*Machine
 	disks := 0
-	for _, m := range some(w, of, len(of)) {
+	for _, m := range pickN(w, of, len(of)) {
 		if m.disk != nil {
-			if disks == w.Shape.Bear {
+			if disks == w.Deployment.MaxLostMachines {
 				continue
 			}
 			disks++
@@ -46,101 +46,101 @@
 	return out
 }
 
-// ControllersFroze freezes n machines that serve the control plane, and thaws them.
-func ControllersFroze(n int, d time.Duration) Trouble {
-	return For(d, func(w *World) func() {
+// FreezeControllers freezes n machines that run a controller, and thaws them.
+func FreezeControllers(n int, d time.Duration) Scenario {
+	return During(d, func(w *World) func() {
 		var ends []func()
-		for _, m := range w.among(n, w.controllers()) {
-			over := w.trouble(m, Frozen)
+		for _, m := range w.pickMachines(n, w.controllers()) {
+			endFault := w.beginFault(m, Frozen)
 			m.host.Freeze()
-			ends = append(ends, func() { m.host.Thaw(); over() })
+			ends = append(ends, func() { m.host.Thaw(); endFault() })
 		}
-		return all(ends)
+		return runAll(ends)
 	})
 }
 
-// Killed kills processes of n machines and starts them again after a time.
-func Killed(n int, p Part, d time.Duration) Trouble {
+// KillProcesses kills processes of n machines and starts them again after a time.
+func KillProcesses(n int, p ProcessSet, d time.Duration) Scenario {
 	return func(w *World) {
 		of := w.Machines
 		if p == Controller {
 			of = w.controllers()
 		}
-		each(w.among(n, of), func(m *Machine) {
-			over := w.trouble(m, Down)
+		inParallel(w.pickMachines(n, of), func(m *Machine) {
+			endFault := w.beginFault(m, Down)
 			m.kill(p)
 			time.Sleep(d)
-			m.bootAll()
-			over()
+			m.startAll()
+			endFault()
 		})
 	}
 }
 
-// Herd kills many processes at one moment, core and all.
-func Herd(part float64, p Part, d time.Duration) Trouble {
+// KillShare kills processes of a share of the machines at the same time, including any number of core machines.
+func KillShare(share float64, p ProcessSet, d time.Duration) Scenario {
 	return func(w *World) {
-		each(share(w, w.Machines, part), func(m *Machine) {
-			over := w.trouble(m, Down)
+		inParallel(pickShare(w, w.Machines, share), func(m *Machine) {
+			endFault := w.beginFault(m, Down)
 			m.kill(p)
 			time.Sleep(d)
-			m.bootAll()
-			over()
+			m.startAll()
+			endFault()
 		})
 	}
 }
 
-// Froze freezes n machines and thaws them.
-func Froze(n int, d time.Duration) Trouble {
+// FreezeMachines freezes n machines and thaws them.
+func FreezeMachines(n int, d time.Duration) Scenario {
 	return func(w *World) {
-		each(w.among(n, w.Machines), func(m *Machine) {
-			over := w.trouble(m, Frozen)
+		inParallel(w.pickMachines(n, w.Machines), func(m *Machine) {
+			endFault := w.beginFault(m, Frozen)
 			m.host.Freeze()
 			time.Sleep(d)
 			m.host.Thaw()
-			over()
+			endFault()
 		})
 	}
 }
 
-// Rolled stops and starts all machines in turn.
-func Rolled(pause time.Duration) Trouble {
+// RollingRestart stops and starts all machines one after another.
+func RollingRestart(pause time.Duration) Scenario {
 	return func(w *World) {
 		for _, m := range w.Machines {
-			over := w.trouble(m, Planned)
+			endFault := w.beginFault(m, PlannedStop)
 			m.stop()
-			m.bootAll()
-			over()
+			m.startAll()
+			endFault()
 			time.Sleep(pause)
 		}
 	}
 }
 
-// ControllersRolled stops and starts controllers in series that overlap: the next stop comes after a
-// pause, whether the one before has come back or not, but no more of a core are away than may be lost.
-func ControllersRolled(times int, pause time.Duration) Trouble {
+// RestartControllers stops and starts controllers in overlapping sequence: the next one stops after a
+// pause, whether the previous one is back or not, but no more core machines are stopped at once than may be lost.
+func RestartControllers(times int, pause time.Duration) Scenario {
 	return func(w *World) {
 		var wg sync.WaitGroup
-		away := make(chan struct{}, w.Shape.Bear)
+		stopped := make(chan struct{}, w.Deployment.MaxLostMachines)
 		for i := range times {
 			of := w.controllers()
 			m := of[i%len(of)]
 			wg.Go(func() {
 				if m.disk != nil {
-					away <- struct{}{}
-					defer func() { <-away }()
+					stopped <- struct{}{}
+					defer func() { <-stopped }()
 				}
-				over := w.trouble(m, Planned)
+				endFault := w.beginFault(m, PlannedStop)
 				m.stop()
-				m.bootAll()
-				over()
+				m.startAll()
+				endFault()
 			})
-			time.Sleep(pause/2 + w.within(pause))
+			time.Sleep(pause/2 + w.randDuration(pause))
 		}
 		wg.Wait()
 	}
 }
 
-func all(fs []func()) func() {
+func runAll(fs []func()) func() {
 	return func() {
 		for _, f := range fs {
 			f()
@@ -148,116 +148,118 @@
 	}
 }
 
-func ids(ms []*Machine) (out []string) {
+func machineIDs(ms []*Machine) (out []string) {
 	for _, m := range ms {
 		out = append(out, m.ID)
 	}
 	return out
 }
 
-// CoreCut cuts the machines in two, each with a part of the core; the smaller part counts
-// as troubled.
-func CoreCut(d time.Duration) Trouble {
-	return For(d, func(w *World) func() {
-		small := w.smallerPart()
+// PartitionMachines partitions the machines in two, each with a part of the core; the smaller part is recorded
+// as faulty.
+func PartitionMachines(d time.Duration) Scenario {
+	return During(d, func(w *World) func() {
+		small := w.pickMinority()
 		var rest []*Machine
 		for _, m := range w.Machines {
 			switch {
 			case slices.Contains(small, m):
-			case m.disk == nil && w.chance(3) == 0:
+			case m.disk == nil && w.randIntN(3) == 0:
 				small = append(small, m)
 			default:
 				rest = append(rest, m)
 			}
 		}
-		return w.apart(small, rest, true)
+		return w.partition(small, rest, true)
 	})
 }
 
-// apart cuts some machines off from others; the first count as troubled.
-func (w *World) apart(some, rest []*Machine, both bool) func() {
+// partition partitions some machines from others; the first are recorded as faulty.
+func (w *World) partition(isolated, rest []*Machine, both bool) func() {
 	var ends []func()
-	for _, m := range some {
-		ends = append(ends, w.trouble(m, CutOff))
+	for _, m := range isolated {
+		ends = append(ends, w.beginFault(m, Partitioned))
 	}
-	ends = append(ends, w.net.Between(ids(some), ids(rest), both))
-	if !both && w.chance(2) == 0 {
-		ends = append(ends, w.net.Between(ids(rest), ids(some), false))
+	ends = append(ends, w.net.Between(machineIDs(isolated), machineIDs(rest), both))
+	if !both && w.randIntN(2) == 0 {
+		ends = append(ends, w.net.Between(machineIDs(rest), machineIDs(isolated), false))
 	}
-	return all(ends)
+	return runAll(ends)
 }
 
-// NodeCut cuts n machines off from all others, and from the targets of other zones; one
-// way or both.
-func NodeCut(n int, both bool, d time.Duration) Trouble { return For(d, CutOffNodes(n, both)) }
+// IsolateMachines partitions n machines from all others and from the targets of other zones, in one
+// direction or both.
+func IsolateMachines(n int, both bool, d time.Duration) Scenario {
+	return During(d, BeginIsolation(n, both))
+}
 
-// CutOffNodes begins what NodeCut does.
-func CutOffNodes(n int, both bool) func(*World) func() {
+// BeginIsolation returns the function that begins the partition of IsolateMachines.
+func BeginIsolation(n int, both bool) func(*World) func() {
 	return func(w *World) func() {
 		var ends []func()
-		for _, m := range w.among(n, w.Machines) {
+		for _, m := range w.pickMachines(n, w.Machines) {
 			rest := slices.DeleteFunc(slices.Clone(w.Machines), func(o *Machine) bool { return o == m })
-			ends = append(ends, w.apart([]*Machine{m}, rest, both))
-			for _, t := range w.herd.of("") {
+			ends = append(ends, w.partition([]*Machine{m}, rest, both))
+			for _, t := range w.targets.ready("") {
 				if t.Zone != m.Zone {
-					ends = append(ends, w.harm(t.ID), w.net.Between([]string{m.ID}, []string{t.host.ID}, true))
+					ends = append(ends, w.beginTargetPathFault(t.ID), w.net.Between([]string{m.ID}, []string{t.host.ID}, true))
 				}
 			}
 		}
-		return all(ends)
+		return runAll(ends)
 	}
 }
 
-// Slowed adds a time to all that comes to and goes from n machines. What a machine does by
-// itself is not slower here.
-func Slowed(n int, by, d time.Duration) Trouble {
-	return For(d, func(w *World) func() {
+// DelayMachines adds a delay to all messages to and from n machines. Computation on the machine is not
+// slowed down.
+func DelayMachines(n int, by, d time.Duration) Scenario {
+	return During(d, func(w *World) func() {
 		var ends []func()
-		for _, m := range w.among(n, w.Machines) {
-			over := w.trouble(m, Slow)
+		for _, m := range w.pickMachines(n, w.Machines) {
+			endFault := w.beginFault(m, Slow)
 			m.host.Slow(by)
-			ends = append(ends, func() { m.host.Slow(0); over() })
+			ends = append(ends, func() { m.host.Slow(0); endFault() })
 		}
-		return all(ends)
+		return runAll(ends)
 	})
 }
 
-// Lossy loses a share of what comes to and goes from n machines.
-func Lossy(n int, part float64, d time.Duration) Trouble {
-	return For(d, func(w *World) func() {
+// LoseMessages loses a share of the messages to and from n machines.
+func LoseMessages(n int, share float64, d time.Duration) Scenario {
+	return During(d, func(w *World) func() {
 		var ends []func()
-		for _, m := range w.among(n, w.Machines) {
-			over := w.trouble(m, Links)
-			m.host.Lose(part)
-			ends = append(ends, func() { m.host.Lose(0); over() })
+		for _, m := range w.pickMachines(n, w.Machines) {
+			endFault := w.beginFault(m, LinkFault)
+			m.host.Lose(share)
+			ends = append(ends, func() { m.host.Lose(0); endFault() })
 		}
-		return all(ends)
+		return runAll(ends)
 	})
 }
 
-// MachinesReset resets all connections of n machines.
-func MachinesReset(n int) Trouble {
+// ResetMachineConnections resets all connections of n machines.
+func ResetMachineConnections(n int) Scenario {
 	return func(w *World) {
-		for _, m := range w.among(n, w.Machines) {
-			over := w.trouble(m, Links)
+		for _, m := range w.pickMachines(n, w.Machines) {
+			endFault := w.beginFault(m, LinkFault)
 			m.host.Reset()
-			over()
+			endFault()
 		}
 	}
 }
 
-// SeedTurnover exchanges the seeds for other machines that serve the control plane.
-func SeedTurnover(w *World) {
+// ReplaceSeeds replaces the seeds by other machines that run a controller.
+func ReplaceSeeds(w *World) {
 	var seeds []string
-	for _, m := range some(w, w.controllers(), 3) {
-		seeds = append(seeds, m.innerAddr())
+	for _, m := range pickN(w, w.controllers(), 3) {
+		seeds = append(seeds, m.internalAddr())
 	}
 	w.mu.Lock()
 	w.seeds = seeds
 	w.mu.Unlock()
 	for _, m := range w.Machines {
 		m.mu.Lock()
-		n, s := m.controller, m.sub
+		n, s := m.controller, m.subscriber
 		m.mu.Unlock()
 		if n != nil {
 			n.SetSeeds(seeds)
--- a/internal/sim/day/trouble_operators.go
+++ b/internal/sim/day/trouble_operators.go
@@ -9,149 +9,149 @@
 	"walkrudder/internal/route"
 )
 
-// Changes are n changes of one operator, each after the one before was acknowledged.
-func Changes(n int, pause time.Duration) Trouble {
+// ApplyChanges makes n changes by one operator, each after the previous one was acknowledged.
+func ApplyChanges(n int, pause time.Duration) Scenario {
 	return func(w *World) {
-		o := w.operator(w.id("calm"))
+		o := w.operator(w.newID("calm"))
 		for range n {
-			w.oneChange(o)
-			time.Sleep(pause/2 + w.within(pause))
+			w.sendRandomChange(o)
+			time.Sleep(pause/2 + w.randDuration(pause))
 		}
 	}
 }
 
-func (w *World) oneChange(o *operator) {
-	if w.chance(2) == 0 {
-		o.send(w.shift(), true)
+func (w *World) sendRandomChange(o *operator) {
+	if w.randIntN(2) == 0 {
+		o.sendToAny(w.rerouteChange(), true)
 		return
 	}
-	c, name := w.edit()
-	o.watch(name)
-	o.send(c, true)
+	c, name := w.randomEdit()
+	o.probeRepeatedly(name)
+	o.sendToAny(c, true)
 }
 
-// Race has two operators change the same at once.
-func Race(n int) Trouble {
+// ConcurrentChanges makes two operators change the configuration at the same time.
+func ConcurrentChanges(n int) Scenario {
 	return func(w *World) {
-		a, b := w.operator(w.id("race")), w.operator(w.id("race"))
+		a, b := w.operator(w.newID("race")), w.operator(w.newID("race"))
 		for range n {
-			each([]*operator{a, b}, func(o *operator) { w.oneChange(o) })
-			time.Sleep(w.within(time.Second))
+			inParallel([]*operator{a, b}, func(o *operator) { w.sendRandomChange(o) })
+			time.Sleep(w.randDuration(time.Second))
 		}
 	}
 }
 
-// RaceOneVersion has two operators send n times two contents of one version of a route at once.
-func RaceOneVersion(n int) Trouble {
+// ConflictingVersions makes two operators concurrently send different contents of the same version of a route, n times.
+func ConflictingVersions(n int) Scenario {
 	return func(w *World) {
-		a, b := w.operator(w.id("one")), w.operator(w.id("one"))
+		a, b := w.operator(w.newID("one")), w.operator(w.newID("one"))
 		for range n {
-			name, v := fmt.Sprintf("x%d", w.chance(3)), w.nextVersion()
-			a.watch(name)
-			orders := []*operator{a, b}
+			name, v := fmt.Sprintf("x%d", w.randIntN(3)), w.nextVersion()
+			a.probeRepeatedly(name)
+			operators := []*operator{a, b}
 			services := []string{"orders", "archive"}
 			var wg sync.WaitGroup
-			for i, o := range orders {
-				x := w.added(name, v)
-				x.Shares = []route.Share{only(services[i])}
+			for i, o := range operators {
+				x := w.extraRoute(name, v)
+				x.Shares = []route.Share{singleShare(services[i])}
 				x.Source = []byte(services[i])
 				c := control.Change{Routes: []route.Route{x}}
-				order := o.begin(c, true)
-				w.note(func(*Record) { order.Contested = true })
-				wg.Go(func() { o.press(order, c, w.controllers(), w.now()+pressTime) })
+				change := o.recordChange(c, true)
+				w.updateRecord(func(*Record) { change.Contested = true })
+				wg.Go(func() { o.sendUntil(change, c, w.controllers(), w.now()+maxSendTime) })
 			}
 			wg.Wait()
-			time.Sleep(w.within(time.Second))
+			time.Sleep(w.randDuration(time.Second))
 		}
 	}
 }
 
-// AcksLost loses a part of the acknowledgements to operators for a while, who send the same
-// again, to any machine.
-func AcksLost(part float64, d time.Duration) Trouble {
-	return For(d, func(w *World) func() {
+// LoseAcks loses a share of the acknowledgements to operators, who then resend the same change to
+// any machine.
+func LoseAcks(part float64, d time.Duration) Scenario {
+	return During(d, func(w *World) func() {
 		set := func(part float64) {
 			w.mu.Lock()
 			defer w.mu.Unlock()
-			w.ackLoss = part
+			w.ackLossRate = part
 		}
 		set(part)
 		return func() { set(0) }
 	})
 }
 
-// losesAck tells whether an acknowledgement is lost now.
-func (w *World) losesAck() bool {
+// drawAckLoss reports whether the current acknowledgement is lost.
+func (w *World) drawAckLoss() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.ackLoss > 0 && w.rnd.Float64() < w.ackLoss
+	return w.ackLossRate > 0 && w.rng.Float64() < w.ackLossRate
 }
 
-// Reads has an operator ask for what stands, n times, at any machine.
-func Reads(n int, pause time.Duration) Trouble {
+// ReadConfiguration makes an operator read the configuration n times from random machines.
+func ReadConfiguration(n int, pause time.Duration) Scenario {
 	return func(w *World) {
-		o := w.operator(w.id("asker"))
+		o := w.operator(w.newID("asker"))
 		for range n {
-			o.ask(pick(w, w.controllers()))
-			time.Sleep(pause/2 + w.within(pause))
+			o.recordRead(pickOne(w, w.controllers()))
+			time.Sleep(pause/2 + w.randDuration(pause))
 		}
 	}
 }
 
-// Storm sends changes in quick succession, without waiting.
-func Storm(n int) Trouble {
+// ChangeStorm sends changes in quick succession without waiting for acknowledgements.
+func ChangeStorm(n int) Scenario {
 	return func(w *World) {
 		var wg sync.WaitGroup
-		o := w.operator(w.id("storm"))
+		o := w.operator(w.newID("storm"))
 		for range n {
-			c, name := w.edit()
-			o.watch(name)
-			wg.Go(func() { o.send(c, true) })
-			time.Sleep(w.within(200 * time.Millisecond))
+			c, name := w.randomEdit()
+			o.probeRepeatedly(name)
+			wg.Go(func() { o.sendToAny(c, true) })
+			time.Sleep(w.randDuration(200 * time.Millisecond))
 		}
 		wg.Wait()
 	}
 }
 
-// Older sends a change, then a newer one, then the first again.
-func Older(w *World) {
-	o := w.operator(w.id("older"))
-	first, name := w.edit()
-	o.send(first, true)
-	o.watch(name)
-	w.oneChange(o)
-	o.send(first, true)
+// ResendOlderChange sends a change, then a newer one, then the first one again.
+func ResendOlderChange(w *World) {
+	o := w.operator(w.newID("older"))
+	first, name := w.randomEdit()
+	o.sendToAny(first, true)
+	o.probeRepeatedly(name)
+	w.sendRandomChange(o)
+	o.sendToAny(first, true)
 }
 
-// Chained sends n pairs of changes, of which the second relies on the first that was just
-// acknowledged elsewhere: one that is valid by it alone, and one that it alone makes
-// invalid.
-func Chained(n int, pause time.Duration) Trouble {
+// DependentChanges sends n series of changes, each dependent on the one that was acknowledged just before, possibly
+// by another controller: a route that is valid only because of a new service, and a route that is invalid only
+// because of that first route.
+func DependentChanges(n int, pause time.Duration) Scenario {
 	return func(w *World) {
-		o := w.operator(w.id("chain"))
+		o := w.operator(w.newID("chain"))
 		for range n {
 			v := w.nextVersion()
-			name := w.id("new")
-			o.send(control.Change{Services: []route.Service{{Name: name, Version: v, Health: "/health", Source: []byte(name)}}}, true)
-			x := w.added("y-"+name, w.nextVersion())
-			x.Shares = []route.Share{only(name)}
-			o.send(control.Change{Routes: []route.Route{x}}, true)
-			bad := w.added("never", w.nextVersion())
+			name := w.newID("new")
+			o.sendToAny(control.Change{Services: []route.Service{{Name: name, Version: v, Health: "/health", Source: []byte(name)}}}, true)
+			x := w.extraRoute("y-"+name, w.nextVersion())
+			x.Shares = []route.Share{singleShare(name)}
+			o.sendToAny(control.Change{Routes: []route.Route{x}}, true)
+			bad := w.extraRoute("never", w.nextVersion())
 			bad.Prefix = x.Prefix
-			o.send(control.Change{Routes: []route.Route{bad}}, false)
-			time.Sleep(pause/2 + w.within(pause))
+			o.sendToAny(control.Change{Routes: []route.Route{bad}}, false)
+			time.Sleep(pause/2 + w.randDuration(pause))
 		}
 	}
 }
 
-// Invalid sends n changes that may not come into force.
-func Invalid(n int) Trouble {
+// InvalidChanges sends n changes that must not take effect.
+func InvalidChanges(n int) Scenario {
 	return func(w *World) {
-		o := w.operator(w.id("wrong"))
+		o := w.operator(w.newID("wrong"))
 		for range n {
-			o.send(w.invalid(), false)
-			o.watch("never")
-			time.Sleep(w.within(time.Second))
+			o.sendToAny(w.invalidChange(), false)
+			o.probeRepeatedly("never")
+			time.Sleep(w.randDuration(time.Second))
 		}
 	}
 }
--- a/internal/sim/day/trouble_targets.go
+++ b/internal/sim/day/trouble_targets.go
@@ -6,81 +6,81 @@
 	"walkrudder/internal/target"
 )
 
-// Ending is how a target ends that says nothing.
-type Ending int
+// CrashKind is how a target ends without notice.
+type CrashKind int
 
-// Endings.
+// Kinds of crashes.
 const (
-	Crash Ending = iota // its connections are reset, and its address refuses
-	Dark                // nothing answers
-	Gone                // as dark, and it never comes back
+	ProcessCrash        CrashKind = iota // its connections are reset and its address refuses new ones
+	Unresponsive                         // its host does not respond
+	UnresponsiveForGood                  // the same, and it is never replaced
 )
 
-// Crashed ends a part of a service's targets; after a time others take their place.
-func Crashed(service string, part float64, how Ending, d time.Duration) Trouble {
+// CrashTargets crashes a share of a service's targets; after a time others take their place.
+func CrashTargets(service string, share float64, how CrashKind, d time.Duration) Scenario {
 	return func(w *World) {
-		each(share(w, w.herd.of(service), part), func(t *Target) {
-			over := w.harm(t.ID)
-			defer over()
-			t.host.Dark(how != Crash)
+		inParallel(pickShare(w, w.targets.ready(service), share), func(t *Target) {
+			endFault := w.beginTargetPathFault(t.ID)
+			defer endFault()
+			t.host.Dark(how != ProcessCrash)
 			t.kill()
 			time.Sleep(d)
-			if how != Gone {
-				w.herd.startLike(t)
+			if how != UnresponsiveForGood {
+				w.targets.replace(t)
 			}
 		})
 	}
 }
 
-// Release replaces the targets of a service one after the other.
-func Release(service string, pause time.Duration) Trouble {
+// ReplaceTargets replaces the targets of a service one after another.
+func ReplaceTargets(service string, pause time.Duration) Scenario {
 	return func(w *World) {
-		for _, t := range w.herd.of(service) {
-			w.herd.start(t.Service, t.Zone, nil)
-			w.wg.Go(t.leave)
+		for _, t := range w.targets.ready(service) {
+			w.targets.start(t.Service, t.Zone, nil)
+			w.activities.Go(t.drainAndStop)
 			time.Sleep(pause)
 		}
 	}
 }
 
-// Reused ends a part of a service's targets, in order or not; after a while others of
+// ReuseAddresses ends a share of a service's targets, with a drain or without; after a while targets of
 // another service get their addresses.
-func Reused(service, other string, part float64, inOrder bool) Trouble {
+func ReuseAddresses(service, other string, share float64, inOrder bool) Scenario {
 	return func(w *World) {
-		each(share(w, w.herd.of(service), part), func(t *Target) {
-			w.herd.start(t.Service, t.Zone, nil)
+		inParallel(pickShare(w, w.targets.ready(service), share), func(t *Target) {
+			w.targets.start(t.Service, t.Zone, nil)
 			if inOrder {
-				t.leave()
+				t.drainAndStop()
 			} else {
 				t.kill()
 			}
 			time.Sleep(2 * time.Second)
-			w.herd.start(other, t.Zone, t.host)
+			w.targets.start(other, t.Zone, t.host)
 		})
 	}
 }
 
-// ScaleIn empties a part of a service's targets and takes them away.
-func ScaleIn(service string, part float64) Trouble {
+// ScaleIn drains and stops a share of a service's targets.
+func ScaleIn(service string, share float64) Scenario {
 	return func(w *World) {
-		each(share(w, w.herd.of(service), part), func(t *Target) { t.leave() })
+		inParallel(pickShare(w, w.targets.ready(service), share), func(t *Target) { t.drainAndStop() })
 	}
 }
 
-// ScaleInUnsaid takes a part of a service's targets away that never say that they drain: they
-// say that they are gone, serve on, and end.
-func ScaleInUnsaid(service string, part float64) Trouble {
+// ScaleInWithoutDrain stops a share of a service's targets that never report that they drain: they
+// report that they are gone, keep serving for a while, and end.
+func ScaleInWithoutDrain(service string, share float64) Scenario {
 	return func(w *World) {
-		each(share(w, w.herd.of(service), part), func(t *Target) { t.leaveUnsaid() })
+		inParallel(pickShare(w, w.targets.ready(service), share), func(t *Target) { t.stopWithoutDrain() })
 	}
 }
 
-// Faulty has a part of a service's targets behave by a fault.
-func Faulty(service string, part float64, f Fault, d time.Duration) Trouble {
-	return For(d, func(w *World) func() {
+// FaultyTargets injects a fault into a share of a service's targets.
+func FaultyTargets(service string, share float64, f TargetFault, d time.Duration) Scenario {
+	return During(d, func(w *World) func() {
 		var ends []func()
-		for _, t := range share(w, w.herd.of(service), part) {
-			ends = append(ends, t.faulty(f))
+		for _, t := range pickShare(w, w.targets.ready(service), share) {
+			ends = append(ends, t.injectFault(f))
 		}
 		return func() {
 			for _, end := range ends {
@@ -90,30 +90,30 @@
 	})
 }
 
-// Flapping freezes and thaws a part of a service's targets again and again.
-func Flapping(service string, part float64, d time.Duration) Trouble {
+// FlapTargets repeatedly freezes and thaws a share of a service's targets.
+func FlapTargets(service string, share float64, d time.Duration) Scenario {
 	return func(w *World) {
 		until := w.now() + d
-		each(share(w, w.herd.of(service), part), func(t *Target) {
-			for w.now() < until && t.now() == target.Ready {
-				over := w.harm(t.ID)
+		inParallel(pickShare(w, w.targets.ready(service), share), func(t *Target) {
+			for w.now() < until && t.currentState() == target.Ready {
+				endFault := w.beginTargetPathFault(t.ID)
 				t.host.Freeze()
-				time.Sleep(300*time.Millisecond + w.within(2*time.Second))
+				time.Sleep(300*time.Millisecond + w.randDuration(2*time.Second))
 				t.host.Thaw()
-				over()
-				time.Sleep(300*time.Millisecond + w.within(2*time.Second))
+				endFault()
+				time.Sleep(300*time.Millisecond + w.randDuration(2*time.Second))
 			}
 		})
 	}
 }
 
-// TargetsReset resets all connections of a part of a service's targets.
-func TargetsReset(service string, part float64) Trouble {
+// ResetTargetConnections resets all connections of a share of a service's targets.
+func ResetTargetConnections(service string, share float64) Scenario {
 	return func(w *World) {
-		for _, t := range share(w, w.herd.of(service), part) {
-			over := w.harm(t.ID)
+		for _, t := range pickShare(w, w.targets.ready(service), share) {
+			endFault := w.beginTargetPathFault(t.ID)
 			t.host.Reset()
-			over()
+			endFault()
 		}
 	}
 }
--- a/internal/sim/day/upgrade.go
+++ b/internal/sim/day/upgrade.go
@@ -12,43 +12,43 @@
 )
 
 const (
-	// firstVersion is that of all targets at a day's start.
+	// firstVersion is the software version of all targets at the start of a day.
 	firstVersion = "v1"
-	// slowFlaw is how many times as long a slow version works.
-	slowFlaw = 8
-	// askEvery is how often an operator asks how an upgrade goes.
-	askEvery = 500 * time.Millisecond
-	// revertPause is how long after a reverted upgrade the new targets begin to leave.
-	revertPause = 2 * time.Second
+	// slowFactor is by how much a slow version multiplies the work time.
+	slowFactor = 8
+	// upgradePollInterval is how often an operator reads the state of an upgrade.
+	upgradePollInterval = 500 * time.Millisecond
+	// revertDrainDelay is how long after a reverted upgrade the new targets begin to drain.
+	revertDrainDelay = 2 * time.Second
 )
 
-// Flaw is what is wrong with a version of a service's software; the zero value is a good one.
-type Flaw struct {
-	Fails, Slow float64       // parts of its requests
-	Route       string        // the only route that shows it; "" is all
-	After       time.Duration // from so long after a target's start
-	UnderLoad   bool          // only while all slots are taken
+// Defect is a defect of a version of a service's software; the zero value is a version without one.
+type Defect struct {
+	FailRate, SlowRate float64       // shares of its requests
+	Route              string        // the only affected route; "" is all
+	After              time.Duration // time from a target's start until the defect appears
+	UnderLoad          bool          // only while all slots are taken
 }
 
-// Bad tells whether there is any.
-func (f Flaw) Bad() bool { return f.Fails > 0 || f.Slow > 0 }
+// IsBad reports whether there is a defect.
+func (f Defect) IsBad() bool { return f.FailRate > 0 || f.SlowRate > 0 }
 
-// ails draws how a request goes at a target by its version.
-func (t *Target) ails(path string) (fails, slow bool) {
-	f, w := t.flaw, t.w
-	if !f.Bad() || f.Route != "" && w.streamOf(path).Route != f.Route || w.now()-t.started < f.After {
+// drawDefect draws whether a request fails or is slow because of the target's version.
+func (t *Target) drawDefect(path string) (fails, slow bool) {
+	f, w := t.defect, t.world
+	if !f.IsBad() || f.Route != "" && w.streamOf(path).Route != f.Route || w.now()-t.startedAt < f.After {
 		return false, false
 	}
 	t.mu.Lock()
-	busy := t.active >= w.Shape.Slots
+	busy := t.active >= w.Deployment.Slots
 	t.mu.Unlock()
 	if f.UnderLoad && !busy {
 		return false, false
 	}
-	return w.real() < f.Fails, w.real() < f.Slow
+	return w.randFloat() < f.FailRate, w.randFloat() < f.SlowRate
 }
 
-// UpgradeOrder is an operator's order of an upgrade, with what was told of it.
+// UpgradeOrder is an operator's order of an upgrade and the states that were reported for it.
 type UpgradeOrder struct {
 	Service, Version string
 	Bad              bool
@@ -57,19 +57,19 @@
 	Acknowledged     bool
 	Acked            time.Duration
 	Reads            []UpgradeRead
-	// Reason is why it ended, by its controllers' word.
+	// Reason is why it ended, as reported by the controllers.
 	Reason string
 }
 
-// UpgradeRead is an answer to an operator who asked how an upgrade goes. Phase is 0 where there was none.
+// UpgradeRead is the reported state of an upgrade. Phase is 0 if there was no upgrade.
 type UpgradeRead struct {
 	From, To time.Duration
 	Version  string
 	Phase    upgrade.Phase
 }
 
-// Ended is when the operator was first told of an end, and of which.
-func (o *UpgradeOrder) Ended() (time.Duration, upgrade.Phase) {
+// Outcome returns when the operator first read that the upgrade had ended, and in which phase.
+func (o *UpgradeOrder) Outcome() (time.Duration, upgrade.Phase) {
 	for _, r := range o.Reads {
 		if r.Version == o.Version && (r.Phase == upgrade.Completed || r.Phase == upgrade.Reverted) {
 			return r.To, r.Phase
@@ -78,66 +78,66 @@
 	return 0, 0
 }
 
-// Upgraded has an operator order an upgrade of a service, and its targets go by what is told of it.
-func Upgraded(service, version string, flaw Flaw, term time.Duration) Trouble {
+// UpgradeService makes an operator order an upgrade of a service, and starts and ends targets according to its reported state.
+func UpgradeService(service, version string, defect Defect, term time.Duration) Scenario {
 	return func(w *World) {
 		o := w.operator("upgrade-" + version)
-		x := &UpgradeOrder{Service: service, Version: version, Bad: flaw.Bad(), Sent: w.now(), Term: term}
-		w.note(func(r *Record) { r.Upgrades = append(r.Upgrades, x) })
+		x := &UpgradeOrder{Service: service, Version: version, Bad: defect.IsBad(), Sent: w.now(), Term: term}
+		w.updateRecord(func(r *Record) { r.Upgrades = append(r.Upgrades, x) })
 		if !o.orderUpgrade(x) {
 			return
 		}
-		old := w.herd.of(service)
+		old := w.targets.ready(service)
 		for _, t := range old {
-			w.herd.startAs(service, t.Zone, nil, version, flaw)
+			w.targets.startVersion(service, t.Zone, nil, version, defect)
 		}
-		w.wg.Go(func() { o.followUpgrade(x, flaw) })
+		w.activities.Go(func() { o.followUpgrade(x, defect) })
 	}
 }
 
-// orderUpgrade has an order acknowledged, as press does with a change.
+// orderUpgrade sends an order until it is acknowledged or refused.
 func (o *operator) orderUpgrade(x *UpgradeOrder) bool {
-	w := o.w
-	for until := w.now() + x.Term; !w.over() && w.now() < until; time.Sleep(100 * time.Millisecond) {
-		_, err := o.upgradeCall(func(cx context.Context, n *control.Node) (upgrade.Upgrade, error) {
-			return upgrade.Upgrade{}, n.StartUpgrade(cx, nil, upgrade.Order{Service: x.Service, To: x.Version, Term: x.Term})
+	w := o.world
+	for until := w.now() + x.Term; !w.isFinished() && w.now() < until; time.Sleep(100 * time.Millisecond) {
+		_, err := o.upgradeCall(func(ctx context.Context, n *control.Node) (upgrade.Upgrade, error) {
+			return upgrade.Upgrade{}, n.StartUpgrade(ctx, nil, upgrade.Order{Service: x.Service, To: x.Version, Term: x.Term})
 		})
 		if control.IsRefusedOrder(err) {
 			return false
 		}
 		if err == nil {
-			w.note(func(*Record) { x.Acknowledged, x.Acked = true, w.now() })
+			w.updateRecord(func(*Record) { x.Acknowledged, x.Acked = true, w.now() })
 			return true
 		}
 	}
 	return false
 }
 
-// upgradeCall makes one call at some controller.
+// upgradeCall makes one call to a random controller.
 func (o *operator) upgradeCall(f func(context.Context, *control.Node) (upgrade.Upgrade, error)) (upgrade.Upgrade, error) {
-	m := pick(o.w, o.w.controllers())
-	cx, end := context.WithTimeout(o.w.ctx, 1500*time.Millisecond)
-	defer end()
-	return simnet.Do(cx, o.p, m.innerAddr(), func(cx context.Context, _ *simnet.Proc) (upgrade.Upgrade, error) {
-		n := m.node()
+	m := pickOne(o.world, o.world.controllers())
+	ctx, cancel := context.WithTimeout(o.world.ctx, 1500*time.Millisecond)
+	defer cancel()
+	return simnet.Do(ctx, o.proc, m.internalAddr(), func(ctx context.Context, _ *simnet.Proc) (upgrade.Upgrade, error) {
+		n := m.controllerNode()
 		if n == nil {
 			return upgrade.Upgrade{}, net.ErrClosed
 		}
-		cx, end := context.WithTimeout(cx, 3500*time.Millisecond)
-		defer end()
-		return f(cx, n)
+		ctx, cancel := context.WithTimeout(ctx, 3500*time.Millisecond)
+		defer cancel()
+		return f(ctx, n)
 	})
 }
 
-// followUpgrade asks how an upgrade goes until the day is over, and ends targets by the answers: the old ones at the moment
-// of its completion, without a word, the new ones in order some time after it was reverted.
-func (o *operator) followUpgrade(x *UpgradeOrder, flaw Flaw) {
-	w, ended := o.w, false
-	for !w.over() {
+// followUpgrade reads the state of an upgrade until the day is over and ends targets accordingly: the old ones immediately
+// at its completion, without notice, the new ones with a drain some time after it was reverted.
+func (o *operator) followUpgrade(x *UpgradeOrder, defect Defect) {
+	w, ended := o.world, false
+	for !w.isFinished() {
 		from := w.now()
-		u, err := o.upgradeCall(func(cx context.Context, n *control.Node) (upgrade.Upgrade, error) { return n.Upgrade(cx, x.Service) })
+		u, err := o.upgradeCall(func(ctx context.Context, n *control.Node) (upgrade.Upgrade, error) { return n.Upgrade(ctx, x.Service) })
 		if err == nil || errors.Is(err, control.ErrNoUpgrade) {
-			w.note(func(*Record) {
+			w.updateRecord(func(*Record) {
 				x.Reads = append(x.Reads, UpgradeRead{from, w.now(), u.To, u.Phase})
 				if u.To == x.Version {
 					x.Reason = u.Reason
@@ -146,9 +146,9 @@
 		}
 		if err == nil && u.To == x.Version && !ended && !u.Active() {
 			ended = true
-			w.endTargets(x, u.Phase, flaw)
+			w.endTargets(x, u.Phase, defect)
 		}
-		timer := time.NewTimer(askEvery)
+		timer := time.NewTimer(upgradePollInterval)
 		select {
 		case <-timer.C:
 		case <-w.ctx.Done():
@@ -157,23 +157,23 @@
 	}
 }
 
-// endTargets ends those targets that an upgrade's end leaves without work.
-func (w *World) endTargets(x *UpgradeOrder, phase upgrade.Phase, flaw Flaw) {
+// endTargets ends the targets that are no longer needed after an upgrade has ended.
+func (w *World) endTargets(x *UpgradeOrder, phase upgrade.Phase, defect Defect) {
 	if phase == upgrade.Completed {
-		w.herd.setVersion(x.Service, x.Version, flaw)
-		for _, t := range w.herd.of(x.Service) {
+		w.targets.setVersion(x.Service, x.Version, defect)
+		for _, t := range w.targets.ready(x.Service) {
 			if t.Version != x.Version {
-				w.herd.retire(t.Version)
-				w.wg.Go(t.kill)
+				w.targets.retire(t.Version)
+				w.activities.Go(t.kill)
 			}
 		}
 		return
 	}
-	w.herd.retire(x.Version)
-	time.Sleep(revertPause)
-	for _, t := range w.herd.of(x.Service) {
+	w.targets.retire(x.Version)
+	time.Sleep(revertDrainDelay)
+	for _, t := range w.targets.ready(x.Service) {
 		if t.Version == x.Version {
-			w.wg.Go(t.leave)
+			w.activities.Go(t.drainAndStop)
 		}
 	}
 }
--- a/internal/sim/day/upgrade_test.go
+++ b/internal/sim/day/upgrade_test.go
@@ -14,9 +14,9 @@
 	"walkrudder/internal/upgrade"
 )
 
-// Busy is the small deployment with so many requests that a small share of them shows what a version is like.
-func Busy() Shape {
-	s := Small()
+// BusyDeployment is the small deployment with enough requests for a small share of them to reveal a defect.
+func BusyDeployment() Deployment {
+	s := SmallDeployment()
 	s.Targets = map[string]int{"orders": 26, "archive": 8}
 	s.Streams = lo.Map(s.Streams, func(x Stream, _ int) Stream {
 		x.Rate *= 4
@@ -27,166 +27,166 @@
 
 const upgradeTerm = 24 * time.Second
 
-// playUpgrade plays a day with one upgrade of orders and returns what was told of it.
-func playUpgrade(t *testing.T, seed uint64, flaw Flaw, troubles ...Trouble) *UpgradeOrder {
+// runUpgradeDay runs a day with one upgrade of orders and returns its reported states.
+func runUpgradeDay(t *testing.T, seed uint64, defect Defect, scenarios ...Scenario) *UpgradeOrder {
 	t.Helper()
-	together <- struct{}{}
-	defer func() { <-together }()
+	parallelDays <- struct{}{}
+	defer func() { <-parallelDays }()
 	var r *Record
 	synctest.Test(t, func(t *testing.T) {
-		r = Play(t, seed, Busy(), 36*time.Second, append(troubles, At(2*time.Second, Upgraded("orders", "v2", flaw, upgradeTerm)))...)
+		r = RunDay(t, seed, BusyDeployment(), 36*time.Second, append(scenarios, StartAt(2*time.Second, UpgradeService("orders", "v2", defect, upgradeTerm)))...)
 	})
-	for _, b := range Judge(r) {
-		t.Errorf("%v %s: %s", b.At, b.Rule, b.What)
+	for _, b := range CheckAll(r) {
+		t.Errorf("%v %s: %s", b.At, b.Rule, b.Detail)
 	}
 	x := r.Upgrades[0]
-	at, phase := x.Ended()
-	got, all := 0, 0
+	at, phase := x.Outcome()
+	received, total := 0, 0
 	for _, a := range r.Arrivals {
-		if a.Service == "orders" && a.At >= x.Sent && a.At < x.Sent+x.Term {
-			all++
-			got += lo.Ternary(a.Version == x.Version, 1, 0)
+		if a.Service == "orders" && a.ArrivedAt >= x.Sent && a.ArrivedAt < x.Sent+x.Term {
+			total++
+			received += lo.Ternary(a.Version == x.Version, 1, 0)
 		}
 	}
-	t.Logf("ordered at %v, acknowledged at %v, %s at %v %s, %d of %d requests in the term", x.Sent, x.Acked, phase, at, x.Reason, got, all)
+	t.Logf("ordered at %v, acknowledged at %v, %s at %v %s, %d of %d requests in the term", x.Sent, x.Acked, phase, at, x.Reason, received, total)
 	return x
 }
 
-// wantEnd fails unless an upgrade ended in a phase within its term.
-func wantEnd(t *testing.T, x *UpgradeOrder, want upgrade.Phase) {
+// checkOutcome fails the test unless an upgrade ended in the wanted phase within its term.
+func checkOutcome(t *testing.T, x *UpgradeOrder, want upgrade.Phase) {
 	t.Helper()
-	if at, phase := x.Ended(); phase != want || at > x.Sent+x.Term {
+	if at, phase := x.Outcome(); phase != want || at > x.Sent+x.Term {
 		t.Errorf("%s at %v, want %s by %v", phase, at, want, x.Sent+x.Term)
 	}
 }
 
 func TestAGoodVersionIsCompleted(t *testing.T) {
 	t.Parallel()
-	for seed := range lo.Ternary(raced, uint64(1), 3) {
-		wantEnd(t, playUpgrade(t, 601+seed, Flaw{}), upgrade.Completed)
+	for seed := range lo.Ternary(raceEnabled, uint64(1), 3) {
+		checkOutcome(t, runUpgradeDay(t, 601+seed, Defect{}), upgrade.Completed)
 	}
 }
 
-// flaws are the kinds of bad versions.
-var flaws = map[string]Flaw{
-	"fails":                 {Fails: .5},
-	"is slow":               {Slow: .5},
-	"fails on one route":    {Fails: .5, Route: "submit"},
-	"fails some time later": {Fails: .5, After: 4 * time.Second},
-	"fails under load":      {Fails: .6, UnderLoad: true},
-	"fails a little":        {Fails: .35},
+// defects are the kinds of bad versions.
+var defects = map[string]Defect{
+	"fails":                 {FailRate: .5},
+	"is slow":               {SlowRate: .5},
+	"fails on one route":    {FailRate: .5, Route: "submit"},
+	"fails some time later": {FailRate: .5, After: 4 * time.Second},
+	"fails under load":      {FailRate: .6, UnderLoad: true},
+	"fails a little":        {FailRate: .35},
 }
 
 func TestABadVersionIsReverted(t *testing.T) {
 	t.Parallel()
-	for name, flaw := range flaws {
-		if raced && name != "fails on one route" {
+	for name, defect := range defects {
+		if raceEnabled && name != "fails on one route" {
 			continue
 		}
 		t.Run(name, func(t *testing.T) {
-			wantEnd(t, playUpgrade(t, 611, flaw), upgrade.Reverted)
+			checkOutcome(t, runUpgradeDay(t, 611, defect), upgrade.Reverted)
 		})
 	}
 }
 
-// meanwhile are troubles beside an upgrade.
-var meanwhile = map[string]Trouble{
-	"answers are lost":     At(4*time.Second, Faulty("orders", .4, Fault{Silent: .03}, 10*time.Second)),
-	"wrong bytes":          At(4*time.Second, Faulty("orders", .4, Fault{Garbles: .03, Garble: Extra}, 10*time.Second)),
-	"some targets crash":   At(6*time.Second, Crashed("orders", .15, Crash, 3*time.Second)),
-	"a controller is lost": At(8*time.Second, Killed(1, Controller, 2*time.Second)),
-	"gateways are killed":  At(8*time.Second, Herd(.5, Gateway, time.Second)),
-	"changes":              At(3*time.Second, Changes(8, time.Second)),
-	"targets are replaced": At(4*time.Second, Release("archive", 500*time.Millisecond)),
+// concurrentScenarios are scenarios that run during an upgrade.
+var concurrentScenarios = map[string]Scenario{
+	"answers are lost":     StartAt(4*time.Second, FaultyTargets("orders", .4, TargetFault{NoResponse: .03}, 10*time.Second)),
+	"wrong bytes":          StartAt(4*time.Second, FaultyTargets("orders", .4, TargetFault{Corrupt: .03, Corruption: TrailingBytes}, 10*time.Second)),
+	"some targets crash":   StartAt(6*time.Second, CrashTargets("orders", .15, ProcessCrash, 3*time.Second)),
+	"a controller is lost": StartAt(8*time.Second, KillProcesses(1, Controller, 2*time.Second)),
+	"gateways are killed":  StartAt(8*time.Second, KillShare(.5, Gateway, time.Second)),
+	"changes":              StartAt(3*time.Second, ApplyChanges(8, time.Second)),
+	"targets are replaced": StartAt(4*time.Second, ReplaceTargets("archive", 500*time.Millisecond)),
 }
 
-// What happens to machines and targets meanwhile makes no good version bad.
+// Checks that faults of machines and targets don't cause a good version to be reverted.
 func TestGoodVersionsInTroubleAreCompleted(t *testing.T) {
 	t.Parallel()
-	for name, trouble := range meanwhile {
-		if raced && name != "gateways are killed" {
+	for name, scenario := range concurrentScenarios {
+		if raceEnabled && name != "gateways are killed" {
 			continue
 		}
 		t.Run(name, func(t *testing.T) {
-			wantEnd(t, playUpgrade(t, 621, Flaw{}, trouble), upgrade.Completed)
+			checkOutcome(t, runUpgradeDay(t, 621, Defect{}, scenario), upgrade.Completed)
 		})
 	}
 }
 
-// Nor does it make a bad one good.
+// Checks that faults of machines and targets don't cause a bad version to be completed.
 func TestBadVersionsInTroubleAreReverted(t *testing.T) {
 	t.Parallel()
-	for name, trouble := range meanwhile {
-		if raced && name != "gateways are killed" {
+	for name, scenario := range concurrentScenarios {
+		if raceEnabled && name != "gateways are killed" {
 			continue
 		}
 		t.Run(name, func(t *testing.T) {
-			wantEnd(t, playUpgrade(t, 622, Flaw{Fails: .5}, trouble), upgrade.Reverted)
+			checkOutcome(t, runUpgradeDay(t, 622, Defect{FailRate: .5}, scenario), upgrade.Reverted)
 		})
 	}
 }
 
-// Whatever is lost right after something was told of an upgrade, it is not taken back, and no rule is broken.
+// Checks that a reported state of an upgrade is not taken back, whatever fails right after it, and that no rule is broken.
 func TestUpgradesOutliveLosses(t *testing.T) {
 	t.Parallel()
-	for name, loss := range map[string]Trouble{
-		"all are killed":      Closes(AllKilled, time.Second),
-		"all lose power":      Closes(AllPower, time.Second),
-		"gateways are killed": Herd(1, Gateway, time.Second),
-		"the core is cut":     CoreCut(4 * time.Second),
+	for name, loss := range map[string]Scenario{
+		"all are killed":      FailAllMachines(AllKilled, time.Second),
+		"all lose power":      FailAllMachines(AllLosePower, time.Second),
+		"gateways are killed": KillShare(1, Gateway, time.Second),
+		"the core is cut":     PartitionMachines(4 * time.Second),
 	} {
 		for at, phase := range map[time.Duration]string{2050 * time.Millisecond: "ordered", 16 * time.Second: "shifting", 20 * time.Second: "ended"} {
-			if raced && (phase != "shifting" || name != "all lose power") {
+			if raceEnabled && (phase != "shifting" || name != "all lose power") {
 				continue
 			}
 			t.Run(fmt.Sprint(name, " when ", phase), func(t *testing.T) {
-				playUpgrade(t, 631, Flaw{}, At(at, loss))
+				runUpgradeDay(t, 631, Defect{}, StartAt(at, loss))
 				if phase == "ordered" {
-					playUpgrade(t, 632, Flaw{Fails: .5, After: 3 * time.Second}, At(at, loss))
+					runUpgradeDay(t, 632, Defect{FailRate: .5, After: 3 * time.Second}, StartAt(at, loss))
 				}
 			})
 		}
 	}
 }
 
-// drawFlaw draws what is wrong with a version, often nothing.
-func drawFlaw(r *rand.Rand, service string) (name string, flaw Flaw) {
-	names := slices.Sorted(maps.Keys(flaws))
+// randomDefect draws a defect of a version, or often none.
+func randomDefect(r *rand.Rand, service string) (name string, defect Defect) {
+	names := slices.Sorted(maps.Keys(defects))
 	i := r.IntN(len(names) + 3)
 	if i >= len(names) {
-		return "is good", Flaw{}
+		return "is good", Defect{}
 	}
-	flaw = flaws[names[i]]
-	if flaw.Route != "" && service == "archive" {
-		flaw.Route = "lookup"
+	defect = defects[names[i]]
+	if defect.Route != "" && service == "archive" {
+		defect.Route = "lookup"
 	}
-	return names[i], flaw
+	return names[i], defect
 }
 
-// playUpgradeMix plays a day of mixed troubles with upgrades of both services, one of them again after it ended.
-func playUpgradeMix(t *testing.T, seed uint64) {
+// runUpgradeMix runs a day of mixed scenarios with upgrades of both services, and a second upgrade of one after its first ended.
+func runUpgradeMix(t *testing.T, seed uint64) {
 	t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
 		t.Parallel()
-		_, length, xs := mix(t, seed, true)
+		_, length, scenarios := drawScenarios(t, seed, true)
 		r := rand.New(rand.NewPCG(seed, 11))
 		for i, service := range []string{"orders", "archive", "orders"} {
-			name, flaw := drawFlaw(r, service)
+			name, defect := randomDefect(r, service)
 			at, term := time.Duration(r.Int64N(int64(6*time.Second)))+time.Duration(i/2)*16*time.Second, 12*time.Second+time.Duration(r.Int64N(int64(12*time.Second)))
 			t.Logf("at %v: version v%d of %s, which %s, in %v", warmUp+at, i+2, service, name, term)
-			xs = append(xs, At(at, Upgraded(service, fmt.Sprintf("v%d", i+2), flaw, term)))
+			scenarios = append(scenarios, StartAt(at, UpgradeService(service, fmt.Sprintf("v%d", i+2), defect, term)))
 		}
-		play(t, seed, Busy(), length+6*time.Second, .1, xs...)
+		runAndCheck(t, seed, BusyDeployment(), length+6*time.Second, .1, scenarios...)
 	})
 }
 
-// Days with upgrades beside troubles by chance break no rule either.
+// Checks that days with upgrades and random scenarios break no rule.
 func TestUpgradeMixes(t *testing.T) {
-	for seed := range lo.Ternary(raced, uint64(1), 6) {
-		playUpgradeMix(t, 701+seed)
+	for seed := range lo.Ternary(raceEnabled, uint64(1), 6) {
+		runUpgradeMix(t, 701+seed)
 	}
 }
 
-// TestUpgradeHunt plays as many of them as it is told to, as TestHunt does.
+// TestUpgradeHunt runs as many of these days as the -days flag asks for, as TestHunt does.
 func TestUpgradeHunt(t *testing.T) {
-	hunt(t, playUpgradeMix)
+	runSeeds(t, runUpgradeMix)
 }
--- a/internal/sim/day/visit.go
+++ b/internal/sim/day/visit.go
@@ -14,72 +14,72 @@
 	"walkrudder/internal/target"
 )
 
-// visit is one request at a target.
-type visit struct {
-	t      *Target
-	c      *simnet.Conn
-	q      *http.Request
-	body   string
-	before string // the whole answer before it on the connection
-	sent   string
-	a      *Arrival
+// targetRequest is one request received by a target.
+type targetRequest struct {
+	target   *Target
+	conn     *simnet.Conn
+	request  *http.Request
+	body     string
+	previous string // the previous response on the connection
+	response string
+	arrival  *Arrival
 }
 
-// change writes into the record of the request.
-func (x *visit) change(f func(*Arrival)) {
-	x.t.w.note(func(*Record) { f(x.a) })
+// update changes the arrival in the record.
+func (x *targetRequest) update(f func(*Arrival)) {
+	x.target.world.updateRecord(func(*Record) { f(x.arrival) })
 }
 
-func (x *visit) serve() bool {
-	t, w := x.t, x.t.w
-	f := t.wrong()
-	if x.q.URL.Path == "/health" {
-		return x.health(f)
+func (x *targetRequest) serve() bool {
+	t, w := x.target, x.target.world
+	f := t.currentFault()
+	if x.request.URL.Path == "/health" {
+		return x.respondHealth(f)
 	}
-	id := x.q.Header.Get(dialect.RequestID)
-	x.a = &Arrival{ID: id, Method: x.q.Method, Path: x.q.RequestURI, Host: x.q.Host, Body: x.body, Run: t.ID, Service: t.Service, Version: t.Version, Machine: x.c.Peer().Host.ID, At: w.now()}
-	w.note(func(r *Record) { r.Arrivals = append(r.Arrivals, x.a) })
-	if got := x.q.Header.Get(dialect.ExpectedRun); got != "" && got != t.ID {
-		x.change(func(a *Arrival) { a.Misdirected = true })
-		return x.say(421, "", "another run")
+	id := x.request.Header.Get(headerNames.RequestID)
+	x.arrival = &Arrival{ID: id, Method: x.request.Method, Path: x.request.RequestURI, Host: x.request.Host, Body: x.body, Run: t.ID, Service: t.Service, Version: t.Version, Machine: x.conn.Peer().Host.ID, ArrivedAt: w.now()}
+	w.updateRecord(func(r *Record) { r.Arrivals = append(r.Arrivals, x.arrival) })
+	if got := x.request.Header.Get(headerNames.ExpectedRun); got != "" && got != t.ID {
+		x.update(func(a *Arrival) { a.Misdirected = true })
+		return x.respond(421, "", "another run")
 	}
 	if id == "" {
-		return x.say(400, dialect.NotRun+": 1\r\n", "no id")
+		return x.respond(400, headerNames.NotRun+": 1\r\n", "no id")
 	}
-	if f.Mute {
-		return x.hang()
+	if f.AnswersOnlyHealth {
+		return x.holdOpen()
 	}
-	if w.real() < f.Grey || f.FullHard {
-		x.c.Abort()
+	if w.randFloat() < f.ResetBeforeRun || f.FullByReset {
+		x.conn.Abort()
 		return false
 	}
-	left, _ := strconv.Atoi(x.q.Header.Get(dialect.RemainingTime))
+	left, _ := strconv.Atoi(x.request.Header.Get(headerNames.RemainingTime))
 	until := time.Now().Add(time.Duration(left) * time.Millisecond)
-	switch err := t.enter(x.c, until, f.Full); {
+	switch err := t.acquireSlot(x.conn, until, f.Full); {
 	case errors.Is(err, errFull), errors.Is(err, errLate):
-		return x.say(503, dialect.NotRun+": 1\r\nRetry-After: 0.2\r\n", err.Error())
+		return x.respond(503, headerNames.NotRun+": 1\r\nRetry-After: 0.2\r\n", err.Error())
 	case err != nil:
 		return false
 	}
 	ok := x.run(f, until)
-	t.exit()
+	t.releaseSlot()
 	return ok
 }
 
 var (
-	errFull = errors.New("full")
-	errLate = errors.New("too late")
-	errGone = errors.New("the caller has gone")
+	errFull       = errors.New("full")
+	errLate       = errors.New("too late")
+	errCallerGone = errors.New("the caller has gone")
 )
 
-// enter waits for a slot.
-func (t *Target) enter(c *simnet.Conn, until time.Time, full bool) error {
+// acquireSlot waits for a slot.
+func (t *Target) acquireSlot(c *simnet.Conn, until time.Time, full bool) error {
 	t.mu.Lock()
-	if full || len(t.queue) >= t.w.Shape.Queue {
+	if full || len(t.queue) >= t.world.Deployment.Queue {
 		t.mu.Unlock()
 		return errFull
 	}
-	if t.active < t.w.Shape.Slots {
+	if t.active < t.world.Deployment.Slots {
 		t.active++
 		t.mu.Unlock()
 		return nil
@@ -93,15 +93,15 @@
 		var err error
 		change := c.Change()
 		if c.Gone() {
-			err = errGone
+			err = errCallerGone
 		} else {
 			select {
 			case <-turn:
 				return nil
 			case <-timer.C:
 				err = errLate
-			case <-t.p.Context().Done():
-				err = errGone
+			case <-t.proc.Context().Done():
+				err = errCallerGone
 			case <-change:
 				continue
 			}
@@ -113,14 +113,14 @@
 		}
 		t.mu.Unlock()
 		if i < 0 {
-			t.exit() // the turn came meanwhile
+			t.releaseSlot() // the slot was granted in the meantime
 		}
 		return err
 	}
 }
 
-// exit hands the slot on.
-func (t *Target) exit() {
+// releaseSlot passes the slot to the next request in the queue.
+func (t *Target) releaseSlot() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if len(t.queue) > 0 {
@@ -131,133 +131,133 @@
 	t.active--
 }
 
-// run does the work and answers.
-func (x *visit) run(f Fault, until time.Time) bool {
-	t, w := x.t, x.t.w
-	if t.p.Dead() {
+// run performs the work and responds.
+func (x *targetRequest) run(f TargetFault, until time.Time) bool {
+	t, w := x.target, x.target.world
+	if t.proc.Dead() {
 		return false
 	}
-	seal := w.id("seal-")
-	body := w.bodyOf(x.a.Path, x.a.ID, seal)
-	x.change(func(a *Arrival) { a.Ran, a.RanAt, a.Seal, a.Answer = true, w.now(), seal, digest(body) })
-	d := time.Duration(float64(w.workOf(x.a.Path)) * t.speed * (0.5 + 0.5*w.exp()))
-	if w.now()-t.started < t.warm {
+	seal := w.newID("seal-")
+	body := w.responseBody(x.arrival.Path, x.arrival.ID, seal)
+	x.update(func(a *Arrival) { a.Ran, a.StartedAt, a.Seal, a.BodyDigest = true, w.now(), seal, bodyDigest(body) })
+	d := time.Duration(float64(w.workTime(x.arrival.Path)) * t.workFactor * (0.5 + 0.5*w.randExp()))
+	if w.now()-t.startedAt < t.warmup {
 		d *= 2
 	}
-	if f.Factor > 0 {
-		d = time.Duration(float64(d) * f.Factor)
+	if f.WorkFactor > 0 {
+		d = time.Duration(float64(d) * f.WorkFactor)
 	}
-	failing, slow := t.ails(x.a.Path)
+	failing, slow := t.drawDefect(x.arrival.Path)
 	if slow {
-		d *= slowFlaw
+		d *= slowFactor
 	}
 	late := time.Now().Add(d).After(until)
 	if late {
 		d = time.Until(until)
 	}
-	x.change(func(a *Arrival) { a.Due = w.now() + d })
+	x.update(func(a *Arrival) { a.DueAt = w.now() + d })
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	for done := false; !done; {
-		change := x.c.Change()
-		if x.c.Gone() {
-			x.change(func(a *Arrival) { a.Done = w.now() })
+		change := x.conn.Change()
+		if x.conn.Gone() {
+			x.update(func(a *Arrival) { a.FinishedAt = w.now() })
 			return false
 		}
 		select {
 		case <-timer.C:
 			done = true
-		case <-t.p.Context().Done():
+		case <-t.proc.Context().Done():
 			return false
 		case <-change:
 		}
 	}
-	x.change(func(a *Arrival) { a.Done = w.now() })
+	x.update(func(a *Arrival) { a.FinishedAt = w.now() })
 	if late {
-		return x.say(504, "", "out of time")
+		return x.respond(504, "", "out of time")
 	}
 	if failing {
-		return x.say(500, "", "flawed")
+		return x.respond(500, "", "flawed")
 	}
-	switch p := w.real(); {
-	case p < f.Silent:
-		return x.hang()
-	case p < f.Silent+f.Resets:
-		x.change(func(a *Arrival) { a.BrokeOff = true })
-		x.c.Abort()
+	switch p := w.randFloat(); {
+	case p < f.NoResponse:
+		return x.holdOpen()
+	case p < f.NoResponse+f.ResetAfterRun:
+		x.update(func(a *Arrival) { a.ResponseFault = true })
+		x.conn.Abort()
 		return false
-	case p < f.Silent+f.Resets+f.Garbles:
-		return x.garbled(f.Garble, seal, body)
+	case p < f.NoResponse+f.ResetAfterRun+f.Corrupt:
+		return x.respondCorrupted(f.Corruption, seal, body)
 	}
-	return x.say(200, dialect.Seal+": "+seal+"\r\n", body)
+	return x.respond(200, headerNames.Seal+": "+seal+"\r\n", body)
 }
 
-// hang keeps the connection without a word until the other side has gone.
-func (x *visit) hang() bool {
-	for !x.c.Gone() && !x.t.p.Dead() {
-		change := x.c.Change()
-		if x.c.Gone() {
+// holdOpen keeps the connection open without a response until the other side has gone.
+func (x *targetRequest) holdOpen() bool {
+	for !x.conn.Gone() && !x.target.proc.Dead() {
+		changed := x.conn.Change()
+		if x.conn.Gone() {
 			break
 		}
 		select {
-		case <-change:
-		case <-x.t.p.Context().Done():
+		case <-changed:
+		case <-x.target.proc.Context().Done():
 		}
 	}
 	return false
 }
 
-// garbled spoils an answer.
-func (x *visit) garbled(g Garble, seal, body string) bool {
-	x.change(func(a *Arrival) { a.BrokeOff = true })
-	sealed := dialect.Seal + ": " + seal + "\r\n"
-	whole := x.text(200, x.a.ID, sealed, body)
+// respondCorrupted writes a corrupted response.
+func (x *targetRequest) respondCorrupted(g CorruptionKind, seal, body string) bool {
+	x.update(func(a *Arrival) { a.ResponseFault = true })
+	sealed := headerNames.Seal + ": " + seal + "\r\n"
+	whole := x.formatResponse(200, x.arrival.ID, sealed, body)
 	write := func(s string) bool {
-		_, err := io.WriteString(x.c, s)
+		_, err := io.WriteString(x.conn, s)
 		return err == nil
 	}
 	switch g {
 	case WrongBytes:
 		write("\x16\x03\x01 no answer at all\r\n\r\n" + body)
 		return false
-	case Extra:
-		x.change(func(a *Arrival) { a.Status = 200 })
-		if x.t.w.chance(2) == 0 {
+	case TrailingBytes:
+		x.update(func(a *Arrival) { a.Status = 200 })
+		if x.target.world.randIntN(2) == 0 {
 			return write(whole + "HTTP/1.1 200 OK\r\n")
 		}
 		if !write(whole) {
 			return false
 		}
-		time.Sleep(x.t.w.within(50 * time.Millisecond))
+		time.Sleep(x.target.world.randDuration(50 * time.Millisecond))
 		return write("more of it")
-	case Short:
-		write(whole[:len(whole)-1-x.t.w.chance(len(body)-1)])
+	case TruncatedBody:
+		write(whole[:len(whole)-1-x.target.world.randIntN(len(body)-1)])
 		return false
-	case OtherID:
-		x.change(func(a *Arrival) { a.Status = 200 })
-		return write(x.text(200, "other-"+x.a.ID, sealed, body))
+	case OtherRequestID:
+		x.update(func(a *Arrival) { a.Status = 200 })
+		return write(x.formatResponse(200, "other-"+x.arrival.ID, sealed, body))
 	}
-	if g == Promise {
-		x.change(func(a *Arrival) { a.Status = 503 })
-		return write(x.text(503, x.a.ID, "Retry-After: 0.1\r\n", "no"))
+	if g == FalseUnavailable {
+		x.update(func(a *Arrival) { a.Status = 503 })
+		return write(x.formatResponse(503, x.arrival.ID, "Retry-After: 0.1\r\n", "no"))
 	}
 	if g == Unsealed {
-		return write(x.text(200, x.a.ID, "", body[1:]))
+		return write(x.formatResponse(200, x.arrival.ID, "", body[1:]))
 	}
-	if g == Unframed {
-		write(fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: %s\r\n%s\r\n%s", dialect.RequestID, x.a.ID, sealed, body[:len(body)/2]))
+	if g == EndsEarlyUnframed {
+		write(fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: %s\r\n%s\r\n%s", headerNames.RequestID, x.arrival.ID, sealed, body[:len(body)/2]))
 		return false
 	}
-	x.change(func(a *Arrival) { a.Status = 200 })
-	x.sent = whole
-	return write(x.before + whole)
+	x.update(func(a *Arrival) { a.Status = 200 })
+	x.response = whole
+	return write(x.previous + whole)
 }
 
-// text is an answer.
-func (x *visit) text(status int, id, more, body string) string {
+// formatResponse returns a response as sent on the connection.
+func (x *targetRequest) formatResponse(status int, id, more, body string) string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "HTTP/1.1 %d %s\r\n%s: %s\r\n%sContent-Length: %d\r\nKeep-Alive: timeout=%d\r\n", status, http.StatusText(status), dialect.RequestID, id, more, len(body), x.t.keep)
-	if x.t.now() != target.Ready {
+	fmt.Fprintf(&b, "HTTP/1.1 %d %s\r\n%s: %s\r\n%sContent-Length: %d\r\nKeep-Alive: timeout=%d\r\n", status, http.StatusText(status), headerNames.RequestID, id, more, len(body), x.target.idleSeconds)
+	if x.target.currentState() != target.Ready {
 		b.WriteString("Connection: close\r\n")
 	}
 	b.WriteString("\r\n")
@@ -265,49 +265,49 @@
 	return b.String()
 }
 
-// say answers, and tells whether the connection stays.
-func (x *visit) say(status int, more, body string) bool {
-	x.change(func(a *Arrival) { a.Status = status })
-	x.sent = x.text(status, x.a.ID, more, body)
-	_, err := io.WriteString(x.c, x.sent)
-	return err == nil && x.t.now() == target.Ready
+// respond sends a response and reports whether the connection stays open.
+func (x *targetRequest) respond(status int, more, body string) bool {
+	x.update(func(a *Arrival) { a.Status = status })
+	x.response = x.formatResponse(status, x.arrival.ID, more, body)
+	_, err := io.WriteString(x.conn, x.response)
+	return err == nil && x.target.currentState() == target.Ready
 }
 
-// health answers a probe; it waits for a slot as a request does.
-func (x *visit) health(f Fault) bool {
-	t := x.t
+// respondHealth answers a health check, which waits for a slot as a request does.
+func (x *targetRequest) respondHealth(f TargetFault) bool {
+	t := x.target
 	status := 200
-	if !f.Mute {
-		if err := t.enter(x.c, time.Now().Add(5*time.Second), f.Full); errors.Is(err, errGone) {
+	if !f.AnswersOnlyHealth {
+		if err := t.acquireSlot(x.conn, time.Now().Add(5*time.Second), f.Full); errors.Is(err, errCallerGone) {
 			return false
 		} else if err != nil {
 			status = 503
 		} else {
-			t.exit()
+			t.releaseSlot()
 		}
 	}
-	if f.Unwell || t.now() != target.Ready {
+	if f.HealthFails || t.currentState() != target.Ready {
 		status = 503
 	}
-	_, err := fmt.Fprintf(x.c, "HTTP/1.1 %d %s\r\n%s: %s\r\nContent-Length: 0\r\nKeep-Alive: timeout=%d\r\n\r\n", status, http.StatusText(status), dialect.Instance, t.ID, t.keep)
+	_, err := fmt.Fprintf(x.conn, "HTTP/1.1 %d %s\r\n%s: %s\r\nContent-Length: 0\r\nKeep-Alive: timeout=%d\r\n\r\n", status, http.StatusText(status), headerNames.Instance, t.ID, t.idleSeconds)
 	return err == nil
 }
 
-// streamOf is the stream to which a path belongs; the routes that operators add have that
-// of a lookup.
+// streamOf returns the stream to which a path belongs, or a short default for the routes that
+// operators add.
 func (w *World) streamOf(path string) Stream {
-	for _, s := range w.Shape.Streams {
+	for _, s := range w.Deployment.Streams {
 		if strings.HasPrefix(path, "/"+s.Route+"/") {
 			return s
 		}
 	}
-	return Stream{Work: 20 * time.Millisecond, Body: 100}
+	return Stream{WorkTime: 20 * time.Millisecond, BodyBytes: 100}
 }
 
-func (w *World) workOf(path string) time.Duration { return w.streamOf(path).Work }
+func (w *World) workTime(path string) time.Duration { return w.streamOf(path).WorkTime }
 
-// bodyOf is the body of an answer, different for each run of each request.
-func (w *World) bodyOf(path, id, seal string) string {
+// responseBody returns the body of a response, which is different for each run of each request.
+func (w *World) responseBody(path, id, seal string) string {
 	s := "body of " + id + " under " + seal + " "
-	return s + strings.Repeat("x", max(0, w.streamOf(path).Body-len(s)))
+	return s + strings.Repeat("x", max(0, w.streamOf(path).BodyBytes-len(s)))
 }
