--- a/internal/sim/day/world.go
+++ b/internal/sim/day/world.go
@@ -20,87 +20,87 @@
 	"walkrudder/internal/sim/simnet"
 )
 
-// dialect is what the callers and targets of simulated days agreed on.
-var dialect = proxy.HeaderNames{RequestID: "X-Id", RemainingTime: "X-Left", Seal: "X-Seal", ExpectedRun: "X-Run",
+// headerNames are the header names that simulated callers and targets use.
+var headerNames = proxy.HeaderNames{RequestID: "X-Id", RemainingTime: "X-Left", Seal: "X-Seal", ExpectedRun: "X-Run",
 	NotRun: "X-Not-Run", RetryAfter: "Retry-After", Instance: "X-Instance"}
 
 const (
-	host      = "h.example"
-	beatEvery = time.Second
-	// warmUp is how long before the callers the machines start.
+	requestHost       = "h.example"
+	heartbeatInterval = time.Second
+	// warmUp is how long the machines run before the first callers.
 	warmUp = 8 * time.Second
 )
 
-// Stream is one kind of request.
+// Stream is a stream of requests of one kind.
 type Stream struct {
-	Route    string
-	Repeat   route.Repeat
-	Service  string
-	Rate     float64 // a second
-	Work     time.Duration
-	Aim      time.Duration
-	Deadline time.Duration
-	Tries    int // further ones of the caller
-	Body     int // bytes of an answer
-	Priority int
+	Route         string
+	Repeat        route.Repeat
+	Service       string
+	Rate          float64 // requests per second
+	WorkTime      time.Duration
+	LatencyTarget time.Duration
+	Deadline      time.Duration
+	Retries       int // by the caller, after the first attempt
+	BodyBytes     int // of a response
+	Priority      int
 }
 
-// Shape is a deployment.
-type Shape struct {
-	Zones, Machines, Disks, Bear int
-	// Regions is how many regions the zones stand in; 0 where the deployment has none. BearZones and BearRegions are how
-	// many of each may be lost at once, besides Bear machines.
-	Regions, BearZones, BearRegions int
-	Targets                         map[string]int // by service
-	Slots, Queue, MaxConns          int
-	Streams                         []Stream
-	Bounds                          Bounds
-	// LinkMbps is the width of each machine's link, as its gateway is told it; 0 is wide.
+// Deployment describes the machines, targets and traffic of a simulated system.
+type Deployment struct {
+	Zones, Machines, Disks, MaxLostMachines int
+	// Regions is the number of regions that the zones belong to; 0 if the deployment has none. MaxLostZones and
+	// MaxLostRegions are how many zones and regions may be lost at once, in addition to MaxLostMachines machines.
+	Regions, MaxLostZones, MaxLostRegions int
+	Targets                               map[string]int // number of targets by service
+	Slots, Queue, MaxConns                int
+	Streams                               []Stream
+	Bounds                                Bounds
+	// LinkMbps is the bandwidth of each machine's link as configured at its gateway; 0 is unlimited.
 	LinkMbps float64
 }
 
-// Small is a deployment with three machines that have a disk, of which one may be lost.
-func Small() Shape {
-	return Shape{Zones: 3, Machines: 6, Disks: 3, Bear: 1, Targets: map[string]int{"orders": 7, "archive": 4}, Slots: 2, Queue: 4, MaxConns: 40, Bounds: Usual(),
+// SmallDeployment has three machines with a disk, of which one may be lost.
+func SmallDeployment() Deployment {
+	return Deployment{Zones: 3, Machines: 6, Disks: 3, MaxLostMachines: 1, Targets: map[string]int{"orders": 7, "archive": 4}, Slots: 2, Queue: 4, MaxConns: 40, Bounds: DefaultBounds(),
 		Streams: []Stream{
-			{Route: "read", Repeat: route.Idempotent, Service: "orders", Rate: 30, Work: 120 * time.Millisecond, Aim: 400 * time.Millisecond, Deadline: 2500 * time.Millisecond, Tries: 2, Body: 400, Priority: 1},
-			{Route: "submit", Repeat: route.Once, Service: "orders", Rate: 15, Work: 160 * time.Millisecond, Aim: 500 * time.Millisecond, Deadline: 3 * time.Second, Tries: 2, Body: 200},
-			{Route: "bundle", Repeat: route.Download, Service: "archive", Rate: 6, Work: 96 * time.Millisecond, Aim: 400 * time.Millisecond, Deadline: 2500 * time.Millisecond, Tries: 2, Body: 12 << 10, Priority: 2},
-			{Route: "lookup", Repeat: route.Idempotent, Service: "archive", Rate: 12, Work: 48 * time.Millisecond, Aim: 150 * time.Millisecond, Deadline: time.Second, Tries: 1, Body: 300, Priority: 1},
+			{Route: "read", Repeat: route.Idempotent, Service: "orders", Rate: 30, WorkTime: 120 * time.Millisecond, LatencyTarget: 400 * time.Millisecond, Deadline: 2500 * time.Millisecond, Retries: 2, BodyBytes: 400, Priority: 1},
+			{Route: "submit", Repeat: route.Once, Service: "orders", Rate: 15, WorkTime: 160 * time.Millisecond, LatencyTarget: 500 * time.Millisecond, Deadline: 3 * time.Second, Retries: 2, BodyBytes: 200},
+			{Route: "bundle", Repeat: route.Download, Service: "archive", Rate: 6, WorkTime: 96 * time.Millisecond, LatencyTarget: 400 * time.Millisecond, Deadline: 2500 * time.Millisecond, Retries: 2, BodyBytes: 12 << 10, Priority: 2},
+			{Route: "lookup", Repeat: route.Idempotent, Service: "archive", Rate: 12, WorkTime: 48 * time.Millisecond, LatencyTarget: 150 * time.Millisecond, Deadline: time.Second, Retries: 1, BodyBytes: 300, Priority: 1},
 		}}
 }
 
-// Narrow is the small deployment on narrow links, with downloads large enough to go on to
-// the caller while they come in.
-func Narrow() Shape {
-	s := Small()
+// NarrowLinkDeployment is the small deployment on narrow links, with downloads large enough to be
+// forwarded to the caller while they are still being received.
+func NarrowLinkDeployment() Deployment {
+	s := SmallDeployment()
 	s.LinkMbps = 3.2
 	s.Streams = slices.Clone(s.Streams)
 	for i := range s.Streams {
 		if s.Streams[i].Repeat == route.Download {
-			s.Streams[i].Body, s.Streams[i].Aim = 40<<10, 1500*time.Millisecond
+			s.Streams[i].BodyBytes, s.Streams[i].LatencyTarget = 40<<10, 1500*time.Millisecond
 		}
 	}
 	return s
 }
 
-// Heavy is the small deployment on narrow links to some of which more downloads come than they can
-// carry, for callers that wait long enough to see it.
-func Heavy() Shape {
-	s := Narrow()
+// OverloadedLinkDeployment is the small deployment on narrow links, some of which receive more downloads than they can
+// carry. The callers wait long enough to observe it.
+func OverloadedLinkDeployment() Deployment {
+	s := NarrowLinkDeployment()
 	s.Streams = slices.Clone(s.Streams)
 	for i := range s.Streams {
 		if s.Streams[i].Repeat == route.Download {
-			s.Streams[i].Rate, s.Streams[i].Body, s.Streams[i].Deadline = 10, 160<<10, 10*time.Second
+			s.Streams[i].Rate, s.Streams[i].BodyBytes, s.Streams[i].Deadline = 10, 160<<10, 10*time.Second
 		}
 	}
 	return s
 }
 
-// Large is a deployment with six machines that have a disk, of which two may be lost.
-func Large() Shape {
-	s := Small()
-	s.Zones, s.Machines, s.Disks, s.Bear = 4, 10, 6, 2
+// LargeDeployment has six machines with a disk, of which two may be lost.
+func LargeDeployment() Deployment {
+	s := SmallDeployment()
+	s.Zones, s.Machines, s.Disks, s.MaxLostMachines = 4, 10, 6, 2
 	s.Targets = map[string]int{"orders": 13, "archive": 8}
 	s.Streams = slices.Clone(s.Streams)
 	for i := range s.Streams {
@@ -109,43 +109,43 @@
 	return s
 }
 
-// World is a deployment on the virtual clock.
+// World is a running deployment on the virtual clock.
 type World struct {
-	t     *testing.T
-	Shape Shape
-	ctx   context.Context
-	began time.Time
-	net   *simnet.Net
-	dir   string
-	zones map[string]string
-
-	Machines []*Machine
-	herd     *herd
-	first    bool
-
-	mu      sync.Mutex
-	rnd     *rand.Rand
-	rec     *Record
-	seeds   []string
-	closing bool     // the day is over, nothing new begins
-	lasting []func() // ends the troubles that last until all was read back
-	press   float64
-	abuse   bool
-	leavers leavers
-	ackLoss float64 // the part of the acknowledgements to operators that is lost
-	ids     int
-	version uint64
-	wg      sync.WaitGroup // of callers, operators and troubles
-	procs   sync.WaitGroup // of processes
+	t          *testing.T
+	Deployment Deployment
+	ctx        context.Context
+	startedAt  time.Time
+	net        *simnet.Net
+	dir        string
+	zones      map[string]string
+
+	Machines     []*Machine
+	targets      *targetSet
+	initialStart bool
+
+	mu                sync.Mutex
+	rng               *rand.Rand
+	record            *Record
+	seeds             []string
+	finished          bool     // the day has ended and nothing new may start
+	finalCleanups     []func() // ends the faults that last until the final read
+	loadFactor        float64
+	aggressiveRetries bool
+	disconnects       disconnectRate
+	ackLossRate       float64 // the share of acknowledgements to operators that is lost
+	lastID            int
+	version           uint64
+	activities        sync.WaitGroup // callers, operators and scenarios
+	processes         sync.WaitGroup // processes of machines
 }
 
-// Play runs a day of a length with troubles and returns what it showed. It is to run in
-// a bubble of testing/synctest.
-func Play(t *testing.T, seed uint64, s Shape, length time.Duration, troubles ...Trouble) *Record {
-	ctx, end := context.WithCancel(t.Context())
-	w := &World{t: t, Shape: s, ctx: ctx, began: time.Now(), dir: t.TempDir(), first: true, press: 1, version: 1,
-		net: simnet.New(seed, 300*time.Microsecond, 600*time.Microsecond, 700*time.Microsecond), rnd: rand.New(rand.NewPCG(seed, 1)), zones: map[string]string{},
-		rec: &Record{Bounds: s.Bounds, PassOn: s.LinkMbps > 0, Harmed: map[string][]*Span{}}}
+// RunDay simulates a day of the given length with scenarios and returns its record. It must run
+// inside a testing/synctest bubble.
+func RunDay(t *testing.T, seed uint64, s Deployment, length time.Duration, scenarios ...Scenario) *Record {
+	ctx, cancel := context.WithCancel(t.Context())
+	w := &World{t: t, Deployment: s, ctx: ctx, startedAt: time.Now(), dir: t.TempDir(), initialStart: true, loadFactor: 1, version: 1,
+		net: simnet.New(seed, 300*time.Microsecond, 600*time.Microsecond, 700*time.Microsecond), rng: rand.New(rand.NewPCG(seed, 1)), zones: map[string]string{},
+		record: &Record{Bounds: s.Bounds, ForwardsEarly: s.LinkMbps > 0, TargetPathFaults: map[string][]*FaultSpan{}}}
 	for i := range s.Zones {
 		w.zones[zone(i)] = "region"
 	}
@@ -154,129 +154,132 @@
 	}
 	for _, m := range w.Machines {
 		if m.disk != nil {
-			w.rec.Core = append(w.rec.Core, m.ID)
-			w.seeds = append(w.seeds, m.innerAddr())
+			w.record.CoreMachines = append(w.record.CoreMachines, m.ID)
+			w.seeds = append(w.seeds, m.internalAddr())
 		}
 	}
 	for _, m := range w.Machines {
-		m.bootController()
-		m.bootGateway()
+		m.startController()
+		m.startGateway()
 	}
-	w.first = false
-	w.herd = newHerd(w)
-	w.herd.startAll()
-	w.firstOrder()
+	w.initialStart = false
+	w.targets = newTargetSet(w)
+	w.targets.startInitial()
+	w.sendInitialChange()
 	time.Sleep(warmUp - w.now())
 	for _, m := range w.Machines {
-		w.wg.Go(m.watchReadiness)
+		w.activities.Go(m.watchReadiness)
 	}
 	var callers sync.WaitGroup
 	for i := range s.Streams {
 		for z := range s.Zones {
-			callers.Go(func() { w.callers(s.Streams[i], zone(z), length) })
+			callers.Go(func() { w.runCallers(s.Streams[i], zone(z), length) })
 		}
 	}
-	var played sync.WaitGroup
-	for _, x := range troubles {
-		played.Go(func() { x(w) })
+	var running sync.WaitGroup
+	for _, x := range scenarios {
+		running.Go(func() { x(w) })
 	}
-	played.Wait()
+	running.Wait()
 	callers.Wait()
 	w.sleepUntil(warmUp + length)
-	w.readBack()
-	all(w.lasting)()
+	w.readFinalConfiguration()
+	runAll(w.finalCleanups)()
 	w.mu.Lock()
-	w.closing = true
-	w.rec.Length = w.now()
-	for _, x := range w.rec.Spans {
+	w.finished = true
+	w.record.Length = w.now()
+	for _, x := range w.record.Faults {
 		if x.To == 0 {
-			x.To = w.rec.Length
+			x.To = w.record.Length
 		}
 	}
 	w.mu.Unlock()
-	end()
-	w.herd.end()
+	cancel()
+	w.targets.killAll()
 	for _, m := range w.Machines {
 		m.host.Thaw()
 		m.killAll()
 	}
-	w.wg.Wait()
-	w.procs.Wait()
-	time.Sleep(15 * time.Second) // what is still on its way gets there
-	return w.rec
+	w.activities.Wait()
+	w.processes.Wait()
+	time.Sleep(15 * time.Second) // lets messages that are still in transit arrive
+	return w.record
 }
 
 func zone(i int) string { return fmt.Sprintf("z%d", i) }
 
-func (w *World) now() time.Duration { return time.Since(w.began) }
+func (w *World) now() time.Duration { return time.Since(w.startedAt) }
 
 func (w *World) sleepUntil(at time.Duration) { time.Sleep(at - w.now()) }
 
-// chance draws below n.
-func (w *World) chance(n int) int {
+// randIntN returns a random integer in [0, n).
+func (w *World) randIntN(n int) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.rnd.IntN(n)
+	return w.rng.IntN(n)
 }
 
-// real draws from 0 to 1, and exp with a mean of 1.
-func (w *World) real() float64 {
+// randFloat returns a random number in [0, 1).
+func (w *World) randFloat() float64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.rnd.Float64()
+	return w.rng.Float64()
 }
 
-func (w *World) exp() float64 {
+// randExp returns an exponentially distributed random number with a mean of 1.
+func (w *World) randExp() float64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.rnd.ExpFloat64()
+	return w.rng.ExpFloat64()
 }
 
-// within draws a time up to d.
-func (w *World) within(d time.Duration) time.Duration { return time.Duration(w.real() * float64(d)) }
+// randDuration returns a random duration in [0, d).
+func (w *World) randDuration(d time.Duration) time.Duration {
+	return time.Duration(w.randFloat() * float64(d))
+}
 
-func (w *World) id(prefix string) string {
+func (w *World) newID(prefix string) string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.ids++
-	return fmt.Sprintf("%s%d", prefix, w.ids)
+	w.lastID++
+	return fmt.Sprintf("%s%d", prefix, w.lastID)
 }
 
-func (w *World) over() bool {
+func (w *World) isFinished() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.closing
+	return w.finished
 }
 
-// note changes the record.
-func (w *World) note(f func(*Record)) {
+// updateRecord changes the record under the lock.
+func (w *World) updateRecord(f func(*Record)) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	f(w.rec)
+	f(w.record)
 }
 
-// trouble begins a span at a machine; the function that it returns ends it.
-func (w *World) trouble(m *Machine, k Kind) (over func()) {
-	s := &Span{Machine: m.ID, Kind: k, From: w.now()}
-	w.note(func(r *Record) { r.Spans = append(r.Spans, s) })
-	return func() { w.note(func(*Record) { s.To = w.now() }) }
+// beginFault records the start of a fault of a machine; the returned function records its end.
+func (w *World) beginFault(m *Machine, k FaultKind) (end func()) {
+	s := &FaultSpan{Machine: m.ID, Kind: k, From: w.now()}
+	w.updateRecord(func(r *Record) { r.Faults = append(r.Faults, s) })
+	return func() { w.updateRecord(func(*Record) { s.To = w.now() }) }
 }
 
-// harm does so for the way to a run of a target.
-func (w *World) harm(run string) (over func()) {
-	s := &Span{From: w.now(), To: 1 << 62}
-	w.note(func(r *Record) { r.Harmed[run] = append(r.Harmed[run], s) })
-	return func() { w.note(func(*Record) { s.To = w.now() }) }
+// beginTargetPathFault does the same for the network path to a run of a target.
+func (w *World) beginTargetPathFault(run string) (end func()) {
+	s := &FaultSpan{From: w.now(), To: 1 << 62}
+	w.updateRecord(func(r *Record) { r.TargetPathFaults[run] = append(r.TargetPathFaults[run], s) })
+	return func() { w.updateRecord(func(*Record) { s.To = w.now() }) }
 }
 
-func pick[T any](w *World, of []T) T { return of[w.chance(len(of))] }
+func pickOne[T any](w *World, of []T) T { return of[w.randIntN(len(of))] }
 
-// some draws k different ones.
-func some[T any](w *World, of []T, k int) []T {
+// pickN returns k random distinct elements of a list.
+func pickN[T any](w *World, of []T, k int) []T {
 	of = slices.Clone(of)
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.rnd.Shuffle(len(of), func(i, j int) { of[i], of[j] = of[j], of[i] })
+	w.rng.Shuffle(len(of), func(i, j int) { of[i], of[j] = of[j], of[i] })
 	return of[:min(k, len(of))]
 }
 
@@ -286,22 +289,22 @@
 	return slices.Clone(w.seeds)
 }
 
-func quietLog() *log.Logger {
+func discardLogger() *log.Logger {
 	return log.NewWithOptions(io.Discard, log.Options{Level: log.FatalLevel})
 }
 
-// controllers are the machines that serve the control plane.
+// controllers returns the machines that run a controller.
 func (w *World) controllers() (out []*Machine) {
 	for _, m := range w.Machines {
-		if m.serves {
+		if m.hasController {
 			out = append(out, m)
 		}
 	}
 	return out
 }
 
-// core are the machines with a disk.
-func (w *World) core() (out []*Machine) {
+// coreMachines returns the machines that have a disk.
+func (w *World) coreMachines() (out []*Machine) {
 	for _, m := range w.Machines {
 		if m.disk != nil {
 			out = append(out, m)
@@ -320,28 +323,28 @@
 
 func (w *World) diskDir(id string) string { return filepath.Join(w.dir, id) }
 
-// routeOf is a stream's route at a version.
+// route returns the stream's route at a version.
 func (s Stream) route(version uint64, to ...route.Share) route.Route {
-	return route.Route{Name: s.Route, Version: version, Host: host, Prefix: "/" + s.Route + "/", Repeat: s.Repeat, AimMS: int(s.Aim.Milliseconds()), Priority: s.Priority,
+	return route.Route{Name: s.Route, Version: version, Host: requestHost, Prefix: "/" + s.Route + "/", Repeat: s.Repeat, AimMS: int(s.LatencyTarget.Milliseconds()), Priority: s.Priority,
 		Attempts: 3, Shares: to, Source: fmt.Appendf(nil, "%s %d %v", s.Route, version, to)}
 }
 
-func only(service string) route.Share { return route.Share{Service: service, Weight: 1} }
+func singleShare(service string) route.Share { return route.Share{Service: service, Weight: 1} }
 
-// firstChange declares everything.
-func (w *World) firstChange() control.Change {
+// initialChange declares all services, routes and limits.
+func (w *World) initialChange() control.Change {
 	c := control.Change{Limits: &route.Limits{Version: 1, HeaderBytes: 16 << 10, BodyBytes: 1 << 20, HeaderMS: 3000, IdleMS: 15000}}
-	for name := range w.Shape.Targets {
-		c.Services = append(c.Services, route.Service{Name: name, Version: 1, Health: "/health", MaxConns: w.Shape.MaxConns, Source: []byte(name)})
+	for name := range w.Deployment.Targets {
+		c.Services = append(c.Services, route.Service{Name: name, Version: 1, Health: "/health", MaxConns: w.Deployment.MaxConns, Source: []byte(name)})
 	}
-	for _, s := range w.Shape.Streams {
-		c.Routes = append(c.Routes, s.route(1, only(s.Service)))
+	for _, s := range w.Deployment.Streams {
+		c.Routes = append(c.Routes, s.route(1, singleShare(s.Service)))
 	}
 	return c
 }
 
-// itemsOf are the items of a change.
-func itemsOf(c control.Change) (out []item.Item) {
+// changeItems returns the items of a change.
+func changeItems(c control.Change) (out []item.Item) {
 	for _, s := range c.Services {
 		out = append(out, s.Item())
 	}
