--- a/cmd/trial/main.go
+++ b/cmd/trial/main.go
@@ -68,7 +68,7 @@
 		p.WriteHelp(out)
 		return 0
 	}
-	plan, perr := stand.Plans(a.Plan)
+	plan, perr := stand.PlanByName(a.Plan)
 	switch {
 	case err != nil:
 	case perr != nil:
@@ -116,16 +116,16 @@
 }
 
 func drill(a args, plan stand.Plan, out io.Writer) (*report, error) {
-	t, err := stand.NewTown(plan, a.Dir, a.Bin, a.Net, a.How == "cut")
+	t, err := stand.NewDeployment(plan, a.Dir, a.Bin, a.Net, a.How == "cut")
 	if err != nil {
 		return nil, err
 	}
-	defer t.Lower()
+	defer t.Stop()
 	ctx, end := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer end()
 	up, done := context.WithTimeout(ctx, time.Minute)
 	defer done()
-	if err := t.Raise(up); err != nil {
+	if err := t.Start(up); err != nil {
 		return nil, err
 	}
 	say := func(format string, args ...any) {
@@ -141,11 +141,11 @@
 	}
 	calls, stop := context.WithCancel(ctx)
 	defer stop()
-	go t.Platform.Run(calls)
+	go t.Balancer.Run(calls)
 	fin, ops := make(chan struct{}), make(chan struct{})
-	go func() { t.Callers.Go(calls); close(fin) }()
-	go func() { t.Operate(calls, func(uint64) {}); close(ops) }()
-	go t.Callers.Hammer(calls, plan.Kinds[0], "hammer")
+	go func() { t.Callers.Run(calls); close(fin) }()
+	go func() { t.RunOperator(calls, func(uint64) {}); close(ops) }()
+	go t.Callers.CallContinuously(calls, plan.CallKinds[0], "hammer")
 	// A while of calm: what is refused is judged against all calls.
 	wait(20 * time.Second)
 	r := &report{Plan: plan.Name, Zone: a.Zone, How: a.How}
@@ -184,13 +184,13 @@
 	say("zone %s comes back: %d nodes, %d targets", a.Zone, r.Nodes, r.Targets)
 	back := time.Now()
 	if a.How == "cut" {
-		t.Wires.Cut(nil)
+		t.Relays.SetCut(nil)
 	}
 	for _, n := range t.Fleet.Nodes {
 		switch {
 		case n.Zone != a.Zone:
 		case a.How == "freeze":
-			n.Thaw()
+			n.Unfreeze()
 		case a.How == "kill":
 			if err := n.Start(); err != nil {
 				return nil, err
@@ -211,21 +211,21 @@
 	if a.Plant && len(t.Rec.Execs) > 0 {
 		for _, o := range t.Rec.Outcomes {
 			if !o.Repeatable && o.Status == 200 {
-				t.Rec.Exec(stand.Exec{At: time.Now(), Order: o.Order, Path: o.Path, Service: o.Service, Target: "planted"})
+				t.Rec.RecordExec(stand.Exec{At: time.Now(), Order: o.Order, Path: o.Path, Service: o.Service, Target: "planted"})
 				break
 			}
 		}
 	}
 	jx, quit := context.WithTimeout(ctx, 20*time.Second)
 	defer quit()
-	r.Verdict = t.Judge(jx)
+	r.Verdict = t.Check(jx)
 	for _, o := range t.Rec.Failed(back) {
 		r.RecoveryMS = max(r.RecoveryMS, float64(o.Sent.Sub(back).Milliseconds()))
 		if o.Sent.Sub(back) > recoverWithin {
 			r.LateFails++
 		}
 	}
-	r.Held = len(r.Verdict.Broken) == 0 && !r.Verdict.Refused && r.LateFails == 0
+	r.Held = len(r.Verdict.Violations) == 0 && !r.Verdict.TooManyRefusals && r.LateFails == 0
 	return r, nil
 }
 
@@ -238,13 +238,13 @@
 	}
 	v := r.Verdict
 	_, _ = fmt.Fprintf(out, "calls %d, successes %d, refused %d, outcome unknown %d; %v\n", v.Calls, v.Successes, v.Refusals, v.Unknown, v.Classes)
-	_, _ = fmt.Fprintf(out, "median %.1f ms, 99 of 100 within %.1f ms; extra sends %d\n", v.P50MS, v.P99MS, v.Extra)
+	_, _ = fmt.Fprintf(out, "median %.1f ms, 99 of 100 within %.1f ms; extra sends %d\n", v.P50MS, v.P99MS, v.ExtraSends)
 	_, _ = fmt.Fprintf(out, "last failure %.0f ms after the zone's return; %d later than 15 s\n", r.RecoveryMS, r.LateFails)
-	for _, b := range v.Broken {
+	for _, b := range v.Violations {
 		_, _ = fmt.Fprintln(out, "BROKEN:", b)
 	}
-	if v.Refused {
-		_, _ = fmt.Fprintln(out, "BROKEN: refused too often:", v.Whys)
+	if v.TooManyRefusals {
+		_, _ = fmt.Fprintln(out, "BROKEN: refused too often:", v.RefusalReasons)
 	}
 	if r.Held {
 		_, _ = fmt.Fprintln(out, "all promises held")
--- a/internal/sim/chaos.go
+++ b/internal/sim/chaos.go
@@ -92,7 +92,7 @@
 			}
 			n := deck[0]
 			if deck = deck[1:]; acts[n]() {
-				w.Rec.Act(n)
+				w.Rec.CountFailure(n)
 				break
 			}
 			time.Sleep(100 * time.Millisecond)
@@ -113,7 +113,7 @@
 		n.Start()
 	}
 	for _, t := range w.Targets {
-		t.Set(stand.Good)
+		t.Set(stand.Healthy)
 		// One that takes over an address comes when its time has come.
 		if !t.Up() && !t.passed && !t.lost && t.Ran() {
 			t.Start()
@@ -222,7 +222,7 @@
 	left := w.live()[0]
 	done := make(chan bool, 1)
 	go func() { done <- left.Leave(cx) }()
-	r, ok := w.insist(cx, "last", stand.Asked{Edits: []spec.Edit{{Op: spec.PutBinding, Binding: &b}}}, nil)
+	r, ok := w.insist(cx, "last", stand.ChangeRequest{Edits: []spec.Edit{{Op: spec.PutBinding, Binding: &b}}}, nil)
 	w.tell("the last change is told: %+v; %s loses its disk", r, n.ID)
 	n.Kill()
 	n.Disk.Wipe()
@@ -447,9 +447,9 @@
 	n := 5 + w.Rand(20)
 	w.tell("storm of %d changes", n)
 	for i := range n {
-		a := stand.Asked{Edits: []spec.Edit{{Op: spec.PutService, Service: &spec.Service{Name: fmt.Sprintf("s%d", w.Rand(2))}}}}
+		a := stand.ChangeRequest{Edits: []spec.Edit{{Op: spec.PutService, Service: &spec.Service{Name: fmt.Sprintf("s%d", w.Rand(2))}}}}
 		if i%5 == 4 {
-			a.Bad, a.Edits = true, append(a.Edits, spec.Edit{Op: spec.DropBinding, Name: "none"})
+			a.MustBeRefused, a.Edits = true, append(a.Edits, spec.Edit{Op: spec.DropBinding, Name: "none"})
 		}
 		var base *uint64
 		if i%4 == 3 {
@@ -489,10 +489,10 @@
 func (w *World) misbehave() bool {
 	ts := w.live()
 	t := ts[w.Rand(len(ts))]
-	m := []stand.Mode{stand.Slow, stand.Silent, stand.Losing, stand.Garbling, stand.Cutting, stand.Refusing, stand.Swapping, stand.Vanished}[w.Rand(8)]
+	m := []stand.Mode{stand.Slow, stand.Silent, stand.ClosingAfterRun, stand.BadStamp, stand.Truncating, stand.Refusing, stand.Swapping, stand.Unresponsive}[w.Rand(8)]
 	w.tell("%s behaves %d", t.ID, m)
 	t.Set(m)
-	w.later(w.span(500, 3000), func() { t.Set(stand.Good) })
+	w.later(w.span(500, 3000), func() { t.Set(stand.Healthy) })
 	return true
 }
 
@@ -624,10 +624,10 @@
 	at, gone := "records", false
 	for ctx.Err() == nil {
 		time.Sleep(w.pause("mover", 600, 3000))
-		a := stand.Asked{}
+		a := stand.ChangeRequest{}
 		switch w.Draw("mover", 6) {
 		case 0:
-			a.Bad = true
+			a.MustBeRefused = true
 			a.Edits = append([]spec.Edit{{Op: spec.DropBinding, Name: "orders"}}, put(2, "nowhere")...)
 		case 1, 2:
 			// Bound or not, also where the other operator has rolled it back meanwhile:
@@ -651,7 +651,7 @@
 	for i := 0; ctx.Err() == nil; i++ {
 		time.Sleep(w.pause("keeper", 600, 3000))
 		if w.Draw("keeper", 4) == 0 && len(mine) > 0 {
-			w.insist(w.ctx, "keeper", stand.Asked{Back: mine[w.Draw("keeper", len(mine))]}, nil)
+			w.insist(w.ctx, "keeper", stand.ChangeRequest{RollbackTo: mine[w.Draw("keeper", len(mine))]}, nil)
 			continue
 		}
 		n := w.controllerAny()
@@ -662,14 +662,14 @@
 		if !ok || p == nil {
 			continue
 		}
-		w.Rec.Shown(*p)
+		w.Rec.RecordShown(*p)
 		s := p.Sheet.Sheet.Sorted()
 		for i := range s.Bindings {
 			if s.Bindings[i].Name == "draft" {
 				s.Bindings[i].Service = lo.Ternary(s.Bindings[i].Service == "records", "orders", "records")
 			}
 		}
-		if r, ok := w.insist(w.ctx, "keeper", stand.Asked{Edits: []spec.Edit{{Op: spec.Replace, Sheet: &s}}}, &p.Sheet.Version); ok && r.Outcome == commands.InForce {
+		if r, ok := w.insist(w.ctx, "keeper", stand.ChangeRequest{Edits: []spec.Edit{{Op: spec.Replace, Sheet: &s}}}, &p.Sheet.Version); ok && r.Outcome == commands.InForce {
 			mine = append(mine, r.Version)
 		}
 	}
@@ -690,5 +690,5 @@
 	if err != nil {
 		return []string{n.ID + ": " + err.Error()}
 	}
-	return w.Rec.Picture(p)
+	return w.Rec.CheckPicture(p)
 }
--- a/internal/sim/elsewhere_test.go
+++ b/internal/sim/elsewhere_test.go
@@ -15,7 +15,7 @@
 func TestFailedTargetsCostLittleTime(t *testing.T) {
 	t.Parallel()
 	for name, fail := range map[string]func(*World, *Target){
-		"frozen":  func(_ *World, x *Target) { x.Set(stand.Vanished) },
+		"frozen":  func(_ *World, x *Target) { x.Set(stand.Unresponsive) },
 		"crashed": func(_ *World, x *Target) { x.Crash() },
 		"slow":    func(_ *World, x *Target) { x.Lag(200 * time.Millisecond) },
 		"cut off": func(w *World, x *Target) {
@@ -39,7 +39,7 @@
 					x := w.Targets[i]
 					fail(w, x)
 					time.Sleep(3 * time.Second)
-					x.Set(stand.Good)
+					x.Set(stand.Healthy)
 					x.Lag(0)
 					w.Net.Mend(x.ID)
 					if !x.Up() {
@@ -54,16 +54,16 @@
 				for _, o := range w.Rec.Outcomes {
 					if o.Repeatable && o.Err == "" && o.Status < 300 {
 						took = append(took, o.Done.Sub(o.Sent))
-					} else if o.Repeatable && o.Proper {
+					} else if o.Repeatable && o.Valid {
 						bad++
 					}
 				}
 				slices.Sort(took)
 				v := w.Rec.Check()
 				n := len(took)
-				t.Logf("%d calls, %d failed, %d extra sends, 99 of 100 within %s, 995 of 1000 within %s, slowest %s", n, bad, v.Extra, took[n*99/100], took[n*995/1000], took[n-1])
-				if len(v.Broken) > 0 || bad > 0 || n < 500 {
-					t.Errorf("%d calls, %d failed, %v %v", n, bad, v.Whys, v.Broken)
+				t.Logf("%d calls, %d failed, %d extra sends, 99 of 100 within %s, 995 of 1000 within %s, slowest %s", n, bad, v.ExtraSends, took[n*99/100], took[n*995/1000], took[n-1])
+				if len(v.Violations) > 0 || bad > 0 || n < 500 {
+					t.Errorf("%d calls, %d failed, %v %v", n, bad, v.RefusalReasons, v.Violations)
 				}
 				if took[n-1] > 1400*time.Millisecond {
 					t.Errorf("the slowest took %s: half of the time is 1.5 s", took[n-1])
--- a/internal/sim/flip_test.go
+++ b/internal/sim/flip_test.go
@@ -71,7 +71,7 @@
 	if bad := w.Rec.Check().Refusals; bad > 5 {
 		w.Say = t.Logf
 		w.timeline()
-		t.Errorf("%d calls refused: %v; the core was lost at %s", bad, w.Rec.Check().Whys, at.Format("05.000"))
+		t.Errorf("%d calls refused: %v; the core was lost at %s", bad, w.Rec.Check().RefusalReasons, at.Format("05.000"))
 	}
 	judge(t, w)
 }
--- a/internal/sim/keys_test.go
+++ b/internal/sim/keys_test.go
@@ -34,11 +34,11 @@
 		}
 		// lost runs an order through f1 until one ran whose answer was lost.
 		lost := func(name string) string {
-			losing(stand.Losing)
-			defer losing(stand.Good)
+			losing(stand.ClosingAfterRun)
+			defer losing(stand.Healthy)
 			for i := range 20 {
 				o := name + string(rune('a'+i))
-				if r := w.through("f1", o); r.Code == httpapi.Unknown && r.SentOn {
+				if r := w.through("f1", o); r.Code == httpapi.Unknown && r.Forwarded {
 					return o
 				}
 			}
@@ -49,7 +49,7 @@
 			t.Helper()
 			for _, f := range gateways {
 				if r := w.through(f, order); r.Status != 409 {
-					t.Errorf("%s: %s again through %s: %d %q %q", when, order, f, r.Status, r.Code, r.Why)
+					t.Errorf("%s: %s again through %s: %d %q %q", when, order, f, r.Status, r.Code, r.Reason)
 				}
 			}
 		}
@@ -60,7 +60,7 @@
 		away := lost("away")
 		again("the core is away", away, "f3")
 		if r := w.through("f4", "fresh"); r.Status != 200 {
-			t.Errorf("a fresh order without the core: %d %q %q", r.Status, r.Code, r.Why)
+			t.Errorf("a fresh order without the core: %d %q %q", r.Status, r.Code, r.Reason)
 		}
 		w.Node("f1").Kill()
 		again("the core is away, its gateway killed", away, "f2")
@@ -85,8 +85,8 @@
 		time.Sleep(5 * time.Second)
 		again("all memory is gone", away, "f1", "f3")
 		again("all memory is gone", before, "f4")
-		if v := w.Rec.Check(); len(v.Broken) > 0 {
-			t.Error(v.Broken)
+		if v := w.Rec.Check(); len(v.Violations) > 0 {
+			t.Error(v.Violations)
 		}
 	})
 }
--- a/internal/sim/model/actors.go
+++ b/internal/sim/model/actors.go
@@ -12,78 +12,79 @@
 	"walkrudder/internal/target"
 )
 
-// tries is how often an operator sends an order that got no clear answer.
-const tries = 3
+// maxOrderAttempts is how many times an operator sends a change that got no conclusive answer.
+const maxOrderAttempts = 3
 
-var errDown = errors.New("connection refused")
+var errConnRefused = errors.New("connection refused")
 
-// at runs f at a node's process, and gives up when that ends.
-func at[T any](w *World, actor, id string, f func(ctx context.Context, c *control.Node) (T, error)) (T, error) {
-	var none T
+// callNode runs f against the current process of a node. The call is cancelled when the process
+// ends or when the actors are told to give up.
+func callNode[T any](w *World, actor, id string, f func(ctx context.Context, c *control.Node) (T, error)) (T, error) {
+	var zero T
 	n := w.nodes[id]
-	p := n.now.Load()
+	p := n.current.Load()
 	if p == nil {
-		return none, errDown
+		return zero, errConnRefused
 	}
-	n.learn()
-	patient, end := context.WithCancel(byActor(p.ctx, actor))
-	defer end()
-	defer context.AfterFunc(w.patience, end)()
-	got, err := f(patient, p.control)
+	n.learnCores()
+	callCtx, cancel := context.WithCancel(withActor(p.ctx, actor))
+	defer cancel()
+	defer context.AfterFunc(w.actorCtx, cancel)()
+	got, err := f(callCtx, p.control)
 	if p.ctx.Err() != nil {
-		return none, errDown
+		return zero, errConnRefused
 	}
 	return got, err
 }
 
-// pause lets a step decide when an actor goes on.
-func (w *World) pause(who string) { w.pauseFor(who, 0) }
+// waitTurn blocks the actor until a step of the schedule wakes it.
+func (w *World) waitTurn(who string) { w.waitTurnAndAdvance(who, 0) }
 
-// pauseFor does so, and has a time pass in that step.
-func (w *World) pauseFor(who string, d time.Duration) {
+// waitTurnAndAdvance does the same; the waking step advances the model's time by d.
+func (w *World) waitTurnAndAdvance(who string, d time.Duration) {
 	woken := make(chan struct{})
-	w.add(&event{kind: wakeEvent, owner: who, what: "actor", fire: func() {
-		w.pass(d)
+	w.enqueue(&event{kind: wakeEvent, owner: who, what: "actor", fire: func() {
+		w.advance(d)
 		close(woken)
 	}})
 	select {
 	case <-woken:
-	case <-w.patience.Done():
+	case <-w.actorCtx.Done():
 	}
 }
 
-// Order is an operator's: it is sent to one node after the other until there is a clear answer,
-// and once more after a confirmation, as if that had been lost.
-func Order(name string, c control.Change, nodes ...string) Actor {
+// SubmitChange is an operator: it sends a change to the nodes in turn until one gives a conclusive
+// answer, and repeats it once after a confirmation, as a client does whose confirmation was lost.
+func SubmitChange(name string, c control.Change, nodes ...string) Actor {
 	return Actor{name, func(w *World) {
-		items := itemsOf(c)
+		items := changeItems(c)
 		confirmed := false
-		patience := w.patience
-		for try := range tries {
-			ps, err := at(w, name, nodes[try%len(nodes)], func(ctx context.Context, n *control.Node) ([]route.Problem, error) { return n.Apply(ctx, c) })
+		actorCtx := w.actorCtx
+		for try := range maxOrderAttempts {
+			ps, err := callNode(w, name, nodes[try%len(nodes)], func(ctx context.Context, n *control.Node) ([]route.Problem, error) { return n.Apply(ctx, c) })
 			switch {
-			case patience.Err() != nil && err != nil:
+			case actorCtx.Err() != nil && err != nil:
 				return
 			case len(ps) > 0 || control.IsConflict(err):
-				w.history.refuse(items)
+				w.history.recordRefused(items)
 				return
 			case err == nil:
-				w.history.confirm(items)
+				w.history.recordConfirmed(items)
 				if confirmed {
 					return
 				}
 				confirmed = true
 			}
-			w.pause(name)
+			w.waitTurn(name)
 		}
 	}}
 }
 
-// Script is an actor that does things one after the other.
+// Script runs several actors one after the other.
 func Script(name string, parts ...Actor) Actor {
 	return Actor{name, func(w *World) {
 		for _, a := range parts {
-			if w.patience.Err() != nil {
+			if w.actorCtx.Err() != nil {
 				return
 			}
 			a.Do(w)
@@ -91,34 +92,34 @@
 	}}
 }
 
-// Happen is a trouble that a script brings about, between two steps.
-func Happen(name string, f func(w *World)) Actor {
+// Inject is a fault that a script injects as a step of its own.
+func Inject(name string, f func(w *World)) Actor {
 	return Actor{name, func(w *World) {
 		done := make(chan struct{})
-		w.add(&event{kind: wakeEvent, owner: "script", what: name, fire: func() { f(w); close(done) }})
+		w.enqueue(&event{kind: wakeEvent, owner: "script", what: name, fire: func() { f(w); close(done) }})
 		select {
 		case <-done:
-		case <-w.patience.Done():
+		case <-w.actorCtx.Done():
 		}
 	}}
 }
 
-// Lose empties a node's disk.
-func Lose(id string) Actor {
-	return Happen(id+" loses its disk", func(w *World) { w.nodes[id].lose() })
+// LoseDisk ends the node's process and restarts it on an empty disk.
+func LoseDisk(id string) Actor {
+	return Inject(id+" loses its disk", func(w *World) { w.nodes[id].loseDisk() })
 }
 
 // PowerOff ends every process and starts all again.
-func PowerOff() Actor { return Happen("power off everywhere", func(w *World) { w.powerOff(nil) }) }
+func PowerOff() Actor { return Inject("power off everywhere", func(w *World) { w.powerOff(nil) }) }
 
-// TurnCut cuts a node off from all others, or joins it again.
-func TurnCut(id string) Actor {
-	return Happen(id+" is cut off, or joined again", func(w *World) { w.turnCut(w.nodes[id]) })
+// TogglePartition cuts a node off from all others, or reconnects it.
+func TogglePartition(id string) Actor {
+	return Inject(id+" is cut off, or joined again", func(w *World) { w.togglePartition(w.nodes[id]) })
 }
 
-// Split cuts a group of nodes from all others, and joins all ways within the two halves.
-func Split(group ...string) Actor {
-	return Happen(fmt.Sprint(group, " are cut from the others"), func(w *World) { w.split(group) })
+// Partition separates a group of nodes from all others and reconnects all paths within each side.
+func Partition(group ...string) Actor {
+	return Inject(fmt.Sprint(group, " are cut from the others"), func(w *World) { w.partition(group) })
 }
 
 // Read reads the configuration at a node.
@@ -128,12 +129,12 @@
 
 func (w *World) read(id string) {
 	r := w.history.beginRead()
-	st, err := at(w, "read at "+id, id, func(ctx context.Context, n *control.Node) (control.Configuration, error) { return n.Current(ctx) })
+	st, err := callNode(w, "read at "+id, id, func(ctx context.Context, n *control.Node) (control.Configuration, error) { return n.Current(ctx) })
 	if err != nil {
 		return
 	}
 	runs := map[string]target.State{}
-	_, err = at(w, "", id, func(_ context.Context, n *control.Node) (struct{}, error) {
+	_, err = callNode(w, "", id, func(_ context.Context, n *control.Node) (struct{}, error) {
 		n.Board.Table(func(t *target.Table, now time.Time) bool {
 			for x := range t.All(now) {
 				runs[x.ID] = x.State
@@ -147,75 +148,75 @@
 	}
 }
 
-// Leave is a target's word that its run ends, sent to one node after the other.
+// Leave is a target announcing the end of its run; it tries the nodes in turn.
 func Leave(run string, nodes ...string) Actor {
 	return Actor{"leave " + run, func(w *World) {
-		patience := w.patience
+		actorCtx := w.actorCtx
 		for _, id := range nodes {
-			if patience.Err() != nil {
+			if actorCtx.Err() != nil {
 				return
 			}
-			_, err := at(w, "leave "+run, id, func(ctx context.Context, n *control.Node) (struct{}, error) { return struct{}{}, n.Leave(ctx, run) })
+			_, err := callNode(w, "leave "+run, id, func(ctx context.Context, n *control.Node) (struct{}, error) { return struct{}{}, n.Leave(ctx, run) })
 			if err == nil {
-				w.history.leave(run)
+				w.history.recordLeave(run)
 				return
 			}
-			w.pause("leave")
+			w.waitTurn("leave")
 		}
 	}}
 }
 
-// Reconfigure has a node look after the seats, as it does all the time.
+// Reconfigure runs a node's reconfigurer, which runs continuously in production.
 func Reconfigure(id string) Actor {
 	return Actor{"reconfigure at " + id, func(w *World) {
-		w.pause("reconfigure")
+		w.waitTurn("reconfigure")
 		w.reconfigure(id)
 	}}
 }
 
-// looks is how often a node looks after the seats: it acts only after it has been well for a
-// while, and again after what it did.
-const looks = 4
+// reconfigureRounds is how many steps of the reconfigurer one run takes: it acts only after a
+// healthy period, and needs further steps after each action.
+const reconfigureRounds = 4
 
 func (w *World) reconfigure(id string) {
-	for range looks {
+	for range reconfigureRounds {
 		n := w.nodes[id]
-		p := n.now.Load()
+		p := n.current.Load()
 		if p == nil {
 			return
 		}
 		select {
-		case p.turn <- struct{}{}:
+		case p.reconfigureLock <- struct{}{}:
 		case <-p.ctx.Done():
 			return
 		}
 		if p.ctx.Err() != nil {
 			return
 		}
-		w.pass(5 * time.Second)
-		n.learn()
-		p.reconf.Step(byActor(p.ctx, "reconfigure at "+id))
-		<-p.turn
+		w.advance(5 * time.Second)
+		n.learnCores()
+		p.reconfigurer.Step(withActor(p.ctx, "reconfigure at "+id))
+		<-p.reconfigureLock
 	}
-	if w.complete() {
-		for _, n := range w.list {
-			n.lost.Store(false)
+	if w.coreComplete() {
+		for _, n := range w.nodeList {
+			n.diskLost.Store(false)
 		}
 	}
 }
 
-// learn has a node hear of the cores that the others know, as it does all the time.
-func (n *node) learn() {
-	p := n.now.Load()
-	for _, o := range n.w.list {
+// learnCores tells a node the cores that the others know, as gossip does continuously in production.
+func (n *node) learnCores() {
+	p := n.current.Load()
+	for _, o := range n.w.nodeList {
 		if v := o.voter(); v != nil && p != nil && !n.w.cut(o.id, n.id) {
 			p.control.Proposer.Learn(v.Core())
 		}
 	}
 }
 
-// itemsOf are the items of a change.
-func itemsOf(c control.Change) (out []item.Item) {
+// changeItems lists the items that a change writes.
+func changeItems(c control.Change) (out []item.Item) {
 	for _, s := range c.Services {
 		out = append(out, s.Item())
 	}
@@ -228,19 +229,19 @@
 	return out
 }
 
-// To is a change of routes, by name, version and content.
-func To(number uint64, text string, names ...string) control.Change {
+// RouteChange is a change of the named routes to the given version and content.
+func RouteChange(number uint64, text string, names ...string) control.Change {
 	var c control.Change
 	for _, name := range names {
 		c.Routes = append(c.Routes, route.Route{Name: name, Version: number, Host: "h", Prefix: fmt.Sprintf("/%s/", name), Repeat: route.Idempotent,
-			Shares: []route.Share{{Service: service, Weight: 1}}, Source: []byte(text)})
+			Shares: []route.Share{{Service: serviceName, Weight: 1}}, Source: []byte(text)})
 	}
 	return c
 }
 
-// service is what all routes lead to; base declares it.
-const service = "s"
+// serviceName is the service that all routes lead to; baseChange declares it.
+const serviceName = "s"
 
-func base() control.Change {
-	return control.Change{Services: []route.Service{{Name: service, Version: 1, Health: "/h", Source: []byte("{}")}}}
+func baseChange() control.Change {
+	return control.Change{Services: []route.Service{{Name: serviceName, Version: 1, Health: "/h", Source: []byte("{}")}}}
 }
--- a/internal/sim/model/choices.go
+++ b/internal/sim/model/choices.go
@@ -11,13 +11,14 @@
 	do    func()
 }
 
-// step takes the next step; false says that there is none, and nobody at work.
-func (w *World) step(by Chooser) bool {
+// takeStep takes the next step. It returns false if no step is possible, or if only faults are
+// left and all actors have finished.
+func (w *World) takeStep(chooser Chooser) bool {
 	all := w.choices()
-	if len(all) == 0 || w.idle() && len(w.waiting()) == 0 {
+	if len(all) == 0 || w.idle() && len(w.pendingEvents()) == 0 {
 		return false
 	}
-	c := all[by.Choose(len(all))]
+	c := all[chooser.Choose(len(all))]
 	w.mu.Lock()
 	w.steps = append(w.steps, c.label)
 	w.mu.Unlock()
@@ -25,40 +26,40 @@
 	return true
 }
 
-// choices are the possible steps: first the events in their usual order, then what may go wrong.
+// choices lists the possible steps: first the pending events in their default order, then the faults.
 func (w *World) choices() (out []choice) {
-	events := w.eligible()
+	events := w.deliverable()
 	for _, e := range events {
-		out = append(out, choice{e.String(), func() { w.take(e); e.fire() }})
+		out = append(out, choice{e.String(), func() { w.remove(e); e.fire() }})
 	}
-	if w.ending || len(events) == 0 && w.idle() {
+	if w.finishing || len(events) == 0 && w.idle() {
 		return out
 	}
 	for _, e := range events {
-		if w.left.Losses > 0 && e.lose != nil {
-			out = append(out, choice{"lost: " + e.String(), func() { w.left.Losses--; w.take(e); e.lose() }})
+		if w.remaining.MessageLosses > 0 && e.lose != nil {
+			out = append(out, choice{"lost: " + e.String(), func() { w.remaining.MessageLosses--; w.remove(e); e.lose() }})
 		}
-		if w.left.Repeats > 0 && e.again != nil {
-			out = append(out, choice{"twice: " + e.String(), func() { w.left.Repeats--; e.again() }})
+		if w.remaining.Duplicates > 0 && e.duplicate != nil {
+			out = append(out, choice{"twice: " + e.String(), func() { w.remaining.Duplicates--; e.duplicate() }})
 		}
 	}
-	for _, n := range w.list {
-		out = append(out, w.troubles(n)...)
+	for _, n := range w.nodeList {
+		out = append(out, w.nodeFaults(n)...)
 	}
-	if w.left.Zones > 0 {
+	if w.remaining.ZoneLosses > 0 {
 		out = append(out, w.zoneLosses()...)
 	}
-	if w.left.Delays > 0 {
-		out = append(out, choice{"time-outs pass", func() { w.left.Delays--; time.Sleep(waitTime) }})
+	if w.remaining.Timeouts > 0 {
+		out = append(out, choice{"time-outs pass", func() { w.remaining.Timeouts--; time.Sleep(timeoutSpan) }})
 	}
-	if w.left.PowerOff > 0 {
-		out = append(out, choice{"power off everywhere", func() { w.left.PowerOff--; w.powerOff(nil) }})
-		if w.left.Wipes > 0 {
-			for _, n := range w.list {
-				if w.bearsLoss(n) {
+	if w.remaining.PowerLosses > 0 {
+		out = append(out, choice{"power off everywhere", func() { w.remaining.PowerLosses--; w.powerOff(nil) }})
+		if w.remaining.DiskLosses > 0 {
+			for _, n := range w.nodeList {
+				if w.toleratesLoss(n) {
 					out = append(out, choice{"power off everywhere, disk of " + n.id + " lost", func() {
-						w.left.PowerOff--
-						w.left.Wipes--
+						w.remaining.PowerLosses--
+						w.remaining.DiskLosses--
 						w.powerOff(n)
 					}})
 				}
@@ -68,18 +69,18 @@
 	return out
 }
 
-// troubles are what may happen to one node.
-func (w *World) troubles(n *node) (out []choice) {
-	if !n.up() {
+// nodeFaults lists the faults that one node can suffer now.
+func (w *World) nodeFaults(n *node) (out []choice) {
+	if !n.running() {
 		return []choice{{n.id + " starts", n.boot}}
 	}
-	if w.left.Freezes > 0 || n.frozen.Load() {
-		out = append(out, choice{n.id + " stands still, or wakes", func() { w.left.Freezes--; n.frozen.Store(!n.frozen.Load()) }})
+	if w.remaining.Freezes > 0 || n.frozen.Load() {
+		out = append(out, choice{n.id + " stands still, or wakes", func() { w.remaining.Freezes--; n.frozen.Store(!n.frozen.Load()) }})
 	}
-	if w.left.OneWay > 0 {
-		out = append(out, choice{n.id + " is not heard, or heard again", func() { w.left.OneWay--; w.turnMute(n) }})
+	if w.remaining.OneWayPartitions > 0 {
+		out = append(out, choice{n.id + " is not heard, or heard again", func() { w.remaining.OneWayPartitions--; w.toggleOutbound(n) }})
 	}
-	if w.left.Crashes > 0 {
+	if w.remaining.Crashes > 0 {
 		kept := []int{0}
 		if k := n.disk.unsynced(); k > 0 {
 			kept = append(kept, k)
@@ -88,14 +89,14 @@
 			kept = append(kept, k/2)
 		}
 		for _, k := range kept {
-			out = append(out, choice{fmt.Sprintf("%s ends, %d of %d values synced", n.id, k, n.disk.unsynced()), func() { w.left.Crashes--; n.crash(k) }})
+			out = append(out, choice{fmt.Sprintf("%s ends, %d of %d values synced", n.id, k, n.disk.unsynced()), func() { w.remaining.Crashes--; n.crash(k) }})
 		}
 	}
-	if w.left.Wipes > 0 && w.bearsLoss(n) {
-		out = append(out, choice{n.id + " loses its disk and starts", func() { w.left.Wipes--; n.lose() }})
+	if w.remaining.DiskLosses > 0 && w.toleratesLoss(n) {
+		out = append(out, choice{n.id + " loses its disk and starts", func() { w.remaining.DiskLosses--; n.loseDisk() }})
 	}
-	if w.left.Cuts > 0 {
-		out = append(out, choice{n.id + " is cut off, or joined again", func() { w.left.Cuts--; w.turnCut(n) }})
+	if w.remaining.Partitions > 0 {
+		out = append(out, choice{n.id + " is cut off, or joined again", func() { w.remaining.Partitions--; w.togglePartition(n) }})
 	}
 	return out
 }
--- a/internal/sim/model/disk.go
+++ b/internal/sim/model/disk.go
@@ -13,30 +13,30 @@
 )
 
 var (
-	errEnded = errors.New("process ended")
-	errLost  = errors.New("lost on the way")
+	errProcessEnded = errors.New("process ended")
+	errMessageLost  = errors.New("lost on the way")
 )
 
-// disk outlives the processes of its node.
+// disk is a node's storage. It outlives the processes of the node.
 type disk struct {
 	mu     sync.Mutex
 	synced map[string][]byte
-	// changed counts the writes.
-	changed int
-	// pending is what a process is syncing.
+	// writeCount counts the writes.
+	writeCount int
+	// pending holds the writes of the sync in progress.
 	pending []storage.Put
-	// calm lets a sync end at once, while a process starts.
-	calm bool
-	// lies is a planted fault: a sync that is told to have ended is yet to be done.
-	lies bool
-	// hides, where set, is a planted fault: keys under this prefix are not read again.
-	hides string
+	// immediate makes a sync finish at once; set while a process starts.
+	immediate bool
+	// acksBeforeSync is a planted fault: a sync is reported as finished before it is done.
+	acksBeforeSync bool
+	// hiddenPrefix, if set, is a planted fault: keys under this prefix are missing from later reads.
+	hiddenPrefix string
 }
 
 func newDisk() *disk { return &disk{synced: map[string][]byte{}} }
 
 func (d *disk) apply(puts []storage.Put) {
-	d.changed++
+	d.writeCount++
 	for _, p := range puts {
 		if p.Value == nil {
 			delete(d.synced, p.Key)
@@ -46,7 +46,7 @@
 	}
 }
 
-// crash ends the sync that is under way: so many of its values are there.
+// crash ends the sync in progress: only the first kept writes of it reach the disk.
 func (d *disk) crash(kept int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -54,39 +54,39 @@
 	d.pending = nil
 }
 
-func (d *disk) wipe() { d.wipeBut() }
+func (d *disk) wipe() { d.wipeExcept() }
 
-// wipeBut empties the disk, but for some keys.
-func (d *disk) wipeBut(keys ...string) {
+// wipeExcept empties the disk except for the given keys.
+func (d *disk) wipeExcept(keys ...string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.pending = nil
-	d.changed++
+	d.writeCount++
 	maps.DeleteFunc(d.synced, func(k string, _ []byte) bool { return !slices.Contains(keys, k) })
 }
 
-// writes is how often it was written.
+// writes returns the number of writes so far.
 func (d *disk) writes() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.changed
+	return d.writeCount
 }
 
-// unsynced is how many values a sync under way has.
+// unsynced returns the number of writes of the sync in progress.
 func (d *disk) unsynced() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return len(d.pending)
 }
 
-// content is what a power loss leaves.
+// content returns the data that survives a power loss.
 func (d *disk) content() map[string][]byte {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return maps.Clone(d.synced)
 }
 
-// handle is one process's use of a disk.
+// handle is the disk as one process uses it.
 type handle struct {
 	*disk
 	w   *World
@@ -94,62 +94,60 @@
 	ctx context.Context
 }
 
-// Load reads what was synced.
+// Load returns the synced data.
 func (h *handle) Load() (map[string][]byte, error) {
 	out := h.content()
-	if h.hides != "" {
-		maps.DeleteFunc(out, func(k string, _ []byte) bool { return strings.HasPrefix(k, h.hides) })
+	if h.hiddenPrefix != "" {
+		maps.DeleteFunc(out, func(k string, _ []byte) bool { return strings.HasPrefix(k, h.hiddenPrefix) })
 	}
 	return out, nil
 }
 
-// Commit waits for a step that ends the sync.
+// Commit waits for a step that finishes the sync.
 func (h *handle) Commit(puts []storage.Put) error {
 	h.mu.Lock()
-	if h.calm {
+	if h.immediate {
 		h.apply(puts)
 		h.mu.Unlock()
 		return nil
 	}
 	if h.ctx.Err() != nil {
 		h.mu.Unlock()
-		return errEnded
+		return errProcessEnded
 	}
-	// A sync that was told to have ended may still be under way on a disk that lies.
+	// With acksBeforeSync, an earlier sync that was reported as finished may still be pending.
 	h.pending = append(h.pending, puts...)
 	h.mu.Unlock()
 	done := make(chan struct{})
-	h.w.add(&event{kind: syncEvent, owner: h.n.id, what: "disk", fire: func() {
+	h.w.enqueue(&event{kind: syncEvent, owner: h.n.id, what: "disk", fire: func() {
 		h.crash(len(h.pending))
 		close(done)
 	}})
-	if h.lies {
+	if h.acksBeforeSync {
 		return nil
 	}
 	select {
 	case <-done:
 		return nil
 	case <-h.ctx.Done():
-		return errEnded
+		return errProcessEnded
 	}
 }
 
-// Close ends the use.
 func (h *handle) Close() error { return nil }
 
-// notes is a journal that a power loss takes back to what stood there at first.
-type notes struct {
-	old [][]byte
+// fixedJournal is a journal that a power loss always resets to its initial records.
+type fixedJournal struct {
+	records [][]byte
 }
 
-// Load reads the old records.
-func (j *notes) Load() ([][]byte, error) { return j.old, nil }
+// Load returns the initial records.
+func (j *fixedJournal) Load() ([][]byte, error) { return j.records, nil }
 
-// Append is lost.
-func (j *notes) Append([][]byte) error { return nil }
+// Append discards the records.
+func (j *fixedJournal) Append([][]byte) error { return nil }
 
-// Replace is lost.
-func (j *notes) Replace([][]byte) error { return nil }
+// Replace discards the records.
+func (j *fixedJournal) Replace([][]byte) error { return nil }
 
-// Close ends the use.
-func (j *notes) Close() error { return nil }
+func (j *fixedJournal) Close() error { return nil }
--- a/internal/sim/model/event.go
+++ b/internal/sim/model/event.go
@@ -7,31 +7,31 @@
 	"slices"
 )
 
-// event is something that waits to happen: a message to arrive, a sync to end, a sleeper to
-// wake.
+// event is a pending occurrence: the arrival of a message, the end of a sync or the waking of a
+// sleeper.
 type event struct {
 	id    int
 	kind  eventKind
-	owner string // the node whose progress it is
+	owner string // the node that the event belongs to
 	from  string
 	to    string
 	what  string
-	actor string // at whose call it came about
-	// question is what a request asks, and origin the request that an answer is to: they tell events apart
-	// that are alike else.
-	question any
-	origin   origin
-	fire     func()
-	lose     func() // nil where it can't be lost
-	again    func() // nil where it can't happen twice
+	actor string // the actor whose call caused the event
+	// request is the content of a request, and origin the request that a reply answers: they tell apart
+	// events that are otherwise alike.
+	request   any
+	origin    origin
+	fire      func()
+	lose      func() // nil if the event can't be lost
+	duplicate func() // nil if the event can't happen twice
 }
 
-// origin names a request, and which of its arrivals, from 0.
+// origin identifies a request and one of its arrivals, counted from 0.
 type origin struct{ id, arrival int }
 
 type eventKind uint8
 
-// The kinds of events.
+// Kinds of events. Events of one step are sorted in this order.
 const (
 	requestEvent eventKind = iota
 	replyEvent
@@ -48,67 +48,67 @@
 	return fmt.Sprintf("%s %s>%s %s", kindNames[e.kind], e.from, e.to, e.what)
 }
 
-// order sorts the events that one step brought about, so that a schedule means the same in every
-// play whatever the order of goroutines was.
-func order(a, b *event) int {
+// compareEvents orders the events that one step caused, so that a schedule means the same in every
+// run, independently of goroutine scheduling.
+func compareEvents(a, b *event) int {
 	c := cmp.Or(cmp.Compare(a.kind, b.kind), cmp.Compare(a.from, b.from), cmp.Compare(a.to, b.to),
 		cmp.Compare(a.owner, b.owner), cmp.Compare(a.what, b.what), cmp.Compare(a.actor, b.actor),
 		cmp.Compare(a.origin.id, b.origin.id), cmp.Compare(a.origin.arrival, b.origin.arrival))
 	if c == 0 {
-		return compareQuestions(a.question, b.question)
+		return compareRequests(a.request, b.request)
 	}
 	return c
 }
 
-// compareQuestions orders questions by their contents, which are read only where all else is equal.
-func compareQuestions(a, b any) int {
+// compareRequests orders requests by their content; it is used only if all else is equal.
+func compareRequests(a, b any) int {
 	if a == nil || b == nil {
 		return 0
 	}
 	return cmp.Compare(fmt.Sprintf("%v", a), fmt.Sprintf("%v", b))
 }
 
-// add lets an event wait; it gets its place after the step.
-func (w *World) add(e *event) {
+// enqueue adds a pending event; numberEvents numbers it after the step.
+func (w *World) enqueue(e *event) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.fresh = append(w.fresh, e)
+	w.newEvents = append(w.newEvents, e)
 }
 
-// admit numbers the events of the last step.
-func (w *World) admit() {
+// numberEvents sorts and numbers the events that the last step caused.
+func (w *World) numberEvents() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	slices.SortStableFunc(w.fresh, order)
-	for _, e := range w.fresh {
+	slices.SortStableFunc(w.newEvents, compareEvents)
+	for _, e := range w.newEvents {
 		w.lastID++
 		e.id = w.lastID
 		w.events = append(w.events, e)
 	}
-	w.fresh = nil
+	w.newEvents = nil
 }
 
-// take removes an event.
-func (w *World) take(e *event) {
+// remove removes a numbered event.
+func (w *World) remove(e *event) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.events = slices.DeleteFunc(w.events, func(x *event) bool { return x == e })
 }
 
-// waiting are the events in their usual order: sleepers wake last.
-func (w *World) waiting() []*event {
+// pendingEvents lists the events in their default order: sleepers wake last.
+func (w *World) pendingEvents() []*event {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	out := slices.Clone(w.events)
 	slices.SortStableFunc(out, func(a, b *event) int {
-		return cmp.Or(cmp.Compare(b2i(a.kind == wakeEvent), b2i(b.kind == wakeEvent)), cmp.Compare(a.id, b.id))
+		return cmp.Or(cmp.Compare(boolToInt(a.kind == wakeEvent), boolToInt(b.kind == wakeEvent)), cmp.Compare(a.id, b.id))
 	})
 	return out
 }
 
-// eligible are the waiting events whose node does not stand still.
-func (w *World) eligible() []*event {
-	return slices.DeleteFunc(w.waiting(), func(e *event) bool {
+// deliverable lists the pending events whose node is not frozen.
+func (w *World) deliverable() []*event {
+	return slices.DeleteFunc(w.pendingEvents(), func(e *event) bool {
 		at := e.owner
 		if e.to != "" {
 			at = e.to
@@ -118,31 +118,31 @@
 	})
 }
 
-// actorKey is under which a context names the actor at whose call something happens.
+// actorKey is the context key of the actor whose call causes an event.
 type actorKey struct{}
 
-func byActor(ctx context.Context, name string) context.Context {
+func withActor(ctx context.Context, name string) context.Context {
 	return context.WithValue(ctx, actorKey{}, name)
 }
 
-func actorOf(ctx context.Context) string {
+func actorFrom(ctx context.Context) string {
 	name, _ := ctx.Value(actorKey{}).(string)
 	return name
 }
 
-func b2i(b bool) int {
+func boolToInt(b bool) int {
 	if b {
 		return 1
 	}
 	return 0
 }
 
-// forget removes the events of a node that ended, also those that have no place yet; messages that it
-// sent still arrive.
-func (w *World) forget(id string) {
+// removeNodeEvents removes the syncs and sleepers of a node whose process ended, numbered or not;
+// messages that it sent still arrive.
+func (w *World) removeNodeEvents(id string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	own := func(x *event) bool { return x.owner == id && (x.kind == syncEvent || x.kind == wakeEvent) }
 	w.events = slices.DeleteFunc(w.events, own)
-	w.fresh = slices.DeleteFunc(w.fresh, own)
+	w.newEvents = slices.DeleteFunc(w.newEvents, own)
 }
--- a/internal/sim/model/explore.go
+++ b/internal/sim/model/explore.go
@@ -7,12 +7,12 @@
 	"strings"
 )
 
-// Counterexample is a schedule that broke an invariant.
+// Counterexample is a schedule that violated an invariant.
 type Counterexample struct {
 	Scenario string
 	Broken   string
-	// Deviations are the choices that were not the usual ones, by their place: what a play needs
-	// to be repeated.
+	// Deviations are the choices other than the default, by step: together with the scenario they
+	// reproduce the run.
 	Deviations map[int]int
 	Steps      []string
 }
@@ -21,7 +21,7 @@
 func (c Counterexample) String() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s: %s\ndeviations:", c.Scenario, c.Broken)
-	for _, i := range places(c.Deviations) {
+	for _, i := range sortedPositions(c.Deviations) {
 		fmt.Fprintf(&b, " %d:%d", i, c.Deviations[i])
 	}
 	b.WriteByte('\n')
@@ -35,44 +35,44 @@
 	return b.String()
 }
 
-// Bubble runs f in a bubble of testing/synctest of its own.
+// Bubble runs f in its own testing/synctest bubble.
 type Bubble func(f func(ctx context.Context))
 
-// Result is what an exploration saw.
+// Result sums up an exploration.
 type Result struct {
 	Schedules int
 	Steps     int
 	Found     *Counterexample
 }
 
-// run plays one schedule in a bubble.
-func run(in Bubble, s Scenario, by Chooser) (r *recorder, broken string, steps []string) {
-	r = &recorder{of: by}
-	in(func(ctx context.Context) { broken, steps = play(ctx, s, r) })
+// runSchedule runs one schedule in a bubble and records its choices.
+func runSchedule(bubble Bubble, s Scenario, chooser Chooser) (r *recorder, broken string, steps []string) {
+	r = &recorder{chooser: chooser}
+	bubble(func(ctx context.Context) { broken, steps = play(ctx, s, r) })
 	return r, broken, steps
 }
 
-// Replay plays the schedule with these deviations.
-func Replay(in Bubble, s Scenario, at map[int]int) *Counterexample {
-	r, broken, steps := run(in, s, &Deviations{At: at})
+// Replay runs the schedule with these deviations. It returns nil if no invariant was violated.
+func Replay(bubble Bubble, s Scenario, at map[int]int) *Counterexample {
+	r, broken, steps := runSchedule(bubble, s, &Deviations{At: at})
 	if broken == "" {
 		return nil
 	}
 	return &Counterexample{s.Name, broken, r.deviations(), steps}
 }
 
-// shrinks bounds the plays that a counterexample is shortened by.
-const shrinks = 60
+// maxShrinkRuns bounds the runs that are spent on shortening a counterexample.
+const maxShrinkRuns = 60
 
-// shrink leaves out deviations that the counterexample does not need.
-func shrink(in Bubble, s Scenario, c *Counterexample) *Counterexample {
-	for plays := 0; plays < shrinks; {
+// shrink removes deviations that are not needed to violate an invariant.
+func shrink(bubble Bubble, s Scenario, c *Counterexample) *Counterexample {
+	for plays := 0; plays < maxShrinkRuns; {
 		shorter := false
-		for _, i := range places(c.Deviations) {
+		for _, i := range sortedPositions(c.Deviations) {
 			plays++
 			at := maps.Clone(c.Deviations)
 			delete(at, i)
-			if got := Replay(in, s, at); got != nil {
+			if got := Replay(bubble, s, at); got != nil {
 				c, shorter = got, true
 				break
 			}
@@ -84,23 +84,23 @@
 	return c
 }
 
-// Exhaust plays every schedule with up to depth deviations from the usual one; part of parts of
-// the first deviations are taken, so that several explorations share the work.
-func Exhaust(in Bubble, s Scenario, depth, part, parts int) (res Result) {
+// Exhaust runs every schedule with up to depth deviations from the default. Of the first deviations
+// it takes only those of the given part, so that several explorations can share the work.
+func Exhaust(bubble Bubble, s Scenario, depth, part, parts int) (res Result) {
 	var extend func(at map[int]int, from, left int)
 	extend = func(at map[int]int, from, left int) {
-		r, broken, steps := run(in, s, &Deviations{At: at})
+		r, broken, steps := runSchedule(bubble, s, &Deviations{At: at})
 		res.Schedules++
 		res.Steps += len(steps)
 		if broken != "" {
-			res.Found = shrink(in, s, &Counterexample{s.Name, broken, r.deviations(), steps})
+			res.Found = shrink(bubble, s, &Counterexample{s.Name, broken, r.deviations(), steps})
 			return
 		}
 		if left == 0 {
 			return
 		}
-		for i := from; i < len(r.among); i++ {
-			for c := 1; c < r.among[i]; c++ {
+		for i := from; i < len(r.options); i++ {
+			for c := 1; c < r.options[i]; c++ {
 				if len(at) == 0 && (i+c)%parts != part {
 					continue
 				}
@@ -116,14 +116,14 @@
 	return res
 }
 
-// Walks plays the random schedules of seeds from first on, until one breaks an invariant.
-func Walks(in Bubble, s Scenario, first uint64, count int) (res Result) {
+// RandomWalks runs the random schedules of count seeds, beginning with first, until one violates an invariant.
+func RandomWalks(bubble Bubble, s Scenario, first uint64, count int) (res Result) {
 	for seed := first; seed < first+uint64(count); seed++ {
-		r, broken, steps := run(in, s, NewWalk(seed))
+		r, broken, steps := runSchedule(bubble, s, NewWalk(seed))
 		res.Schedules++
 		res.Steps += len(steps)
 		if broken != "" {
-			res.Found = shrink(in, s, &Counterexample{fmt.Sprintf("%s, walk %d", s.Name, seed), broken, r.deviations(), steps})
+			res.Found = shrink(bubble, s, &Counterexample{fmt.Sprintf("%s, walk %d", s.Name, seed), broken, r.deviations(), steps})
 			return res
 		}
 	}
--- a/internal/sim/model/forming.go
+++ b/internal/sim/model/forming.go
@@ -6,30 +6,30 @@
 )
 
 const (
-	// bootSteps is how many looks a bootstrapper takes in one go, and bootPause the time that
-	// passes between two.
-	bootSteps = 6
-	bootPause = time.Second
-	// formRounds bounds the looks of all nodes by which a first core must stand once all is well.
-	formRounds = 12
+	// bootstrapSteps is how many steps of the bootstrapper one actor takes, and bootstrapInterval the
+	// time between two of them.
+	bootstrapSteps    = 6
+	bootstrapInterval = time.Second
+	// maxFormRounds bounds the rounds in which a healthy system must form its first core.
+	maxFormRounds = 12
 )
 
-// Bootstrap has a node look for the core, and form the first one if that is its part, as it does
-// all the time until it knows one.
+// Bootstrap runs a node's bootstrapper until the node knows a core. The bootstrapper looks for a core
+// and forms the first one if that is the node's task.
 func Bootstrap(id string) Actor {
 	return Actor{"bootstrap at " + id, func(w *World) {
-		patience := w.patience
-		for range bootSteps {
-			if patience.Err() != nil {
+		actorCtx := w.actorCtx
+		for range bootstrapSteps {
+			if actorCtx.Err() != nil {
 				return
 			}
-			w.pauseFor("bootstrap "+id, bootPause)
-			p := w.nodes[id].now.Load()
+			w.waitTurnAndAdvance("bootstrap "+id, bootstrapInterval)
+			p := w.nodes[id].current.Load()
 			if p == nil {
 				continue
 			}
-			p.boots.Step(byActor(p.ctx, "bootstrap at "+id))
-			// What a process that ended meanwhile had in memory counts for nothing.
+			p.bootstrapper.Step(withActor(p.ctx, "bootstrap at "+id))
+			// The in-memory state of a process that has ended meanwhile does not count.
 			if p.ctx.Err() == nil && p.control.Proposer.Core().Epoch > 0 {
 				return
 			}
@@ -37,24 +37,24 @@
 	}}
 }
 
-// formAtLast has all nodes look for the core until each knows one.
-func (w *World) formAtLast() bool {
-	for range formRounds {
+// formFirstCore runs all bootstrappers until every node knows a core.
+func (w *World) formFirstCore() bool {
+	for range maxFormRounds {
 		known := true
-		for _, n := range w.list {
-			w.begin(Actor{fmt.Sprint("bootstrap at ", n.id), func(w *World) {
-				p := n.now.Load()
-				p.boots.Step(byActor(p.ctx, "bootstrap at "+n.id))
+		for _, n := range w.nodeList {
+			w.startActor(Actor{fmt.Sprint("bootstrap at ", n.id), func(w *World) {
+				p := n.current.Load()
+				p.bootstrapper.Step(withActor(p.ctx, "bootstrap at "+n.id))
 			}})
-			if !w.drive() {
+			if !w.runUntilIdle() {
 				return false
 			}
-			known = known && n.now.Load().control.Proposer.Core().Epoch > 0
+			known = known && n.current.Load().control.Proposer.Core().Epoch > 0
 		}
 		if known {
 			return true
 		}
-		w.pass(bootPause)
+		w.advance(bootstrapInterval)
 	}
 	return false
 }
--- a/internal/sim/model/invariants.go
+++ b/internal/sim/model/invariants.go
@@ -9,10 +9,10 @@
 	"walkrudder/internal/quorum"
 )
 
-// inspectDisks checks at this very moment that what was confirmed is in every core that can be
-// formed: so many seats of the newest core vote without a copy that is new enough, that they alone
-// could never be enough to be sealed for the core after.
-func (w *World) inspectDisks() {
+// checkDisks checks that at this moment every confirmed item is in every core that can be formed:
+// the voting seats of the newest core that lack a recent enough copy must be too few to form, on
+// their own, the quorum that is sealed for the next core.
+func (w *World) checkDisks() {
 	core := w.core()
 	if core.Epoch == 0 {
 		return
@@ -20,23 +20,23 @@
 	h := w.history
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for _, k := range slices.SortedFunc(maps.Keys(h.newest), func(a, b item.Key) int { return strings.Compare(a.Name, b.Name) }) {
-		newest, without := h.newest[k], 0
+	for _, k := range slices.SortedFunc(maps.Keys(h.newestConfirmed), func(a, b item.Key) int { return strings.Compare(a.Name, b.Name) }) {
+		newest, without := h.newestConfirmed[k], 0
 		for _, s := range core.Seats {
-			if v, votes := w.votes(core, s); votes && v.held(k) < newest {
+			if v, votes := w.inspectSeat(core, s); votes && v.heldVersion(k) < newest {
 				without++
 			}
 		}
 		if without >= core.BlockingSize() {
-			h.breaks("%d of %d seats of epoch %d vote without version %d of %s, which was confirmed", without, len(core.Seats), core.Epoch, newest, k.Name)
+			h.addViolationLocked("%d of %d seats of epoch %d vote without version %d of %s, which was confirmed", without, len(core.Seats), core.Epoch, newest, k.Name)
 		}
 	}
 }
 
-// inspectFirstCore checks that no two voters were sealed for different first cores.
-func (w *World) inspectFirstCore() {
+// checkFirstCore checks that no two voters were sealed for different first cores.
+func (w *World) checkFirstCore() {
 	var first quorum.Core
-	for _, n := range w.list {
+	for _, n := range w.nodeList {
 		v := n.voter()
 		if v == nil || v.Core().Epoch != 1 {
 			continue
@@ -45,16 +45,16 @@
 		case first.Epoch == 0:
 			first = c
 		case !slices.Equal(first.Seats, c.Seats):
-			w.history.note("two first cores: %v and %v", first.Seats, c.Seats)
+			w.history.addViolation("two first cores: %v and %v", first.Seats, c.Seats)
 		}
 	}
 }
 
-// seatDisk is what a seat's disk holds, as a new process would read it.
+// seatDisk is the content of a seat's disk as a new process would read it.
 type seatDisk struct{ *quorum.Voter }
 
-// held is the version of an item.
-func (d seatDisk) held(k item.Key) uint64 {
+// heldVersion returns the item's version plus 1, or 0 if the disk lacks the item.
+func (d seatDisk) heldVersion(k item.Key) uint64 {
 	for _, i := range d.LoadedMergeItems() {
 		if i.Key == k {
 			return i.Version + 1
@@ -63,19 +63,19 @@
 	return 0
 }
 
-// votes reads a seat's disk, and tells whether it votes in a core.
-func (w *World) votes(core quorum.Core, s quorum.Seat) (seatDisk, bool) {
+// inspectSeat reads a seat's disk and reports whether the seat votes in the core.
+func (w *World) inspectSeat(core quorum.Core, s quorum.Seat) (seatDisk, bool) {
 	n := w.nodes[s.ID]
-	if n.read == nil || n.readAt != n.disk.writes() {
-		n.readAt = n.disk.writes()
+	if n.inspected == nil || n.inspectedAt != n.disk.writes() {
+		n.inspectedAt = n.disk.writes()
 		d := newDisk()
-		d.synced, d.calm, d.hides = n.disk.content(), true, n.disk.hides
+		d.synced, d.immediate, d.hiddenPrefix = n.disk.content(), true, n.disk.hiddenPrefix
 		v, err := quorum.NewVoter(s, &handle{d, w, n, w.ctx}, "inspected", nil, nil, nil)
 		if err != nil {
-			w.history.breaks("the disk of %s can't be read: %v", n.id, err)
+			w.history.addViolationLocked("the disk of %s can't be read: %v", n.id, err)
 			return seatDisk{}, false
 		}
-		n.read = v
+		n.inspected = v
 	}
-	return seatDisk{n.read}, n.read.Core().Epoch == core.Epoch && n.read.Seat().Disk == s.Disk
+	return seatDisk{n.inspected}, n.inspected.Core().Epoch == core.Epoch && n.inspected.Seat().Disk == s.Disk
 }
--- a/internal/sim/model/model_test.go
+++ b/internal/sim/model/model_test.go
@@ -10,35 +10,35 @@
 )
 
 var (
-	walks = flag.Int("model.walks", usual(60, 8), "random schedules of each scenario")
+	walks = flag.Int("model.walks", defaultCount(60, 8), "random schedules of each scenario")
 	first = flag.Uint64("model.first", 1, "the seed of the first random schedule")
-	depth = flag.Int("model.depth", usual(1, 0), "every schedule with up to so many deviations from the usual one is played")
+	depth = flag.Int("model.depth", defaultCount(1, 0), "every schedule with up to so many deviations from the default is run")
 	parts = flag.Int("model.parts", 8, "explorations that share the schedules of a scenario")
 	only  = flag.String("model.only", "", "the scenario to explore; all where it is empty")
 )
 
-// usual is how much CI plays, and how much of it under the race detector.
-func usual(plain, underRace int) int {
-	if raced {
+// defaultCount returns the CI default of a count, which is smaller under the race detector.
+func defaultCount(plain, underRace int) int {
+	if raceEnabled {
 		return underRace
 	}
 	return plain
 }
 
-// bubble runs each schedule in a bubble of its own.
+// bubble runs each schedule in its own synctest bubble.
 func bubble(t *testing.T) Bubble {
 	return func(f func(context.Context)) {
 		synctest.Test(t, func(t *testing.T) { f(t.Context()) })
 	}
 }
 
-// explored adds up what the explorations of a scenario saw.
-type explored struct {
+// totals sums up the parallel explorations of a scenario.
+type totals struct {
 	mu  sync.Mutex
 	all Result
 }
 
-func (e *explored) add(t *testing.T, r Result) {
+func (e *totals) add(t *testing.T, r Result) {
 	t.Helper()
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -49,12 +49,12 @@
 	}
 }
 
-// explore plays a scenario's schedules in parts side by side.
+// explore runs the parts of a scenario's exploration in parallel.
 func explore(t *testing.T, s Scenario, f func(t *testing.T, part int) Result) {
 	t.Helper()
 	t.Run(s.Name, func(t *testing.T) {
 		began := time.Now()
-		var e explored
+		var e totals
 		t.Run("parts", func(t *testing.T) {
 			for part := range *parts {
 				t.Run("", func(t *testing.T) {
@@ -68,7 +68,7 @@
 	})
 }
 
-// Every schedule with few deviations keeps the invariants.
+// Every schedule with up to depth deviations keeps the invariants.
 func TestEverySchedule(t *testing.T) {
 	for _, s := range Scenarios() {
 		if *only == "" || *only == s.Name {
@@ -77,13 +77,13 @@
 	}
 }
 
-// Random schedules keep them, too.
+// Random schedules keep the invariants.
 func TestRandomSchedules(t *testing.T) {
 	for _, s := range Scenarios() {
 		if *only == "" || *only == s.Name {
 			each := (*walks + *parts - 1) / *parts
 			explore(t, s, func(t *testing.T, part int) Result {
-				return Walks(bubble(t), s, *first+uint64(part*each), each)
+				return RandomWalks(bubble(t), s, *first+uint64(part*each), each)
 			})
 		}
 	}
--- a/internal/sim/model/network.go
+++ b/internal/sim/model/network.go
@@ -8,12 +8,12 @@
 	"walkrudder/internal/link"
 )
 
-// Tamper, where a world has one, changes a question before it arrives, or answers it itself: a
-// planted fault.
+// Tamper is a planted network fault: it changes a request before it arrives, or answers it in
+// place of the receiver.
 type Tamper func(from, to string, ask any) (changed any, answer any, answered bool)
 
-// port is the network as one process has it.
-type port struct {
+// nodeTransport is the network as one process uses it.
+type nodeTransport struct {
 	w   *World
 	n   *node
 	ctx context.Context
@@ -24,102 +24,102 @@
 	err    error
 }
 
-// Call sends a question, and waits for a step that brings the answer or loses it.
-func (p port) Call(ctx context.Context, to string, ask any) (any, error) {
+// Call sends a request and waits for a step that delivers the answer or loses it.
+func (p nodeTransport) Call(ctx context.Context, to string, ask any) (any, error) {
 	if p.ctx.Err() != nil {
-		return nil, errEnded // nothing leaves a process that has ended
+		return nil, errProcessEnded // nothing leaves a process that has ended
 	}
-	back := make(chan result, 1)
-	var told sync.Once
-	tell := func(r result) { told.Do(func() { back <- r }) }
+	results := make(chan result, 1)
+	var once sync.Once
+	deliver := func(r result) { once.Do(func() { results <- r }) }
 	what := reflect.TypeOf(ask).Name()
-	lost := func() { tell(result{err: errLost}) }
-	actor := actorOf(ctx)
-	request := &event{kind: requestEvent, owner: p.n.id, from: p.n.id, to: to, what: what, actor: actor, question: ask, lose: lost}
+	lost := func() { deliver(result{err: errMessageLost}) }
+	actor := actorFrom(ctx)
+	request := &event{kind: requestEvent, owner: p.n.id, from: p.n.id, to: to, what: what, actor: actor, request: ask, lose: lost}
 	arrivals := 0
-	arrive := func(tell func(result)) {
+	arrive := func(deliver func(result)) {
 		m := message{p.n.id, to, actor, ask, origin{request.id, arrivals}}
 		arrivals++
-		go p.w.serve(m, tell)
+		go p.w.serve(m, deliver)
 	}
-	request.fire = func() { arrive(tell) }
-	request.again = func() { arrive(func(result) {}) }
-	p.w.add(request)
+	request.fire = func() { arrive(deliver) }
+	request.duplicate = func() { arrive(func(result) {}) }
+	p.w.enqueue(request)
 	select {
-	case r := <-back:
+	case r := <-results:
 		return r.answer, r.err
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	case <-p.ctx.Done():
-		return nil, errEnded
+		return nil, errProcessEnded
 	}
 }
 
-// message is a question on its way.
+// message is a request in transit.
 type message struct {
 	from, to, actor string
 	ask             any
 	origin          origin
 }
 
-// serve has the node at an address answer a question that has arrived.
-func (w *World) serve(m message, tell func(result)) {
-	p := w.nodes[m.to].now.Load()
-	if p == nil || w.cut(m.from, m.to) || w.keepBack(m) {
-		tell(result{err: errLost})
+// serve delivers a request to the addressed node and has it answered.
+func (w *World) serve(m message, deliver func(result)) {
+	p := w.nodes[m.to].current.Load()
+	if p == nil || w.cut(m.from, m.to) || w.holdMessage(m) {
+		deliver(result{err: errMessageLost})
 		return
 	}
 	if w.Tamper != nil {
 		changed, answer, answered := w.Tamper(m.from, m.to, m.ask)
 		if answered {
-			w.reply(m, result{answer: answer}, tell)
+			w.reply(m, result{answer: answer}, deliver)
 			return
 		}
 		m.ask = changed
 	}
-	answer, err := p.control.Desk.Answer(byActor(p.ctx, m.actor), link.Who{ID: m.from, Kind: "controller"}, m.ask)
+	answer, err := p.control.Desk.Answer(withActor(p.ctx, m.actor), link.Who{ID: m.from, Kind: "controller"}, m.ask)
 	if p.ctx.Err() != nil {
-		tell(result{err: errLost})
+		deliver(result{err: errMessageLost})
 		return
 	}
-	w.reply(m, result{answer, err}, tell)
+	w.reply(m, result{answer, err}, deliver)
 }
 
-// reply sends the answer to a question back.
-func (w *World) reply(m message, r result, tell func(result)) {
+// reply sends the answer to a request.
+func (w *World) reply(m message, r result, deliver func(result)) {
 	what := reflect.TypeOf(m.ask).Name()
-	w.add(&event{kind: replyEvent, owner: m.to, from: m.to, to: m.from, what: what, actor: m.actor, origin: m.origin, fire: func() {
+	w.enqueue(&event{kind: replyEvent, owner: m.to, from: m.to, to: m.from, what: what, actor: m.actor, origin: m.origin, fire: func() {
 		if w.cut(m.to, m.from) {
-			r = result{err: errLost}
+			r = result{err: errMessageLost}
 		}
-		tell(r)
-	}, lose: func() { tell(result{err: errLost}) }})
+		deliver(r)
+	}, lose: func() { deliver(result{err: errMessageLost}) }})
 }
 
-// cut tells whether the way from one node to another is cut.
+// cut reports whether the path from one node to another is cut.
 func (w *World) cut(from, to string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.cuts[[2]string{from, to}]
 }
 
-// keepBack tells whether a question is kept back, and keeps it.
-func (w *World) keepBack(m message) bool {
+// holdMessage reports whether the scenario holds the request back, and stores it if so.
+func (w *World) holdMessage(m message) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.scenario.KeepBack == nil || w.ending || w.arrived || !w.scenario.KeepBack(m.from, m.to, m.ask) {
+	if w.scenario.Hold == nil || w.finishing || w.heldReleased || !w.scenario.Hold(m.from, m.to, m.ask) {
 		return false
 	}
-	w.kept = append(w.kept, m)
+	w.held = append(w.held, m)
 	return true
 }
 
-// Arrive lets what was kept back arrive, as far as it is wanted; from then on nothing is kept back.
-func Arrive(name string, wanted func(to string, ask any) bool) Actor {
-	return Happen(name+" arrive", func(w *World) {
+// DeliverHeld delivers the held requests that are wanted, drops the others, and ends the holding.
+func DeliverHeld(name string, wanted func(to string, ask any) bool) Actor {
+	return Inject(name+" arrive", func(w *World) {
 		w.mu.Lock()
-		kept := w.kept
-		w.kept, w.arrived = nil, true
+		kept := w.held
+		w.held, w.heldReleased = nil, true
 		w.mu.Unlock()
 		for _, m := range kept {
 			if wanted(m.to, m.ask) {
--- a/internal/sim/model/node.go
+++ b/internal/sim/model/node.go
@@ -15,120 +15,122 @@
 	"walkrudder/internal/quorum"
 )
 
-// node is a machine with a disk and one process at most.
+// node is a machine with a disk and at most one process.
 type node struct {
 	w    *World
 	id   string
 	zone string
 	disk *disk
-	// notes are what its journal holds at each start.
-	notes [][]byte
-	lives int
-	// read is what the disk holds, as it was read after so many writes.
-	read   *quorum.Voter
-	readAt int
-
-	now atomic.Pointer[process] // nil where none runs
-	// lost says that its disk was lost, and that no reconfigurer has completed the core since.
-	lost atomic.Bool
-	// frozen says that it stands still: nothing that waits there happens.
+	// journal holds the records of its run journal at each start.
+	journal [][]byte
+	starts  int
+	// inspected is the voter read from the disk for inspection when the disk had seen inspectedAt writes.
+	inspected   *quorum.Voter
+	inspectedAt int
+
+	current atomic.Pointer[process] // nil if none runs
+	// diskLost is set from the loss of the disk until a reconfigurer has completed the core.
+	diskLost atomic.Bool
+	// frozen suspends the events of the node.
 	frozen atomic.Bool
-	// keepsSeat is a planted fault: an emptied disk still says which seat it has.
-	keepsSeat bool
+	// keepsSeatAfterWipe is a planted fault: an emptied disk still names its seat.
+	keepsSeatAfterWipe bool
 }
 
-// seedCount is how many seeds the nodes are given.
+// seedCount is how many seeds each node is given.
 const seedCount = 3
 
-// process is one life of a node.
+// process is one run of a node.
 type process struct {
-	control *control.Node
-	reconf  *quorum.Reconfigurer
-	turn    chan struct{} // held by the actor that looks after the seats: a process does so one look at a time
-	boots   *quorum.Bootstrapper
-	ctx     context.Context
-	end     context.CancelFunc
-	stopped chan struct{}
+	control         *control.Node
+	reconfigurer    *quorum.Reconfigurer
+	reconfigureLock chan struct{} // held by the actor that runs the reconfigurer: a process runs one step of it at a time
+	bootstrapper    *quorum.Bootstrapper
+	ctx             context.Context
+	cancel          context.CancelFunc
+	voterDone       chan struct{}
 }
 
-func (n *node) up() bool { return n.now.Load() != nil }
+func (n *node) running() bool { return n.current.Load() != nil }
 
-// voter is that of the present process, nil where none runs.
+// voter returns the voter of the running process, or nil if none runs.
 func (n *node) voter() *quorum.Voter {
-	if p := n.now.Load(); p != nil {
+	if p := n.current.Load(); p != nil {
 		return p.control.Voter
 	}
 	return nil
 }
 
-// boot starts a process on what the disk holds.
+// boot starts a process from the content of the disk.
 func (n *node) boot() {
-	n.lives++
-	p := &process{stopped: make(chan struct{}), turn: make(chan struct{}, 1)}
-	p.ctx, p.end = context.WithCancel(n.w.ctx)
-	fresh := fmt.Sprintf("%s#%d", n.id, n.lives)
-	line := port{n.w, n, p.ctx}
-	clk := modelClock{n.w, n, p.ctx}
-	n.disk.calm = true
+	n.starts++
+	p := &process{voterDone: make(chan struct{}), reconfigureLock: make(chan struct{}, 1)}
+	p.ctx, p.cancel = context.WithCancel(n.w.ctx)
+	diskID := fmt.Sprintf("%s#%d", n.id, n.starts)
+	transport := nodeTransport{n.w, n, p.ctx}
+	clock := modelClock{n.w, n, p.ctx}
+	n.disk.immediate = true
 	c, err := control.New(control.Parts{
-		Settings:    control.Settings{ID: n.id, Zone: n.zone, InternalAddr: n.id, Seeds: []string{n.id}, Tolerance: n.w.tolerance(), InitialStart: n.first(), HeartbeatInterval: time.Second},
-		Incarnation: uint64(n.lives), NewDiskID: fresh, Line: line, Clock: clk,
-		Disk: &handle{n.disk, n.w, n, p.ctx}, RunJournal: &notes{n.notes}, Log: quiet(), OnDiskFailure: func(error) {}})
+		Settings:    control.Settings{ID: n.id, Zone: n.zone, InternalAddr: n.id, Seeds: []string{n.id}, Tolerance: n.w.tolerance(), InitialStart: n.initialStart(), HeartbeatInterval: time.Second},
+		Incarnation: uint64(n.starts), NewDiskID: diskID, Line: transport, Clock: clock,
+		Disk: &handle{n.disk, n.w, n, p.ctx}, RunJournal: &fixedJournal{n.journal}, Log: discardLogger(), OnDiskFailure: func(error) {}})
 	if err != nil {
-		panic(err) // the model's own settings
+		panic(err) // a fault of the model's settings
 	}
-	n.disk.calm = false
+	n.disk.immediate = false
 	p.control = c
 	seat := c.Voter.Seat()
 	tolerance := n.w.tolerance()
-	if n.w.blind {
+	if n.w.ignoreTolerance {
 		tolerance = quorum.Tolerance{}
 	}
-	p.reconf = &quorum.Reconfigurer{Tolerance: tolerance, Size: n.w.scenario.Size, Contacts: func() []quorum.DiskContact { return n.heard(seat) }, Proposer: c.Proposer, Transport: line, Clock: clk, Shuffle: func(int, func(i, j int)) {}}
-	p.boots = &quorum.Bootstrapper{Seeds: n.w.seeds(), Self: n.id, Size: n.w.scenario.Seats, SubsequentStart: !n.first(), Transport: line, Clock: clk, Proposer: c.Proposer, Voter: c.Voter, RandIntN: func(int) int { return 0 }}
+	p.reconfigurer = &quorum.Reconfigurer{Tolerance: tolerance, Size: n.w.scenario.Size, Contacts: func() []quorum.DiskContact { return n.contacts(seat) }, Proposer: c.Proposer, Transport: transport, Clock: clock, Shuffle: func(int, func(i, j int)) {}}
+	p.bootstrapper = &quorum.Bootstrapper{Seeds: n.w.seeds(), Self: n.id, Size: n.w.scenario.Seats, SubsequentStart: !n.initialStart(), Transport: transport, Clock: clock, Proposer: c.Proposer, Voter: c.Voter, RandIntN: func(int) int { return 0 }}
 	go func() {
-		defer close(p.stopped)
+		defer close(p.voterDone)
 		c.Voter.Run(p.ctx)
 	}()
-	n.now.Store(p)
+	n.current.Store(p)
 }
 
-func quiet() *log.Logger { return log.NewWithOptions(io.Discard, log.Options{Level: log.FatalLevel}) }
+func discardLogger() *log.Logger {
+	return log.NewWithOptions(io.Discard, log.Options{Level: log.FatalLevel})
+}
 
-// crash ends the process; of a sync under way so many values are kept.
+// crash ends the process; of a sync in progress the first kept writes survive.
 func (n *node) crash(kept int) { n.w.crash(kept, n) }
 
-// crash ends the processes of nodes at one moment. Whoever worked at one has taken note of it
-// before anything else happens, so that a schedule means the same in every play.
+// crash ends the processes of several nodes at one moment. It waits until all callers have observed
+// the end before anything else happens, so that a schedule means the same in every run.
 func (w *World) crash(kept int, nodes ...*node) {
 	var ended []*process
-	var of []*node
+	var endedNodes []*node
 	for _, n := range nodes {
-		if p := n.now.Swap(nil); p != nil {
-			ended, of = append(ended, p), append(of, n)
+		if p := n.current.Swap(nil); p != nil {
+			ended, endedNodes = append(ended, p), append(endedNodes, n)
 		}
 	}
 	for _, p := range ended {
-		p.end()
+		p.cancel()
 	}
 	synctest.Wait()
 	for i, p := range ended {
-		<-p.stopped
-		of[i].disk.crash(kept)
-		w.forget(of[i].id)
+		<-p.voterDone
+		endedNodes[i].disk.crash(kept)
+		w.removeNodeEvents(endedNodes[i].id)
 	}
 }
 
-// first tells whether the node starts as one of a system that never ran.
-func (n *node) first() bool {
+// initialStart reports whether the node starts as part of a system that never ran before.
+func (n *node) initialStart() bool {
 	if n.w.scenario.Unformed {
-		return !n.lost.Load()
+		return !n.diskLost.Load()
 	}
-	return n.lives == 1
+	return n.starts == 1
 }
 
-// seeds are the addresses that every node is given: the last ones, so that the node that goes first
-// by its ID is not known to all from the start.
+// seeds lists the addresses that every node is given: those of the last nodes, so that the node with
+// the lowest ID, which takes precedence, is not known to all from the start.
 func (w *World) seeds() (out []string) {
 	all := w.scenario.Seats + w.scenario.Spares
 	for i := max(0, all-seedCount); i < all; i++ {
@@ -137,25 +139,26 @@
 	return out
 }
 
-// nodeID names the i-th node.
+// nodeID returns the ID of the i-th node.
 func nodeID(i int) string { return fmt.Sprintf("n%d", i+1) }
 
-// lose ends the process, and starts another on an empty disk.
-func (n *node) lose() {
+// loseDisk ends the process and starts another one on an empty disk.
+func (n *node) loseDisk() {
 	n.crash(0)
-	n.lost.Store(true)
-	if n.keepsSeat {
-		n.disk.wipeBut("disk", "owner", "core")
+	n.diskLost.Store(true)
+	if n.keepsSeatAfterWipe {
+		n.disk.wipeExcept("disk", "owner", "core")
 	} else {
 		n.disk.wipe()
 	}
 	n.boot()
 }
 
-// heard is what this node heard of the others: all that run, just now.
-func (n *node) heard(own quorum.Seat) []quorum.DiskContact {
+// contacts lists the node's contacts: all running nodes, last heard a millisecond ago, or a minute
+// ago if the path is cut.
+func (n *node) contacts(own quorum.Seat) []quorum.DiskContact {
 	out := []quorum.DiskContact{{Seat: own}}
-	for _, o := range n.w.list {
+	for _, o := range n.w.nodeList {
 		v := o.voter()
 		if o == n || v == nil {
 			continue
@@ -169,14 +172,14 @@
 	return out
 }
 
-// ask asks this node's own desk, without the network.
-func ask[R any](n *node, question any) R {
-	n.disk.calm = true
-	defer func() { n.disk.calm = false }()
-	p := n.now.Load()
-	answer, err := p.control.Desk.Answer(p.ctx, link.Who{ID: "model"}, question)
+// answerLocally has the node answer a request directly, bypassing the network.
+func answerLocally[R any](n *node, request any) R {
+	n.disk.immediate = true
+	defer func() { n.disk.immediate = false }()
+	p := n.current.Load()
+	answer, err := p.control.Desk.Answer(p.ctx, link.Who{ID: "model"}, request)
 	if err != nil {
-		panic(fmt.Sprintf("%s: %v", n.id, err)) // the model's own set-up
+		panic(fmt.Sprintf("%s: %v", n.id, err)) // a fault of the model's set-up
 	}
 	return answer.(R)
 }
--- a/internal/sim/model/planted_test.go
+++ b/internal/sim/model/planted_test.go
@@ -9,33 +9,33 @@
 	"walkrudder/internal/watch"
 )
 
-// seatOf is a node's seat, as it would tell it itself.
+// seatOf returns a node's seat as the node itself reports it.
 func seatOf(w *World, id string) quorum.Seat { return w.nodes[id].voter().Seat() }
 
-// yes is the head of an answer that takes everything.
-func yes(w *World, id string) quorum.Told {
+// acceptAll is the header of an answer that accepts everything.
+func acceptAll(w *World, id string) quorum.Told {
 	return quorum.Told{OK: true, Disk: seatOf(w, id).Disk}
 }
 
-// planted is a fault put into the world, and where it must show.
+// planted is a fault and the invariant that it must violate.
 type planted struct {
-	name     string
-	scenario Scenario
-	plant    func(w *World)
-	shows    string // a part of the invariant that it breaks
+	name      string
+	scenario  Scenario
+	inject    func(w *World)
+	violation string // part of the message of the violated invariant
 }
 
-// givenUpBesideLateSeals decides on a core, gives it up for another one, and has the seals for
-// the first arrive when the second is about to take over. The core has four seats: two of them are
+// abandonedCoreWithLateSeals decides on a core, abandons it for another one, and delivers the seal
+// requests for the first just before the second takes over. The core has four seats: two of them are
 // enough to be sealed, so two cores could take over side by side.
-func givenUpBesideLateSeals() Scenario {
+func abandonedCoreWithLateSeals() Scenario {
 	const givenUp = 2 // epoch
 	sealsGivenUp := func(ask any) bool {
 		a, ok := ask.(quorum.SealAsk)
 		return ok && a.Next.Epoch == givenUp
 	}
 	return Scenario{Seats: 4, Spares: 2,
-		KeepBack: func(_, to string, ask any) bool {
+		Hold: func(_, to string, ask any) bool {
 			switch a := ask.(type) {
 			case quorum.SealAsk:
 				return a.Next.Epoch == givenUp || a.Next.Epoch > givenUp && to == "n1"
@@ -45,24 +45,24 @@
 			return false
 		},
 		Actors: []Actor{Script("swaps",
-			TurnCut("n4"), Reconfigure("n1"), TurnCut("n4"),
-			Split("n1", "n3", "n4", "n6"), Reconfigure("n1"), Split("n1", "n2", "n5"),
-			Arrive("seals of the core given up", func(to string, ask any) bool {
+			TogglePartition("n4"), Reconfigure("n1"), TogglePartition("n4"),
+			Partition("n1", "n3", "n4", "n6"), Reconfigure("n1"), Partition("n1", "n2", "n5"),
+			DeliverHeld("seals of the core given up", func(to string, ask any) bool {
 				return sealsGivenUp(ask) && (to == "n1" || to == "n2")
 			}),
 			Reconfigure("n2"), Reconfigure("n3"),
-			Order("a", To(2, "a", "r"), "n2"), Order("b", To(2, "b", "r"), "n3"))}}
+			SubmitChange("a", RouteChange(2, "a", "r"), "n2"), SubmitChange("b", RouteChange(2, "b", "r"), "n3"))}}
 }
 
-func plants() []planted {
+func plantedFaults() []planted {
 	ready := []target.Run{{ID: "i-1", Service: "s", Addr: "10.0.0.1:80", Zone: "z", Slots: 1, Seq: 5, State: target.Ready}}
-	race := []Actor{Order("a", To(2, "a", "r"), "n1", "n2"), Order("b", To(2, "b", "r"), "n2", "n3")}
-	twoLosses := []Actor{Script("losses", Order("a", To(2, "a", "r"), "n1"), Lose("n3"), Reconfigure("n1"), Lose("n2"), Reconfigure("n1"), Read("n1"))}
+	race := []Actor{SubmitChange("a", RouteChange(2, "a", "r"), "n1", "n2"), SubmitChange("b", RouteChange(2, "b", "r"), "n2", "n3")}
+	twoLosses := []Actor{Script("losses", SubmitChange("a", RouteChange(2, "a", "r"), "n1"), LoseDisk("n3"), Reconfigure("n1"), LoseDisk("n2"), Reconfigure("n1"), Read("n1"))}
 	return []planted{
-		{"acknowledged before the sync", Scenario{Seats: 3, Budget: Budget{PowerOff: 1}, Actors: []Actor{Order("a", To(2, "a", "r"), "n1")}},
+		{"acknowledged before the sync", Scenario{Seats: 3, Budget: Budget{PowerLosses: 1}, Actors: []Actor{SubmitChange("a", RouteChange(2, "a", "r"), "n1")}},
 			func(w *World) {
-				for _, n := range w.list {
-					n.disk.lies = true
+				for _, n := range w.nodeList {
+					n.disk.acksBeforeSync = true
 				}
 			}, "confirmed"},
 		{"a joiner votes before it pulled", Scenario{Seats: 3, Actors: twoLosses},
@@ -76,16 +76,16 @@
 				}
 			}, "vote without"},
 		{"one seat too few is sealed", Scenario{Seats: 3, Spares: 1, Actors: []Actor{
-			Script("swap", TurnCut("n3"), Reconfigure("n1"), Split("n1", "n4"), Order("b", To(2, "b", "r"), "n3"), Order("a", To(2, "a", "r"), "n1"))}},
+			Script("swap", TogglePartition("n3"), Reconfigure("n1"), Partition("n1", "n4"), SubmitChange("b", RouteChange(2, "b", "r"), "n3"), SubmitChange("a", RouteChange(2, "a", "r"), "n1"))}},
 			func(w *World) {
-				// n2 is taken for sealed, though it was not told.
+				// n2 counts as sealed though the request never reached it.
 				w.Tamper = func(_, to string, ask any) (any, any, bool) {
-					if to != "n2" || w.ending {
+					if to != "n2" || w.finishing {
 						return ask, nil, false
 					}
 					switch a := ask.(type) {
 					case quorum.SealAsk:
-						return ask, quorum.SealTold{Told: yes(w, to)}, true
+						return ask, quorum.SealTold{Told: acceptAll(w, to)}, true
 					case quorum.ListAsk:
 						a.Epoch = w.nodes[to].voter().Core().Epoch
 						return a, nil, false
@@ -99,7 +99,7 @@
 					return ask, nil, false
 				}
 			}, "vote without"},
-		{"a core that was given up is sealed for", givenUpBesideLateSeals(),
+		{"a core that was given up is sealed for", abandonedCoreWithLateSeals(),
 			func(w *World) {
 				w.Tamper = func(_, _ string, ask any) (any, any, bool) {
 					if a, ok := ask.(quorum.SealAsk); ok {
@@ -109,22 +109,22 @@
 					return ask, nil, false
 				}
 			}, "confirmed"},
-		{"a consent to a first core does not bind", Scenario{Seats: 3, Spares: 1, Unformed: true, Budget: Budget{Losses: 4, Crashes: 2, OneWay: 2},
+		{"a consent to a first core does not bind", Scenario{Seats: 3, Spares: 1, Unformed: true, Budget: Budget{MessageLosses: 4, Crashes: 2, OneWayPartitions: 2},
 			Actors: []Actor{Bootstrap("n1"), Bootstrap("n2"), Bootstrap("n3"), Bootstrap("n4")}},
 			func(w *World) {
-				w.Tamper = func(_, to string, question any) (any, any, bool) {
-					if a, ok := question.(quorum.FormAsk); ok && !a.Seal && !a.Drop {
+				w.Tamper = func(_, to string, request any) (any, any, bool) {
+					if a, ok := request.(quorum.FormAsk); ok && !a.Seal && !a.Drop {
 						if by, core := w.nodes[to].voter().Consent(); by != "" {
-							ask[quorum.FormTold](w.nodes[to], quorum.FormAsk{By: by, Core: core, Drop: true})
+							answerLocally[quorum.FormTold](w.nodes[to], quorum.FormAsk{By: by, Core: core, Drop: true})
 						}
 					}
-					return question, nil, false
+					return request, nil, false
 				}
 			}, "two first cores"},
-		{"an emptied disk keeps its seat", Scenario{Seats: 3, Budget: Budget{Losses: 1, Wipes: 1}, Actors: []Actor{Order("a", To(2, "a", "r"), "n1", "n2")}},
+		{"an emptied disk keeps its seat", Scenario{Seats: 3, Budget: Budget{MessageLosses: 1, DiskLosses: 1}, Actors: []Actor{SubmitChange("a", RouteChange(2, "a", "r"), "n1", "n2")}},
 			func(w *World) {
-				for _, n := range w.list {
-					n.keepsSeat = true
+				for _, n := range w.nodeList {
+					n.keepsSeatAfterWipe = true
 				}
 			}, "vote without"},
 		{"the digest decides", Scenario{Seats: 3, Actors: race},
@@ -132,14 +132,14 @@
 				w.Tamper = func(_, to string, ask any) (any, any, bool) {
 					switch a := ask.(type) {
 					case quorum.OfferAsk:
-						return ask, quorum.OfferTold{Told: yes(w, to), Yes: true, Held: make([]quorum.HeldDecision, len(a.Keys))}, true
+						return ask, quorum.OfferTold{Told: acceptAll(w, to), Yes: true, Held: make([]quorum.HeldDecision, len(a.Keys))}, true
 					case quorum.DecideAsk:
-						return ask, quorum.DecideTold{Told: yes(w, to), Yes: true}, true
+						return ask, quorum.DecideTold{Told: acceptAll(w, to), Yes: true}, true
 					}
 					return ask, nil, false
 				}
 			}, "content"},
-		{"a promise is not kept", Scenario{Seats: 3, Budget: Budget{Losses: 2}, Actors: race},
+		{"a promise is not kept", Scenario{Seats: 3, Budget: Budget{MessageLosses: 2}, Actors: race},
 			func(w *World) {
 				w.Tamper = func(_, _ string, ask any) (any, any, bool) {
 					if a, ok := ask.(quorum.DecideAsk); ok {
@@ -149,9 +149,9 @@
 					return ask, nil, false
 				}
 			}, "content"},
-		{"a read asks a node less", Scenario{Seats: 3, Budget: Budget{Losses: 2}, Actors: []Actor{Script("a", Order("a", To(2, "a", "r"), "n2"), Read("n1"))}},
+		{"a read asks a node less", Scenario{Seats: 3, Budget: Budget{MessageLosses: 2}, Actors: []Actor{Script("a", SubmitChange("a", RouteChange(2, "a", "r"), "n2"), Read("n1"))}},
 			func(w *World) {
-				// n2 counts as heard out, though it tells nothing.
+				// n2 counts as fully read though it returns nothing.
 				w.Tamper = func(from, to string, ask any) (any, any, bool) {
 					a, ok := ask.(watch.WatchAsk)
 					if !ok || from != "n1" || to != "n2" {
@@ -162,42 +162,42 @@
 				}
 			}, "reads r"},
 		{"a seat is lent to any zone", Scenario{Seats: 3, Spares: 1, Zones: []string{"a", "b", "c", "b"}, Tolerance: quorum.Tolerance{Zones: 1},
-			Actors: []Actor{Script("down", Order("a", To(2, "a", "r"), "n2"), TurnCut("n1"), Reconfigure("n2"))}},
-			func(w *World) { w.blind = true }, "is exposed to more than"},
+			Actors: []Actor{Script("down", SubmitChange("a", RouteChange(2, "a", "r"), "n2"), TogglePartition("n1"), Reconfigure("n2"))}},
+			func(w *World) { w.ignoreTolerance = true }, "is exposed to more than"},
 		{"a seat is never moved", Scenario{Seats: 3, Spares: 1, Zones: []string{"a", "a", "b", "c"}, Tolerance: quorum.Tolerance{Zones: 1},
-			Actors: []Actor{Order("a", To(2, "a", "r"), "n2")}},
-			func(w *World) { w.blind = true }, "need not be"},
-		{"a note is believed over a leaving", Scenario{Seats: 3, Notes: ready, Actors: []Actor{Script("a", Leave("i-1", "n1"), PowerOff(), Read("n2"))}},
+			Actors: []Actor{SubmitChange("a", RouteChange(2, "a", "r"), "n2")}},
+			func(w *World) { w.ignoreTolerance = true }, "need not be"},
+		{"a note is believed over a leaving", Scenario{Seats: 3, JournalRuns: ready, Actors: []Actor{Script("a", Leave("i-1", "n1"), PowerOff(), Read("n2"))}},
 			func(w *World) {
-				for _, n := range w.list {
-					n.disk.hides = "m/4/"
+				for _, n := range w.nodeList {
+					n.disk.hiddenPrefix = "m/4/"
 				}
-			}, "holds run i-1 for ready"},
+			}, "reports run i-1 as ready"},
 	}
 }
 
-// Each planted fault is found, told as a short list of steps, and found again by its deviations;
-// without the fault the same schedules keep every invariant.
+// Each planted fault is found, shortened to a few deviations, and reproduced from them; without the
+// fault the same schedules keep every invariant.
 func TestPlantedFaultsAreFound(t *testing.T) {
-	const most = 4000
-	for _, p := range plants() {
+	const maxWalks = 4000
+	for _, p := range plantedFaults() {
 		t.Run(p.name, func(t *testing.T) {
 			t.Parallel()
 			p.scenario.Name = p.name
 			sound := p.scenario
-			p.scenario.Plant = p.plant
-			got := Walks(bubble(t), p.scenario, 1, most)
+			p.scenario.Prepare = p.inject
+			got := RandomWalks(bubble(t), p.scenario, 1, maxWalks)
 			if got.Found == nil {
 				t.Fatalf("not found in %d schedules", got.Schedules)
 			}
 			t.Logf("found in %d schedules, %d deviations, %d steps: %s", got.Schedules, len(got.Found.Deviations), len(got.Found.Steps), got.Found.Broken)
-			if !strings.Contains(got.Found.Broken, p.shows) {
+			if !strings.Contains(got.Found.Broken, p.violation) {
 				t.Errorf("it shows as %q", got.Found.Broken)
 			}
 			if again := Replay(bubble(t), p.scenario, got.Found.Deviations); again == nil || again.Broken != got.Found.Broken {
 				t.Errorf("played again: %v", again)
 			}
-			if c := Walks(bubble(t), sound, 1, min(got.Schedules, 200)).Found; c != nil {
+			if c := RandomWalks(bubble(t), sound, 1, min(got.Schedules, 200)).Found; c != nil {
 				t.Errorf("without the fault: %s", c)
 			}
 			if c := Replay(bubble(t), sound, got.Found.Deviations); c != nil {
--- a/internal/sim/model/race_off_test.go
+++ b/internal/sim/model/race_off_test.go
@@ -2,5 +2,5 @@
 
 package model
 
-// raced says that the race detector is on, under which a schedule costs ten times as much.
-const raced = false
+// raceEnabled reports whether the race detector is on, which makes a schedule ten times as slow.
+const raceEnabled = false
--- a/internal/sim/model/troubles.go
+++ b/internal/sim/model/troubles.go
@@ -2,23 +2,23 @@
 
 import "slices"
 
-// powerOff ends every process, loses a disk, if any is named, and starts all again.
+// powerOff ends every process, empties the disk of lost unless it is nil, and starts all again.
 func (w *World) powerOff(lost *node) {
-	w.crash(0, w.list...)
+	w.crash(0, w.nodeList...)
 	if lost != nil {
 		lost.disk.wipe()
-		lost.lost.Store(true)
+		lost.diskLost.Store(true)
 	}
-	for _, n := range w.list {
+	for _, n := range w.nodeList {
 		n.boot()
 	}
 }
 
-// turnCut cuts a node off from all others, or joins it.
-func (w *World) turnCut(n *node) {
+// togglePartition cuts a node off from all others, or reconnects it.
+func (w *World) togglePartition(n *node) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for _, o := range w.list {
+	for _, o := range w.nodeList {
 		for _, way := range [][2]string{{n.id, o.id}, {o.id, n.id}} {
 			if o != n {
 				w.cuts[way] = !w.cuts[way]
@@ -27,24 +27,24 @@
 	}
 }
 
-// turnMute cuts the ways from a node to all others, or joins them; it still hears them.
-func (w *World) turnMute(n *node) {
+// toggleOutbound cuts or restores the paths from a node to all others; it still receives from them.
+func (w *World) toggleOutbound(n *node) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for _, o := range w.list {
+	for _, o := range w.nodeList {
 		if way := [2]string{n.id, o.id}; o != n {
 			w.cuts[way] = !w.cuts[way]
 		}
 	}
 }
 
-// split cuts a group of nodes from all others, and joins all other ways.
-func (w *World) split(group []string) {
+// partition separates a group of nodes from all others and restores all other paths.
+func (w *World) partition(group []string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.cuts = map[[2]string]bool{}
-	for _, a := range w.list {
-		for _, b := range w.list {
+	for _, a := range w.nodeList {
+		for _, b := range w.nodeList {
 			if slices.Contains(group, a.id) != slices.Contains(group, b.id) {
 				w.cuts[[2]string{a.id, b.id}] = true
 			}
--- a/internal/sim/model/world.go
+++ b/internal/sim/model/world.go
@@ -12,173 +12,173 @@
 )
 
 const (
-	// most is how many steps the explored part of a schedule has at most; after that it ends as
-	// usual.
-	most = 500
-	// mostEnd bounds the steps of the end, in which all must become well.
-	mostEnd = 2000
-	// settleTime is what passes at the end of a play, so that no goroutine stays behind.
+	// maxSteps bounds the explored part of a schedule; after it the schedule takes default steps
+	// only.
+	maxSteps = 500
+	// maxFinishSteps bounds each run of default steps until all actors have finished.
+	maxFinishSteps = 2000
+	// settleTime passes at the end of a run, so that no goroutine stays behind.
 	settleTime = 10 * time.Second
-	// waitTime is longer than any wait for an answer, and than a try of a reconfigurer. At the
-	// end it passes each patientSteps steps.
-	waitTime     = 6 * time.Second
-	patientSteps = 150
+	// timeoutSpan is longer than any wait for an answer and than one attempt of a reconfigurer.
+	// While only default steps are taken, it passes every stepsPerTimeout steps.
+	timeoutSpan     = 6 * time.Second
+	stepsPerTimeout = 150
 )
 
-// Budget is how much may go wrong in one schedule.
+// Budget limits the faults of one schedule.
 type Budget struct {
-	Losses   int // messages lost
-	Repeats  int // questions that arrive twice
-	Crashes  int // processes killed, in the middle of a sync or not
-	PowerOff int // times at which all processes end together
-	Wipes    int // disks lost
-	Zones    int // zones lost, with all disks in them
-	Cuts     int // nodes cut off from all others, or joined again
-	OneWay   int // nodes that others no longer hear, or hear again
-	Freezes  int // nodes that stand still, or wake again
-	Delays   int // times at which whoever waits for an answer has waited for too long
+	MessageLosses    int // messages lost
+	Duplicates       int // requests that arrive twice
+	Crashes          int // processes killed, possibly during a sync
+	PowerLosses      int // simultaneous ends of all processes
+	DiskLosses       int // disks lost
+	ZoneLosses       int // zones lost with all disks in them
+	Partitions       int // nodes cut off from all others, or reconnected
+	OneWayPartitions int // nodes whose messages no longer arrive, or arrive again
+	Freezes          int // nodes frozen, or resumed
+	Timeouts         int // points at which all pending waits for an answer time out
 }
 
-// Scenario is what a schedule is explored of.
+// Scenario is the set-up whose schedules are explored.
 type Scenario struct {
 	Name   string
 	Seats  int // in the first core
 	Spares int // further nodes with a disk
-	// Zones are those of the nodes; all stand in one where there are none.
+	// Zones are the zones of the nodes; if empty, all nodes share one.
 	Zones []string
-	// Tolerance is what may be lost at once; where it is empty, as many machines as the seats bear.
+	// Tolerance is what may be lost at once; if empty, as many machines as the seats allow.
 	Tolerance quorum.Tolerance
-	// Size is how many seats the core is to have at last; 0 where it stays as it is.
+	// Size is the number of seats that the core must reach in the end; 0 if it does not change.
 	Size   int
 	Budget Budget
-	// Actors do what operators, readers, targets and reconfigurers do; each begins at once, or
-	// by a step of the schedule.
+	// Actors act as operators, readers, targets and reconfigurers; each begins at once or waits for
+	// a step of the schedule.
 	Actors []Actor
-	// Unformed says that no first core stands yet: bootstrappers are to form it.
+	// Unformed means that there is no first core yet: bootstrappers have to form it.
 	Unformed bool
-	// Notes are what every node's journal of runs holds at each start.
-	Notes []target.Run
-	// KeepBack names the questions that the network keeps back, until an actor lets them arrive;
-	// their askers take them for lost.
-	KeepBack func(from, to string, ask any) bool
-	// Plant changes the world before it starts: a planted fault.
-	Plant func(w *World)
+	// JournalRuns is the content of every node's run journal at each start.
+	JournalRuns []target.Run
+	// Hold selects the requests that the network holds back until DeliverHeld; to their senders
+	// they are lost.
+	Hold func(from, to string, ask any) bool
+	// Prepare changes the world before it starts, to plant a fault.
+	Prepare func(w *World)
 }
 
-// Actor does something at nodes, one after the other.
+// Actor performs a sequence of operations on nodes.
 type Actor struct {
 	Name string
 	Do   func(w *World)
 }
 
-// World is one play of a scenario.
+// World is the state of one run of a scenario.
 type World struct {
-	scenario Scenario
-	ctx      context.Context
-	list     []*node
-	nodes    map[string]*node
-	history  *history
-	left     Budget
-	// patience ends when whoever is still at work gives up.
-	patience context.Context
-	giveUp   context.CancelFunc
+	scenario  Scenario
+	ctx       context.Context
+	nodeList  []*node
+	nodes     map[string]*node
+	history   *history
+	remaining Budget
+	// actorCtx ends when the remaining actors have to give up.
+	actorCtx     context.Context
+	cancelActors context.CancelFunc
 	// Tamper is a planted fault in the network.
 	Tamper Tamper
-	// blind is a planted fault: reconfigurers do not know what the core is to bear.
-	blind bool
-	// exposed is what the newest core seen was exposed to.
-	exposed exposedCore
+	// ignoreTolerance is a planted fault: reconfigurers do not know the tolerance.
+	ignoreTolerance bool
+	// lastExposure is the exposure of the newest core seen.
+	lastExposure coreExposure
 
-	mu      sync.Mutex
-	kept    []message
-	arrived bool // what was kept back
-	now     time.Time
-	events  []*event
-	fresh   []*event
-	lastID  int
-	cuts    map[[2]string]bool
-	actors  int // still at work
-	steps   []string
-	ending  bool
+	mu           sync.Mutex
+	held         []message
+	heldReleased bool // DeliverHeld has run
+	now          time.Time
+	events       []*event
+	newEvents    []*event
+	lastID       int
+	cuts         map[[2]string]bool
+	actors       int // not finished yet
+	steps        []string
+	finishing    bool
 }
 
-// play runs one schedule; it is to run in a bubble of testing/synctest. It tells the invariant
-// that was broken, if any, and the steps.
-func play(ctx context.Context, s Scenario, by Chooser) (broken string, steps []string) {
+// play runs one schedule; it must run in a testing/synctest bubble. It returns the violated
+// invariant, if any, and the steps.
+func play(ctx context.Context, s Scenario, chooser Chooser) (broken string, steps []string) {
 	ctx, end := context.WithCancel(ctx)
-	w := &World{scenario: s, ctx: ctx, nodes: map[string]*node{}, history: newHistory(), left: s.Budget, now: time.Unix(1e9, 0), cuts: map[[2]string]bool{}}
-	w.patience, w.giveUp = context.WithCancel(ctx)
+	w := &World{scenario: s, ctx: ctx, nodes: map[string]*node{}, history: newHistory(), remaining: s.Budget, now: time.Unix(1e9, 0), cuts: map[[2]string]bool{}}
+	w.actorCtx, w.cancelActors = context.WithCancel(ctx)
 	defer func() {
-		w.giveUp()
-		w.crash(0, w.list...)
+		w.cancelActors()
+		w.crash(0, w.nodeList...)
 		end()
 		time.Sleep(settleTime)
 	}()
 	w.build()
 	if !s.Unformed {
-		w.found()
-		w.begin(Order("base", base(), w.list[0].id))
-		if !w.drive() {
+		w.formInitialCore()
+		w.startActor(SubmitChange("base", baseChange(), w.nodeList[0].id))
+		if !w.runUntilIdle() {
 			return "the first change is not acknowledged", w.steps
 		}
 		w.steps = nil
 	}
 	for _, a := range s.Actors {
-		w.begin(a)
+		w.startActor(a)
 		w.quiesce()
 	}
-	for range most {
+	for range maxSteps {
 		w.quiesce()
-		if w.inspect(); w.history.verdict() != "" {
-			return w.history.verdict(), w.steps
+		if w.checkInvariants(); w.history.firstViolation() != "" {
+			return w.history.firstViolation(), w.steps
 		}
-		if !w.step(by) {
+		if !w.takeStep(chooser) {
 			break
 		}
 	}
 	w.finish()
-	return w.history.verdict(), w.steps
+	return w.history.firstViolation(), w.steps
 }
 
-// build starts the nodes.
+// build creates and starts the nodes.
 func (w *World) build() {
 	for i := range w.scenario.Seats + w.scenario.Spares {
 		n := &node{w: w, id: nodeID(i), zone: w.scenario.zone(i), disk: newDisk()}
-		for _, r := range w.scenario.Notes {
-			n.notes = append(n.notes, r.Record())
+		for _, r := range w.scenario.JournalRuns {
+			n.journal = append(n.journal, r.Record())
 		}
-		w.list = append(w.list, n)
+		w.nodeList = append(w.nodeList, n)
 		w.nodes[n.id] = n
 	}
-	if w.scenario.Plant != nil {
-		w.scenario.Plant(w)
+	if w.scenario.Prepare != nil {
+		w.scenario.Prepare(w)
 	}
-	for _, n := range w.list {
+	for _, n := range w.nodeList {
 		n.boot()
 	}
 }
 
-// found gives the nodes their first core.
-func (w *World) found() {
+// formInitialCore forms the first core on the seats and makes it known to all nodes.
+func (w *World) formInitialCore() {
 	var seats []quorum.Seat
-	for _, n := range w.list[:w.scenario.Seats] {
+	for _, n := range w.nodeList[:w.scenario.Seats] {
 		seats = append(seats, n.voter().Seat())
 	}
 	core := quorum.Core{Epoch: 1, Seats: seats}
 	for _, seal := range []bool{false, true} {
-		for _, n := range w.list[:w.scenario.Seats] {
-			if r := ask[quorum.FormTold](n, quorum.FormAsk{By: "model", Core: core, Seal: seal}); !r.OK {
-				panic("the first core is refused") // the model's own set-up
+		for _, n := range w.nodeList[:w.scenario.Seats] {
+			if r := answerLocally[quorum.FormTold](n, quorum.FormAsk{By: "model", Core: core, Seal: seal}); !r.OK {
+				panic("the first core is refused") // a fault of the model's set-up
 			}
 		}
 	}
-	for _, n := range w.list {
-		n.now.Load().control.Proposer.Learn(core)
+	for _, n := range w.nodeList {
+		n.current.Load().control.Proposer.Learn(core)
 	}
 }
 
-// begin has an actor start.
-func (w *World) begin(a Actor) {
+// startActor runs an actor in a goroutine of its own.
+func (w *World) startActor(a Actor) {
 	w.mu.Lock()
 	w.actors++
 	w.mu.Unlock()
@@ -190,101 +190,101 @@
 	}()
 }
 
-// quiesce waits until nothing happens any more without a step.
+// quiesce waits until nothing can happen without a step.
 func (w *World) quiesce() {
 	synctest.Wait()
-	w.admit()
+	w.numberEvents()
 }
 
-// idle tells whether all actors are through.
+// idle reports whether all actors have finished.
 func (w *World) idle() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.actors == 0
 }
 
-// finish heals everything, has the core complete itself, and reads at every node. That no answer
-// comes then is a fault, too.
+// finish removes all faults, lets the core fill its seats, and reads at every node. A missing answer
+// is a violation as well.
 func (w *World) finish() {
 	w.mu.Lock()
-	w.ending, w.cuts = true, map[[2]string]bool{}
+	w.finishing, w.cuts = true, map[[2]string]bool{}
 	w.mu.Unlock()
-	for _, n := range w.list {
+	for _, n := range w.nodeList {
 		n.frozen.Store(false)
-		if !n.up() {
+		if !n.running() {
 			n.boot()
 		}
 	}
-	w.giveUp()
-	if !w.drive() {
-		w.history.note("an actor does not give up")
+	w.cancelActors()
+	if !w.runUntilIdle() {
+		w.history.addViolation("an actor does not stop after its context ended")
 		return
 	}
-	w.patience, w.giveUp = context.WithCancel(w.ctx)
-	if w.scenario.Unformed && !w.formAtLast() {
-		w.history.note("no first core is formed")
+	w.actorCtx, w.cancelActors = context.WithCancel(w.ctx)
+	if w.scenario.Unformed && !w.formFirstCore() {
+		w.history.addViolation("no first core is formed")
 		return
 	}
 	for round := 0; ; round++ {
-		for _, n := range w.list {
-			w.begin(Actor{"reconfigure at " + n.id, func(w *World) { w.reconfigure(n.id) }})
-			if !w.drive() {
-				w.history.note("%s does not come to an end with the core", n.id)
+		for _, n := range w.nodeList {
+			w.startActor(Actor{"reconfigure at " + n.id, func(w *World) { w.reconfigure(n.id) }})
+			if !w.runUntilIdle() {
+				w.history.addViolation("reconfiguration at %s does not finish", n.id)
 				return
 			}
 		}
-		if w.complete() {
+		if w.coreComplete() {
 			break
 		}
 		if round == 8 {
-			w.history.note("the core does not fill its seats")
+			w.history.addViolation("the core does not fill its seats")
 			return
 		}
 	}
-	for _, n := range w.list {
-		w.begin(Actor{"read at " + n.id, func(w *World) { w.read(n.id) }})
-		if !w.drive() {
-			w.history.note("%s does not answer a read though all is well", n.id)
+	for _, n := range w.nodeList {
+		w.startActor(Actor{"read at " + n.id, func(w *World) { w.read(n.id) }})
+		if !w.runUntilIdle() {
+			w.history.addViolation("%s does not answer a read in a healthy system", n.id)
 			return
 		}
 	}
-	w.inspect()
-	w.inspectPlacement()
+	w.checkInvariants()
+	w.checkPlacement()
 }
 
-// drive takes the usual steps until all actors are through.
-func (w *World) drive() bool {
-	for n := range mostEnd {
+// runUntilIdle takes default steps until all actors have finished.
+func (w *World) runUntilIdle() bool {
+	for n := range maxFinishSteps {
 		w.quiesce()
-		if n%patientSteps == patientSteps-1 {
-			time.Sleep(waitTime)
+		if n%stepsPerTimeout == stepsPerTimeout-1 {
+			time.Sleep(timeoutSpan)
 			w.quiesce()
 		}
 		if w.idle() {
 			return true
 		}
-		if !w.step(&Deviations{}) {
+		if !w.takeStep(&Deviations{}) {
 			return w.idle()
 		}
 	}
 	return false
 }
 
-// complete tells whether every seat of the newest core votes.
-func (w *World) complete() bool {
+// coreComplete reports whether every seat of the newest core votes.
+func (w *World) coreComplete() bool {
 	core := w.core()
 	for _, s := range core.Seats {
 		n := w.nodes[s.ID]
-		if !n.up() || n.voter().Core().Epoch != core.Epoch || n.voter().Seat().Disk != s.Disk {
+		if !n.running() || n.voter().Core().Epoch != core.Epoch || n.voter().Seat().Disk != s.Disk {
 			return false
 		}
 	}
 	return true
 }
 
-// core is the newest that any disk holds.
+// core returns the newest core that any running node knows.
 func (w *World) core() (newest quorum.Core) {
-	for _, n := range w.list {
+	for _, n := range w.nodeList {
 		if v := n.voter(); v != nil && v.Core().Epoch > newest.Epoch {
 			newest = v.Core()
 		}
@@ -292,20 +292,20 @@
 	return newest
 }
 
-// inspect looks at what every node shows, and at what the disks of the core hold.
-func (w *World) inspect() {
-	for _, n := range w.list {
-		p := n.now.Load()
+// checkInvariants checks what every node shows and what the disks of the core hold.
+func (w *World) checkInvariants() {
+	for _, n := range w.nodeList {
+		p := n.current.Load()
 		if p == nil {
 			continue
 		}
 		p.control.Board.Items(func(s *item.Set) {
 			for i := range s.All() {
-				w.history.show(n.id, i)
+				w.history.recordShown(n.id, i)
 			}
 		})
 	}
-	w.inspectDisks()
-	w.inspectFirstCore()
-	w.inspectExposure()
+	w.checkDisks()
+	w.checkFirstCore()
+	w.checkExposure()
 }
--- a/internal/sim/orders_test.go
+++ b/internal/sim/orders_test.go
@@ -209,10 +209,10 @@
 	t.Parallel()
 	raised(t, func(ctx context.Context, w *World) {
 		for _, x := range w.Targets {
-			x.Set(stand.Losing)
+			x.Set(stand.ClosingAfterRun)
 		}
 		var o stand.Outcome
-		for i := 0; !o.SentOn && i < 20; i++ {
+		for i := 0; !o.Forwarded && i < 20; i++ {
 			o = w.through("f3", fmt.Sprint("lost", i))
 		}
 		say := func(s string) string {
--- a/internal/sim/overload_test.go
+++ b/internal/sim/overload_test.go
@@ -34,14 +34,14 @@
 					case o.Status < 300 && o.Err == "":
 						by[o.Path]++
 					case o.Code == httpapi.BusyNotRun:
-						slow, retry = max(slow, o.Done.Sub(o.Sent)), max(retry, o.Retry)
+						slow, retry = max(slow, o.Done.Sub(o.Sent)), max(retry, o.RetryAfter)
 					}
 				}
 				useful := float64(v.Successes) / span.Seconds()
 				t.Logf("%.0f a second of %.0f that the places can do: %.0f useful a second, %d refused within %s (come back after up to %s s), %d unknown, 99 of 100 within %s, %v of %v",
 					times*can, can, useful, v.Classes["refused: busy, not run"], slow, retry, v.Unknown, v.P99, by, all)
-				if len(v.Broken) > 0 {
-					t.Error(v.Broken)
+				if len(v.Violations) > 0 {
+					t.Error(v.Violations)
 				}
 				if useful < 0.6*can {
 					t.Errorf("%.0f useful answers a second, the places can do %.0f", useful, can)
--- a/internal/sim/points_test.go
+++ b/internal/sim/points_test.go
@@ -91,7 +91,7 @@
 // judge checks what the targets and callers wrote down, and the picture.
 func judge(t *testing.T, w *World) stand.Verdict {
 	v := w.Rec.Check()
-	for _, b := range v.Broken {
+	for _, b := range v.Violations {
 		t.Error(b)
 	}
 	if w.twice > 0 {
@@ -105,8 +105,8 @@
 		}
 	}
 	placed := lo.CountBy(w.Rec.Outcomes, func(o stand.Outcome) bool { return !o.Repeatable })
-	if w.Rec.Changed() < 2 || v.Successes == 0 || placed == 0 || v.Judged == 0 {
-		t.Errorf("nothing went on: %d changes, shown %d times, %d successes, %d orders", w.Rec.Changed(), v.Judged, v.Successes, placed)
+	if w.Rec.AckedChanges() < 2 || v.Successes == 0 || placed == 0 || v.ChangesShown == 0 {
+		t.Errorf("nothing went on: %d changes, shown %d times, %d successes, %d orders", w.Rec.AckedChanges(), v.ChangesShown, v.Successes, placed)
 	}
 	return v
 }
--- a/internal/sim/slow_test.go
+++ b/internal/sim/slow_test.go
@@ -36,8 +36,8 @@
 						slow = max(slow, o.Done.Sub(o.Sent))
 					}
 				}
-				if v := w.Rec.Check(); bad > 0 || len(v.Broken) > 0 || v.Successes < 300 || slow > 700*time.Millisecond {
-					t.Errorf("%d calls failed, the slowest took %s, %v %v %v", bad, slow, v.Whys, v.Classes, v.Broken)
+				if v := w.Rec.Check(); bad > 0 || len(v.Violations) > 0 || v.Successes < 300 || slow > 700*time.Millisecond {
+					t.Errorf("%d calls failed, the slowest took %s, %v %v %v", bad, slow, v.RefusalReasons, v.Classes, v.Violations)
 				}
 			})
 		})
--- a/internal/sim/stop_test.go
+++ b/internal/sim/stop_test.go
@@ -27,8 +27,8 @@
 		}
 		end()
 		<-done
-		if v := w.Rec.Check(); len(v.Broken) > 0 || len(w.Rec.Failed(time.Time{})) > 0 || v.Successes == 0 || len(w.Rec.Stops) != len(w.Of("gateway")) {
-			t.Errorf("%d stops, %d of %d calls served, %v %v %v", len(w.Rec.Stops), v.Successes, v.Calls, v.Whys, v.Classes, v.Broken)
+		if v := w.Rec.Check(); len(v.Violations) > 0 || len(w.Rec.Failed(time.Time{})) > 0 || v.Successes == 0 || len(w.Rec.Stops) != len(w.Of("gateway")) {
+			t.Errorf("%d stops, %d of %d calls served, %v %v %v", len(w.Rec.Stops), v.Successes, v.Calls, v.RefusalReasons, v.Classes, v.Violations)
 		}
 	})
 }
--- a/internal/sim/suspect_test.go
+++ b/internal/sim/suspect_test.go
@@ -149,8 +149,8 @@
 				<-done
 				v := w.Rec.Check()
 				t.Logf("%d wrong suspicions, %d let go, %d calls, %v", wrong, gone, v.Calls, v.Classes)
-				if gone > 0 || wrong > 0 || len(v.Broken) > 0 {
-					t.Errorf("%d wrong suspicions, %d let go, %v", wrong, gone, v.Broken)
+				if gone > 0 || wrong > 0 || len(v.Violations) > 0 {
+					t.Errorf("%d wrong suspicions, %d let go, %v", wrong, gone, v.Violations)
 				}
 			})
 		})
@@ -182,8 +182,8 @@
 				}
 			}
 		}
-		if v := w.Rec.Check(); len(v.Broken) > 0 || v.Refusals > 0 || len(w.Rec.Leaves) != 1 {
-			t.Errorf("%v %v", v.Broken, v.Whys)
+		if v := w.Rec.Check(); len(v.Violations) > 0 || v.Refusals > 0 || len(w.Rec.Leaves) != 1 {
+			t.Errorf("%v %v", v.Violations, v.RefusalReasons)
 		}
 		// Its address goes to a new machine, which serves.
 		x := &Target{w: w, ID: "orders-new", Service: "orders", Zone: lost.Zone, Addr: lost.Addr, rnd: lost.rnd}
--- a/internal/sim/target.go
+++ b/internal/sim/target.go
@@ -55,7 +55,7 @@
 	t.mu.Lock()
 	t.run, t.end, t.places = ctx, end, make(chan struct{}, capacity)
 	t.inc = uint64(time.Now().UnixNano() / 1000)
-	t.seq, t.leaving, t.mode = 0, false, stand.Good
+	t.seq, t.leaving, t.mode = 0, false, stand.Healthy
 	t.mu.Unlock()
 	t.w.Net.mu.Lock()
 	t.w.at[t.Addr] = t
@@ -171,7 +171,7 @@
 	select {
 	case k := <-ch:
 		if k.ok && k.r.Gone {
-			t.w.Rec.Gone(stand.Leave{Target: t.ID, Inc: b.Inc, Acked: time.Now()})
+			t.w.Rec.RecordEviction(stand.Leave{Target: t.ID, Inc: b.Inc, AckedAt: time.Now()})
 		}
 		return k.r, k.ok
 	case <-time.After(wait):
@@ -188,7 +188,7 @@
 	t.mu.Unlock()
 	for ctx.Err() == nil && t.Up() {
 		if _, l, ok := t.Beat(ctx); ok && l {
-			t.w.Rec.Leave(stand.Leave{Target: t.ID, Inc: inc, Acked: time.Now()})
+			t.w.Rec.RecordLeave(stand.Leave{Target: t.ID, Inc: inc, AckedAt: time.Now()})
 			return true
 		}
 		time.Sleep(50 * time.Millisecond)
@@ -241,7 +241,7 @@
 	}
 	// From here on the request is on its way, whatever becomes of this node.
 	if s.Last != nil {
-		c.w.Rec.Arrive(stand.Arrival{At: time.Now(), Target: t.ID, Inc: t.runInc(), Service: t.Service, Order: orderOf(s.Req), Number: s.Number, Path: s.Req.URI})
+		c.w.Rec.RecordArrival(stand.Arrival{At: time.Now(), Target: t.ID, Inc: t.runInc(), Service: t.Service, Order: orderOf(s.Req), SendID: s.Number, Path: s.Req.URI})
 	}
 	back := make(chan *passage.Answer, 1)
 	run := t.runCtx()
@@ -299,12 +299,12 @@
 	t.mu.Lock()
 	mode, inc, work := t.mode, t.inc, least+time.Duration(t.rnd.Int64N(int64(most-least)))+t.lag
 	places := t.places
-	if mode != stand.Good && mode != stand.Vanished && t.rnd.IntN(2) == 0 {
-		mode = stand.Good
+	if mode != stand.Healthy && mode != stand.Unresponsive && t.rnd.IntN(2) == 0 {
+		mode = stand.Healthy
 	}
 	leaving := t.leaving
 	t.mu.Unlock()
-	if mode == stand.Vanished {
+	if mode == stand.Unresponsive {
 		<-run.Done()
 		return nil
 	}
@@ -325,7 +325,7 @@
 	case <-run.Done():
 		return nil
 	}
-	t.w.Rec.Exec(stand.Exec{At: time.Now(), Target: t.ID, Service: t.Service, Inc: inc, Order: order, Number: s.Number, Path: s.Req.URI, Meant: s.Target, Digest: stand.Digest([]byte(order + "."))})
+	t.w.Rec.RecordExec(stand.Exec{At: time.Now(), Target: t.ID, Service: t.Service, Inc: inc, Order: order, SendID: s.Number, Path: s.Req.URI, IntendedTarget: s.Target, Digest: stand.Digest([]byte(order + "."))})
 	if mode == stand.Slow {
 		work *= 10
 	}
@@ -345,12 +345,12 @@
 		case <-time.After(4 * time.Second):
 		}
 		return nil
-	case stand.Losing:
+	case stand.ClosingAfterRun:
 		return nil
-	case stand.Garbling:
+	case stand.BadStamp:
 		st.Inc++
 		a.Stamp = st.String()
-	case stand.Cutting:
+	case stand.Truncating:
 		a.Body = a.Body[:len(a.Body)/2]
 	case stand.Swapping:
 		t.mu.Lock()
--- a/internal/sim/world.go
+++ b/internal/sim/world.go
@@ -73,7 +73,7 @@
 	end        context.CancelFunc
 	done       chan struct{}
 	inc        uint64
-	struck     stand.Struck // guarded by mu
+	struck     stand.OutageTracker // guarded by mu
 	// looked is what the platform last saw: ready or not.
 	looked atomic.Bool
 	// out says that the machine is not part of the deployment: not yet, or no more.
@@ -145,7 +145,7 @@
 		w.Nodes = append(w.Nodes, n)
 	}
 	for _, n := range w.Nodes {
-		n.struck = stand.Struck{Rec: w.Rec, Node: n.ID}
+		n.struck = stand.OutageTracker{Rec: w.Rec, Node: n.ID}
 	}
 	i := 0
 	for _, svc := range []string{"orders", "records"} {
@@ -379,7 +379,7 @@
 	n.awake()
 	// Another failure may have come first.
 	if up.Err() == nil && n.colds() == cold && f != nil {
-		n.w.Rec.Stop(stand.Stop{Gateway: n.ID, From: from, End: time.Now()})
+		n.w.Rec.RecordStop(stand.Stop{Gateway: n.ID, From: from, End: time.Now()})
 	}
 	if up.Err() == nil {
 		n.mu.Lock()
@@ -425,26 +425,26 @@
 }
 
 // insist sends an order to any controller until it has a final result, and notes it.
-func (w *World) insist(ctx context.Context, who string, a stand.Asked, base *uint64) (commands.Result, bool) {
+func (w *World) insist(ctx context.Context, who string, a stand.ChangeRequest, base *uint64) (commands.Result, bool) {
 	w.rmu.Lock()
 	w.told++
-	a.Token, a.At = fmt.Sprintf("%s-%d", who, w.told), time.Now()
+	a.Token, a.SubmittedAt = fmt.Sprintf("%s-%d", who, w.told), time.Now()
 	w.rmu.Unlock()
 	send := func() (commands.Result, bool) {
 		ms := w.Of("controller")
 		n := ms[w.Draw(who, len(ms))]
-		if a.Back == 0 {
+		if a.RollbackTo == 0 {
 			return w.Order(ctx, n, commands.Order{Token: a.Token, Base: base, Edits: a.Edits})
 		}
 		return speak(ctx, n, func(cx context.Context, m *controller.Controller) commands.Result {
-			x, err := m.Speaker.Say(cx, fmt.Sprintf("roll back to %d token %s", a.Back, a.Token))
+			x, err := m.Speaker.Say(cx, fmt.Sprintf("roll back to %d token %s", a.RollbackTo, a.Token))
 			if err != nil {
 				return commands.Result{Outcome: commands.NoCore, Why: err.Error()}
 			}
 			return x.Data.(commands.Result)
 		})
 	}
-	r, ok := w.Rec.Insist(ctx, a, send, func() { time.Sleep(w.pause(who, 20, 200)) })
+	r, ok := w.Rec.SubmitUntilFinal(ctx, a, send, func() { time.Sleep(w.pause(who, 20, 200)) })
 	if ok && r.Outcome == commands.InForce {
 		w.tell("version %d in force: %s", r.Version, a.Token)
 		if w.Draw(who, 4) == 0 {
@@ -487,12 +487,12 @@
 }
 
 // kinds of call in a world.
-var kinds = []stand.Kind{
+var kinds = []stand.CallKind{
 	{Method: "POST", Path: "/orders", Service: "orders"},
 	{Method: "GET", Path: "/status", Service: "orders", Repeatable: true},
 	{Method: "GET", Path: "/glossary", Service: "records", Repeatable: true},
 	{Method: "GET", Path: "/draft", Service: "records", Repeatable: true},
-	{Method: "GET", Path: "/notice", Service: "records", Repeatable: true, Loose: true},
+	{Method: "GET", Path: "/notice", Service: "records", Repeatable: true, MayBeUnbound: true},
 }
 
 // Sheet is the world's first sheet.
@@ -504,7 +504,7 @@
 	return s.Sorted()
 }
 
-func binding(k stand.Kind, service string) spec.Binding {
+func binding(k stand.CallKind, service string) spec.Binding {
 	return spec.Binding{Name: k.Path[1:], Service: service, Methods: []string{k.Method}, Path: k.Path, ExpiryMS: 3000, Repeatable: k.Repeatable}
 }
 
@@ -513,7 +513,7 @@
 	ctx, end := context.WithTimeout(w.ctx, within)
 	defer end()
 	s := Sheet()
-	if r, ok := w.insist(ctx, "form", stand.Asked{Edits: []spec.Edit{{Op: spec.Replace, Sheet: &s}}}, nil); !ok {
+	if r, ok := w.insist(ctx, "form", stand.ChangeRequest{Edits: []spec.Edit{{Op: spec.Replace, Sheet: &s}}}, nil); !ok {
 		return fmt.Errorf("no first sheet: %+v", r)
 	}
 	for !lo.EveryBy(w.Of("gateway"), func(n *Node) bool { f := n.Gateway(); return f != nil && f.Ready() }) {
@@ -529,7 +529,7 @@
 // does, and notes the outcome.
 // An order goes out under a key, and is sent again under it, through any gateway,
 // while its caller does not know that it ran.
-func (w *World) Call(k stand.Kind) {
+func (w *World) Call(k stand.CallKind) {
 	w.rmu.Lock()
 	w.orders++
 	order := fmt.Sprintf("o%d", w.orders)
@@ -544,15 +544,15 @@
 }
 
 // call sends one call once. One that names its client hammers, and is not proper.
-func (w *World) call(k stand.Kind, order, client string) (o stand.Outcome) {
+func (w *World) call(k stand.CallKind, order, client string) (o stand.Outcome) {
 	var ready []*Node
 	for _, n := range w.Of("gateway") {
 		if n.looked.Load() {
 			ready = append(ready, n)
 		}
 	}
-	o = stand.Outcome{Order: order, Path: k.Path, Service: k.Service, Repeatable: k.Repeatable, Proper: !k.Loose && client == "", Sent: time.Now()}
-	defer func() { o.Done = time.Now(); w.Rec.Outcome(o) }()
+	o = stand.Outcome{Order: order, Path: k.Path, Service: k.Service, Repeatable: k.Repeatable, Valid: !k.MayBeUnbound && client == "", Sent: time.Now()}
+	defer func() { o.Done = time.Now(); w.Rec.RecordOutcome(o) }()
 	if len(ready) == 0 {
 		o.Err = stand.NoNode
 		return o
@@ -593,18 +593,18 @@
 	}
 	if t.Out != nil {
 		o.Call = t.Call
-		o.Status, o.Code, o.Why, o.SentOn = t.Out.Status, t.Out.Code, t.Out.Why, t.Out.Sent
+		o.Status, o.Code, o.Reason, o.Forwarded = t.Out.Status, t.Out.Code, t.Out.Why, t.Out.Sent
 		if t.Out.Retry > 0 {
-			o.Retry = t.Out.RetryAfter()
+			o.RetryAfter = t.Out.RetryAfter()
 		}
 		return o
 	}
 	o.Status, o.Stamp = t.Answer.Status, t.Answer.Stamp
-	o.BodyOrder, o.BodyWhole, o.Digest = string(t.Answer.Body), t.Answer.Whole, stand.Digest(t.Answer.Body)
+	o.BodyOrder, o.BodyComplete, o.Digest = string(t.Answer.Body), t.Answer.Whole, stand.Digest(t.Answer.Body)
 	if len(o.BodyOrder) > 0 && o.BodyOrder[len(o.BodyOrder)-1] == '.' {
 		o.BodyOrder = o.BodyOrder[:len(o.BodyOrder)-1]
 	} else {
-		o.BodyWhole = false
+		o.BodyComplete = false
 	}
 	return o
 }
@@ -615,7 +615,7 @@
 	for _, o := range w.Rec.Outcomes {
 		k := "ok"
 		if o.Err != "" || o.Status >= 300 {
-			k = o.Err + o.Code + " " + o.Why
+			k = o.Err + o.Code + " " + o.Reason
 		}
 		n := o.Sent.Unix()
 		if by[n] == nil {
--- a/internal/sim/world_test.go
+++ b/internal/sim/world_test.go
@@ -83,13 +83,13 @@
 	healed := time.Now()
 	<-done
 	<-ops
-	if len(w.Rec.Acts) == 0 {
+	if len(w.Rec.FailureCounts) == 0 {
 		t.Errorf("seed %d: no failure was brought about", seed)
 	}
 	finish(t, w)
 	v := judge(t, w)
-	if d.Day && v.Refused {
-		t.Errorf("seed %d: %d of %d calls refused: %v", seed, v.Refusals, v.Calls, v.Whys)
+	if d.Day && v.TooManyRefusals {
+		t.Errorf("seed %d: %d of %d calls refused: %v", seed, v.Refusals, v.Calls, v.RefusalReasons)
 	}
 	if late := w.Rec.Failed(healed.Add(15 * time.Second)); len(late) > 0 {
 		t.Errorf("seed %d: %d calls failed later than 15 s after all came back, first %+v", seed, len(late), late[0])
@@ -98,8 +98,8 @@
 		w.timeline()
 	}
 	t.Logf("seed %d: %d calls, %d ok, %d refused, %d unknown, %v, %v, %d changes, %d extra, worst %.0f, slowest change %.0f ms, slip %.0f ms",
-		seed, v.Calls, v.Successes, v.Refusals, v.Unknown, v.Whys, v.Classes, w.Rec.Changed(), v.Extra, v.WorstExtra, v.SlowestMS, v.SlipMS)
-	drawn.note(d, v.Acts)
+		seed, v.Calls, v.Successes, v.Refusals, v.Unknown, v.RefusalReasons, v.Classes, w.Rec.AckedChanges(), v.ExtraSends, v.WorstExtraOverLimit, v.SlowestChangeMS, v.WidestSlipMS)
+	drawn.note(d, v.FailureCounts)
 }
 
 // finish ends the day on a final fault: a change and a leaving are acknowledged, and
@@ -110,7 +110,7 @@
 	if !w.lastLoss() {
 		return
 	}
-	w.Rec.Act("disk lost at the last moment")
+	w.Rec.CountFailure("disk lost at the last moment")
 	ctx, end := context.WithTimeout(w.ctx, 8*time.Second)
 	defer end()
 	for _, n := range w.Of("controller") {
--- a/internal/sim/zone_test.go
+++ b/internal/sim/zone_test.go
@@ -88,8 +88,8 @@
 	for _, o := range w.Rec.Failed(back) {
 		last = max(last, o.Sent.Sub(back))
 	}
-	t.Logf("%d calls, %d refused (%d promised), %v, %v, last failure %s after the return", v.Calls, v.Refusals, 5+v.Calls/500, v.Classes, v.Whys, last)
-	if v.Refused || len(late) > 0 {
+	t.Logf("%d calls, %d refused (%d promised), %v, %v, last failure %s after the return", v.Calls, v.Refusals, 5+v.Calls/500, v.Classes, v.RefusalReasons, last)
+	if v.TooManyRefusals || len(late) > 0 {
 		t.Errorf("%d of %d calls refused, %d later than 15 s after the zone's return", v.Refusals, v.Calls, len(late))
 	}
 }
--- a/tools/fleet/failures.go
+++ b/tools/fleet/failures.go
@@ -14,23 +14,23 @@
 	"walkrudder/tools/stand"
 )
 
-// actsOf lists the failures of a town by their names; what one ends it starts again.
-func actsOf(ctx context.Context, t *stand.Town, rnd *rand.Rand) map[string]func() {
-	say := func(format string, args ...any) {
+// failureActions returns the failures of a deployment by name; each action also undoes what it did.
+func failureActions(ctx context.Context, d *stand.Deployment, rnd *rand.Rand) map[string]func() {
+	logf := func(format string, args ...any) {
 		fmt.Printf("%s "+format+"\n", append([]any{time.Now().Format("15:04:05.000")}, args...)...)
 	}
-	wait := func(least, most int) {
+	sleep := func(least, most int) {
 		select {
 		case <-ctx.Done():
 		case <-time.After(time.Duration(least+rnd.IntN(most-least)) * time.Millisecond):
 		}
 	}
-	node := func() *stand.Node { return t.Fleet.Nodes[rnd.IntN(len(t.Fleet.Nodes))] }
+	node := func() *stand.Node { return d.Fleet.Nodes[rnd.IntN(len(d.Fleet.Nodes))] }
 	start := func(ns ...*stand.Node) {
 		for _, n := range ns {
-			if !n.Up() {
+			if !n.Running() {
 				if err := n.Start(); err != nil {
-					say("start %s: %v", n.ID, err)
+					logf("start %s: %v", n.ID, err)
 				}
 			}
 		}
@@ -38,234 +38,234 @@
 	lost := map[*stand.Target]bool{}
 	target := func() *stand.Target {
 		for {
-			if x := t.Targets[rnd.IntN(len(t.Targets))]; !lost[x] {
+			if x := d.Targets[rnd.IntN(len(d.Targets))]; !lost[x] {
 				return x
 			}
 		}
 	}
-	again := func(x *stand.Target) {
+	restart := func(x *stand.Target) {
 		if err := x.Start(context.WithoutCancel(ctx)); err != nil {
-			say("start %s: %v", x.ID, err)
+			logf("start %s: %v", x.ID, err)
 		}
 	}
-	depart := func(x *stand.Target, ms int) bool {
+	leaveAndStop := func(x *stand.Target, ms int) bool {
 		cx, end := context.WithTimeout(ctx, 15*time.Second)
 		defer end()
 		if _, err := x.Leave(cx); err != nil {
 			return false
 		}
-		wait(ms, ms+500)
+		sleep(ms, ms+500)
 		x.Crash()
 		return true
 	}
-	herd := func(what string, ns []*stand.Node) {
-		say("kill %s", what)
+	killTogether := func(what string, ns []*stand.Node) {
+		logf("kill %s", what)
 		for _, n := range ns {
 			n.Kill()
 		}
-		wait(500, 3000)
+		sleep(500, 3000)
 		start(ns...)
 	}
 	disks := func() []*stand.Node {
-		return lo.Filter(t.Fleet.Of("controller"), func(n *stand.Node, _ int) bool { return n.Disk })
+		return lo.Filter(d.Fleet.NodesOf("controller"), func(n *stand.Node, _ int) bool { return n.HasDisk })
 	}
-	acts := map[string]func(){
+	actions := map[string]func(){
 		"node killed": func() {
 			n := node()
-			say("kill %s", n.ID)
+			logf("kill %s", n.ID)
 			n.Kill()
-			wait(300, 2500)
+			sleep(300, 2500)
 			start(n)
 		},
 		"node frozen": func() {
 			n := node()
-			say("freeze %s", n.ID)
+			logf("freeze %s", n.ID)
 			n.Freeze()
-			wait(200, 4000)
-			n.Thaw()
+			sleep(200, 4000)
+			n.Unfreeze()
 		},
 		"node stopped as planned": func() {
 			n := node()
-			say("stop %s as planned", n.ID)
-			if !n.Term() {
-				say("%s had to be killed", n.ID)
+			logf("stop %s as planned", n.ID)
+			if !n.Terminate() {
+				logf("%s did not stop in time and was killed", n.ID)
 			}
 			start(n)
 		},
-		"core killed": func() { herd("the whole core", disks()) },
+		"core killed": func() { killTogether("the whole core", disks()) },
 		"disk lost": func() {
 			ds := disks()
 			n := ds[rnd.IntN(len(ds))]
-			say("lose the disk of %s", n.ID)
+			logf("lose the disk of %s", n.ID)
 			n.Kill()
 			_ = n.Wipe()
-			wait(300, 2000)
+			sleep(300, 2000)
 			start(n)
-			wait(8000, 9000)
+			sleep(8000, 9000)
 		},
 		"target misbehaved": func() {
 			x := target()
-			m := []stand.Mode{stand.Slow, stand.Silent, stand.Losing, stand.Garbling, stand.Cutting, stand.Refusing, stand.Swapping, stand.Vanished}[rnd.IntN(8)]
-			say("%s behaves %d", x.ID, m)
-			x.Set(m, 50)
-			wait(1000, 4000)
-			x.Set(stand.Good, 100)
+			m := []stand.Mode{stand.Slow, stand.Silent, stand.ClosingAfterRun, stand.BadStamp, stand.Truncating, stand.Refusing, stand.Swapping, stand.Unresponsive}[rnd.IntN(8)]
+			logf("%s misbehaves: mode %d", x.ID, m)
+			x.SetMode(m, 50)
+			sleep(1000, 4000)
+			x.SetMode(stand.Healthy, 100)
 		},
 		"target crashed": func() {
 			x := target()
-			say("%s crashes", x.ID)
+			logf("%s crashes", x.ID)
 			x.Crash()
-			wait(2000, 4000)
-			again(x)
+			sleep(2000, 4000)
+			restart(x)
 		},
 		"target left": func() {
 			x := target()
-			say("%s leaves", x.ID)
-			if depart(x, 3000) {
-				wait(2000, 2500)
-				again(x)
+			logf("%s leaves", x.ID)
+			if leaveAndStop(x, 3000) {
+				sleep(2000, 2500)
+				restart(x)
 			}
 		},
 		"address passed on": func() {
-			// An address passes to a target of another service, 2 s after its holder
-			// vanished.
+			// The address of a target passes to a target of another service 2 s after the
+			// first one disappeared.
 			x := target()
 			svc := x.Service
-			for n := range t.Plan.Targets {
+			for n := range d.Plan.Targets {
 				if n != x.Service {
 					svc = n
 				}
 			}
-			say("%s vanishes, its address passes to %s", x.ID, svc)
+			logf("%s disappears, its address passes to %s", x.ID, svc)
 			x.Crash()
-			// Also when the failures end meanwhile: nobody is promised less than 2 s.
+			// Not cut short by the end of the failures: reuse after less than 2 s is not covered by the promise.
 			time.Sleep(2050 * time.Millisecond)
 			n := &stand.Target{ID: fmt.Sprintf("%s-in-%s", x.ID, svc), Service: svc, Zone: x.Zone, Addr: x.Addr, Capacity: x.Capacity,
-				Every: x.Every, Work: x.Work, Controllers: x.Controllers, Face: x.Face, Rec: x.Rec}
+				HeartbeatInterval: x.HeartbeatInterval, MeanWork: x.MeanWork, Controllers: x.Controllers, AnnouncedAddr: x.AnnouncedAddr, Rec: x.Rec}
 			if err := n.Start(context.WithoutCancel(ctx)); err != nil {
-				say("start %s: %v", n.ID, err)
+				logf("start %s: %v", n.ID, err)
 				return
 			}
-			wait(4000, 6000)
+			sleep(4000, 6000)
 			n.Crash()
 			time.Sleep(2050 * time.Millisecond)
-			again(x)
+			restart(x)
 		},
-		"gateways killed together": func() { herd("all gateways", t.Fleet.Of("gateway")) },
+		"gateways killed together": func() { killTogether("all gateways", d.Fleet.NodesOf("gateway")) },
 		"half of all killed": func() {
-			herd("half of all", lo.Filter(t.Fleet.Nodes, func(*stand.Node, int) bool { return rnd.IntN(2) == 0 }))
+			killTogether("half of all", lo.Filter(d.Fleet.Nodes, func(*stand.Node, int) bool { return rnd.IntN(2) == 0 }))
 		},
 		"zone killed": func() {
-			z := fmt.Sprintf("z%d", 1+rnd.IntN(t.Plan.Zones))
-			herd("zone "+z, lo.Filter(t.Fleet.Nodes, func(n *stand.Node, _ int) bool { return n.Zone == z }))
+			z := fmt.Sprintf("z%d", 1+rnd.IntN(d.Plan.Zones))
+			killTogether("zone "+z, lo.Filter(d.Fleet.Nodes, func(n *stand.Node, _ int) bool { return n.Zone == z }))
 		},
 		"all nodes restarted in turn": func() {
-			say("all nodes restart in turn")
-			for _, n := range t.Fleet.Nodes {
-				if ctx.Err() == nil && n.Up() {
-					n.Term()
+			logf("all nodes are restarted in turn")
+			for _, n := range d.Fleet.Nodes {
+				if ctx.Err() == nil && n.Running() {
+					n.Terminate()
 					start(n)
-					wait(1000, 1500)
+					sleep(1000, 1500)
 				}
 			}
 		},
 		"release": func() {
 			x := target()
-			say("release of %s", x.Service)
-			for _, y := range t.Targets {
-				if y.Service == x.Service && !lost[y] && ctx.Err() == nil && depart(y, 1200) {
-					again(y)
-					wait(300, 600)
+			logf("release of %s", x.Service)
+			for _, y := range d.Targets {
+				if y.Service == x.Service && !lost[y] && ctx.Err() == nil && leaveAndStop(y, 1200) {
+					restart(y)
+					sleep(300, 600)
 				}
 			}
 		},
 		"target removed": func() {
 			if x := target(); len(lost) < 4 {
-				say("remove %s", x.ID)
+				logf("remove %s", x.ID)
 				lost[x] = true
-				depart(x, 4000)
+				leaveAndStop(x, 4000)
 			}
 		},
 		"target lost for good": func() {
 			if x := target(); len(lost) < 4 {
-				say("%s is lost for good", x.ID)
+				logf("%s is lost permanently", x.ID)
 				lost[x] = true
 				x.Crash()
 			}
 		},
 		"crowd": func() {
-			k := t.Plan.Kinds[rnd.IntN(len(t.Plan.Kinds))]
-			say("crowd at %s", k.Path)
+			k := d.Plan.CallKinds[rnd.IntN(len(d.Plan.CallKinds))]
+			logf("crowd at %s", k.Path)
 			for range 300 {
-				go t.Callers.Call(k, "", "")
+				go d.Callers.Call(k, "", "")
 			}
-			wait(1000, 2000)
+			sleep(1000, 2000)
 		},
 		"storm of changes": func() {
-			say("storm of changes")
+			logf("storm of changes")
 			cx, end := context.WithTimeout(context.WithoutCancel(ctx), 30*time.Second)
 			var wg sync.WaitGroup
 			for i := range 12 {
-				a := stand.Asked{Token: fmt.Sprintf("storm-%d-%d", time.Now().UnixNano(), i), Edits: []spec.Edit{{Op: spec.PutService, Service: &spec.Service{Name: fmt.Sprintf("s%d", i%3)}}}}
+				a := stand.ChangeRequest{Token: fmt.Sprintf("storm-%d-%d", time.Now().UnixNano(), i), Edits: []spec.Edit{{Op: spec.PutService, Service: &spec.Service{Name: fmt.Sprintf("s%d", i%3)}}}}
 				if i%4 == 3 {
-					a.Bad, a.Edits = true, append(a.Edits, spec.Edit{Op: spec.DropBinding, Name: "none"})
+					a.MustBeRefused, a.Edits = true, append(a.Edits, spec.Edit{Op: spec.DropBinding, Name: "none"})
 				}
-				wg.Go(func() { _, _ = t.Insist(cx, a) })
+				wg.Go(func() { _, _ = d.SubmitUntilFinal(cx, a) })
 			}
 			wg.Wait()
 			end()
 		},
 	}
-	if t.Wires != nil {
+	if d.Relays != nil {
 		mend := func() {
-			wait(3000, 7000)
-			t.Wires.Cut(nil)
-			wait(1000, 2000)
+			sleep(3000, 7000)
+			d.Relays.SetCut(nil)
+			sleep(1000, 2000)
 		}
-		zone := func() string { return fmt.Sprintf("z%d", 1+rnd.IntN(t.Plan.Zones)) }
-		acts["zone cut off"] = func() {
+		zone := func() string { return fmt.Sprintf("z%d", 1+rnd.IntN(d.Plan.Zones)) }
+		actions["zone cut off"] = func() {
 			z := zone()
-			say("zone %s is cut off", z)
-			t.CutZones(z)
+			logf("zone %s is cut off", z)
+			d.CutZones(z)
 			mend()
 		}
-		acts["halves"] = func() {
+		actions["halves"] = func() {
 			a, b := zone(), zone()
-			say("zones %s and %s are cut off from the rest", a, b)
-			t.CutZones(a, b)
+			logf("zones %s and %s are cut off from the rest", a, b)
+			d.CutZones(a, b)
 			mend()
 		}
-		acts["node cut off"] = func() {
+		actions["node cut off"] = func() {
 			n, way := node().ID, rnd.IntN(3)
-			say("%s is cut off, way %d", n, way)
-			t.Wires.Cut(func(from, to string) bool { return from == n && way != 1 || to == n && way != 0 })
+			logf("%s is cut off, direction %d", n, way)
+			d.Relays.SetCut(func(from, to string) bool { return from == n && way != 1 || to == n && way != 0 })
 			mend()
 		}
-		acts["core cut apart"] = func() {
-			say("the core is cut apart")
+		actions["core cut apart"] = func() {
+			logf("the core nodes are cut off from each other and from the rest")
 			core := map[string]bool{}
-			for _, n := range t.Fleet.Of("controller") {
-				core[n.ID] = n.Disk
+			for _, n := range d.Fleet.NodesOf("controller") {
+				core[n.ID] = n.HasDisk
 			}
-			t.Wires.Cut(func(from, to string) bool { return core[from] || core[to] })
+			d.Relays.SetCut(func(from, to string) bool { return core[from] || core[to] })
 			mend()
 		}
-		acts["link cut"] = func() {
+		actions["link cut"] = func() {
 			a, b := node().ID, node().ID
-			say("the way from %s to %s is cut", a, b)
-			t.Wires.Cut(func(from, to string) bool { return from == a && to == b })
+			logf("the path from %s to %s is cut", a, b)
+			d.Relays.SetCut(func(from, to string) bool { return from == a && to == b })
 			mend()
 		}
 	}
-	return acts
+	return actions
 }
 
-// failures brings mixed failures about, one after the other, each in its turn before
-// any comes again, until ctx ends.
-func failures(ctx context.Context, t *stand.Town, seed uint64) {
+// injectFailures causes failures one after the other in random order until ctx ends. Each failure
+// happens once before any is repeated.
+func injectFailures(ctx context.Context, d *stand.Deployment, seed uint64) {
 	rnd := rand.New(rand.NewPCG(seed, 1))
-	acts := actsOf(ctx, t, rnd)
-	names := lo.Keys(acts)
+	actions := failureActions(ctx, d, rnd)
+	names := lo.Keys(actions)
 	slices.Sort(names)
 	for ctx.Err() == nil {
 		rnd.Shuffle(len(names), func(i, j int) { names[i], names[j] = names[j], names[i] })
@@ -273,8 +273,8 @@
 			if ctx.Err() != nil {
 				return
 			}
-			acts[n]()
-			t.Rec.Act(n)
+			actions[n]()
+			d.Rec.CountFailure(n)
 			select {
 			case <-ctx.Done():
 			case <-time.After(time.Duration(500+rnd.IntN(2000)) * time.Millisecond):
@@ -283,13 +283,12 @@
 	}
 }
 
-// rolling stops every node in turn as planned, and starts it again, until ctx
-// ends.
-func rolling(ctx context.Context, t *stand.Town) {
+// restartInTurn stops one node after the other in a planned way and restarts it, until ctx ends.
+func restartInTurn(ctx context.Context, d *stand.Deployment) {
 	for {
-		for _, n := range t.Fleet.Nodes {
+		for _, n := range d.Fleet.Nodes {
 			from := time.Now()
-			ok := n.Term()
+			ok := n.Terminate()
 			fmt.Printf("%s stopped as planned: %v, after %.1f s\n", n.ID, ok, time.Since(from).Seconds())
 			if err := n.Start(); err != nil {
 				fmt.Printf("start %s: %v\n", n.ID, err)
--- a/tools/fleet/failures_test.go
+++ b/tools/fleet/failures_test.go
@@ -9,16 +9,16 @@
 	"walkrudder/tools/stand"
 )
 
-// The fleet brings about every failure of the list that it shares with the simulator,
-// but for those that are marked as the simulator's own.
+// The fleet can cause every failure of the list that it shares with the simulator, except those
+// that are marked as simulator-only.
 func TestFailuresAreAllBroughtAbout(t *testing.T) {
-	acts := actsOf(context.Background(), &stand.Town{Wires: stand.NewWires()}, rand.New(rand.NewPCG(1, 1)))
+	actions := failureActions(context.Background(), &stand.Deployment{Relays: stand.NewRelays()}, rand.New(rand.NewPCG(1, 1)))
 	for _, n := range stand.Failures {
-		if (acts[n] == nil) != slices.Contains(stand.Simulated, n) {
-			t.Errorf("%s: brought about %v, marked as the simulator's %v", n, acts[n] != nil, acts[n] == nil)
+		if (actions[n] == nil) != slices.Contains(stand.SimulatorOnly, n) {
+			t.Errorf("%s: caused by the fleet %v, marked as simulator-only %v", n, actions[n] != nil, actions[n] == nil)
 		}
 	}
-	if len(acts)+len(stand.Simulated) != len(stand.Failures) {
-		t.Errorf("%d failures and %d of the simulator's, the list has %d", len(acts), len(stand.Simulated), len(stand.Failures))
+	if len(actions)+len(stand.SimulatorOnly) != len(stand.Failures) {
+		t.Errorf("%d failures and %d simulator-only ones, the list has %d", len(actions), len(stand.SimulatorOnly), len(stand.Failures))
 	}
 }
--- a/tools/fleet/main.go
+++ b/tools/fleet/main.go
@@ -1,5 +1,5 @@
-// Command fleet runs a whole deployment as real processes on this machine, with
-// stand-in targets and callers, and reports what the checker found.
+// Command fleet runs a whole deployment as real processes on this machine with stand-in targets and
+// callers, and reports the checker's verdict.
 package main
 
 import (
@@ -38,105 +38,105 @@
 func run() int {
 	var a args
 	arg.MustParse(&a)
-	p, err := stand.Plans(a.Plan)
+	plan, err := stand.PlanByName(a.Plan)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "fleet: plan:", err)
 		return 2
 	}
-	p = p.Times(max(1, a.Times))
+	plan = plan.Scaled(max(1, a.Times))
 	if a.Dir == "" {
 		if a.Dir, err = os.MkdirTemp("", "fleet-"); err != nil {
 			fmt.Fprintln(os.Stderr, "fleet: dir:", err)
 			return 2
 		}
 	}
-	t, err := stand.NewTown(p, a.Dir, a.Bin, a.Net, a.Cuts)
+	d, err := stand.NewDeployment(plan, a.Dir, a.Bin, a.Net, a.Cuts)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "fleet:", err)
 		return 2
 	}
 	ctx, end := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer end()
-	defer t.Lower()
+	defer d.Stop()
 	up, done := context.WithTimeout(ctx, 30*time.Second)
 	defer done()
 	began := time.Now()
-	if err := t.Raise(up); err != nil {
+	if err := d.Start(up); err != nil {
 		fmt.Fprintln(os.Stderr, "fleet:", err, "; logs in", a.Dir)
 		return 1
 	}
-	fmt.Printf("%s: %d processes, %d targets, serving after %.1f s; logs in %s\n", p.Name, len(t.Fleet.Nodes), len(t.Targets), time.Since(began).Seconds(), a.Dir)
+	fmt.Printf("%s: %d processes, %d targets, serving after %.1f s; logs in %s\n", plan.Name, len(d.Fleet.Nodes), len(d.Targets), time.Since(began).Seconds(), a.Dir)
 	cx, stop := context.WithTimeout(ctx, a.For)
 	defer stop()
-	go t.Platform.Run(cx)
+	go d.Balancer.Run(cx)
 	ops := make(chan struct{})
 	go func() {
 		defer close(ops)
-		t.Operate(cx, func(n uint64) { fmt.Printf("version %d in force\n", n) })
+		d.RunOperator(cx, func(n uint64) { fmt.Printf("version %d in force\n", n) })
 	}()
 	if a.Roll {
-		for _, x := range t.Targets {
-			x.Work = 400 * time.Millisecond
+		for _, x := range d.Targets {
+			x.MeanWork = 400 * time.Millisecond
 		}
-		go rolling(cx, t)
+		go restartInTurn(cx, d)
 	}
 	if a.Fail {
-		// The last seconds are for coming back.
+		// Failures end 20 s before the calls, so that the deployment can recover.
 		fx, fin := context.WithTimeout(cx, a.For-20*time.Second)
 		defer fin()
-		go failures(fx, t, a.Seed)
+		go injectFailures(fx, d, a.Seed)
 	}
 	from := map[*stand.Node]stand.Usage{}
-	for _, n := range t.Fleet.Nodes {
-		from[n], _ = n.Use()
+	for _, n := range d.Fleet.Nodes {
+		from[n], _ = n.Usage()
 	}
 	began = time.Now()
-	t.Callers.Go(cx)
+	d.Callers.Run(cx)
 	<-ops
-	usage(t, from, time.Since(began))
-	for _, l := range t.Rec.Timeline() {
+	printUsage(d, from, time.Since(began))
+	for _, l := range d.Rec.Timeline() {
 		fmt.Println(l)
 	}
 	jx, quit := context.WithTimeout(ctx, 20*time.Second)
 	defer quit()
-	v := t.Judge(jx)
-	if a.Fail && len(v.Acts) == 0 {
-		v.Broken = append(v.Broken, "no failure was brought about")
+	v := d.Check(jx)
+	if a.Fail && len(v.FailureCounts) == 0 {
+		v.Violations = append(v.Violations, "no failure was brought about")
 	}
 	e := json.NewEncoder(os.Stdout)
 	e.SetIndent("", "  ")
 	_ = e.Encode(v)
-	if len(v.Broken) > 0 || v.Refused {
+	if len(v.Violations) > 0 || v.TooManyRefusals {
 		return 1
 	}
 	return 0
 }
 
-// usage tells what the processes used, and how long changes and leavings took to
-// their acknowledgement.
-func usage(t *stand.Town, from map[*stand.Node]stand.Usage, d time.Duration) {
+// printUsage prints the resource use of the processes and how long changes and leaves took to be
+// acknowledged.
+func printUsage(d *stand.Deployment, from map[*stand.Node]stand.Usage, elapsed time.Duration) {
 	for _, kind := range []string{"gateway", "controller"} {
 		var cpu, mem []float64
-		for _, n := range t.Fleet.Of(kind) {
-			if u, ok := n.Use(); ok && u.CPU >= from[n].CPU {
-				cpu = append(cpu, 100*float64(u.CPU-from[n].CPU)/float64(d))
+		for _, n := range d.Fleet.NodesOf(kind) {
+			if u, ok := n.Usage(); ok && u.CPU >= from[n].CPU {
+				cpu = append(cpu, 100*float64(u.CPU-from[n].CPU)/float64(elapsed))
 				mem = append(mem, float64(u.RSS)/(1<<20))
 			}
 		}
 		same := func(x float64) float64 { return x }
 		fmt.Printf("each %s: %s %% of a core, %s MiB at most\n", kind, stand.SpreadOf(cpu, same), stand.SpreadOf(mem, same))
 	}
-	ms := func(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
+	ms := func(elapsed time.Duration) float64 { return float64(elapsed.Microseconds()) / 1000 }
 	cx, end := context.WithTimeout(context.Background(), 5*time.Second)
 	defer end()
 	var p queries.Picture
-	if err := t.Say(cx, "show picture", &p); err != nil {
+	if err := d.Query(cx, "show picture", &p); err != nil {
 		fmt.Println("suspicions not read:", err)
 	} else {
 		ns := stand.Suspicions(p)
-		bad, after := t.Rec.Suspected(ns)
+		bad, after := d.Rec.ClassifySuspicions(ns)
 		fmt.Printf("suspected by mistake: %d of %d; crashed targets suspected after %s ms\n", bad, len(ns), stand.SpreadOf(after, ms))
 	}
-	cs, ls := t.Rec.Took()
+	cs, ls := d.Rec.AckLatencies()
 	fmt.Printf("change in force after %s ms, leaving acknowledged after %s ms\n", stand.SpreadOf(cs, ms), stand.SpreadOf(ls, ms))
 }
--- a/tools/stand/caller.go
+++ b/tools/stand/caller.go
@@ -15,35 +15,35 @@
 	"walkrudder/internal/httpapi"
 )
 
-// Kind is one kind of call in the mix.
-type Kind struct {
-	Method     string
-	Path       string
-	Service    string
-	Repeatable bool
-	Rate       float64 // a second, over all callers
-	Size       int     // of the answer, where set
-	Post       int     // bytes of the request's body
-	// Loose says that the path is bound and unbound again: to be told that nothing is
-	// bound there is expected.
-	Loose bool
+// CallKind is one kind of call in the mix.
+type CallKind struct {
+	Method       string
+	Path         string
+	Service      string
+	Repeatable   bool
+	Rate         float64 // calls per second, over all callers
+	AnswerBytes  int     // size that the answer is asked for, if set
+	RequestBytes int     // size of the request's body
+	// MayBeUnbound means that the path is bound and unbound during the run: an answer that nothing
+	// is bound there is expected.
+	MayBeUnbound bool
 }
 
-// Platform stands for the one address: it asks each gateway once a second whether
-// it is ready and spreads calls over those that are.
-type Platform struct {
-	Doors func() []string
-	// Name tells which node a door belongs to.
-	Name  func(door string) string
-	mu    sync.Mutex
-	ready []string
+// LoadBalancer stands in for the platform's single address: it polls the readiness of each gateway
+// once a second and distributes calls over those that are ready.
+type LoadBalancer struct {
+	Addrs func() []string
+	// NodeOf returns the ID of the node with this address.
+	NodeOf func(addr string) string
+	mu     sync.Mutex
+	ready  []string
 }
 
-var asker = &http.Client{Timeout: 900 * time.Millisecond, Transport: &http.Transport{DisableKeepAlives: true}}
+var readinessClient = &http.Client{Timeout: 900 * time.Millisecond, Transport: &http.Transport{DisableKeepAlives: true}}
 
-// Ready asks one node.
-func Ready(door string) bool {
-	r, err := asker.Get("http://" + door + httpapi.ReadyPath)
+// IsReady asks one node whether it is ready.
+func IsReady(addr string) bool {
+	r, err := readinessClient.Get("http://" + addr + httpapi.ReadyPath)
 	if err != nil {
 		return false
 	}
@@ -52,10 +52,10 @@
 	return r.StatusCode == 200
 }
 
-// Run asks until ctx ends.
-func (p *Platform) Run(ctx context.Context) {
+// Run polls once a second until ctx ends.
+func (b *LoadBalancer) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		p.Ask()
+		b.PollOnce()
 		select {
 		case <-ctx.Done():
 		case <-time.After(time.Second):
@@ -63,54 +63,54 @@
 	}
 }
 
-// Ask asks every node once.
-func (p *Platform) Ask() {
-	ds := p.Doors()
-	ok := make([]bool, len(ds))
+// PollOnce polls every node once.
+func (b *LoadBalancer) PollOnce() {
+	addrs := b.Addrs()
+	ok := make([]bool, len(addrs))
 	var wg sync.WaitGroup
-	for i, d := range ds {
-		wg.Go(func() { ok[i] = Ready(d) })
+	for i, d := range addrs {
+		wg.Go(func() { ok[i] = IsReady(d) })
 	}
 	wg.Wait()
-	var l []string
-	for i, d := range ds {
+	var ready []string
+	for i, d := range addrs {
 		if ok[i] {
-			l = append(l, d)
+			ready = append(ready, d)
 		}
 	}
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.ready = l
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.ready = ready
 }
 
-// Pick chooses a ready node.
-func (p *Platform) Pick() string {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if len(p.ready) == 0 {
+// Pick returns the address of a random ready node, or "" if there is none.
+func (b *LoadBalancer) Pick() string {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if len(b.ready) == 0 {
 		return ""
 	}
-	return p.ready[rand.IntN(len(p.ready))]
+	return b.ready[rand.IntN(len(b.ready))]
 }
 
-// Callers makes calls at the kinds' rates and writes each outcome down.
+// Callers makes calls of all kinds at their rates and records each outcome.
 type Callers struct {
-	Kinds    []Kind
-	Platform *Platform
-	Rec      *Records
-	Run      string // makes orders differ between runs
-	n        atomic.Uint64
-	wg       sync.WaitGroup
-	open     atomic.Int64
+	Kinds     []CallKind
+	Balancer  *LoadBalancer
+	Rec       *Records
+	RunID     string // distinguishes the orders of different runs
+	lastOrder atomic.Uint64
+	wg        sync.WaitGroup
+	open      atomic.Int64
 }
 
-var caller = &http.Client{Timeout: 15 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 64, IdleConnTimeout: 10 * time.Second}}
+var callClient = &http.Client{Timeout: 15 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 64, IdleConnTimeout: 10 * time.Second}}
 
-// maxOpen bounds the calls under way.
-const maxOpen = 2000
+// maxOpenCalls bounds the calls in flight.
+const maxOpenCalls = 2000
 
-// Go calls until ctx ends, then waits for the calls under way.
-func (c *Callers) Go(ctx context.Context) {
+// Run makes calls until ctx ends, then waits for the calls in flight.
+func (c *Callers) Run(ctx context.Context) {
 	for _, k := range c.Kinds {
 		if k.Rate <= 0 {
 			continue
@@ -118,20 +118,20 @@
 		c.wg.Go(func() {
 			next := time.Now()
 			for ctx.Err() == nil {
-				// Arrivals without memory, at the kind's rate.
+				// Poisson arrivals at the kind's rate.
 				next = next.Add(time.Duration(rand.ExpFloat64() / k.Rate * float64(time.Second)))
 				select {
 				case <-ctx.Done():
 					return
 				case <-time.After(time.Until(next)):
 				}
-				if c.open.Load() >= maxOpen {
+				if c.open.Load() >= maxOpenCalls {
 					continue
 				}
 				c.open.Add(1)
 				c.wg.Go(func() {
 					defer c.open.Add(-1)
-					c.Insist(k)
+					c.CallWithRetries(k)
 				})
 			}
 		})
@@ -139,10 +139,10 @@
 	c.wg.Wait()
 }
 
-// Insist makes one call and, for an order whose outcome its caller does not know,
-// up to three more under the same key through whichever gateway comes.
-func (c *Callers) Insist(k Kind) {
-	order := fmt.Sprintf("%s-%d", c.Run, c.n.Add(1))
+// CallWithRetries makes one call. If the call is not repeatable and its outcome is unknown to the
+// caller, it is made up to three more times with the same key through any gateway.
+func (c *Callers) CallWithRetries(k CallKind) {
+	order := fmt.Sprintf("%s-%d", c.RunID, c.lastOrder.Add(1))
 	o := c.Call(k, order, "")
 	for i := 0; i < 3 && !k.Repeatable && (o.Status >= 300 || o.Err != "") && o.Code != httpapi.AlreadyRun; i++ {
 		time.Sleep(time.Duration(100+rand.IntN(1400)) * time.Millisecond)
@@ -150,38 +150,38 @@
 	}
 }
 
-// Call makes one call and notes its outcome; an empty order or door is chosen.
-func (c *Callers) Call(k Kind, order, door string) Outcome { return c.call(k, order, door, "") }
+// Call makes one call and records its outcome; an empty order or address is replaced by a new one.
+func (c *Callers) Call(k CallKind, order, addr string) Outcome { return c.callAs(k, order, addr, "") }
 
-// call is Call by a client with a name, who is not proper, or by any.
-func (c *Callers) call(k Kind, order, door, client string) Outcome {
+// callAs is Call with a client name. Calls of a named client do not count as valid.
+func (c *Callers) callAs(k CallKind, order, addr, client string) Outcome {
 	if order == "" {
-		order = fmt.Sprintf("%s-%d", c.Run, c.n.Add(1))
+		order = fmt.Sprintf("%s-%d", c.RunID, c.lastOrder.Add(1))
 	}
-	if door == "" {
-		door = c.Platform.Pick()
+	if addr == "" {
+		addr = c.Balancer.Pick()
 	}
-	o := Outcome{Order: order, Path: k.Path, Service: k.Service, Repeatable: k.Repeatable, Proper: !k.Loose && client == "", Sent: time.Now(), Gateway: c.Platform.Name(door)}
-	defer func() { o.Done = time.Now(); c.Rec.Outcome(o) }()
-	if door == "" {
+	o := Outcome{Order: order, Path: k.Path, Service: k.Service, Repeatable: k.Repeatable, Valid: !k.MayBeUnbound && client == "", Sent: time.Now(), Gateway: c.Balancer.NodeOf(addr)}
+	defer func() { o.Done = time.Now(); c.Rec.RecordOutcome(o) }()
+	if addr == "" {
 		o.Err = NoNode
 		return o
 	}
-	u := "http://" + door + k.Path
-	if k.Size > 0 {
-		u += fmt.Sprintf("?size=%d", k.Size)
+	u := "http://" + addr + k.Path
+	if k.AnswerBytes > 0 {
+		u += fmt.Sprintf("?size=%d", k.AnswerBytes)
 	}
 	var in io.Reader
-	if k.Post > 0 {
-		in = bytes.NewReader(bytes.Repeat([]byte("p"), k.Post))
+	if k.RequestBytes > 0 {
+		in = bytes.NewReader(bytes.Repeat([]byte("p"), k.RequestBytes))
 	}
 	q, err := http.NewRequest(k.Method, u, in)
 	if err != nil {
 		o.Err = err.Error()
 		return o
 	}
-	// The standard client sends again by itself when a kept link turns out dead;
-	// a body without GetBody keeps it from that.
+	// The standard client retries by itself if a kept-alive connection turns out to be closed;
+	// a body without GetBody prevents that.
 	q.GetBody = nil
 	q.Header.Set(OrderField, order)
 	if client != "" {
@@ -190,14 +190,14 @@
 	if !k.Repeatable {
 		q.Header.Set(httpapi.KeyField, order)
 	}
-	r, err := caller.Do(q)
+	r, err := callClient.Do(q)
 	if err != nil {
 		o.Err = err.Error()
 		return o
 	}
 	defer r.Body.Close()
 	o.Call = r.Header.Get(httpapi.CallField)
-	o.Status, o.Stamp, o.Retry = r.StatusCode, r.Header.Get(httpapi.StampField), r.Header.Get("Retry-After")
+	o.Status, o.Stamp, o.RetryAfter = r.StatusCode, r.Header.Get(httpapi.StampField), r.Header.Get("Retry-After")
 	raw, err := io.ReadAll(io.LimitReader(r.Body, 64<<20))
 	if err != nil {
 		o.Err = err.Error()
@@ -208,7 +208,7 @@
 		var b Body
 		if json.Unmarshal(raw, &b) == nil {
 			o.BodyOrder = b.Order
-			o.BodyWhole = k.Size == 0 && len(b.Pad) == 200 || len(b.Pad) == k.Size
+			o.BodyComplete = k.AnswerBytes == 0 && len(b.Pad) == 200 || len(b.Pad) == k.AnswerBytes
 		}
 		return o
 	}
@@ -217,6 +217,6 @@
 		Sent       bool
 	}
 	_ = json.Unmarshal(raw, &v)
-	o.Code, o.Why, o.SentOn = v.Error, v.Why, v.Sent
+	o.Code, o.Reason, o.Forwarded = v.Error, v.Why, v.Sent
 	return o
 }
--- a/tools/stand/checker.go
+++ b/tools/stand/checker.go
@@ -15,189 +15,189 @@
 	"walkrudder/internal/spec"
 )
 
-// NoNode is the outcome of a call when no node says that it is ready.
+// NoNode is the error of a call that finds no ready node.
 const NoNode = "no ready node"
 
-// Verdict is what the checker found.
+// Verdict is the result of the checks.
 type Verdict struct {
 	Calls     int `json:"calls"`
 	Successes int `json:"successes"`
 	Refusals  int `json:"refusals"`
 	Unknown   int `json:"outcome_unknown"`
-	// Classes counts every call by what became of it.
-	Classes    map[string]int `json:"classes"`
-	Execs      int            `json:"executions"`
-	Extra      int            `json:"extra_sends"`
-	WorstExtra float64        `json:"worst_extra_over_limit"` // below 0: never over
-	P50, P99   time.Duration  `json:"-"`
-	P50MS      float64        `json:"p50_ms"`
-	P99MS      float64        `json:"p99_ms"`
-	SlowestMS  float64        `json:"slowest_change_ms"` // last old behaviour after the ack
-	SlipMS     float64        `json:"widest_slip_ms"`
-	// Judged counts the pairs of an acknowledged change and a gateway that showed it.
-	Judged int `json:"changes_shown_by_gateways"`
-	// Whys tells why calls were refused.
-	Whys map[string]int `json:"refused_for,omitempty"`
-	// Refused says that more proper calls were refused than is promised.
-	Refused bool `json:"refused_too_often"`
-	// Acts counts the failures that were brought about.
-	Acts   map[string]int `json:"failures,omitempty"`
-	Broken []string       `json:"broken,omitempty"`
+	// Classes counts the calls by class.
+	Classes             map[string]int `json:"classes"`
+	Executions          int            `json:"executions"`
+	ExtraSends          int            `json:"extra_sends"`
+	WorstExtraOverLimit float64        `json:"worst_extra_over_limit"` // negative: never over the limit
+	P50, P99            time.Duration  `json:"-"`
+	P50MS               float64        `json:"p50_ms"`
+	P99MS               float64        `json:"p99_ms"`
+	SlowestChangeMS     float64        `json:"slowest_change_ms"` // latest old behaviour after the acknowledgement
+	WidestSlipMS        float64        `json:"widest_slip_ms"`
+	// ChangesShown counts the pairs of an acknowledged change and a gateway whose answers showed it.
+	ChangesShown int `json:"changes_shown_by_gateways"`
+	// RefusalReasons counts the refused calls by reason.
+	RefusalReasons map[string]int `json:"refused_for,omitempty"`
+	// TooManyRefusals reports that more valid calls were refused than the users' limit allows.
+	TooManyRefusals bool `json:"refused_too_often"`
+	// FailureCounts counts the failures that were caused, by name.
+	FailureCounts map[string]int `json:"failures,omitempty"`
+	Violations    []string       `json:"broken,omitempty"`
 }
 
-// Promise limits, as the users put them.
+// Limits of the promises, as the users set them.
 const (
-	inForceWithin = 2 * time.Second
-	slipWithin    = 250 * time.Millisecond
-	leaveWithin   = 2 * time.Second
-	extraSpan     = 10 * time.Second
-	extraRatio    = 0.2
-	extraCommon   = 70
-	// lookEvery is how long the platform may still send calls to a gateway that is
-	// no longer ready.
-	lookEvery = time.Second
-	// heldWithin is the longest that a call may wait: no stand-in binds a path with an
-	// expiry of more than 3 s, and a planned stop or a hold takes none of it.
-	heldWithin   = 5 * time.Second
-	refuseCommon = 5
-	refuseRatio  = 1.0 / 500
+	inForceWithin  = 2 * time.Second
+	slipWithin     = 250 * time.Millisecond
+	leaveWithin    = 2 * time.Second
+	extraWindow    = 10 * time.Second
+	extraRatio     = 0.2
+	extraAllowance = 70
+	// readinessInterval is how long the platform may still send calls to a gateway that is no longer
+	// ready.
+	readinessInterval = time.Second
+	// maxCallDuration is the longest that a call may take: the stand-ins bind no path with an expiry
+	// above 3 s, and neither a planned stop nor a pause extends it.
+	maxCallDuration  = 5 * time.Second
+	refusalAllowance = 5
+	refusalRatio     = 1.0 / 500
 )
 
-// Check judges the records. Only what targets and callers wrote down counts.
+// Check judges the run by the records of targets and callers only.
 func (r *Records) Check() Verdict {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	v := Verdict{Calls: len(r.Outcomes), Execs: len(r.Execs), Classes: map[string]int{}, Whys: map[string]int{}, WorstExtra: -extraCommon, Acts: maps.Clone(r.Acts)}
+	v := Verdict{Calls: len(r.Outcomes), Executions: len(r.Execs), Classes: map[string]int{}, RefusalReasons: map[string]int{}, WorstExtraOverLimit: -extraAllowance, FailureCounts: maps.Clone(r.FailureCounts)}
 	execs := lo.GroupBy(r.Execs, func(e Exec) string { return e.Order })
-	r.calls(&v, execs)
-	r.once(&v, execs)
-	r.services(&v)
-	r.orders(&v)
-	r.changes(&v)
-	r.leaves(&v)
-	r.stops(&v)
-	r.extras(&v)
+	r.checkCalls(&v, execs)
+	r.checkAtMostOnce(&v, execs)
+	r.checkServices(&v)
+	r.checkChangeResults(&v)
+	r.checkChanges(&v)
+	r.checkLeaves(&v)
+	r.checkStops(&v)
+	r.checkExtraSends(&v)
 	return v
 }
 
-func (v *Verdict) broke(format string, args ...any) {
-	if len(v.Broken) < 50 {
-		v.Broken = append(v.Broken, fmt.Sprintf(format, args...))
+func (v *Verdict) addViolation(format string, args ...any) {
+	if len(v.Violations) < 50 {
+		v.Violations = append(v.Violations, fmt.Sprintf(format, args...))
 	}
 }
 
-// The classes of calls. Those that begin with "refused" are our own refusals.
+// Classes of calls. Those with the prefix "refused" are refusals by the gateway or the platform.
 const (
-	served      = "served"
-	expected    = "answered as the caller expected"
-	busy        = "refused: busy, not run"
-	neverSent   = "refused: outcome unknown, never sent"
-	noReady     = "refused: no ready node"
-	gaveUp      = "refused: a repeatable call given up"
-	linkClosed  = "refused: a link that closed by itself"
-	wrongly     = "refused: as improper"
-	mayHaveRun  = "outcome unknown, may have run"
-	earlierCall = "told of an earlier call"
-	nodeLost    = "lost with a node that was killed or cut off"
+	served         = "served"
+	expectedAnswer = "answered as the caller expected"
+	busy           = "refused: busy, not run"
+	neverSent      = "refused: outcome unknown, never sent"
+	noReadyNode    = "refused: no ready node"
+	gaveUp         = "refused: a repeatable call given up"
+	connClosed     = "refused: a link that closed by itself"
+	wronglyRefused = "refused: as improper"
+	mayHaveRun     = "outcome unknown, may have run"
+	earlierCall    = "told of an earlier call"
+	nodeLost       = "lost with a node that was killed or cut off"
 )
 
-// class tells what became of a call.
-func (r *Records) class(o Outcome) string {
+// classify returns the class of a call.
+func (r *Records) classify(o Outcome) string {
 	switch {
 	case o.Err == NoNode:
-		return noReady
+		return noReadyNode
 	case o.Err != "":
-		if r.wasOut(o) {
+		if r.duringOutage(o) {
 			return nodeLost
 		}
-		return linkClosed
+		return connClosed
 	case o.Status < 300:
 		return served
 	case o.Code == httpapi.BusyNotRun:
 		return busy
 	case o.Code == httpapi.AlreadyRun || o.Code == httpapi.Unknown && o.Status == 409:
 		return earlierCall
-	case o.Code == httpapi.Unknown && !o.SentOn:
+	case o.Code == httpapi.Unknown && !o.Forwarded:
 		return neverSent
 	case o.Code == httpapi.Unknown:
 		return mayHaveRun
 	case o.Code == httpapi.BadAnswer:
 		return gaveUp
-	case !o.Proper:
-		return expected
+	case !o.Valid:
+		return expectedAnswer
 	}
-	return wrongly
+	return wronglyRefused
 }
 
-// Failed lists the proper calls sent at t or later that were not served.
+// Failed lists the valid calls sent at or after t that were not served.
 func (r *Records) Failed(t time.Time) []Outcome {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return lo.Filter(r.Outcomes, func(o Outcome, _ int) bool { return o.Proper && !o.Sent.Before(t) && r.class(o) != served })
+	return lo.Filter(r.Outcomes, func(o Outcome, _ int) bool { return o.Valid && !o.Sent.Before(t) && r.classify(o) != served })
 }
 
-// Timeline tells, for each second in which proper calls were not served, how many were
-// sent and what became of the others, by class.
+// Timeline lists the seconds in which valid calls were not served, with the number of calls sent and
+// the classes of those that were not served.
 func (r *Records) Timeline() (out []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	by := lo.GroupBy(lo.Filter(r.Outcomes, func(o Outcome, _ int) bool { return o.Proper }), func(o Outcome) int64 { return o.Sent.Unix() })
-	for _, s := range slices.Sorted(maps.Keys(by)) {
+	bySecond := lo.GroupBy(lo.Filter(r.Outcomes, func(o Outcome, _ int) bool { return o.Valid }), func(o Outcome) int64 { return o.Sent.Unix() })
+	for _, s := range slices.Sorted(maps.Keys(bySecond)) {
 		bad := map[string]int{}
-		for _, o := range by[s] {
-			if c := r.class(o); c != served {
+		for _, o := range bySecond[s] {
+			if c := r.classify(o); c != served {
 				bad[c]++
 			}
 		}
 		if len(bad) > 0 {
-			out = append(out, fmt.Sprintf("%s: of %d calls %v", time.Unix(s, 0).Format("15:04:05"), len(by[s]), bad))
+			out = append(out, fmt.Sprintf("%s: of %d calls %v", time.Unix(s, 0).Format("15:04:05"), len(bySecond[s]), bad))
 		}
 	}
 	return out
 }
 
-// wasOut tells whether something was done from outside to the node that a call went
-// to, while the call was under way or within the platform's look before it.
-func (r *Records) wasOut(o Outcome) bool {
-	return lo.SomeBy(r.Outs, func(x Out) bool {
-		return x.Node == o.Gateway && !x.From.After(o.Done) && (x.To.IsZero() || x.To.Add(lookEvery).After(o.Sent))
+// duringOutage reports whether the node that a call went to had an outage during the call or less
+// than a readiness interval before it.
+func (r *Records) duringOutage(o Outcome) bool {
+	return lo.SomeBy(r.Outages, func(x Outage) bool {
+		return x.Node == o.Gateway && !x.From.After(o.Done) && (x.To.IsZero() || x.To.Add(readinessInterval).After(o.Sent))
 	})
 }
 
-func (r *Records) calls(v *Verdict, execs map[string][]Exec) {
+func (r *Records) checkCalls(v *Verdict, execs map[string][]Exec) {
 	var took []time.Duration
 	proper := 0
 	for _, o := range r.Outcomes {
-		if o.Proper {
+		if o.Valid {
 			proper++
 		}
-		c := r.class(o)
+		c := r.classify(o)
 		v.Classes[c]++
-		if took := o.Done.Sub(o.Sent); took > heldWithin && !r.wasOut(o) {
-			v.broke("call %s of order %s was held for %s at %s", o.Call, o.Order, took, o.Gateway)
+		if took := o.Done.Sub(o.Sent); took > maxCallDuration && !r.duringOutage(o) {
+			v.addViolation("call %s of order %s was held for %s at %s", o.Call, o.Order, took, o.Gateway)
 		}
-		if o.Proper && strings.HasPrefix(c, "refused") {
+		if o.Valid && strings.HasPrefix(c, "refused") {
 			v.Refusals++
-			v.Whys[cmp.Or(o.Why, short(o.Err), o.Code)]++
+			v.RefusalReasons[cmp.Or(o.Reason, errorKind(o.Err), o.Code)]++
 		}
 		switch c {
 		case served:
 			v.Successes++
 			took = append(took, o.Done.Sub(o.Sent))
-			r.success(v, o, execs[o.Order])
+			r.checkSuccess(v, o, execs[o.Order])
 		case busy:
-			if o.Retry == "" {
-				v.broke("call %s: refused without Retry-After", o.Order)
+			if o.RetryAfter == "" {
+				v.addViolation("call %s: refused without Retry-After", o.Order)
 			}
-			// Not that it ran, and not that an earlier call for the same order did. A
-			// later one may: its caller sent it again.
-			if n := lo.CountBy(execs[o.Order], func(e Exec) bool { return !e.At.After(o.Done) || strings.HasPrefix(e.Number, o.Call+".") }); n > 0 && !o.Repeatable {
-				v.broke("call %s of order %s: told %q, but ran %d times", o.Call, o.Order, o.Code, n)
+			// The answer says that neither this call nor an earlier call for the same order ran. A
+			// later call may run, because the caller retries.
+			if n := lo.CountBy(execs[o.Order], func(e Exec) bool { return !e.At.After(o.Done) || strings.HasPrefix(e.SendID, o.Call+".") }); n > 0 && !o.Repeatable {
+				v.addViolation("call %s of order %s: told %q, but ran %d times", o.Call, o.Order, o.Code, n)
 			}
 		case mayHaveRun:
 			v.Unknown++
-		case wrongly:
-			v.broke("call %s of order %s to %s: proper, and answered %d %q", o.Call, o.Order, o.Path, o.Status, o.Code)
+		case wronglyRefused:
+			v.addViolation("call %s of order %s to %s: valid, but answered %d %q", o.Call, o.Order, o.Path, o.Status, o.Code)
 		}
 	}
 	slices.Sort(took)
@@ -205,12 +205,12 @@
 		v.P50, v.P99 = took[n/2], took[n*99/100]
 		v.P50MS, v.P99MS = ms(v.P50), ms(v.P99)
 	}
-	v.Refused = float64(v.Refusals) > refuseCommon+refuseRatio*float64(proper)
+	v.TooManyRefusals = float64(v.Refusals) > refusalAllowance+refusalRatio*float64(proper)
 }
 
 func ms(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
 
-func short(e string) string {
+func errorKind(e string) string {
 	for _, s := range []string{"connection refused", "connection reset", "EOF", "Timeout", NoNode} {
 		if strings.Contains(e, s) {
 			return s
@@ -219,102 +219,102 @@
 	return e
 }
 
-func (r *Records) success(v *Verdict, o Outcome, ex []Exec) {
+func (r *Records) checkSuccess(v *Verdict, o Outcome, ex []Exec) {
 	st, err := httpapi.ReadStamp(o.Stamp)
 	switch {
 	case err != nil:
-		v.broke("call %s: success without a target's stamp: %q", o.Order, o.Stamp)
+		v.addViolation("call %s: success without a target's stamp: %q", o.Order, o.Stamp)
 		return
 	case o.BodyOrder != o.Order:
-		v.broke("call %s: success with the answer to %q", o.Order, o.BodyOrder)
-	case !o.BodyWhole:
-		v.broke("call %s: success without the whole body", o.Order)
+		v.addViolation("call %s: success with the answer to %q", o.Order, o.BodyOrder)
+	case !o.BodyComplete:
+		v.addViolation("call %s: success without the whole body", o.Order)
 	}
 	e, ran := lo.Find(ex, func(e Exec) bool {
-		return e.Number == st.Request && e.Target == st.ID && e.Inc == st.Inc && e.Service == st.Service
+		return e.SendID == st.Request && e.Target == st.ID && e.Inc == st.Inc && e.Service == st.Service
 	})
 	switch {
 	case !ran:
-		v.broke("call %s: success stamped %s, which that target never ran", o.Order, o.Stamp)
+		v.addViolation("call %s: success stamped %s, which that target never ran", o.Order, o.Stamp)
 	case e.Digest != o.Digest:
-		v.broke("call %s: success with another body than the one that target %s wrote", o.Order, e.Target)
+		v.addViolation("call %s: success with another body than the one that target %s wrote", o.Order, e.Target)
 	}
 }
 
-func (r *Records) once(v *Verdict, execs map[string][]Exec) {
-	rep := map[string]bool{}
+func (r *Records) checkAtMostOnce(v *Verdict, execs map[string][]Exec) {
+	repeatable := map[string]bool{}
 	for _, o := range r.Outcomes {
-		rep[o.Order] = rep[o.Order] || o.Repeatable
+		repeatable[o.Order] = repeatable[o.Order] || o.Repeatable
 	}
 	for k, es := range execs {
-		if ok, known := rep[k]; known && !ok && len(es) > 1 {
-			v.broke("order %s ran %d times: %s", k, len(es), strings.Join(lo.Map(es, func(e Exec, _ int) string {
-				return fmt.Sprintf("%s at %s (%s)", e.Target, e.At.Format("15:04:05.000"), e.Number)
+		if ok, known := repeatable[k]; known && !ok && len(es) > 1 {
+			v.addViolation("order %s ran %d times: %s", k, len(es), strings.Join(lo.Map(es, func(e Exec, _ int) string {
+				return fmt.Sprintf("%s at %s (%s)", e.Target, e.At.Format("15:04:05.000"), e.SendID)
 			}), ", "))
 		}
 	}
 }
 
-// orders finds operators told what cannot be.
-func (r *Records) orders(v *Verdict) {
+// checkChangeResults finds contradictory results told to operators.
+func (r *Records) checkChangeResults(v *Verdict) {
 	at := map[uint64]string{}
-	for _, o := range r.Orders {
-		if o.Acked.IsZero() {
+	for _, o := range r.Changes {
+		if o.AckedAt.IsZero() {
 			continue
 		}
-		if o.Bad {
-			v.broke("order %s was made to be refused, and is in force as version %d", o.Token, o.Version)
+		if o.MustBeRefused {
+			v.addViolation("order %s was made to be refused, but is in force as version %d", o.Token, o.Version)
 		}
 		if t, dup := at[o.Version]; dup {
-			v.broke("orders %s and %s were both told that they are version %d", t, o.Token, o.Version)
+			v.addViolation("orders %s and %s were both told that they are version %d", t, o.Token, o.Version)
 		}
 		at[o.Version] = o.Token
 	}
 }
 
-// bound is what an order makes of one path; service is "" where it unbinds it.
-type bound struct {
-	*Asked
+// pathChange is the effect of a change on one path; service is "" if the change unbinds the path.
+type pathChange struct {
+	*ChangeRequest
 	service string
 }
 
-// bounds lists, for each path, the orders that bind or unbind it, or may have.
-func (r *Records) bounds() map[string][]bound {
-	out, names := map[string][]bound{}, map[string]string{}
-	whole := func(s spec.Sheet) map[string]string {
+// pathChanges lists, for each path, the changes that bind or unbind it, or may have done so.
+func (r *Records) pathChanges() map[string][]pathChange {
+	out, names := map[string][]pathChange{}, map[string]string{}
+	paths := func(s spec.Sheet) map[string]string {
 		m := map[string]string{}
 		for _, b := range s.Bindings {
 			m[b.Path], names[b.Name] = b.Service, b.Path
 		}
 		return m
 	}
-	var live []*Asked
-	for i := range r.Orders {
-		// What was told to have changed nothing may not show.
-		if o := &r.Orders[i]; !o.Bad && (!o.Acked.IsZero() || o.Outcome == "" || o.Outcome == commands.Unknown || o.Outcome == commands.NoCore) {
-			live = append(live, o)
+	var effective []*ChangeRequest
+	for i := range r.Changes {
+		// A change that was reported as having had no effect must not show.
+		if o := &r.Changes[i]; !o.MustBeRefused && (!o.AckedAt.IsZero() || o.Outcome == "" || o.Outcome == commands.Unknown || o.Outcome == commands.NoCore) {
+			effective = append(effective, o)
 			for _, e := range o.Edits {
 				switch {
 				case e.Binding != nil:
 					names[e.Binding.Name] = e.Binding.Path
 				case e.Sheet != nil:
-					whole(*e.Sheet)
+					paths(*e.Sheet)
 				}
 			}
 		}
 	}
-	for _, o := range live {
+	for _, o := range effective {
 		sets := map[string]string{}
-		all := func(s spec.Sheet) {
+		replaceAll := func(s spec.Sheet) {
 			for _, p := range names {
 				sets[p] = ""
 			}
-			for p, svc := range whole(s) {
+			for p, svc := range paths(s) {
 				sets[p] = svc
 			}
 		}
-		if o.Back > 0 {
-			all(r.known(o.Back))
+		if o.RollbackTo > 0 {
+			replaceAll(r.sheetAt(o.RollbackTo))
 		}
 		for _, e := range o.Edits {
 			switch e.Op {
@@ -323,30 +323,30 @@
 			case spec.DropBinding:
 				sets[names[e.Name]] = ""
 			case spec.Replace:
-				all(*e.Sheet)
+				replaceAll(*e.Sheet)
 			}
 		}
 		for p, svc := range sets {
-			out[p] = append(out[p], bound{o, svc})
+			out[p] = append(out[p], pathChange{o, svc})
 		}
 	}
 	return out
 }
 
-// known is the sheet of version n as the operators' acknowledged orders give it.
-func (r *Records) known(n uint64) (s spec.Sheet) {
-	by := map[uint64]Asked{}
-	for _, o := range r.Orders {
-		if !o.Acked.IsZero() {
-			by[o.Version] = o
+// sheetAt returns the sheet of version n as it results from the acknowledged changes.
+func (r *Records) sheetAt(n uint64) (s spec.Sheet) {
+	byVersion := map[uint64]ChangeRequest{}
+	for _, o := range r.Changes {
+		if !o.AckedAt.IsZero() {
+			byVersion[o.Version] = o
 		}
 	}
 	for k := uint64(1); k <= n; k++ {
-		o, ok := by[k]
+		o, ok := byVersion[k]
 		switch {
 		case !ok:
-		case o.Back > 0:
-			s = r.known(o.Back)
+		case o.RollbackTo > 0:
+			s = r.sheetAt(o.RollbackTo)
 		default:
 			s, _ = s.Apply(o.Edits)
 		}
@@ -354,133 +354,133 @@
 	return s
 }
 
-// services finds runs at a service that no change, asked for before, ever bound
-// the path to.
-func (r *Records) services(v *Verdict) {
-	bs := r.bounds()
+// checkServices finds requests that ran at a service to which no change submitted earlier bound the
+// path.
+func (r *Records) checkServices(v *Verdict) {
+	pathChanges := r.pathChanges()
 	for _, e := range r.Execs {
-		of := bs[e.Path]
+		changes := pathChanges[e.Path]
 		switch {
-		case len(of) == 0:
-			v.broke("order %s ran at %s for path %s, which no change binds", e.Order, e.Service, e.Path)
-		case !lo.SomeBy(of, func(b bound) bool { return b.service == e.Service && !e.At.Before(b.At) }):
-			v.broke("order %s for path %s ran at service %s, which no change allowed (meant for %s)", e.Order, e.Path, e.Service, e.Meant)
+		case len(changes) == 0:
+			v.addViolation("order %s ran at %s for path %s, which no change binds", e.Order, e.Service, e.Path)
+		case !lo.SomeBy(changes, func(b pathChange) bool { return b.service == e.Service && !e.At.Before(b.SubmittedAt) }):
+			v.addViolation("order %s for path %s ran at service %s, which no change allowed (meant for %s)", e.Order, e.Path, e.Service, e.IntendedTarget)
 		}
 	}
 }
 
-// sight is one call that showed what a path is bound to at a gateway: that it came to a
-// service, or the word that nothing is bound.
-type sight struct {
+// observation is a call that showed what a path is bound to at a gateway: it reached a target of a
+// service, or was answered that nothing is bound.
+type observation struct {
 	service    string
 	gateway    string
 	from, till time.Time
-	what       string
+	source     string
 }
 
-// changes looks, for each path and each acknowledged change of it, when the state
-// before was last and the new one first seen, at whichever gateway.
-func (r *Records) changes(v *Verdict) {
+// checkChanges determines, for each path and each acknowledged change of it, when the old state was
+// last observed and the new one first, at any gateway.
+func (r *Records) checkChanges(v *Verdict) {
 	gateways := map[string]string{}
-	sights := map[string][]sight{}
+	observations := map[string][]observation{}
 	for _, o := range r.Outcomes {
 		gateways[o.Call] = o.Gateway
 		if o.Code == httpapi.NoBinding {
-			sights[o.Path] = append(sights[o.Path], sight{"", o.Gateway, o.Sent, o.Done, o.Call})
+			observations[o.Path] = append(observations[o.Path], observation{"", o.Gateway, o.Sent, o.Done, o.Call})
 		}
 	}
-	// What arrived counts, not when it ran: a target may have others to serve first.
+	// The time of arrival counts, not that of execution: a target may have other requests to serve first.
 	for _, a := range r.Arrivals {
-		sights[a.Path] = append(sights[a.Path], sight{a.Service, gateways[callOf(a.Number)], a.At, a.At, a.Number})
+		observations[a.Path] = append(observations[a.Path], observation{a.Service, gateways[callID(a.SendID)], a.At, a.At, a.SendID})
 	}
-	for path, bs := range r.bounds() {
-		ss := sights[path]
-		slices.SortFunc(ss, func(a, b sight) int { return a.till.Compare(b.till) })
-		for _, c := range bs {
-			if !c.Acked.IsZero() {
-				v.change(path, c, bs, ss)
+	for path, changes := range r.pathChanges() {
+		observed := observations[path]
+		slices.SortFunc(observed, func(a, b observation) int { return a.till.Compare(b.till) })
+		for _, c := range changes {
+			if !c.AckedAt.IsZero() {
+				v.checkChange(path, c, changes, observed)
 			}
 		}
 	}
 }
 
-// callOf is the call that a sending belongs to.
-func callOf(number string) string { return number[:max(strings.LastIndexByte(number, '.'), 0)] }
+// callID returns the call that a send belongs to.
+func callID(number string) string { return number[:max(strings.LastIndexByte(number, '.'), 0)] }
 
-func (v *Verdict) change(path string, c bound, all []bound, ss []sight) {
-	end, floor := c.Acked.Add(time.Hour), c.At
+func (v *Verdict) checkChange(path string, c pathChange, all []pathChange, observations []observation) {
+	end, stateFrom := c.AckedAt.Add(time.Hour), c.SubmittedAt
 	for _, o := range all {
 		switch {
 		case o.Token == c.Token:
-		case o.At.After(c.Acked):
-			if o.At.Before(end) {
-				end = o.At
+		case o.SubmittedAt.After(c.AckedAt):
+			if o.SubmittedAt.Before(end) {
+				end = o.SubmittedAt
 			}
-		case o.Acked.IsZero() || o.Version > c.Version:
-			// Asked for before this one was acknowledged, and it may stand above it.
+		case o.AckedAt.IsZero() || o.Version > c.Version:
+			// Submitted before c was acknowledged; it may supersede c.
 			return
-		case o.Acked.After(floor):
-			// What stood before that one may show the same as this one does.
-			floor = o.Acked
+		case o.AckedAt.After(stateFrom):
+			// The state before that change may look the same as the state after c.
+			stateFrom = o.AckedAt
 		}
 	}
 	var first time.Time
 	shown := map[string]bool{}
-	for _, s := range ss {
-		if s.from.Before(c.At) || !s.till.Before(end) {
+	for _, s := range observations {
+		if s.from.Before(c.SubmittedAt) || !s.till.Before(end) {
 			continue
 		}
 		if s.service == c.service {
-			if shown[s.gateway] = true; first.IsZero() && !s.from.Before(floor) {
+			if shown[s.gateway] = true; first.IsZero() && !s.from.Before(stateFrom) {
 				first = s.till
 			}
 			continue
 		}
-		if late := s.from.Sub(c.Acked); late > 0 {
-			v.SlowestMS = max(v.SlowestMS, ms(late))
+		if late := s.from.Sub(c.AckedAt); late > 0 {
+			v.SlowestChangeMS = max(v.SlowestChangeMS, ms(late))
 			if late > inForceWithin {
-				v.broke("version %d: %s still showed %q at gateway %s %s after the acknowledgement (%s)", c.Version, path, s.service, s.gateway, late, s.what)
+				v.addViolation("version %d: %s still showed %q at gateway %s %s after the acknowledgement (%s)", c.Version, path, s.service, s.gateway, late, s.source)
 			}
 		}
 		if !first.IsZero() && s.from.After(first) {
 			slip := s.from.Sub(first)
-			v.SlipMS = max(v.SlipMS, ms(slip))
+			v.WidestSlipMS = max(v.WidestSlipMS, ms(slip))
 			if slip > slipWithin {
-				v.broke("version %d: %s showed %q at gateway %s %s after the change had shown (%s at %s, asked %s, acknowledged %s)", c.Version, path, s.service, s.gateway, slip,
-					s.what, s.from.Format("05.000"), c.At.Format("05.000"), c.Acked.Format("05.000"))
+				v.addViolation("version %d: %s showed %q at gateway %s %s after the change had shown (%s at %s, asked %s, acknowledged %s)", c.Version, path, s.service, s.gateway, slip,
+					s.source, s.from.Format("05.000"), c.SubmittedAt.Format("05.000"), c.AckedAt.Format("05.000"))
 			}
 		}
 	}
-	v.Judged += len(shown)
+	v.ChangesShown += len(shown)
 }
 
-func (r *Records) leaves(v *Verdict) {
+func (r *Records) checkLeaves(v *Verdict) {
 	for _, l := range r.Leaves {
 		for _, a := range r.Arrivals {
-			if a.Target == l.Target && a.Inc == l.Inc && a.At.Sub(l.Acked) > leaveWithin {
-				v.broke("target %s got order %s %s after its leaving was acknowledged", l.Target, a.Order, a.At.Sub(l.Acked))
+			if a.Target == l.Target && a.Inc == l.Inc && a.At.Sub(l.AckedAt) > leaveWithin {
+				v.addViolation("target %s got order %s %s after its leaving was acknowledged", l.Target, a.Order, a.At.Sub(l.AckedAt))
 			}
 		}
 	}
 }
 
-// stops finds calls that a planned stop cut off. The platform may send some until
-// its next look; those count.
-func (r *Records) stops(v *Verdict) {
+// checkStops finds calls that a planned stop cut off. Calls that the platform sends until it polls the
+// readiness again count as well.
+func (r *Records) checkStops(v *Verdict) {
 	for _, s := range r.Stops {
 		for _, o := range r.Outcomes {
-			if o.Gateway == s.Gateway && o.Err != "" && o.Done.After(s.From) && o.Sent.Before(s.From.Add(lookEvery)) && !o.Done.After(s.End.Add(lookEvery)) {
-				v.broke("call %s of order %s was cut off by the planned stop of %s (%s): %s", o.Call, o.Order, s.Gateway, s.From.Format("05.000"), o.Err)
+			if o.Gateway == s.Gateway && o.Err != "" && o.Done.After(s.From) && o.Sent.Before(s.From.Add(readinessInterval)) && !o.Done.After(s.End.Add(readinessInterval)) {
+				v.addViolation("call %s of order %s was cut off by the planned stop of %s (%s): %s", o.Call, o.Order, s.Gateway, s.From.Format("05.000"), o.Err)
 			}
 		}
 	}
 }
 
-// extras slides a window over what reached each service's targets, run or not: a
-// sending is extra where its call was sent before, or where its order has reached
-// targets more often than its caller called.
-func (r *Records) extras(v *Verdict) {
-	type mark struct {
+// checkExtraSends slides a window over the requests that reached each service's targets, executed or
+// not. A send is extra if its call was sent before, or if its order has reached targets more often
+// than the caller made calls for it.
+func (r *Records) checkExtraSends(v *Verdict) {
+	type send struct {
 		at    time.Time
 		extra bool
 	}
@@ -488,40 +488,40 @@
 	for _, o := range r.Outcomes {
 		calls[o.Order] = append(calls[o.Order], o.Sent)
 	}
-	by := map[string][]mark{}
-	as := slices.Clone(r.Arrivals)
-	slices.SortStableFunc(as, func(a, b Arrival) int { return a.At.Compare(b.At) })
-	seen, came := map[string]bool{}, map[string]int{}
-	for _, a := range as {
-		came[a.Order]++
+	byService := map[string][]send{}
+	sorted := slices.Clone(r.Arrivals)
+	slices.SortStableFunc(sorted, func(a, b Arrival) int { return a.At.Compare(b.At) })
+	seen, arrivals := map[string]bool{}, map[string]int{}
+	for _, a := range sorted {
+		arrivals[a.Order]++
 		called := lo.CountBy(calls[a.Order], func(t time.Time) bool { return !t.After(a.At) })
-		extra := seen[callOf(a.Number)] || came[a.Order] > called
-		seen[callOf(a.Number)] = true
-		by[a.Service] = append(by[a.Service], mark{a.At, extra})
+		extra := seen[callID(a.SendID)] || arrivals[a.Order] > called
+		seen[callID(a.SendID)] = true
+		byService[a.Service] = append(byService[a.Service], send{a.At, extra})
 		if extra {
-			v.Extra++
+			v.ExtraSends++
 		}
 	}
-	for svc, ms := range by {
+	for svc, sends := range byService {
 		i, first, extra := 0, 0, 0
-		for _, m := range ms {
+		for _, m := range sends {
 			if m.extra {
 				extra++
 			} else {
 				first++
 			}
-			for m.at.Sub(ms[i].at) > extraSpan {
-				if ms[i].extra {
+			for m.at.Sub(sends[i].at) > extraWindow {
+				if sends[i].extra {
 					extra--
 				} else {
 					first--
 				}
 				i++
 			}
-			over := float64(extra) - extraRatio*float64(first) - extraCommon
-			v.WorstExtra = max(v.WorstExtra, over)
+			over := float64(extra) - extraRatio*float64(first) - extraAllowance
+			v.WorstExtraOverLimit = max(v.WorstExtraOverLimit, over)
 			if over > 0 {
-				v.broke("service %s: %d extra sends in 10 s for %d requests", svc, extra, first)
+				v.addViolation("service %s: %d extra sends in 10 s for %d requests", svc, extra, first)
 			}
 		}
 	}
--- a/tools/stand/failures.go
+++ b/tools/stand/failures.go
@@ -1,7 +1,7 @@
 package stand
 
-// Failures names every failure that simulator and fleet bring about, so that neither
-// lacks what the other has; a test of each holds its own list against this one.
+// Failures names every failure that the simulator and the fleet cause. A test of each compares its
+// own list with this one, so that neither lacks a failure of the other.
 var Failures = []string{
 	"node killed", "node frozen", "node stopped as planned", "all nodes restarted in turn",
 	"gateways killed together", "core killed", "half of all killed", "zone killed",
@@ -11,6 +11,6 @@
 	"crowd", "storm of changes",
 }
 
-// Simulated are those of them that take a disk or a network of the simulator's, or
-// machines that a fleet does not have.
-var Simulated = []string{"sync failed", "disk slow", "messages lost", "control machine swapped", "disk lost at the last moment"}
+// SimulatorOnly lists the failures that need the simulator's disks or network, or machines that a
+// fleet does not have.
+var SimulatorOnly = []string{"sync failed", "disk slow", "messages lost", "control machine swapped", "disk lost at the last moment"}
--- a/tools/stand/insist.go
+++ b/tools/stand/insist.go
@@ -6,20 +6,20 @@
 	"walkrudder/internal/commands"
 )
 
-// Insist notes an order and sends it, again and again, until it has a final result;
-// ok is false where ctx ended before. Send hands it to some controller and tells whether an
-// answer came; rest waits a while between two tries.
-func (r *Records) Insist(ctx context.Context, a Asked, send func() (commands.Result, bool), rest func()) (x commands.Result, ok bool) {
-	r.Ask(a)
+// SubmitUntilFinal records a change and sends it until it has a final result; ok is false if ctx ended
+// before. Send submits it to any controller and reports whether an answer came; pause waits between
+// two attempts.
+func (r *Records) SubmitUntilFinal(ctx context.Context, a ChangeRequest, send func() (commands.Result, bool), pause func()) (x commands.Result, ok bool) {
+	r.RecordChange(a)
 	for ctx.Err() == nil {
 		if x, ok = send(); ok {
-			r.Told(a.Token, x.Outcome, x.Version)
+			r.RecordChangeResult(a.Token, x.Outcome, x.Version)
 			switch x.Outcome {
 			case commands.InForce, commands.Invalid, commands.Conflict:
 				return x, true
 			}
 		}
-		rest()
+		pause()
 	}
 	return x, false
 }
--- a/tools/stand/judge.go
+++ b/tools/stand/judge.go
@@ -7,36 +7,36 @@
 	"walkrudder/internal/queries"
 )
 
-// Judge checks the records, and the picture as every controller reads it.
-func (t *Town) Judge(ctx context.Context) Verdict {
-	v := t.Rec.Check()
-	for _, door := range t.Fleet.Doors("controller") {
+// Check checks the records, and the picture that each controller returns.
+func (d *Deployment) Check(ctx context.Context) Verdict {
+	v := d.Rec.Check()
+	for _, addr := range d.Fleet.PublicAddrs("controller") {
 		var p queries.Picture
-		if err := SayTo(ctx, door, "show picture", &p); err != nil {
-			v.broke("picture at %s not read: %v", t.Fleet.Name(door), err)
+		if err := QueryNode(ctx, addr, "show picture", &p); err != nil {
+			v.addViolation("picture at %s not read: %v", d.Fleet.NodeAt(addr), err)
 			continue
 		}
-		for _, b := range t.Rec.Picture(p) {
-			v.broke("%s", b)
+		for _, b := range d.Rec.CheckPicture(p) {
+			v.addViolation("%s", b)
 		}
 	}
-	if t.Rec.Changed() < 2 || v.Judged == 0 || v.Successes == 0 {
-		v.broke("nothing went on: %d changes, shown %d times, %d successes", t.Rec.Changed(), v.Judged, v.Successes)
+	if d.Rec.AckedChanges() < 2 || v.ChangesShown == 0 || v.Successes == 0 {
+		v.addViolation("nothing went on: %d changes, shown %d times, %d successes", d.Rec.AckedChanges(), v.ChangesShown, v.Successes)
 	}
 	return v
 }
 
-// Operate moves a repeatable path to another service and back, again and again, until
-// ctx ends; say is told of each version. The last order is seen to its end.
-func (t *Town) Operate(ctx context.Context, say func(version uint64)) {
-	var k Kind
-	for _, x := range t.Plan.Kinds {
-		if x.Repeatable && x.Size == 0 {
+// RunOperator moves a repeatable path to another service and back until ctx ends; report receives each
+// version. The last change is not cut short by the end of ctx.
+func (d *Deployment) RunOperator(ctx context.Context, report func(version uint64)) {
+	var k CallKind
+	for _, x := range d.Plan.CallKinds {
+		if x.Repeatable && x.AnswerBytes == 0 {
 			k = x
 		}
 	}
 	other := k.Service
-	for n := range t.Plan.Targets {
+	for n := range d.Plan.Targets {
 		if n != k.Service {
 			other = n
 		}
@@ -47,8 +47,8 @@
 			svc = other
 		}
 		cx, end := context.WithTimeout(context.WithoutCancel(ctx), 30*time.Second)
-		if r, err := t.Bind(cx, k, svc); err == nil {
-			say(r.Version)
+		if r, err := d.BindPath(cx, k, svc); err == nil {
+			report(r.Version)
 		}
 		end()
 		select {
@@ -58,10 +58,10 @@
 	}
 }
 
-// Hammer is a client that calls again and again without a pause until ctx ends.
-func (c *Callers) Hammer(ctx context.Context, k Kind, client string) {
+// CallContinuously is a client that calls in a loop, with a pause of 5 ms, until ctx ends.
+func (c *Callers) CallContinuously(ctx context.Context, k CallKind, client string) {
 	for ctx.Err() == nil {
-		c.call(k, "", "", client)
+		c.callAs(k, "", "", client)
 		select {
 		case <-ctx.Done():
 		case <-time.After(5 * time.Millisecond):
--- a/tools/stand/node.go
+++ b/tools/stand/node.go
@@ -15,18 +15,18 @@
 
 // Node is one real process of a fleet.
 type Node struct {
-	ID    string
-	Kind  string
-	Zone  string
-	Inner string
-	Own   string // where it listens, when Inner is a relay's
-	Door  string
-	Disk  bool
+	ID           string
+	Kind         string
+	Zone         string
+	InternalAddr string
+	ListenAddr   string // if InternalAddr is a relay's address
+	PublicAddr   string
+	HasDisk      bool
 
 	fleet *Fleet
 	mu    sync.Mutex
-	// struck is guarded by mu.
-	struck Struck
+	// outage is guarded by mu.
+	outage OutageTracker
 	cmd    *exec.Cmd
 	done   chan struct{}
 }
@@ -41,57 +41,57 @@
 	Rec   *Records
 }
 
-// Plan is the shape of a deployment.
+// Plan describes the size of a deployment and its traffic.
 type Plan struct {
 	Name        string
 	Zones       int
-	Disks       int // one in each zone first
-	Controllers int // with the disks
+	Disks       int // spread over the zones
+	Controllers int // including those with a disk
 	Gateways    int
 	Targets     map[string]int // by service
-	Kinds       []Kind
+	CallKinds   []CallKind
 }
 
-// Alcazar and Grachtwerk are the deployments of today.
+// Alcazar returns the plan of one of the two deployments in use.
 func Alcazar() Plan {
 	return Plan{Name: "alcazar", Zones: 3, Disks: 3, Controllers: 5, Gateways: 8, Targets: map[string]int{"orders": 14, "records": 16},
-		Kinds: []Kind{
-			{Method: "POST", Path: "/orders", Service: "orders", Rate: 50, Post: 300},
+		CallKinds: []CallKind{
+			{Method: "POST", Path: "/orders", Service: "orders", Rate: 50, RequestBytes: 300},
 			{Method: "GET", Path: "/status", Service: "orders", Repeatable: true, Rate: 80},
-			{Method: "GET", Path: "/bundles", Service: "records", Repeatable: true, Rate: 30, Size: 60000},
+			{Method: "GET", Path: "/bundles", Service: "records", Repeatable: true, Rate: 30, AnswerBytes: 60000},
 			{Method: "GET", Path: "/glossary", Service: "records", Repeatable: true, Rate: 70},
 		}}
 }
 
-// Grachtwerk is the other one.
+// Grachtwerk returns the plan of the other one.
 func Grachtwerk() Plan {
 	return Plan{Name: "grachtwerk", Zones: 4, Disks: 4, Controllers: 6, Gateways: 8, Targets: map[string]int{"ledgers": 20, "files": 20},
-		Kinds: []Kind{
-			{Method: "POST", Path: "/payments", Service: "ledgers", Rate: 55, Post: 300},
-			{Method: "POST", Path: "/terminations", Service: "ledgers", Rate: 20, Post: 300},
+		CallKinds: []CallKind{
+			{Method: "POST", Path: "/payments", Service: "ledgers", Rate: 55, RequestBytes: 300},
+			{Method: "POST", Path: "/terminations", Service: "ledgers", Rate: 20, RequestBytes: 300},
 			{Method: "GET", Path: "/balances", Service: "ledgers", Repeatable: true, Rate: 120},
-			{Method: "GET", Path: "/leases", Service: "files", Repeatable: true, Rate: 55, Size: 60000},
+			{Method: "GET", Path: "/leases", Service: "files", Repeatable: true, Rate: 55, AnswerBytes: 60000},
 			{Method: "GET", Path: "/statements", Service: "files", Repeatable: true, Rate: 80},
 		}}
 }
 
-// Times is the deployment with n times the nodes, targets and calls; the disks stay.
-func (p Plan) Times(n int) Plan {
+// Scaled returns the plan with n times the nodes, targets and call rates; the number of disks stays.
+func (p Plan) Scaled(n int) Plan {
 	out := p
 	out.Controllers, out.Gateways = p.Controllers*n, p.Gateways*n
-	out.Targets, out.Kinds = map[string]int{}, nil
+	out.Targets, out.CallKinds = map[string]int{}, nil
 	for s, k := range p.Targets {
 		out.Targets[s] = k * n
 	}
-	for _, k := range p.Kinds {
+	for _, k := range p.CallKinds {
 		k.Rate *= float64(n)
-		out.Kinds = append(out.Kinds, k)
+		out.CallKinds = append(out.CallKinds, k)
 	}
 	return out
 }
 
-// Plans finds a deployment by name.
-func Plans(name string) (Plan, error) {
+// PlanByName finds a plan by name.
+func PlanByName(name string) (Plan, error) {
 	for _, p := range []Plan{Alcazar(), Grachtwerk()} {
 		if p.Name == name {
 			return p, nil
@@ -110,43 +110,44 @@
 	return ln.Addr().String(), nil
 }
 
-// NewFleet lays a deployment out on 127.x addresses; net makes runs side by side
-// differ. With wires, nodes reach each other through them.
-func NewFleet(p Plan, dir, bin string, net byte, wires *Wires) (*Fleet, error) {
+// NewFleet assigns loopback addresses in 127.net.0.0/16 to the nodes of a deployment, so that runs
+// with different values of net can share a machine. If relays are given, nodes reach each other
+// through them.
+func NewFleet(p Plan, dir, bin string, net byte, wires *Relays) (*Fleet, error) {
 	f := &Fleet{Dir: dir, Bin: bin, Core: min(3, p.Disks)}
 	for i := range p.Controllers + p.Gateways {
 		n := &Node{fleet: f}
 		if i < p.Controllers {
-			n.ID, n.Kind, n.Zone, n.Disk = fmt.Sprintf("m%d", i+1), "controller", fmt.Sprintf("z%d", i%p.Zones+1), i < p.Disks
+			n.ID, n.Kind, n.Zone, n.HasDisk = fmt.Sprintf("m%d", i+1), "controller", fmt.Sprintf("z%d", i%p.Zones+1), i < p.Disks
 		} else {
 			k := i - p.Controllers
 			n.ID, n.Kind, n.Zone = fmt.Sprintf("f%d", k+1), "gateway", fmt.Sprintf("z%d", k%p.Zones+1)
 		}
 		ip := fmt.Sprintf("127.%d.1.%d", net, i+1)
 		var err error
-		if n.Inner, err = FreeAddr(ip); err != nil {
+		if n.InternalAddr, err = FreeAddr(ip); err != nil {
 			return nil, err
 		}
-		if n.Door, err = FreeAddr(ip); err != nil {
+		if n.PublicAddr, err = FreeAddr(ip); err != nil {
 			return nil, err
 		}
 		if wires != nil {
-			wires.Name(ip, n.ID)
-			n.Own = n.Inner
-			if n.Inner, err = wires.Lay(fmt.Sprintf("127.%d.3.%d:0", net, i+1), n.ID, func() string { return n.Own }); err != nil {
+			wires.SetName(ip, n.ID)
+			n.ListenAddr = n.InternalAddr
+			if n.InternalAddr, err = wires.Listen(fmt.Sprintf("127.%d.3.%d:0", net, i+1), n.ID, func() string { return n.ListenAddr }); err != nil {
 				return nil, err
 			}
 		}
 		f.Nodes = append(f.Nodes, n)
 		if i < 3 {
-			f.Seeds = append(f.Seeds, n.Inner)
+			f.Seeds = append(f.Seeds, n.InternalAddr)
 		}
 	}
 	return f, nil
 }
 
-// Of lists the nodes of a kind.
-func (f *Fleet) Of(kind string) (out []*Node) {
+// NodesOf lists the nodes of a kind.
+func (f *Fleet) NodesOf(kind string) (out []*Node) {
 	for _, n := range f.Nodes {
 		if n.Kind == kind {
 			out = append(out, n)
@@ -155,25 +156,25 @@
 	return out
 }
 
-// Doors lists the doors of a kind.
-func (f *Fleet) Doors(kind string) (out []string) {
-	for _, n := range f.Of(kind) {
-		out = append(out, n.Door)
+// PublicAddrs lists the public addresses of the nodes of a kind.
+func (f *Fleet) PublicAddrs(kind string) (out []string) {
+	for _, n := range f.NodesOf(kind) {
+		out = append(out, n.PublicAddr)
 	}
 	return out
 }
 
-// Name tells which node a door belongs to.
-func (f *Fleet) Name(door string) string {
+// NodeAt returns the ID of the node with a public address, or "" if there is none.
+func (f *Fleet) NodeAt(addr string) string {
 	for _, n := range f.Nodes {
-		if n.Door == door {
+		if n.PublicAddr == addr {
 			return n.ID
 		}
 	}
 	return ""
 }
 
-// Node finds a node.
+// Node finds a node by ID, or returns nil.
 func (f *Fleet) Node(id string) *Node {
 	for _, n := range f.Nodes {
 		if n.ID == id {
@@ -193,33 +194,32 @@
 	return nil
 }
 
-// Stop kills what still runs.
+// Stop kills all running processes.
 func (f *Fleet) Stop() {
 	for _, n := range f.Nodes {
 		n.Kill()
 	}
 }
 
-// Data is the node's data folder.
+// Data returns the path of the node's data folder.
 func (n *Node) Data() string { return filepath.Join(n.fleet.Dir, n.ID+".data") }
 
-// Start starts the process.
 func (n *Node) Start() error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.cmd != nil {
 		return errors.New(n.ID + " runs already")
 	}
-	args := []string{"--id", n.ID, "--zone", n.Zone, "--inner", n.Inner, "--door", n.Door, "--level", "debug"}
-	if n.Own != "" {
-		args = append(args, "--bind", n.Own)
+	args := []string{"--id", n.ID, "--zone", n.Zone, "--inner", n.InternalAddr, "--door", n.PublicAddr, "--level", "debug"}
+	if n.ListenAddr != "" {
+		args = append(args, "--bind", n.ListenAddr)
 	}
 	for _, s := range n.fleet.Seeds {
 		args = append(args, "--seed", s)
 	}
 	if n.Kind == "controller" {
 		args = append(args, "--core", fmt.Sprint(n.fleet.Core))
-		if n.Disk {
+		if n.HasDisk {
 			if err := os.MkdirAll(n.Data(), 0o755); err != nil {
 				return err
 			}
@@ -238,7 +238,7 @@
 	}
 	done := make(chan struct{})
 	n.cmd, n.done = c, done
-	n.struck.End()
+	n.outage.End()
 	go func() {
 		_ = c.Wait()
 		n.mu.Lock()
@@ -259,14 +259,14 @@
 	}
 }
 
-// Up tells whether the process runs.
-func (n *Node) Up() bool {
+// Running reports whether the process runs.
+func (n *Node) Running() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.cmd != nil
 }
 
-// Pid is the process's id, 0 when it does not run.
+// Pid returns the process ID, or 0 if the process does not run.
 func (n *Node) Pid() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -276,30 +276,30 @@
 	return n.cmd.Process.Pid
 }
 
-// Freeze stops the process in its tracks.
+// Freeze suspends the process.
 func (n *Node) Freeze() {
 	n.mu.Lock()
-	n.struck.Begin("frozen")
+	n.outage.Begin("frozen")
 	n.mu.Unlock()
 	n.signal(syscall.SIGSTOP)
 }
 
-// Thaw lets a frozen process go on.
-func (n *Node) Thaw() {
+// Unfreeze resumes the process.
+func (n *Node) Unfreeze() {
 	n.signal(syscall.SIGCONT)
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.cmd != nil {
-		n.struck.End()
+		n.outage.End()
 	}
 }
 
-// Kill ends the process at once and waits for its end.
+// Kill kills the process and waits for its end.
 func (n *Node) Kill() {
 	n.mu.Lock()
 	c, d := n.cmd, n.done
 	if c != nil {
-		n.struck.Begin("killed")
+		n.outage.Begin("killed")
 	}
 	n.mu.Unlock()
 	if c == nil {
@@ -309,10 +309,10 @@
 	<-d
 }
 
-// Term warns the process as the platform does, and kills it after six seconds.
-// It tells whether the process ended by itself. What a gateway's stop cut off is for
-// the checker to find.
-func (n *Node) Term() bool {
+// Terminate sends SIGTERM as the platform does, and kills the process after six seconds. It reports
+// whether the process ended by itself. For a gateway the stop is recorded, so that the checker can
+// find the calls that it cut off.
+func (n *Node) Terminate() bool {
 	n.mu.Lock()
 	c, d := n.cmd, n.done
 	n.mu.Unlock()
@@ -321,7 +321,7 @@
 	}
 	from := time.Now()
 	if n.Kind == "gateway" {
-		defer func() { n.fleet.Rec.Stop(Stop{Gateway: n.ID, From: from, End: time.Now()}) }()
+		defer func() { n.fleet.Rec.RecordStop(Stop{Gateway: n.ID, From: from, End: time.Now()}) }()
 	}
 	_ = c.Process.Signal(syscall.SIGTERM)
 	select {
@@ -337,8 +337,8 @@
 // Wipe empties the data folder of a node that does not run.
 func (n *Node) Wipe() error { return os.RemoveAll(n.Data()) }
 
-// Await polls ok until it holds or ctx ends.
-func Await(ctx context.Context, ok func() bool) error {
+// WaitUntil polls ok until it returns true or ctx ends.
+func WaitUntil(ctx context.Context, ok func() bool) error {
 	for !ok() {
 		select {
 		case <-ctx.Done():
--- a/tools/stand/picture.go
+++ b/tools/stand/picture.go
@@ -12,18 +12,18 @@
 	"walkrudder/internal/spec"
 )
 
-// Shown notes a picture that an operator was shown: what it held must be in every
-// later one.
-func (r *Records) Shown(p queries.Picture) {
+// RecordShown records a picture that an operator saw: all its decisions must be in every later
+// picture.
+func (r *Records) RecordShown(p queries.Picture) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for k := range said(p) {
-		r.shown[k] = true
+	for k := range decisionSet(p) {
+		r.shownDecisions[k] = true
 	}
 }
 
-// said names every decision of a picture.
-func said(p queries.Picture) map[string]bool {
+// decisionSet returns an identifying text for each decision of a picture.
+func decisionSet(p queries.Picture) map[string]bool {
 	m := map[string]bool{}
 	for _, c := range p.Changes {
 		m[fmt.Sprintf("version %d by token %s", c.N, c.Token)] = true
@@ -35,77 +35,77 @@
 	return m
 }
 
-// Picture holds a picture against what operators and targets were told: it lacks
-// nothing that was acknowledged or shown, holds nothing that nobody asked for, and its
-// sheet is the one that the operators' own orders give.
-func (r *Records) Picture(p queries.Picture) (bad []string) {
+// CheckPicture compares a picture with what operators and targets were told: it must contain all that
+// was acknowledged or shown, nothing that nobody submitted, and the sheet that results from the
+// operators' changes.
+func (r *Records) CheckPicture(p queries.Picture) (bad []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	miss := func(format string, args ...any) { bad = append(bad, p.Controller+": "+fmt.Sprintf(format, args...)) }
-	have := said(p)
-	for k := range r.shown {
-		if !have[k] {
-			miss("was shown and is missing: %s", k)
+	report := func(format string, args ...any) { bad = append(bad, p.Controller+": "+fmt.Sprintf(format, args...)) }
+	decisions := decisionSet(p)
+	for k := range r.shownDecisions {
+		if !decisions[k] {
+			report("was shown and is missing: %s", k)
 		}
 	}
-	asked := map[string]Asked{}
-	for _, o := range r.Orders {
-		asked[o.Token] = o
+	byToken := map[string]ChangeRequest{}
+	for _, o := range r.Changes {
+		byToken[o.Token] = o
 	}
 	var s spec.Sheet
 	sheets, at := map[uint64]spec.Sheet{}, map[string]uint64{}
 	for _, c := range p.Changes {
-		o, ok := asked[c.Token]
+		o, ok := byToken[c.Token]
 		switch {
 		case !ok:
-			miss("version %d was asked for by nobody (token %q)", c.N, c.Token)
+			report("version %d was submitted by nobody (token %q)", c.N, c.Token)
 			return bad
-		case o.Bad:
-			miss("version %d is of order %s, which was made to be refused", c.N, c.Token)
+		case o.MustBeRefused:
+			report("version %d is of order %s, which was made to be refused", c.N, c.Token)
 			return bad
-		case !o.Acked.IsZero() && o.Version != c.N:
-			miss("order %s was told version %d, and is version %d", c.Token, o.Version, c.N)
+		case !o.AckedAt.IsZero() && o.Version != c.N:
+			report("order %s was told version %d, and is version %d", c.Token, o.Version, c.N)
 		case at[c.Token] > 0:
-			miss("order %s is version %d and version %d", c.Token, at[c.Token], c.N)
+			report("order %s is version %d and version %d", c.Token, at[c.Token], c.N)
 		}
 		at[c.Token] = c.N
-		if o.Back > 0 {
-			s = sheets[o.Back]
+		if o.RollbackTo > 0 {
+			s = sheets[o.RollbackTo]
 		} else {
 			var no []spec.Problem
 			if s, no = s.Apply(o.Edits); len(no) > 0 {
-				miss("version %d of order %s does not apply to the version before: %v", c.N, c.Token, no)
+				report("version %d of order %s does not apply to the version before: %v", c.N, c.Token, no)
 			}
 		}
 		sheets[c.N] = s
 	}
-	for _, o := range r.Orders {
-		if !o.Acked.IsZero() && at[o.Token] == 0 {
-			miss("acknowledged version %d of order %s is missing", o.Version, o.Token)
+	for _, o := range r.Changes {
+		if !o.AckedAt.IsZero() && at[o.Token] == 0 {
+			report("acknowledged version %d of order %s is missing", o.Version, o.Token)
 		}
 		if o.Version > p.Sheet.InForce {
-			miss("version %d was acknowledged, in force is %d", o.Version, p.Sheet.InForce)
+			report("version %d was acknowledged, in force is %d", o.Version, p.Sheet.InForce)
 		}
 	}
-	if x, y := s.Sorted(), p.Sheet.Sheet.Sorted(); len(p.Changes) > 0 && !same(x, y) {
-		miss("the sheet is not the one that the orders give: %+v, and the orders give %+v", y, x)
+	if x, y := s.Sorted(), p.Sheet.Sheet.Sorted(); len(p.Changes) > 0 && !sameSheet(x, y) {
+		report("the sheet is not the one that the orders give: %+v, and the orders give %+v", y, x)
 	}
 	runs := func(kind string, ls []Leave) {
 		for _, l := range ls {
 			if !lo.ContainsBy(p.Decisions, func(n ledger.Note) bool {
 				return n.Kind == kind && n.Target != nil && n.Target.ID == l.Target && n.Target.Inc == l.Inc
 			}) {
-				miss("that %s/%d was told %q is missing", l.Target, l.Inc, kind)
+				report("that %s/%d was told %q is missing", l.Target, l.Inc, kind)
 			}
 		}
 	}
 	runs(ledger.NoteLeave, r.Leaves)
-	runs(ledger.NoteGone, r.Gones)
+	runs(ledger.NoteGone, r.Evictions)
 	return bad
 }
 
-// same compares sheets; an empty list is as good as none.
-func same(a, b spec.Sheet) bool {
+// sameSheet compares two sheets; an empty list equals a missing one.
+func sameSheet(a, b spec.Sheet) bool {
 	if len(a.Services)+len(b.Services)+len(a.Bindings)+len(b.Bindings) == 0 {
 		return true
 	}
