--- a/internal/control/cluster_test.go
+++ b/internal/control/cluster_test.go
@@ -165,10 +165,10 @@
 	proc := m.Start(m.cluster.ctx, "")
 	m.inc += 1 + uint64(m.cluster.randN(1000))
 	p := Parts{Settings: Settings{ID: m.id, Zone: m.zone, Region: m.cluster.regions[m.zone], Zones: m.cluster.regions, InternalAddr: m.addr, Seeds: m.cluster.seedList(), Tolerance: m.cluster.tolerance, InitialStart: m.cluster.initialStart, HeartbeatInterval: time.Second},
-		Incarnation: m.inc, NewDiskID: fmt.Sprintf("%s-%d", m.id, m.inc), Line: simnet.Line{P: proc}, Clock: simnet.Clock{P: proc}, Log: discardLog(), OnDiskFailure: func(error) { proc.Kill() }}
+		Incarnation: m.inc, NewDiskID: fmt.Sprintf("%s-%d", m.id, m.inc), Line: simnet.LinkClient{Proc: proc}, Clock: simnet.Clock{Proc: proc}, Log: discardLog(), OnDiskFailure: func(error) { proc.Kill() }}
 	var h *simnet.Handle
 	if m.disk != nil {
-		h = &simnet.Handle{D: m.disk.Disk, P: proc, Calm: true}
+		h = &simnet.Handle{Disk: m.disk.Disk, Proc: proc, SkipDelay: true}
 		p.Disk, p.RunJournal = h, &diskJournal{m.disk, proc.Context()}
 	}
 	n, err := New(p)
@@ -176,7 +176,7 @@
 		m.cluster.t.Fatal(err)
 	}
 	if h != nil {
-		h.Calm = false
+		h.SkipDelay = false
 	}
 	m.mu.Lock()
 	m.node = n
@@ -194,7 +194,7 @@
 func (x *gatewayHost) boot() {
 	proc := x.Start(x.cluster.ctx, "")
 	x.inc++
-	s := &watch.Subscriber{Me: watch.Member{ID: x.id, Kind: watch.Gateway, Zone: x.zone, Inc: x.inc}, Line: simnet.Line{P: proc}, Clock: simnet.Clock{P: proc}, Log: discardLog()}
+	s := &watch.Subscriber{Me: watch.Member{ID: x.id, Kind: watch.Gateway, Zone: x.zone, Inc: x.inc}, Line: simnet.LinkClient{Proc: proc}, Clock: simnet.Clock{Proc: proc}, Log: discardLog()}
 	items, runs := map[item.Key]item.Item{}, map[string]target.Run{}
 	s.OnNews = func(t watch.WatchTold) {
 		x.mu.Lock()
--- a/internal/control/net_test.go
+++ b/internal/control/net_test.go
@@ -28,7 +28,7 @@
 }
 
 func (n *network) cut(from, to string, both bool) {
-	mend := n.Between([]string{from}, []string{to}, both)
+	mend := n.CutGroups([]string{from}, []string{to}, both)
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.heals = append(n.heals, mend)
@@ -69,11 +69,11 @@
 }
 
 // waitWhileFrozen blocks while the host is frozen.
-func (h *host) waitWhileFrozen() { h.process().Awake() }
+func (h *host) waitWhileFrozen() { h.process().WaitThawed() }
 
 // processContext returns the context of the running process, or nil if none is running.
 func (h *host) processContext() context.Context {
-	if p := h.process(); p != nil && !p.Dead() {
+	if p := h.process(); p != nil && !p.Ended() {
 		return p.Context()
 	}
 	return nil
@@ -85,7 +85,7 @@
 	h.mu.Lock()
 	h.proc, h.done = p, done
 	h.mu.Unlock()
-	p.Open(desk)
+	p.Register(desk)
 	go func() {
 		defer close(done)
 		main(p.Context())
@@ -123,4 +123,4 @@
 	d.journal = nil
 }
 
-func (d *disk) holds(text string) bool { return d.Holds(text) }
+func (d *disk) holds(text string) bool { return d.Contains(text) }
--- a/internal/control/query_test.go
+++ b/internal/control/query_test.go
@@ -19,8 +19,8 @@
 )
 
 // operatorLine returns a link from a host that queries nodes.
-func (cl *cluster) operatorLine() simnet.Line {
-	return simnet.Line{P: cl.net.addHost("operator", nil).Start(cl.ctx, "")}
+func (cl *cluster) operatorLine() simnet.LinkClient {
+	return simnet.LinkClient{Proc: cl.net.addHost("operator", nil).Start(cl.ctx, "")}
 }
 
 // mustAsk queries a controller over the network, and fails the test without an answer.
@@ -136,7 +136,7 @@
 // standaloneNode returns a controller without a network.
 func standaloneNode(tb testing.TB) *Node {
 	n, err := New(Parts{Settings: Settings{ID: "m", Zone: "z", InternalAddr: "in-m", Seeds: []string{"in-m"}, HeartbeatInterval: time.Second}, Incarnation: 1, NewDiskID: "x",
-		Line: simnet.Line{}, Clock: clock.Wall{}, Log: discardLog()})
+		Line: simnet.LinkClient{}, Clock: clock.Wall{}, Log: discardLog()})
 	if err != nil {
 		tb.Fatal(err)
 	}
--- a/internal/control/restore_test.go
+++ b/internal/control/restore_test.go
@@ -17,7 +17,7 @@
 			continue
 		}
 		proc := m.Start(cl.ctx, "")
-		if err := quorum.StoreItems(&simnet.Handle{D: m.disk.Disk, P: proc, Calm: true}, items); err != nil {
+		if err := quorum.StoreItems(&simnet.Handle{Disk: m.disk.Disk, Proc: proc, SkipDelay: true}, items); err != nil {
 			cl.t.Fatal(err)
 		}
 		proc.Kill()
--- a/internal/sim/apart_test.go
+++ b/internal/sim/apart_test.go
@@ -19,86 +19,87 @@
 	"github.com/samber/lo"
 )
 
-// The race detector keeps a part of the trace of each goroutine, 128 KB, also of those
-// that ended, and takes new ones while the old lie unused: in one process the suites'
-// worlds grow to many times what runs at once. So under the race detector every world
-// has a process of its own, which is this test program run for one test; what it took
-// goes back when the world ends.
+// The race detector keeps 128 KB of trace per goroutine, also for goroutines that have ended,
+// and allocates new traces while old ones are unused: with all suites in one process, memory
+// grows to many times what the worlds need that run at once. Under the race detector every
+// world therefore runs in a child process, this test binary restricted to one test, whose
+// memory is released when the world ends.
 
-var split = flag.Bool("sim.apart", raced, "run each world in a process of its own; so by default under the race detector")
+var separate = flag.Bool("sim.apart", raceEnabled, "run each world in a child process; default under the race detector")
 
-// Both are set for a process of its own: the test that it is for, and the file for what
-// it brought about.
+// Environment of a child process: the test that it runs, and the file that it reports the
+// triggered failures in.
 const (
-	meantEnv  = "WALKRUDDER_SIM_TEST"
-	reportEnv = "WALKRUDDER_SIM_REPORT"
+	childTestEnv   = "WALKRUDDER_SIM_TEST"
+	childReportEnv = "WALKRUDDER_SIM_REPORT"
 )
 
-// errNotRun is of a process that ended well without a run of the test that it was for.
+// errNotRun means that a child process exited with success but without running its test.
 var errNotRun = errors.New("the test did not run to its end")
 
-// seats bounds how many worlds run at once in processes of their own: most take about a
-// core and half a gigabyte, a crowded one three times that.
-var seats = make(chan struct{}, min(6, runtime.GOMAXPROCS(0)))
+// processSlots bounds how many child processes run at once: most worlds take about 1.5 cores
+// and half a gigabyte, one with bursts of calls three times that.
+var processSlots = make(chan struct{}, min(6, runtime.GOMAXPROCS(0)))
 
-// meant tells whether this process is there for t alone.
-func meant(t *testing.T) bool { return os.Getenv(meantEnv) == t.Name() }
+// isChildFor reports whether this process is the child process of t.
+func isChildFor(t *testing.T) bool { return os.Getenv(childTestEnv) == t.Name() }
 
-// apart runs f, the whole of test t, in a process of its own where worlds are split.
-func apart(t *testing.T, f func(t *testing.T)) {
+// inOwnProcess runs f, the whole of test t, in a child process if -sim.apart is set.
+func inOwnProcess(t *testing.T, f func(t *testing.T)) {
 	t.Helper()
 	switch {
-	case meant(t):
+	case isChildFor(t):
 		defer func() {
-			if err := drawn.save(os.Getenv(reportEnv)); err != nil {
+			if err := triggered.save(os.Getenv(childReportEnv)); err != nil {
 				t.Error(err)
 			}
 		}()
 		f(t)
-	case *split && testing.CoverMode() == "":
-		out, err := process(t, t.Name())
+	case *separate && testing.CoverMode() == "":
+		out, err := runChild(t, t.Name())
 		if err != nil {
-			t.Errorf("in a process of its own: %v\n%s", err, out)
+			t.Errorf("in a child process: %v\n%s", err, out)
 		} else if testing.Verbose() {
-			t.Logf("in a process of its own:\n%s", out)
+			t.Logf("in a child process:\n%s", out)
 		}
 	default:
 		f(t)
 	}
 }
 
-// bubble runs f, the whole of test t, on a virtual clock, and apart.
-func bubble(t *testing.T, f func(t *testing.T)) {
+// inBubble runs f, the whole of test t, on a virtual clock, and in a child process if -sim.apart
+// is set.
+func inBubble(t *testing.T, f func(t *testing.T)) {
 	t.Helper()
-	apart(t, func(t *testing.T) { synctest.Test(t, f) })
+	inOwnProcess(t, func(t *testing.T) { synctest.Test(t, f) })
 }
 
-// process runs one test in a process of its own, with the flags of this one, and adds
-// what it brought about to what this one did.
-func process(t *testing.T, name string) (out []byte, err error) {
-	seats <- struct{}{}
-	defer func() { <-seats }()
+// runChild runs one test in a child process with the flags of this one, and adds the failures
+// triggered there to those of this process.
+func runChild(t *testing.T, name string) (out []byte, err error) {
+	processSlots <- struct{}{}
+	defer func() { <-processSlots }()
 	self, err := os.Executable()
 	if err != nil {
 		return nil, err
 	}
 	report := filepath.Join(t.TempDir(), "report")
-	c := exec.CommandContext(t.Context(), self, flags(t, name)...)
-	c.Env = append(os.Environ(), meantEnv+"="+name, reportEnv+"="+report)
+	c := exec.CommandContext(t.Context(), self, childFlags(t, name)...)
+	c.Env = append(os.Environ(), childTestEnv+"="+name, childReportEnv+"="+report)
 	if out, err = c.CombinedOutput(); err != nil {
 		return out, err
 	}
-	return out, drawn.load(report)
+	return out, triggered.load(report)
 }
 
-// flags are those for a process that runs one test only.
-func flags(t *testing.T, name string) []string {
+// childFlags returns the flags of a child process that runs only the named test.
+func childFlags(t *testing.T, name string) []string {
 	var path []string
 	for _, n := range strings.Split(name, "/") {
 		path = append(path, "^"+regexp.QuoteMeta(n)+"$")
 	}
 	out := []string{"-test.run=" + strings.Join(path, "/"), "-test.count=1", fmt.Sprintf("-test.v=%v", testing.Verbose())}
-	// It tells where it hangs before this one does so without knowing.
+	// The child times out first, so that its stack traces show where it hangs.
 	if d, ok := t.Deadline(); ok {
 		out = append(out, fmt.Sprintf("-test.timeout=%s", max(time.Second, time.Until(d)-10*time.Second)))
 	}
@@ -110,19 +111,19 @@
 	return out
 }
 
-// save writes what was brought about to a file.
-func (y *tally) save(file string) error {
+// save writes the counts to a file.
+func (y *failureTally) save(file string) error {
 	y.mu.Lock()
 	defer y.mu.Unlock()
 	var b bytes.Buffer
-	if err := gob.NewEncoder(&b).Encode(y.acts); err != nil {
+	if err := gob.NewEncoder(&b).Encode(y.counts); err != nil {
 		return err
 	}
 	return os.WriteFile(file, b.Bytes(), 0o600)
 }
 
-// load adds what another process brought about.
-func (y *tally) load(file string) error {
+// load adds the counts that another process saved.
+func (y *failureTally) load(file string) error {
 	b, err := os.ReadFile(file)
 	if errors.Is(err, os.ErrNotExist) {
 		return errNotRun
@@ -134,53 +135,54 @@
 		return err
 	}
 	for d, m := range acts {
-		y.note(d, m)
+		y.add(d, m)
 	}
 	return nil
 }
 
-// Whatever goes wrong in a process of its own fails the test that it was for.
+// Guards against failures of a child process that its parent overlooks: each way in which a
+// child can go wrong must fail the test that it ran for.
 func TestProcessesTellHowTheyEnd(t *testing.T) {
 	t.Parallel()
-	mark := Defects{Span: -1} // no suite's
+	mark := Defects{Span: -1} // used by no suite
 	for name, x := range map[string]struct {
 		do   func(t *testing.T)
-		want string // told where it fails; "" where it ends well
+		want string // part of the output or error of a failure; "" for success
 	}{
-		"passes": {func(*testing.T) { drawn.note(mark, map[string]int{"mark": 3}) }, ""},
+		"passes": {func(*testing.T) { triggered.add(mark, map[string]int{"mark": 3}) }, ""},
 		"fails":  {func(t *testing.T) { t.Error("as asked") }, "as asked"},
 		"stops":  {func(t *testing.T) { t.Fatal("as asked") }, "as asked"},
 		"panics": {func(*testing.T) { panic("as asked") }, "as asked"},
 		"exits":  {func(*testing.T) { os.Exit(3) }, "exit status 3"},
 		"leaves": {func(*testing.T) { os.Exit(0) }, errNotRun.Error()},
 		"hangs":  {func(t *testing.T) { synctest.Test(t, func(*testing.T) { <-make(chan struct{}) }) }, "deadlock"},
-		"races":  {race, lo.Ternary(raced, "DATA RACE", "")},
+		"races":  {race, lo.Ternary(raceEnabled, "DATA RACE", "")},
 	} {
 		t.Run(name, func(t *testing.T) {
-			if meant(t) {
-				apart(t, x.do)
+			if isChildFor(t) {
+				inOwnProcess(t, x.do)
 				return
 			}
-			out, err := process(t, t.Name())
+			out, err := runChild(t, t.Name())
 			if (err != nil) != (x.want != "") || !strings.Contains(fmt.Sprintf("%s%v", out, err), x.want) {
 				t.Errorf("%v, want %q:\n%s", err, x.want, out)
 			}
-			drawn.mu.Lock()
-			defer drawn.mu.Unlock()
-			if n := drawn.acts[mark]["mark"]; name == "passes" && n != 3 {
-				t.Errorf("of 3 acts in another process %d are known", n)
+			triggered.mu.Lock()
+			defer triggered.mu.Unlock()
+			if n := triggered.counts[mark]["mark"]; name == "passes" && n != 3 {
+				t.Errorf("%d of 3 acts of a child process were loaded", n)
 			}
 		})
 	}
-	if os.Getenv(meantEnv) != "" {
+	if os.Getenv(childTestEnv) != "" {
 		return
 	}
-	if out, err := process(t, "TestOfNobody"); !errors.Is(err, errNotRun) {
-		t.Errorf("no such test, and told %v:\n%s", err, out)
+	if out, err := runChild(t, "TestOfNobody"); !errors.Is(err, errNotRun) {
+		t.Errorf("for a test that does not exist: %v\n%s", err, out)
 	}
 }
 
-// race writes twice at once.
+// race is a data race on purpose.
 func race(*testing.T) {
 	n, done := 0, make(chan struct{})
 	go func() { n++; close(done) }()
--- a/internal/sim/day/herd.go
+++ b/internal/sim/day/herd.go
@@ -102,13 +102,13 @@
 		on = w.net.Host(fmt.Sprintf("t%d", h.hosts), zone)
 	}
 	h.mu.Unlock()
-	on.Dark(false)
+	on.SetPowerOff(false)
 	on.Thaw()
 	t := &Target{w: w, ID: w.id("i-"), Service: service, Zone: zone, Version: version, flaw: flaw, host: on, state: target.Ready, started: w.now(), warm: 3 * time.Second,
 		speed: 0.7 + 0.6*w.real(), keep: 2 + w.chance(8), leaving: make(chan struct{}), drained: make(chan struct{}), gone: make(chan struct{})}
 	t.p = on.Start(w.ctx, "http")
 	ln := t.p.Listen()
-	t.p.Open(nil)
+	t.p.Register(nil)
 	h.mu.Lock()
 	h.list = append(h.list, t)
 	h.mu.Unlock()
--- a/internal/sim/day/machine.go
+++ b/internal/sim/day/machine.go
@@ -94,32 +94,32 @@
 	inc := m.nextInc()
 	parts := control.Parts{Settings: control.Settings{ID: m.ID, Zone: m.Zone, Region: w.Shape.region(m.Zone), Zones: w.Shape.regions(), InternalAddr: m.innerAddr(), PublicAddr: m.innerAddr(), Seeds: w.seedList(),
 		Tolerance: quorum.Tolerance{Machines: w.Shape.Bear, Zones: w.Shape.BearZones, Regions: w.Shape.BearRegions}, InitialStart: w.first, HeartbeatInterval: beatEvery},
-		Incarnation: inc, NewDiskID: fmt.Sprintf("%s-%d", m.ID, inc), Line: simnet.Line{P: p}, Clock: simnet.Clock{P: p}, Log: quietLog()}
+		Incarnation: inc, NewDiskID: fmt.Sprintf("%s-%d", m.ID, inc), Line: simnet.LinkClient{Proc: p}, Clock: simnet.Clock{Proc: p}, Log: quietLog()}
 	l := &life{p: p, done: make(chan struct{})}
 	parts.OnDiskFailure = func(error) { go m.endController(l) }
 	var h *simnet.Handle
 	var notes *storage.FileJournal
 	if m.disk != nil {
-		h = &simnet.Handle{D: m.disk, P: p, Calm: true}
+		h = &simnet.Handle{Disk: m.disk, Proc: p, SkipDelay: true}
 		notes = storage.OpenJournal(m.disk.Dir, "runs.journal")
 		parts.Disk, parts.RunJournal = h, notes
 	}
 	n, err := control.New(parts)
 	if err != nil {
 		// On a disk that refuses a process ends at once; the platform starts it again when that is over.
-		if m.disk == nil || !m.disk.Refuses() {
+		if m.disk == nil || !m.disk.Failing() {
 			w.t.Errorf("%s can't start: %v", m.ID, err)
 		}
 		p.Kill()
 		return
 	}
 	if h != nil {
-		h.Calm = false
+		h.SkipDelay = false
 	}
 	m.mu.Lock()
 	m.controller, m.controllerRun = n, l
 	m.mu.Unlock()
-	p.Open(n.Desk)
+	p.Register(n.Desk)
 	w.procs.Go(func() {
 		n.Run(p.Context())
 		if notes != nil {
@@ -144,8 +144,8 @@
 	if err := set.Check(); err != nil {
 		w.t.Fatal(err)
 	}
-	n := proxy.New(proxy.Options{Settings: set, Clock: simnet.Clock{P: p}, Log: quietLog(), Dial: p.Dial})
-	sub := &watch.Subscriber{Me: watch.Member{ID: m.ID, Kind: watch.Gateway, Zone: m.Zone, Inc: m.nextInc()}, Line: simnet.Line{P: p}, Clock: simnet.Clock{P: p}, Log: quietLog(), Within: s.Bounds.Apply, Narrow: set.NarrowLink()}
+	n := proxy.New(proxy.Options{Settings: set, Clock: simnet.Clock{Proc: p}, Log: quietLog(), Dial: p.Dial})
+	sub := &watch.Subscriber{Me: watch.Member{ID: m.ID, Kind: watch.Gateway, Zone: m.Zone, Inc: m.nextInc()}, Line: simnet.LinkClient{Proc: p}, Clock: simnet.Clock{Proc: p}, Log: quietLog(), Within: s.Bounds.Apply, Narrow: set.NarrowLink()}
 	n.Follow(sub)
 	sub.Init(w.seedList())
 	l := &life{p: p, done: make(chan struct{})}
@@ -154,13 +154,13 @@
 	m.gateway, m.sub, m.gatewayRun = n, sub, l
 	m.lives++
 	m.mu.Unlock()
-	p.Open(link.NewDesk())
+	p.Register(link.NewDesk())
 	w.procs.Go(func() {
 		var wg sync.WaitGroup
 		wg.Go(func() { _ = n.Serve(ln) }) // ends with the process
 		wg.Go(func() { sub.Run(p.Context()) })
 		wg.Go(func() { n.Run(p.Context()) })
-		reporter := &upgrade.Reporter{Line: simnet.Line{P: p}, Clock: simnet.Clock{P: p}, Inc: sub.Me.Inc, Reports: n.UpgradeReports, Controllers: sub.Controllers}
+		reporter := &upgrade.Reporter{Line: simnet.LinkClient{Proc: p}, Clock: simnet.Clock{Proc: p}, Inc: sub.Me.Inc, Reports: n.UpgradeReports, Controllers: sub.Controllers}
 		wg.Go(func() { reporter.Run(p.Context()) })
 		wg.Wait()
 		close(l.done)
@@ -232,7 +232,7 @@
 
 // powerLoss ends everything at one moment, with what the disk had not synced.
 func (m *Machine) powerLoss() {
-	m.host.Dark(true)
+	m.host.SetPowerOff(true)
 	m.killAll()
 	if m.disk != nil {
 		if err := m.disk.PowerLoss(); err != nil {
@@ -284,7 +284,7 @@
 	defer me.Kill()
 	for m.w.ctx.Err() == nil {
 		cx, end := context.WithTimeout(m.w.ctx, readyEvery)
-		ok, err := simnet.Do(cx, me, m.frontAddr(), func(context.Context, *simnet.Proc) (bool, error) {
+		ok, err := simnet.RemoteCall(cx, me, m.frontAddr(), func(context.Context, *simnet.Proc) (bool, error) {
 			m.mu.Lock()
 			n := m.gateway
 			m.mu.Unlock()
--- a/internal/sim/day/operator.go
+++ b/internal/sim/day/operator.go
@@ -71,7 +71,7 @@
 	for !w.over() && w.ctx.Err() == nil && w.now() < until {
 		m := pick(w, to)
 		cx, end := context.WithTimeout(w.ctx, 1500*time.Millisecond)
-		ps, err := simnet.Do(cx, o.p, m.innerAddr(), func(cx context.Context, _ *simnet.Proc) ([]route.Problem, error) {
+		ps, err := simnet.RemoteCall(cx, o.p, m.innerAddr(), func(cx context.Context, _ *simnet.Proc) ([]route.Problem, error) {
 			n := m.node()
 			if n == nil {
 				return nil, net.ErrClosed
@@ -237,7 +237,7 @@
 func (o *operator) current(m *Machine) ([]item.Item, error) {
 	cx, end := context.WithTimeout(o.w.ctx, time.Second)
 	defer end()
-	st, err := simnet.Do(cx, o.p, m.innerAddr(), func(cx context.Context, _ *simnet.Proc) (control.Configuration, error) {
+	st, err := simnet.RemoteCall(cx, o.p, m.innerAddr(), func(cx context.Context, _ *simnet.Proc) (control.Configuration, error) {
 		n := m.node()
 		if n == nil {
 			return control.Configuration{}, net.ErrClosed
--- a/internal/sim/day/target.go
+++ b/internal/sim/day/target.go
@@ -100,7 +100,7 @@
 	t.unsaid = true
 	t.mu.Unlock()
 	for range 6 {
-		if t.p.Dead() || t.tell(true) {
+		if t.p.Ended() || t.tell(true) {
 			break
 		}
 		time.Sleep(200 * time.Millisecond)
@@ -133,7 +133,7 @@
 		case <-t.p.Context().Done():
 		}
 		timer.Stop()
-		if t.p.Dead() {
+		if t.p.Ended() {
 			return
 		}
 		if t.hushed() {
@@ -186,7 +186,7 @@
 	}
 	for _, m := range controllers {
 		cx, stop := context.WithTimeout(t.p.Context(), time.Second)
-		next, err := simnet.Do(cx, t.p, m.innerAddr(), func(cx context.Context, _ *simnet.Proc) (string, error) {
+		next, err := simnet.RemoteCall(cx, t.p, m.innerAddr(), func(cx context.Context, _ *simnet.Proc) (string, error) {
 			n := m.node()
 			if n == nil {
 				return "", net.ErrClosed
@@ -203,7 +203,7 @@
 			return x.ID, nil
 		})
 		stop()
-		if t.p.Dead() {
+		if t.p.Ended() {
 			return false
 		}
 		if err != nil {
--- a/internal/sim/day/trouble_cores.go
+++ b/internal/sim/day/trouble_cores.go
@@ -60,7 +60,7 @@
 		for _, m := range few {
 			ends = append(ends, w.trouble(m, CutOff))
 		}
-		return all(append(ends, w.net.Between(ids(few), ids(rest), false)))
+		return all(append(ends, w.net.CutGroups(ids(few), ids(rest), false)))
 	})
 }
 
--- a/internal/sim/day/trouble_disks.go
+++ b/internal/sim/day/trouble_disks.go
@@ -15,7 +15,7 @@
 		}
 	}
 	time.Sleep(d)
-	m.host.Dark(false)
+	m.host.SetPowerOff(false)
 	m.bootAll()
 	over()
 }
@@ -57,7 +57,7 @@
 			o.press(order, c, w.controllers(), w.now()+pressTime)
 		}
 		time.Sleep(d)
-		m.host.Dark(false)
+		m.host.SetPowerOff(false)
 		m.bootAll()
 		over()
 	}
@@ -91,8 +91,8 @@
 		var ends []func()
 		for _, m := range some(w, w.core(), n) {
 			over := w.trouble(m, DiskTrouble)
-			m.disk.Pace(100*time.Millisecond, 900*time.Millisecond)
-			ends = append(ends, func() { m.disk.Pace(200*time.Microsecond, 3*time.Millisecond); over() })
+			m.disk.SetSyncTime(100*time.Millisecond, 900*time.Millisecond)
+			ends = append(ends, func() { m.disk.SetSyncTime(200*time.Microsecond, 3*time.Millisecond); over() })
 		}
 		return all(ends)
 	})
@@ -103,9 +103,9 @@
 	return func(w *World) {
 		m := pick(w, w.core())
 		over := w.trouble(m, DiskTrouble)
-		m.disk.Refuse(true)
+		m.disk.SetFailing(true)
 		time.Sleep(d)
-		m.disk.Refuse(false)
+		m.disk.SetFailing(false)
 		m.killController()
 		m.bootAll()
 		over()
--- a/internal/sim/day/trouble_ends.go
+++ b/internal/sim/day/trouble_ends.go
@@ -37,7 +37,7 @@
 				}
 			}
 			time.Sleep(d)
-			m.host.Dark(false)
+			m.host.SetPowerOff(false)
 			m.bootAll()
 			over()
 		})
--- a/internal/sim/day/trouble_machines.go
+++ b/internal/sim/day/trouble_machines.go
@@ -180,9 +180,9 @@
 	for _, m := range some {
 		ends = append(ends, w.trouble(m, CutOff))
 	}
-	ends = append(ends, w.net.Between(ids(some), ids(rest), both))
+	ends = append(ends, w.net.CutGroups(ids(some), ids(rest), both))
 	if !both && w.chance(2) == 0 {
-		ends = append(ends, w.net.Between(ids(rest), ids(some), false))
+		ends = append(ends, w.net.CutGroups(ids(rest), ids(some), false))
 	}
 	return all(ends)
 }
@@ -200,7 +200,7 @@
 			ends = append(ends, w.apart([]*Machine{m}, rest, both))
 			for _, t := range w.herd.of("") {
 				if t.Zone != m.Zone {
-					ends = append(ends, w.harm(t.ID), w.net.Between([]string{m.ID}, []string{t.host.ID}, true))
+					ends = append(ends, w.harm(t.ID), w.net.CutGroups([]string{m.ID}, []string{t.host.ID}, true))
 				}
 			}
 		}
@@ -215,8 +215,8 @@
 		var ends []func()
 		for _, m := range w.among(n, w.Machines) {
 			over := w.trouble(m, Slow)
-			m.host.Slow(by)
-			ends = append(ends, func() { m.host.Slow(0); over() })
+			m.host.SetExtraLatency(by)
+			ends = append(ends, func() { m.host.SetExtraLatency(0); over() })
 		}
 		return all(ends)
 	})
@@ -228,8 +228,8 @@
 		var ends []func()
 		for _, m := range w.among(n, w.Machines) {
 			over := w.trouble(m, Links)
-			m.host.Lose(part)
-			ends = append(ends, func() { m.host.Lose(0); over() })
+			m.host.SetLossRate(part)
+			ends = append(ends, func() { m.host.SetLossRate(0); over() })
 		}
 		return all(ends)
 	})
--- a/internal/sim/day/trouble_targets.go
+++ b/internal/sim/day/trouble_targets.go
@@ -22,7 +22,7 @@
 		each(share(w, w.herd.of(service), part), func(t *Target) {
 			over := w.harm(t.ID)
 			defer over()
-			t.host.Dark(how != Crash)
+			t.host.SetPowerOff(how != Crash)
 			t.kill()
 			time.Sleep(d)
 			if how != Gone {
--- a/internal/sim/day/upgrade.go
+++ b/internal/sim/day/upgrade.go
@@ -118,7 +118,7 @@
 	m := pick(o.w, o.w.controllers())
 	cx, end := context.WithTimeout(o.w.ctx, 1500*time.Millisecond)
 	defer end()
-	return simnet.Do(cx, o.p, m.innerAddr(), func(cx context.Context, _ *simnet.Proc) (upgrade.Upgrade, error) {
+	return simnet.RemoteCall(cx, o.p, m.innerAddr(), func(cx context.Context, _ *simnet.Proc) (upgrade.Upgrade, error) {
 		n := m.node()
 		if n == nil {
 			return upgrade.Upgrade{}, net.ErrClosed
--- a/internal/sim/day/visit.go
+++ b/internal/sim/day/visit.go
@@ -91,7 +91,7 @@
 	defer timer.Stop()
 	for {
 		var err error
-		change := c.Change()
+		change := c.Changed()
 		if c.Gone() {
 			err = errGone
 		} else {
@@ -134,7 +134,7 @@
 // run does the work and answers.
 func (x *visit) run(f Fault, until time.Time) bool {
 	t, w := x.t, x.t.w
-	if t.p.Dead() {
+	if t.p.Ended() {
 		return false
 	}
 	seal := w.id("seal-")
@@ -159,7 +159,7 @@
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	for done := false; !done; {
-		change := x.c.Change()
+		change := x.c.Changed()
 		if x.c.Gone() {
 			x.change(func(a *Arrival) { a.Done = w.now() })
 			return false
@@ -194,8 +194,8 @@
 
 // hang keeps the connection without a word until the other side has gone.
 func (x *visit) hang() bool {
-	for !x.c.Gone() && !x.t.p.Dead() {
-		change := x.c.Change()
+	for !x.c.Gone() && !x.t.p.Ended() {
+		change := x.c.Changed()
 		if x.c.Gone() {
 			break
 		}
--- a/internal/sim/disk.go
+++ b/internal/sim/disk.go
@@ -9,20 +9,20 @@
 	"walkrudder/internal/storage"
 )
 
-// Disk is a disk that outlives the processes on its host. A process sees it
-// through a handle, which dies with the process.
+// Disk is a simulated disk that outlives the processes on its host. A process accesses it
+// through a diskHandle, which ends with the process.
 type Disk struct {
 	mu     sync.Mutex
-	rnd    *rand.Rand
+	rng    *rand.Rand
 	synced map[string][]byte
-	// Least and Most bound the time of one sync.
-	Least, Most time.Duration
-	fail        bool
-	Syncs       int
+	// MinSync and MaxSync bound the duration of one sync.
+	MinSync, MaxSync time.Duration
+	failNext         bool
+	Syncs            int
 }
 
 func newDisk(rnd *rand.Rand) *Disk {
-	return &Disk{rnd: rnd, synced: map[string][]byte{}, Least: 200 * time.Microsecond, Most: 4 * time.Millisecond}
+	return &Disk{rng: rnd, synced: map[string][]byte{}, MinSync: 200 * time.Microsecond, MaxSync: 4 * time.Millisecond}
 }
 
 // Wipe empties the disk.
@@ -32,80 +32,80 @@
 	d.synced = map[string][]byte{}
 }
 
-// Pace sets how long syncs take.
-func (d *Disk) Pace(least, most time.Duration) {
+// SetSyncTime sets the bounds of the duration of a sync.
+func (d *Disk) SetSyncTime(minSync, maxSync time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.Least, d.Most = least, most
+	d.MinSync, d.MaxSync = minSync, maxSync
 }
 
-// Fail makes the next sync fail.
-func (d *Disk) Fail() {
+// FailNextSync makes the next sync fail.
+func (d *Disk) FailNextSync() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.fail = true
+	d.failNext = true
 }
 
-// handle is one process's use of a disk.
-type handle struct {
-	d *Disk
-	h *Host
-	l *line
-	// calm is set while the process starts: its first sync takes no time, for the
-	// world waits under a lock.
-	calm bool
+// diskHandle is one process's handle of a disk.
+type diskHandle struct {
+	disk   *Disk
+	host   *Host
+	client *linkClient
+	// skipDelay is set while the process starts: its first sync then takes no time, because
+	// the simulation waits for it under a lock.
+	skipDelay bool
 }
 
-var errDead = errors.New("process ended")
+var errProcessEnded = errors.New("process ended")
 
-// Load reads what was synced.
-func (x *handle) Load() (map[string][]byte, error) {
-	x.d.mu.Lock()
-	defer x.d.mu.Unlock()
+// Load returns a copy of what was synced.
+func (x *diskHandle) Load() (map[string][]byte, error) {
+	x.disk.mu.Lock()
+	defer x.disk.mu.Unlock()
 	out := map[string][]byte{}
-	for k, v := range x.d.synced {
+	for k, v := range x.disk.synced {
 		out[k] = append([]byte(nil), v...)
 	}
 	return out, nil
 }
 
-// Commit syncs puts. A process killed meanwhile leaves each of them written or
-// not, as chance has it: a torn tail.
-func (x *handle) Commit(puts []storage.Put) error {
-	if x.calm {
-		x.d.mu.Lock()
-		defer x.d.mu.Unlock()
-		x.d.take(puts)
+// Commit syncs puts. If the process is killed meanwhile, only a random prefix of them is
+// written: a torn tail.
+func (x *diskHandle) Commit(puts []storage.Put) error {
+	if x.skipDelay {
+		x.disk.mu.Lock()
+		defer x.disk.mu.Unlock()
+		x.disk.apply(puts)
 		return nil
 	}
-	x.h.awake()
-	x.d.mu.Lock()
-	t := x.d.Least + time.Duration(x.d.rnd.Int64N(int64(x.d.Most-x.d.Least)+1))
-	x.d.mu.Unlock()
+	x.host.waitThawed()
+	x.disk.mu.Lock()
+	t := x.disk.MinSync + time.Duration(x.disk.rng.Int64N(int64(x.disk.MaxSync-x.disk.MinSync)+1))
+	x.disk.mu.Unlock()
 	time.Sleep(t)
-	dead := x.l.run.Err() != nil
-	x.h.awake()
-	x.d.mu.Lock()
-	defer x.d.mu.Unlock()
-	if x.d.fail {
-		x.d.fail = false
+	dead := x.client.procCtx.Err() != nil
+	x.host.waitThawed()
+	x.disk.mu.Lock()
+	defer x.disk.mu.Unlock()
+	if x.disk.failNext {
+		x.disk.failNext = false
 		return errors.New("input/output error")
 	}
-	x.d.Syncs++
+	x.disk.Syncs++
 	for _, p := range puts {
-		if dead && x.d.rnd.IntN(2) == 0 {
+		if dead && x.disk.rng.IntN(2) == 0 {
 			break
 		}
-		x.d.take([]storage.Put{p})
+		x.disk.apply([]storage.Put{p})
 	}
 	if dead {
-		return errDead
+		return errProcessEnded
 	}
 	return nil
 }
 
-// take writes puts, under the lock.
-func (d *Disk) take(puts []storage.Put) {
+// apply writes puts. d.mu must be held.
+func (d *Disk) apply(puts []storage.Put) {
 	for _, p := range puts {
 		if p.Value == nil {
 			delete(d.synced, p.Key)
@@ -115,5 +115,5 @@
 	}
 }
 
-// Close ends the use.
-func (x *handle) Close() error { return nil }
+// Close releases the handle; it does nothing.
+func (x *diskHandle) Close() error { return nil }
--- a/internal/sim/elsewhere_test.go
+++ b/internal/sim/elsewhere_test.go
@@ -9,15 +9,15 @@
 	"walkrudder/tools/stand"
 )
 
-// Where targets fail while requests are under way there, what may be repeated is
-// answered from elsewhere before half of its time is over: the suspicion decides, not
-// the clock. The log has the figures.
+// When targets fail while requests are being served, repeatable requests must be answered by
+// another target before half of their time is over: failure detection decides about the
+// retry, not a timer. The log has the measured times.
 func TestFailedTargetsCostLittleTime(t *testing.T) {
 	t.Parallel()
 	for name, fail := range map[string]func(*World, *Target){
-		"frozen":  func(_ *World, x *Target) { x.Set(stand.Vanished) },
+		"frozen":  func(_ *World, x *Target) { x.SetMode(stand.Vanished) },
 		"crashed": func(_ *World, x *Target) { x.Crash() },
-		"slow":    func(_ *World, x *Target) { x.Lag(200 * time.Millisecond) },
+		"slow":    func(_ *World, x *Target) { x.SetExtraWork(200 * time.Millisecond) },
 		"cut off": func(w *World, x *Target) {
 			for _, n := range w.Nodes {
 				w.Net.Cut(x.ID, n.ID)
@@ -27,31 +27,31 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			raised(t, func(ctx context.Context, w *World) {
-				w.Go(w.Platform)
-				cx, end := context.WithTimeout(ctx, 40*time.Second)
-				defer end()
+			withWorld(t, func(ctx context.Context, w *World) {
+				w.Go(w.PollReadiness)
+				callCtx, cancel := context.WithTimeout(ctx, 40*time.Second)
+				defer cancel()
 				done := make(chan struct{})
-				go func() { w.Callers(cx, 60); close(done) }()
+				go func() { w.RunCallers(callCtx, 60); close(done) }()
 				time.Sleep(2 * time.Second)
-				// One after the other, each for 3 s.
+				// The targets fail one after the other, each for 3 s.
 				for i := range 10 {
 					x := w.Targets[i]
 					fail(w, x)
 					time.Sleep(3 * time.Second)
-					x.Set(stand.Good)
-					x.Lag(0)
-					w.Net.Mend(x.ID)
-					if !x.Up() {
+					x.SetMode(stand.Good)
+					x.SetExtraWork(0)
+					w.Net.Restore(x.ID)
+					if !x.Running() {
 						x.Start()
 					}
 					time.Sleep(700 * time.Millisecond)
 				}
-				end()
+				cancel()
 				<-done
 				var took []time.Duration
 				bad := 0
-				for _, o := range w.Rec.Outcomes {
+				for _, o := range w.Records.Outcomes {
 					if o.Repeatable && o.Err == "" && o.Status < 300 {
 						took = append(took, o.Done.Sub(o.Sent))
 					} else if o.Repeatable && o.Proper {
@@ -59,7 +59,7 @@
 					}
 				}
 				slices.Sort(took)
-				v := w.Rec.Check()
+				v := w.Records.Check()
 				n := len(took)
 				t.Logf("%d calls, %d failed, %d extra sends, 99 of 100 within %s, 995 of 1000 within %s, slowest %s", n, bad, v.Extra, took[n*99/100], took[n*995/1000], took[n-1])
 				if len(v.Broken) > 0 || bad > 0 || n < 500 {
--- a/internal/sim/keys_test.go
+++ b/internal/sim/keys_test.go
@@ -9,62 +9,62 @@
 	"walkrudder/tools/stand"
 )
 
-// through makes one order under a key through the gateway that is meant.
-func (w *World) through(gateway, order string) stand.Outcome {
-	for _, n := range w.Of("gateway") {
-		n.looked.Store(n.ID == gateway)
+// callVia sends one order with an idempotency key through the given gateway.
+func (w *World) callVia(gateway, order string) stand.Outcome {
+	for _, n := range w.NodesOfKind("gateway") {
+		n.seenReady.Store(n.ID == gateway)
 	}
-	return w.call(kinds[0], order, "")
+	return w.call(callKinds[0], order, "")
 }
 
-// An order that ran and whose answer was lost stays claimed: with the core there,
-// while it is away, when it comes back, and when the gateway that sent it is killed.
+// An order that was executed and whose answer was lost must stay claimed: with the core up,
+// while it is down, when it comes back, and when the gateway that sent the order is killed.
 func TestKeysOutliveTheCore(t *testing.T) {
 	t.Parallel()
-	raised(t, func(ctx context.Context, w *World) {
+	withWorld(t, func(ctx context.Context, w *World) {
 		all := func(do func(*Node)) {
-			for _, n := range w.Disks() {
+			for _, n := range w.NodesWithDisk() {
 				do(n)
 			}
 		}
 		losing := func(m stand.Mode) {
 			for _, x := range w.Targets {
-				x.Set(m)
+				x.SetMode(m)
 			}
 		}
-		// lost runs an order through f1 until one ran whose answer was lost.
+		// lost sends orders through f1 until one was executed and its answer was lost.
 		lost := func(name string) string {
 			losing(stand.Losing)
 			defer losing(stand.Good)
 			for i := range 20 {
 				o := name + string(rune('a'+i))
-				if r := w.through("f1", o); r.Code == httpapi.Unknown && r.SentOn {
+				if r := w.callVia("f1", o); r.Code == httpapi.Unknown && r.SentOn {
 					return o
 				}
 			}
-			t.Fatal("no answer was lost")
+			t.Fatal("no order ended with a lost answer")
 			return ""
 		}
 		again := func(when, order string, gateways ...string) {
 			t.Helper()
 			for _, f := range gateways {
-				if r := w.through(f, order); r.Status != 409 {
-					t.Errorf("%s: %s again through %s: %d %q %q", when, order, f, r.Status, r.Code, r.Why)
+				if r := w.callVia(f, order); r.Status != 409 {
+					t.Errorf("%s: %s repeated through %s: %d %q %q", when, order, f, r.Status, r.Code, r.Why)
 				}
 			}
 		}
 		before := lost("before")
 		all((*Node).Kill)
 		time.Sleep(2 * time.Second)
-		again("the core is away", before, "f2")
+		again("the core is down", before, "f2")
 		away := lost("away")
-		again("the core is away", away, "f3")
-		if r := w.through("f4", "fresh"); r.Status != 200 {
-			t.Errorf("a fresh order without the core: %d %q %q", r.Status, r.Code, r.Why)
+		again("the core is down", away, "f3")
+		if r := w.callVia("f4", "fresh"); r.Status != 200 {
+			t.Errorf("a new order while the core is down: %d %q %q", r.Status, r.Code, r.Why)
 		}
 		w.Node("f1").Kill()
-		again("the core is away, its gateway killed", away, "f2")
-		again("the core is away, its gateway killed", before, "f4")
+		again("the core is down, the order's gateway killed", away, "f2")
+		again("the core is down, the order's gateway killed", before, "f4")
 		all((*Node).Start)
 		for range 100 {
 			time.Sleep(20 * time.Millisecond)
@@ -74,18 +74,18 @@
 		}
 		again("the core is just back", away, "f2", "f4")
 		time.Sleep(8 * time.Second)
-		// Now the disks have it: every gateway's memory may go.
-		for _, n := range w.Of("gateway") {
+		// The claim is on the disks by now: the memory of every gateway may be lost.
+		for _, n := range w.NodesOfKind("gateway") {
 			n.Kill()
 		}
 		w.Node("m4").Kill()
-		for _, n := range w.In() {
+		for _, n := range w.ActiveNodes() {
 			n.Start()
 		}
 		time.Sleep(5 * time.Second)
-		again("all memory is gone", away, "f1", "f3")
-		again("all memory is gone", before, "f4")
-		if v := w.Rec.Check(); len(v.Broken) > 0 {
+		again("all memory is lost", away, "f1", "f3")
+		again("all memory is lost", before, "f4")
+		if v := w.Records.Check(); len(v.Broken) > 0 {
 			t.Error(v.Broken)
 		}
 	})
--- a/internal/sim/net.go
+++ b/internal/sim/net.go
@@ -1,6 +1,6 @@
-// Package sim runs the real node code on a virtual clock, over a faulty network
-// and faulty disks, from a seed (design 15). It is driven inside a
-// testing/synctest bubble: no run waits on the machine's clock.
+// Package sim runs the production code of the nodes on a virtual clock, over a faulty
+// network and faulty disks, reproducibly from a seed (design 15). It runs inside a
+// testing/synctest bubble, so that no run waits on the machine's clock.
 package sim
 
 import (
@@ -17,120 +17,120 @@
 )
 
 var (
-	errCut  = errors.New("no way to that address")
-	errDown = syscall.ECONNREFUSED
+	errUnreachable = errors.New("no route to that address")
+	errRefused     = syscall.ECONNREFUSED
 )
 
-// Net carries questions between the world's nodes.
+// Net carries requests between the nodes of a simulation.
 type Net struct {
-	mu    sync.Mutex
-	seed  uint64
-	rnd   map[[2]string]*rand.Rand // each way has its own chance
-	at    map[string]*Host         // by address
-	cut   map[[2]string]bool
-	loss  float64
-	least time.Duration
-	most  time.Duration
+	mu       sync.Mutex
+	seed     uint64
+	rngs     map[[2]string]*rand.Rand // one generator per direction between two hosts
+	hosts    map[string]*Host         // by address
+	cuts     map[[2]string]bool
+	lossRate float64
+	minDelay time.Duration
+	maxDelay time.Duration
 }
 
-// Host is the machine under one node: it can be down, frozen or cut off.
+// Host is the machine of one node. It can be down, frozen or cut off.
 type Host struct {
 	ID   string
 	Addr string
 	Zone string
 	net  *Net
 
-	mu   sync.Mutex
-	run  context.Context // ends when the process is killed
-	desk *link.Desk
-	ice  chan struct{} // closed on thaw; nil while not frozen
-	cold int           // how often it was frozen
+	mu      sync.Mutex
+	procCtx context.Context // ends when the process is killed
+	handler *link.Desk
+	thawed  chan struct{} // closed on thaw; nil while not frozen
+	freezes int           // how often it was frozen
 }
 
 func newNet(seed uint64) *Net {
-	return &Net{seed: seed, rnd: map[[2]string]*rand.Rand{}, at: map[string]*Host{}, cut: map[[2]string]bool{}, least: 200 * time.Microsecond, most: 2 * time.Millisecond}
+	return &Net{seed: seed, rngs: map[[2]string]*rand.Rand{}, hosts: map[string]*Host{}, cuts: map[[2]string]bool{}, minDelay: 200 * time.Microsecond, maxDelay: 2 * time.Millisecond}
 }
 
-// delay draws one way's time.
+// delay draws the delay of one message.
 func (n *Net) delay(a, b string) time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.least + time.Duration(n.way(a, b).Int64N(int64(n.most-n.least)+1))
+	return n.minDelay + time.Duration(n.rng(a, b).Int64N(int64(n.maxDelay-n.minDelay)+1))
 }
 
-func (n *Net) way(a, b string) *rand.Rand {
+func (n *Net) rng(a, b string) *rand.Rand {
 	k := [2]string{a, b}
-	r := n.rnd[k]
+	r := n.rngs[k]
 	if r == nil {
 		h := fnv.New64a()
 		_, _ = h.Write([]byte(a + ">" + b))
 		r = rand.New(rand.NewPCG(n.seed, h.Sum64()))
-		n.rnd[k] = r
+		n.rngs[k] = r
 	}
 	return r
 }
 
-// passes tells whether a message from a to b gets through.
-func (n *Net) passes(a, b string) bool {
+// delivers reports whether a message from a to b gets through.
+func (n *Net) delivers(a, b string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return !n.cut[[2]string{a, b}] && (n.loss == 0 || n.way(a, b).Float64() >= n.loss)
+	return !n.cuts[[2]string{a, b}] && (n.lossRate == 0 || n.rng(a, b).Float64() >= n.lossRate)
 }
 
-// Cut breaks the way from a to b; Mend restores it.
+// Cut cuts the direction from a to b; Restore reopens it.
 func (n *Net) Cut(a, b string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.cut[[2]string{a, b}] = true
+	n.cuts[[2]string{a, b}] = true
 }
 
-// Mend restores every way to and from a, or all for "".
-func (n *Net) Mend(a string) {
+// Restore reopens every direction to and from a, or all of them for "".
+func (n *Net) Restore(a string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for k := range n.cut {
+	for k := range n.cuts {
 		if a == "" || k[0] == a || k[1] == a {
-			delete(n.cut, k)
+			delete(n.cuts, k)
 		}
 	}
 }
 
-// Join restores the ways between two.
-func (n *Net) Join(a, b string) {
+// RestoreLink reopens both directions between two hosts.
+func (n *Net) RestoreLink(a, b string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	delete(n.cut, [2]string{a, b})
-	delete(n.cut, [2]string{b, a})
+	delete(n.cuts, [2]string{a, b})
+	delete(n.cuts, [2]string{b, a})
 }
 
-// Lose makes a share of all messages vanish.
-func (n *Net) Lose(share float64) {
+// SetLossRate makes the given share of all messages get lost.
+func (n *Net) SetLossRate(share float64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.loss = share
+	n.lossRate = share
 }
 
 func (n *Net) host(addr string) *Host {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.at[addr]
+	return n.hosts[addr]
 }
 
-// up is the context of the process now running, nil when none.
-func (h *Host) up() context.Context {
+// runningProc returns the context of the running process, nil when none runs.
+func (h *Host) runningProc() context.Context {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.run == nil || h.run.Err() != nil {
+	if h.procCtx == nil || h.procCtx.Err() != nil {
 		return nil
 	}
-	return h.run
+	return h.procCtx
 }
 
-// awake waits while the host is frozen.
-func (h *Host) awake() {
+// waitThawed blocks while the host is frozen.
+func (h *Host) waitThawed() {
 	for {
 		h.mu.Lock()
-		ice := h.ice
+		ice := h.thawed
 		h.mu.Unlock()
 		if ice == nil {
 			return
@@ -139,132 +139,133 @@
 	}
 }
 
-// Freeze stops the host in its tracks.
+// Freeze suspends the host.
 func (h *Host) Freeze() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.ice == nil {
-		h.ice = make(chan struct{})
-		h.cold++
+	if h.thawed == nil {
+		h.thawed = make(chan struct{})
+		h.freezes++
 	}
 }
 
-// colds is how often the host was frozen.
-func (h *Host) colds() int {
+// freezeCount returns how often the host was frozen.
+func (h *Host) freezeCount() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.cold
+	return h.freezes
 }
 
-// Thaw lets it go on.
+// Thaw resumes the host.
 func (h *Host) Thaw() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.ice != nil {
-		close(h.ice)
-		h.ice = nil
+	if h.thawed != nil {
+		close(h.thawed)
+		h.thawed = nil
 	}
 }
 
-// line is a host's own end of the network.
-type line struct {
-	h   *Host
-	run context.Context
+// linkClient is a node's client side of the network.
+type linkClient struct {
+	host    *Host
+	procCtx context.Context
 }
 
-// codecs copy what travels, as on a real link.
-var codecs simnet.Codecs
+// codecs copy requests and answers through gob, as on a real link.
+var codecs simnet.CodecPool
 
-func through(v any) (any, error) { return codecs.Through(v) }
+func codecRoundTrip(v any) (any, error) { return codecs.RoundTrip(v) }
 
-type told struct {
+type rpcResult struct {
 	v   any
 	err error
 }
 
-// Call asks addr and waits for its answer; what is lost is noticed only by ctx.
-func (l *line) Call(ctx context.Context, addr string, ask any) (any, error) {
-	l.h.awake()
-	if l.run.Err() != nil {
-		return nil, l.run.Err()
+// Call sends a request to addr and waits for its answer. The caller notices a lost message
+// only when ctx ends or after 5 s.
+func (l *linkClient) Call(ctx context.Context, addr string, ask any) (any, error) {
+	l.host.waitThawed()
+	if l.procCtx.Err() != nil {
+		return nil, l.procCtx.Err()
 	}
-	ask, err := through(ask)
+	ask, err := codecRoundTrip(ask)
 	if err != nil {
 		return nil, err
 	}
-	n := l.h.net
-	back := make(chan told, 1)
+	n := l.host.net
+	results := make(chan rpcResult, 1)
 	go func() {
-		time.Sleep(n.delay(l.h.ID, addr))
+		time.Sleep(n.delay(l.host.ID, addr))
 		h := n.host(addr)
-		if h == nil || !n.passes(l.h.ID, h.ID) {
+		if h == nil || !n.delivers(l.host.ID, h.ID) {
 			return
 		}
-		up := h.up()
+		up := h.runningProc()
 		if up == nil {
-			time.Sleep(n.delay(h.ID, l.h.ID))
-			if n.passes(h.ID, l.h.ID) {
-				back <- told{nil, errDown}
+			time.Sleep(n.delay(h.ID, l.host.ID))
+			if n.delivers(h.ID, l.host.ID) {
+				results <- rpcResult{nil, errRefused}
 			}
 			return
 		}
-		h.awake()
+		h.waitThawed()
 		if up.Err() != nil {
 			return
 		}
 		h.mu.Lock()
-		desk := h.desk
+		handler := h.handler
 		h.mu.Unlock()
-		// The asker's patience travels with the question.
-		var cx context.Context
-		var end context.CancelFunc
+		// The caller's deadline applies at the callee, too.
+		var callCtx context.Context
+		var cancel context.CancelFunc
 		if d, ok := ctx.Deadline(); ok {
-			cx, end = context.WithDeadline(up, d)
+			callCtx, cancel = context.WithDeadline(up, d)
 		} else {
-			cx, end = context.WithCancel(up)
+			callCtx, cancel = context.WithCancel(up)
 		}
-		v, err := desk.Answer(cx, link.Who{ID: l.h.ID}, ask)
-		end()
-		h.awake()
+		v, err := handler.Answer(callCtx, link.Who{ID: l.host.ID}, ask)
+		cancel()
+		h.waitThawed()
 		if up.Err() != nil {
 			return
 		}
 		if err == nil {
-			v, err = through(v)
+			v, err = codecRoundTrip(v)
 		}
-		time.Sleep(n.delay(h.ID, l.h.ID))
-		if n.passes(h.ID, l.h.ID) {
-			back <- told{v, err}
+		time.Sleep(n.delay(h.ID, l.host.ID))
+		if n.delivers(h.ID, l.host.ID) {
+			results <- rpcResult{v, err}
 		}
 	}()
-	// Nobody waits for ever on a lost message.
+	// A lost message must not block the caller for ever.
 	lost := time.NewTimer(5 * time.Second)
 	defer lost.Stop()
 	select {
-	case t := <-back:
-		l.h.awake()
+	case t := <-results:
+		l.host.waitThawed()
 		return t.v, t.err
 	case <-ctx.Done():
-		l.h.awake()
+		l.host.waitThawed()
 		return nil, ctx.Err()
 	case <-lost.C:
-		l.h.awake()
+		l.host.waitThawed()
 		return nil, context.DeadlineExceeded
-	case <-l.run.Done():
-		return nil, l.run.Err()
+	case <-l.procCtx.Done():
+		return nil, l.procCtx.Err()
 	}
 }
 
-// clock is a host's clock: it stands still for those who wait while the host is
-// frozen, and shows the whole pause afterwards.
-type clock struct{ h *Host }
+// hostClock is a host's clock. While the host is frozen, Sleep does not return; after the
+// thaw, Now shows the whole pause.
+type hostClock struct{ host *Host }
 
-// Now tells the virtual time. It does not wait for a thaw: its callers may hold
-// locks, and every way out of a frozen host waits anyway.
-func (c clock) Now() time.Time { return time.Now() }
+// Now returns the virtual time. It does not wait for a thaw, because its callers may hold
+// locks, and every message that leaves a frozen host waits for the thaw anyway.
+func (c hostClock) Now() time.Time { return time.Now() }
 
-// Sleep waits for d, and through any freeze.
-func (c clock) Sleep(ctx context.Context, d time.Duration) error {
+// Sleep waits for d and, if the host is frozen by then, until it thaws.
+func (c hostClock) Sleep(ctx context.Context, d time.Duration) error {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	var err error
@@ -273,12 +274,12 @@
 		err = ctx.Err()
 	case <-t.C:
 	}
-	c.h.awake()
+	c.host.waitThawed()
 	return err
 }
 
-// After ticks once after d.
-func (c clock) After(d time.Duration) (<-chan time.Time, func()) {
+// After returns a channel that receives the time after d, and a function that stops it.
+func (c hostClock) After(d time.Duration) (<-chan time.Time, func()) {
 	t := time.NewTimer(d)
 	return t.C, func() { t.Stop() }
 }
--- a/internal/sim/net_test.go
+++ b/internal/sim/net_test.go
@@ -13,8 +13,8 @@
 	List []string
 }
 
-// What travels arrives whole, as a copy that shares nothing with what was sent, also
-// where many travel at once and where one of them cannot travel at all.
+// A message must arrive complete, as a copy that shares no memory with the original, also when
+// many are sent at once and one of them can't be encoded.
 func TestWhatTravelsIsACopy(t *testing.T) {
 	t.Parallel()
 	link.Register[freight]()
@@ -22,16 +22,16 @@
 	for i := range 100 {
 		wg.Go(func() {
 			sent := freight{i, []string{"a", "b"}}
-			got, err := through(sent)
+			got, err := codecRoundTrip(sent)
 			if err != nil || !reflect.DeepEqual(got, sent) {
 				t.Errorf("%+v arrived as %+v, %v", sent, got, err)
 				return
 			}
 			if sent.List[0] = "x"; got.(freight).List[0] != "a" {
-				t.Error("a list is shared")
+				t.Error("the copy shares a slice with the original")
 			}
-			if _, err := through(func() {}); err == nil {
-				t.Error("a function travelled")
+			if _, err := codecRoundTrip(func() {}); err == nil {
+				t.Error("a function was encoded")
 			}
 		})
 	}
--- a/internal/sim/orders_test.go
+++ b/internal/sim/orders_test.go
@@ -16,29 +16,29 @@
 	"walkrudder/tools/stand"
 )
 
-func service(name string) []spec.Edit {
+func putService(name string) []spec.Edit {
 	return []spec.Edit{{Op: spec.PutService, Service: &spec.Service{Name: name}}}
 }
 
-// raised is a small world that has formed, for tests that fail nothing.
-func raised(t *testing.T, f func(ctx context.Context, w *World)) {
+// withWorld runs f with a small deployment that is ready, for tests without random failures.
+func withWorld(t *testing.T, f func(ctx context.Context, w *World)) {
 	t.Helper()
-	raisedAs(t, Small(), f)
+	withShape(t, Small(), f)
 }
 
-func raisedAs(t *testing.T, s Shape, f func(ctx context.Context, w *World)) {
+func withShape(t *testing.T, s Shape, f func(ctx context.Context, w *World)) {
 	t.Helper()
-	bubble(t, func(t *testing.T) { raisedIn(t, s, f) })
+	inBubble(t, func(t *testing.T) { runWorld(t, s, f) })
 }
 
-func raisedIn(t *testing.T, s Shape, f func(ctx context.Context, w *World)) {
+func runWorld(t *testing.T, s Shape, f func(ctx context.Context, w *World)) {
 	w := New(1, s)
-	if *loud {
-		w.Say = t.Logf
+	if *verbose {
+		w.Logf = t.Logf
 	}
 	defer w.End()
 	w.Start()
-	if err := w.Form(15 * time.Second); err != nil {
+	if err := w.WaitReady(15 * time.Second); err != nil {
 		t.Fatal(err)
 	}
 	f(w.ctx, w)
@@ -46,44 +46,44 @@
 
 func TestOrdersOfTwoOperators(t *testing.T) {
 	t.Parallel()
-	raised(t, func(ctx context.Context, w *World) {
+	withWorld(t, func(ctx context.Context, w *World) {
 		m1, m2, m4 := w.Node("m1"), w.Node("m2"), w.Node("m4")
 		one := uint64(1)
-		// Both saw version 1; they order at once through different controllers.
-		back := make(chan commands.Result, 2)
+		// Both operators saw version 1 and send a change at once through different controllers.
+		results := make(chan commands.Result, 2)
 		for i, m := range []*Node{m1, m2} {
 			go func() {
-				r, _ := w.Order(ctx, m, commands.Order{Base: &one, Token: string('a' + rune(i)), Edits: service("s" + string('a'+rune(i)))})
-				back <- r
+				r, _ := w.Order(ctx, m, commands.Order{Base: &one, Token: string('a' + rune(i)), Edits: putService("s" + string('a'+rune(i)))})
+				results <- r
 			}()
 		}
-		x, y := <-back, <-back
+		x, y := <-results, <-results
 		if x.Outcome == commands.Conflict {
 			x, y = y, x
 		}
 		if x.Outcome != commands.InForce || x.Version != 2 || y.Outcome != commands.Conflict || y.Version != 2 {
-			t.Errorf("one should win and the other be told version 2: %+v %+v", x, y)
+			t.Errorf("one change should win and the other get a conflict with version 2: %+v %+v", x, y)
 		}
-		// Without a base both go through, one after the other.
+		// Without a base version both succeed, one after the other.
 		for i, m := range []*Node{m1, m2} {
 			go func() {
-				r, _ := w.Order(ctx, m, commands.Order{Edits: service("t" + string('a'+rune(i)))})
-				back <- r
+				r, _ := w.Order(ctx, m, commands.Order{Edits: putService("t" + string('a'+rune(i)))})
+				results <- r
 			}()
 		}
-		if x, y = <-back, <-back; x.Outcome != commands.InForce || y.Outcome != commands.InForce || x.Version+y.Version != 7 {
+		if x, y = <-results, <-results; x.Outcome != commands.InForce || y.Outcome != commands.InForce || x.Version+y.Version != 7 {
 			t.Errorf("%+v %+v", x, y)
 		}
-		// The same order again, through a controller that never saw it.
-		o := commands.Order{Token: "again", Edits: service("u")}
+		// The same change again, through a controller that has not seen it.
+		o := commands.Order{Token: "again", Edits: putService("u")}
 		first, _ := w.Order(ctx, m1, o)
 		again, _ := w.Order(ctx, m4, o)
 		if first.Version != 5 || again.Version != 5 || !again.Again || first.Again {
 			t.Errorf("%+v, then %+v", first, again)
 		}
-		// Invalid and dry orders leave no trace.
-		bad, _ := w.Order(ctx, m2, commands.Order{Edits: append(service("v"), spec.Edit{Op: spec.DropBinding, Name: "none"})})
-		dry, _ := w.Order(ctx, m2, commands.Order{Dry: true, Edits: service("v")})
+		// Invalid changes and dry runs have no effect.
+		bad, _ := w.Order(ctx, m2, commands.Order{Edits: append(putService("v"), spec.Edit{Op: spec.DropBinding, Name: "none"})})
+		dry, _ := w.Order(ctx, m2, commands.Order{Dry: true, Edits: putService("v")})
 		if bad.Outcome != commands.Invalid || len(bad.Problems) != 1 || dry.Outcome != commands.Valid {
 			t.Errorf("%+v %+v", bad, dry)
 		}
@@ -93,10 +93,10 @@
 		}
 		for _, s := range f.Sheet.Services {
 			if s.Name == "v" {
-				t.Error("a part of an invalid change, or a dry one, took effect")
+				t.Error("part of an invalid change, or of a dry run, took effect")
 			}
 		}
-		for _, n := range w.Of("gateway") {
+		for _, n := range w.NodesOfKind("gateway") {
 			if n.Gateway().Rack.N() != 5 {
 				t.Errorf("%s serves version %d", n.ID, n.Gateway().Rack.N())
 			}
@@ -104,37 +104,38 @@
 	})
 }
 
-// A change that waits tells for whom: the gateway that holds a lease and does not answer.
+// A change that waits must name the gateway it waits for: one that holds a lease and does not
+// answer.
 func TestWaitTellsForWhom(t *testing.T) {
 	t.Parallel()
-	raised(t, func(ctx context.Context, w *World) {
-		// Its asks pass, so that its lease is renewed; what it answers others does not.
-		for _, n := range w.Of("controller") {
+	withWorld(t, func(ctx context.Context, w *World) {
+		// f2's own requests pass, so that its lease is renewed; requests to f2 don't arrive.
+		for _, n := range w.NodesOfKind("controller") {
 			if n.Disk == nil {
 				w.Net.Cut(n.ID, "f2")
 			}
 		}
 		m4 := w.Node("m4").Controller()
-		cx, end := context.WithTimeout(ctx, 4*time.Second)
-		defer end()
-		if r := m4.Changer.Change(cx, commands.Order{Edits: service("s")}); r.Outcome != commands.Unknown || !strings.Contains(r.Why, "waiting for f2") {
+		callCtx, cancel := context.WithTimeout(ctx, 4*time.Second)
+		defer cancel()
+		if r := m4.Changer.Change(callCtx, commands.Order{Edits: putService("s")}); r.Outcome != commands.Unknown || !strings.Contains(r.Why, "waiting for f2") {
 			t.Errorf("%+v", r)
 		}
-		cx, end = context.WithTimeout(ctx, 2*time.Second)
-		defer end()
-		if _, err := m4.Speaker.Say(cx, "wait for 9"); err == nil {
-			t.Error("a version that nobody decided is in force")
+		callCtx, cancel = context.WithTimeout(ctx, 2*time.Second)
+		defer cancel()
+		if _, err := m4.Speaker.Say(callCtx, "wait for 9"); err == nil {
+			t.Error("waiting for a version that was never decided succeeded")
 		}
 	})
 }
 
-// A gateway that starts late, and one that restarts, come up with what is in force.
+// Gateways that start late or restart must come up with the version in force.
 func TestLateAndRestartedGateways(t *testing.T) {
 	t.Parallel()
-	raised(t, func(ctx context.Context, w *World) {
+	withWorld(t, func(ctx context.Context, w *World) {
 		f := w.Node("f2")
 		f.Kill()
-		if r, _ := w.Order(ctx, w.Node("m1"), commands.Order{Edits: service("late")}); r.Outcome != commands.InForce {
+		if r, _ := w.Order(ctx, w.Node("m1"), commands.Order{Edits: putService("late")}); r.Outcome != commands.InForce {
 			t.Fatalf("%+v", r)
 		}
 		f.Start()
@@ -147,40 +148,40 @@
 		if tab, open := f.Gateway().Rack.Gate(); !open || tab.N != 2 {
 			t.Errorf("two seconds after its restart: version %d, open %v", tab.N, open)
 		}
-		time.Sleep(2 * time.Second) // it gets to know its targets
-		// With the core gone all gateways serve on; a gateway alone does not.
-		for _, n := range w.Of("controller") {
+		time.Sleep(2 * time.Second) // it learns its targets
+		// Without the core all gateways keep serving together; a gateway that is alone doesn't.
+		for _, n := range w.NodesOfKind("controller") {
 			n.Kill()
 		}
 		time.Sleep(3 * time.Second)
-		for _, n := range w.Of("gateway") {
+		for _, n := range w.NodesOfKind("gateway") {
 			if !n.Gateway().Ready() || !n.Gateway().Rack.Stranded() {
 				t.Errorf("%s: ready %v, stranded %v without the core", n.ID, n.Gateway().Ready(), n.Gateway().Rack.Stranded())
 			}
 		}
-		for _, n := range w.Of("gateway") {
+		for _, n := range w.NodesOfKind("gateway") {
 			if n.ID != "f1" {
 				n.Kill()
 			}
 		}
 		time.Sleep(3 * time.Second)
 		if w.Node("f1").Gateway().Ready() {
-			t.Error("a gateway that reaches nobody says that it is ready")
+			t.Error("a gateway that reaches no other node reports ready")
 		}
 	})
 }
 
-// With the core down and half of the gateways down with it, the other half serves reads:
-// who refuses links is not up. Where the others are silent they may be up, and have the
-// core.
+// With the core and half of the gateways down, the other half must serve reads, since a node
+// that refuses connections is known to be down. Silent gateways may be up and connected to
+// the core, so then the other half must not.
 func TestHalfOfTheGatewaysServes(t *testing.T) {
 	t.Parallel()
 	for how, ready := range map[string]bool{"killed": true, "silent": false} {
 		t.Run(how, func(t *testing.T) {
-			raised(t, func(ctx context.Context, w *World) {
+			withWorld(t, func(ctx context.Context, w *World) {
 				time.Sleep(2 * time.Second)
-				left := w.Of("gateway")[:2]
-				for _, n := range w.In() {
+				left := w.NodesOfKind("gateway")[:2]
+				for _, n := range w.ActiveNodes() {
 					switch {
 					case n == left[0] || n == left[1]:
 					case how == "killed":
@@ -195,8 +196,8 @@
 						t.Errorf("%s: ready %v", n.ID, got)
 					}
 				}
-				left[0].looked.Store(true)
-				if o := w.call(kinds[1], "read", ""); ready && o.Status != 200 {
+				left[0].seenReady.Store(true)
+				if o := w.call(callKinds[1], "read", ""); ready && o.Status != 200 {
 					t.Errorf("a read: %+v", o)
 				}
 			})
@@ -204,16 +205,17 @@
 	}
 }
 
-// What became of a call is told by any controller, from the gateway that it came to.
+// Any controller must be able to tell what happened to a call, by asking the gateway that
+// received it.
 func TestWhyOfACall(t *testing.T) {
 	t.Parallel()
-	raised(t, func(ctx context.Context, w *World) {
+	withWorld(t, func(ctx context.Context, w *World) {
 		for _, x := range w.Targets {
-			x.Set(stand.Losing)
+			x.SetMode(stand.Losing)
 		}
 		var o stand.Outcome
 		for i := 0; !o.SentOn && i < 20; i++ {
-			o = w.through("f3", fmt.Sprint("lost", i))
+			o = w.callVia("f3", fmt.Sprint("lost", i))
 		}
 		say := func(s string) string {
 			r, err := w.Node("m4").Controller().Speaker.Say(ctx, s)
@@ -222,7 +224,7 @@
 		}
 		for _, want := range []string{`"step":"claim"`, `"step":"send","mate":"orders/orders-`, `"step":"send failed"`, "outcome unknown: the target took the request and gave no answer"} {
 			if got := say("why call " + o.Call); !strings.Contains(got, want) {
-				t.Errorf("%s is not told: %s", want, got)
+				t.Errorf("%s is missing in %s", want, got)
 			}
 		}
 		for call, want := range map[string]string{"f3-1-zzz": "not among the calls", "f9-1-1": "no lease", "f3-7-1": "has ended", "f3": "no call"} {
@@ -233,10 +235,10 @@
 	})
 }
 
-// A seat is given to the disk that stands by, and a node is drained, by hand.
+// An operator gives a seat to the standby disk, and drains a node.
 func TestSwapAndDrainByHand(t *testing.T) {
 	t.Parallel()
-	raisedAs(t, Shape{Zones: 4, Disks: 4, Controllers: 4, Gateways: 3, Targets: map[string]int{"orders": 2, "records": 2}}, func(ctx context.Context, w *World) {
+	withShape(t, Shape{Zones: 4, Disks: 4, Controllers: 4, Gateways: 3, Targets: map[string]int{"orders": 2, "records": 2}}, func(ctx context.Context, w *World) {
 		say := func(s string) error {
 			_, err := w.Node("m2").Controller().Speaker.Say(ctx, s)
 			return err
@@ -246,7 +248,7 @@
 			return ok
 		}
 		var out, in string
-		for _, n := range w.Disks() {
+		for _, n := range w.NodesWithDisk() {
 			if n.ID == "m2" {
 				continue
 			}
@@ -258,7 +260,7 @@
 		}
 		for _, bad := range []string{"swap disk " + in + " for " + out, "swap disk " + out + " for nobody", "drain node nobody"} {
 			if say(bad) == nil {
-				t.Errorf("%q was taken", bad)
+				t.Errorf("%q was accepted", bad)
 			}
 		}
 		if err := say("swap disk " + out + " for " + in); err != nil {
@@ -269,10 +271,10 @@
 			t.Errorf("%s still has its seat, or %s has none: %+v", out, in, w.Node("m2").Controller().Prop.Core())
 		}
 		w.Node(out).Kill()
-		if r, _ := w.Order(ctx, w.Node("m2"), commands.Order{Edits: service("after")}); r.Outcome != commands.InForce {
-			t.Errorf("without the machine that was swapped out: %+v", r)
+		if r, _ := w.Order(ctx, w.Node("m2"), commands.Order{Edits: putService("after")}); r.Outcome != commands.InForce {
+			t.Errorf("a change without the machine that was swapped out: %+v", r)
 		}
-		// The machine comes back and stands by; the wish does not turn things round.
+		// The machine comes back as a standby; the operator's wish must not be undone.
 		w.Node(out).Start()
 		time.Sleep(5 * time.Second)
 		if seat(out) || !seat(in) {
@@ -288,14 +290,14 @@
 	})
 }
 
-// Guards against a seat that passes on to a zone which has one already while a disk of its own zone stands by: the
-// first disk that was known got it.
+// Guards against a seat that passes on to a zone which already has one while a standby disk of
+// its own zone is available: the first known disk used to get it.
 func TestASilentSeatStaysInItsZone(t *testing.T) {
 	t.Parallel()
-	raisedAs(t, Shape{Zones: 3, Disks: 6, Controllers: 6, Gateways: 3, Targets: map[string]int{"orders": 2}}, func(_ context.Context, w *World) {
-		// core is the newest that a controller knows.
+	withShape(t, Shape{Zones: 3, Disks: 6, Controllers: 6, Gateways: 3, Targets: map[string]int{"orders": 2}}, func(_ context.Context, w *World) {
+		// core returns the newest core that any controller knows.
 		core := func() (core quorum.Core) {
-			for _, n := range w.Disks() {
+			for _, n := range w.NodesWithDisk() {
 				if m := n.Controller(); m != nil && m.Prop.Core().Epoch > core.Epoch {
 					core = m.Prop.Core()
 				}
@@ -325,17 +327,17 @@
 	})
 }
 
-// What is older than decisions are kept goes; what stands stays, also for controllers that
-// fold it anew.
+// Decisions older than the retention time must be removed; what is in force must stay, also
+// for controllers that fold the ledger from the start.
 func TestOldDecisionsGo(t *testing.T) {
 	t.Parallel()
 	s := Tiny()
 	s.Keep = 20 * time.Second
-	raisedAs(t, s, func(ctx context.Context, w *World) {
+	withShape(t, s, func(ctx context.Context, w *World) {
 		n := uint64(1)
 		order := func(k int) {
 			for range k {
-				r, _ := w.Order(ctx, w.Node("m1"), commands.Order{Edits: service(fmt.Sprint("s", n%5))})
+				r, _ := w.Order(ctx, w.Node("m1"), commands.Order{Edits: putService(fmt.Sprint("s", n%5))})
 				if n++; r.Outcome != commands.InForce || r.Version != n {
 					t.Fatalf("%+v, want version %d", r, n)
 				}
@@ -353,15 +355,15 @@
 		if err != nil || len(ns) == 0 || ns[0].N < 128 {
 			t.Errorf("%d notes of versions in force, %v", len(ns), err)
 		}
-		for _, m := range w.Of("controller") {
+		for _, m := range w.NodesOfKind("controller") {
 			m.Kill()
 			m.Start()
 		}
 		time.Sleep(3 * time.Second)
 		order(3)
 		f, err := w.Node("m3").Controller().Book.Refresh(ctx)
-		if err != nil || f.N != n || len(f.Sheet.Services) != 7 || len(f.Sheet.Bindings) != len(kinds) {
-			t.Errorf("folded anew: version %d with %d services, %v", f.N, len(f.Sheet.Services), err)
+		if err != nil || f.N != n || len(f.Sheet.Services) != 7 || len(f.Sheet.Bindings) != len(callKinds) {
+			t.Errorf("folded from the start: version %d with %d services, %v", f.N, len(f.Sheet.Services), err)
 		}
 	})
 }
--- a/internal/sim/overload_test.go
+++ b/internal/sim/overload_test.go
@@ -9,26 +9,26 @@
 	"walkrudder/internal/httpapi"
 )
 
-// At once, twice and five times what the targets' places can do, useful answers stay
-// near what they can do, what is beyond is refused at once with a time to come back,
-// hardly an order ends with an unknown outcome, and no kind of request starves another.
+// At 1, 2 and 5 times the targets' capacity, the rate of useful answers must stay near the
+// capacity, excess calls must be refused at once with a time to retry after, few orders may end
+// with an unknown outcome, and no kind of request may starve another.
 func TestOverload(t *testing.T) {
 	t.Parallel()
 	for _, times := range []float64{1, 2, 5} {
 		t.Run(fmt.Sprint(times), func(t *testing.T) {
 			t.Parallel()
-			raised(t, func(ctx context.Context, w *World) {
-				w.Go(w.Platform)
+			withWorld(t, func(ctx context.Context, w *World) {
+				w.Go(w.PollReadiness)
 				time.Sleep(2 * time.Second)
-				can := float64(len(w.Targets)*capacity) / ((least + most) / 2).Seconds()
+				can := float64(len(w.Targets)*capacity) / ((minWork + maxWork) / 2).Seconds()
 				const span = 6 * time.Second
-				cx, end := context.WithTimeout(ctx, span)
-				defer end()
-				w.crush(cx, times*can)
-				v := w.Rec.Check()
+				callCtx, cancel := context.WithTimeout(ctx, span)
+				defer cancel()
+				w.overload(callCtx, times*can)
+				v := w.Records.Check()
 				by, all := map[string]int{}, map[string]int{}
 				slow, retry := time.Duration(0), ""
-				for _, o := range w.Rec.Outcomes {
+				for _, o := range w.Records.Outcomes {
 					all[o.Path]++
 					switch {
 					case o.Status < 300 && o.Err == "":
@@ -38,13 +38,13 @@
 					}
 				}
 				useful := float64(v.Successes) / span.Seconds()
-				t.Logf("%.0f a second of %.0f that the places can do: %.0f useful a second, %d refused within %s (come back after up to %s s), %d unknown, 99 of 100 within %s, %v of %v",
+				t.Logf("%.0f a second with a capacity of %.0f: %.0f useful a second, %d refused within %s (retry after up to %s s), %d unknown, 99 of 100 within %s, %v of %v",
 					times*can, can, useful, v.Classes["refused: busy, not run"], slow, retry, v.Unknown, v.P99, by, all)
 				if len(v.Broken) > 0 {
 					t.Error(v.Broken)
 				}
 				if useful < 0.6*can {
-					t.Errorf("%.0f useful answers a second, the places can do %.0f", useful, can)
+					t.Errorf("%.0f useful answers a second with a capacity of %.0f", useful, can)
 				}
 				if orders := all["/orders"]; v.Unknown*50 > orders {
 					t.Errorf("%d of %d orders ended with an unknown outcome", v.Unknown, orders)
@@ -60,13 +60,13 @@
 	}
 }
 
-// crush calls rate times a second until ctx ends, each call once.
-func (w *World) crush(ctx context.Context, rate float64) {
+// overload makes rate calls a second until ctx ends, without retries.
+func (w *World) overload(ctx context.Context, rate float64) {
 	done := make(chan struct{})
 	n := 0
 	for ctx.Err() == nil {
 		time.Sleep(time.Duration(float64(time.Second) / rate))
-		k := kinds[w.Draw("crush", len(kinds))]
+		k := callKinds[w.RandN("crush", len(callKinds))]
 		n++
 		order := fmt.Sprintf("x%d", n)
 		go func() { w.call(k, order, ""); done <- struct{}{} }()
--- a/internal/sim/points_test.go
+++ b/internal/sim/points_test.go
@@ -14,60 +14,60 @@
 	"walkrudder/tools/stand"
 )
 
-// TestPoints kills, or freezes for a while, whichever node first reaches each
-// numbered point, with calls, changes and a leaving target under way.
+// TestPoints kills, or freezes for a while, the node that first reaches each numbered fault
+// point, while calls, changes and a leaving target are in progress.
 func TestPoints(t *testing.T) {
 	t.Parallel()
 	for n := 1; n <= fault.Points; n++ {
 		for _, how := range []string{"kill", "freeze"} {
 			t.Run(fmt.Sprintf("%d-%s", n, how), func(t *testing.T) {
 				t.Parallel()
-				bubble(t, func(t *testing.T) { point(t, n, how) })
+				inBubble(t, func(t *testing.T) { reachFaultPoint(t, n, how) })
 			})
 		}
 	}
 }
 
-func point(t *testing.T, n int, how string) {
+func reachFaultPoint(t *testing.T, n int, how string) {
 	s := Tiny()
-	if *loud {
+	if *verbose {
 		s.Log = os.Stderr
 	}
 	w := New(uint64(n), s)
 	defer w.End()
 	w.Start()
-	if err := w.Form(15 * time.Second); err != nil {
+	if err := w.WaitReady(15 * time.Second); err != nil {
 		t.Fatal(err)
 	}
-	w.Go(w.Platform)
-	ctx, end := context.WithTimeout(w.ctx, 18*time.Second)
-	defer end()
+	w.Go(w.PollReadiness)
+	ctx, cancel := context.WithTimeout(w.ctx, 18*time.Second)
+	defer cancel()
 	done := make(chan struct{})
-	go func() { w.Callers(ctx, 20); close(done) }()
+	go func() { w.RunCallers(ctx, 20); close(done) }()
 	ops := make(chan struct{})
-	go func() { w.Operate(ctx); close(ops) }()
+	go func() { w.RunOperators(ctx); close(ops) }()
 	time.Sleep(2 * time.Second)
-	hit := make(chan string, 1)
+	reached := make(chan string, 1)
 	var once sync.Once
 	for _, x := range w.Nodes {
 		x.Faults.Arm(n, func() {
 			once.Do(func() {
-				hit <- x.ID
+				reached <- x.ID
 				if how == "kill" {
 					go x.Kill()
 				} else {
 					x.Freeze()
-					w.later(3*time.Second, x.Thaw)
+					w.after(3*time.Second, x.Thaw)
 				}
 			})
 		})
 	}
-	// The swap's points are reached once a disk is lost.
+	// The fault points of a seat's move are reached only once a disk is lost.
 	if n == fault.AfterSeal || n == fault.AfterPull {
 		d := w.Node("m2")
 		d.Kill()
 		d.Disk.Wipe()
-		w.later(500*time.Millisecond, d.Start)
+		w.after(500*time.Millisecond, d.Start)
 	}
 	left := w.Targets[0]
 	w.Go(func(ctx context.Context) {
@@ -77,36 +77,36 @@
 		}
 	})
 	select {
-	case id := <-hit:
+	case id := <-reached:
 		t.Logf("point %d reached at %s", n, id)
-		w.later(2*time.Second, w.Node(id).Start)
+		w.after(2*time.Second, w.Node(id).Start)
 	case <-time.After(14 * time.Second):
 		t.Errorf("point %d was never reached", n)
 	}
 	<-done
 	<-ops
-	judge(t, w)
+	checkRecords(t, w)
 }
 
-// judge checks what the targets and callers wrote down, and the picture.
-func judge(t *testing.T, w *World) stand.Verdict {
-	v := w.Rec.Check()
+// checkRecords checks what the targets and callers recorded, and the picture.
+func checkRecords(t *testing.T, w *World) stand.Verdict {
+	v := w.Records.Check()
 	for _, b := range v.Broken {
 		t.Error(b)
 	}
-	if w.twice > 0 {
-		t.Errorf("%d orders done twice by their resend", w.twice)
+	if w.duplicates > 0 {
+		t.Errorf("%d changes executed a second time by a resend", w.duplicates)
 	}
-	ctx, end := context.WithTimeout(w.ctx, 5*time.Second)
-	defer end()
-	for _, n := range w.Of("controller") {
-		for _, b := range w.Picture(ctx, n) {
+	ctx, cancel := context.WithTimeout(w.ctx, 5*time.Second)
+	defer cancel()
+	for _, n := range w.NodesOfKind("controller") {
+		for _, b := range w.CheckPicture(ctx, n) {
 			t.Error(b)
 		}
 	}
-	placed := lo.CountBy(w.Rec.Outcomes, func(o stand.Outcome) bool { return !o.Repeatable })
-	if w.Rec.Changed() < 2 || v.Successes == 0 || placed == 0 || v.Judged == 0 {
-		t.Errorf("nothing went on: %d changes, shown %d times, %d successes, %d orders", w.Rec.Changed(), v.Judged, v.Successes, placed)
+	placed := lo.CountBy(w.Records.Outcomes, func(o stand.Outcome) bool { return !o.Repeatable })
+	if w.Records.Changed() < 2 || v.Successes == 0 || placed == 0 || v.Judged == 0 {
+		t.Errorf("too little happened: %d changes, shown %d times, %d successes, %d orders", w.Records.Changed(), v.Judged, v.Successes, placed)
 	}
 	return v
 }
--- a/internal/sim/race_off_test.go
+++ b/internal/sim/race_off_test.go
@@ -2,5 +2,5 @@
 
 package sim
 
-// raced says that the race detector is on.
-const raced = false
+// raceEnabled is whether the race detector is on.
+const raceEnabled = false
--- a/internal/sim/race_on_test.go
+++ b/internal/sim/race_on_test.go
@@ -2,5 +2,5 @@
 
 package sim
 
-// raced says that the race detector is on.
-const raced = true
+// raceEnabled is whether the race detector is on.
+const raceEnabled = true
--- a/internal/sim/simnet/clock.go
+++ b/internal/sim/simnet/clock.go
@@ -7,17 +7,17 @@
 	"walkrudder/internal/clock"
 )
 
-// Clock is a process's clock: it stands still for those who wait while the host is
-// frozen, and shows the whole pause afterwards. Now does not wait, for its callers may
-// hold locks, and every way out of a frozen host waits anyway.
+// Clock is the clock of a simulated process. While the host is frozen, Sleep does not
+// return; after the thaw, Now shows the whole pause. Now does not block, because its callers
+// may hold locks, and every message that leaves a frozen host waits for the thaw anyway.
 type Clock struct {
 	clock.Wall
-	P *Proc
+	Proc *Proc
 }
 
-// Sleep waits for d, and through any freeze.
+// Sleep waits for d and, if the host is frozen by then, until it thaws.
 func (c Clock) Sleep(ctx context.Context, d time.Duration) error {
 	err := c.Wall.Sleep(ctx, d)
-	c.P.Awake()
+	c.Proc.WaitThawed()
 	return err
 }
--- a/internal/sim/simnet/codecs.go
+++ b/internal/sim/simnet/codecs.go
@@ -9,50 +9,50 @@
 
 type parcel struct{ V any }
 
-// codec is both ends of one gob stream, through which the description of a type travels
-// once, as on a real link.
+// codec holds both ends of one gob stream. Gob sends the description of a type only once
+// per stream, as on a real link.
 type codec struct {
-	b   bytes.Buffer
+	buf bytes.Buffer
 	enc *gob.Encoder
 	dec *gob.Decoder
 }
 
-// Codecs copy values through gob. Kept are those at rest: a sync.Pool would drop some at random, and
-// a new one learns every type again.
-type Codecs struct {
-	mu    sync.Mutex
-	rest  []*codec
-	kinds map[string]int
-	bytes int
+// CodecPool copies values through gob. Idle codecs are kept in a slice: a sync.Pool would
+// drop some at random, and a new codec has to learn every type again.
+type CodecPool struct {
+	mu     sync.Mutex
+	idle   []*codec
+	counts map[string]int
+	bytes  int
 }
 
-// Through is a copy of v as it comes out at the other end of a link.
-func (s *Codecs) Through(v any) (any, error) {
+// RoundTrip returns a copy of v, encoded and decoded as on a real link.
+func (s *CodecPool) RoundTrip(v any) (any, error) {
 	s.mu.Lock()
 	var c *codec
-	if k := len(s.rest); k > 0 {
-		c, s.rest = s.rest[k-1], s.rest[:k-1]
+	if k := len(s.idle); k > 0 {
+		c, s.idle = s.idle[k-1], s.idle[:k-1]
 	}
 	s.mu.Unlock()
 	if c == nil {
 		c = &codec{}
-		c.enc, c.dec = gob.NewEncoder(&c.b), gob.NewDecoder(&c.b)
+		c.enc, c.dec = gob.NewEncoder(&c.buf), gob.NewDecoder(&c.buf)
 	}
 	if err := c.enc.Encode(parcel{v}); err != nil {
 		return nil, err
 	}
-	size := c.b.Len()
+	size := c.buf.Len()
 	var p parcel
 	if err := c.dec.Decode(&p); err != nil {
 		return nil, err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.rest = append(s.rest, c)
-	if s.kinds == nil {
-		s.kinds = map[string]int{}
+	s.idle = append(s.idle, c)
+	if s.counts == nil {
+		s.counts = map[string]int{}
 	}
-	s.kinds[fmt.Sprintf("%T", v)]++
+	s.counts[fmt.Sprintf("%T", v)]++
 	s.bytes += size
 	return p.V, nil
 }
--- a/internal/sim/simnet/conn.go
+++ b/internal/sim/simnet/conn.go
@@ -14,56 +14,56 @@
 
 var errRefused = &net.OpError{Op: "dial", Net: "tcp", Err: syscall.ECONNREFUSED}
 
-// window is how much a connection takes in before its reader has read.
-const window = 256 << 10
+// recvWindow is how many bytes a connection buffers, in flight and unread, before writes block.
+const recvWindow = 256 << 10
 
 type address string
 
 func (address) Network() string  { return "tcp" }
 func (a address) String() string { return string(a) }
 
-// segment is what is on its way to the other end.
+// segment is data or a control flag in flight to the other end.
 type segment struct {
 	due      time.Time
 	data     []byte
 	fin, rst bool
 }
 
-// Conn is one end of a byte stream. As with TCP, the system below carries on for a
-// process that is frozen, what is cut is sent again until it gets through, a write
-// succeeds before it has arrived, and data that comes for an end that is closed is
-// answered by a reset.
+// Conn is one end of a byte stream that behaves like TCP: the kernel side keeps working
+// while the process is frozen, segments that a cut stops are retransmitted until they
+// arrive, a write succeeds before its data has arrived, and data that arrives at a closed
+// end is answered by a reset.
 type Conn struct {
-	p      *Proc
-	peer   *Conn
-	mu     *sync.Mutex // of both ends
-	cutOff bool        // Close throws away what has not left
-
-	in     []byte
-	fin    bool  // the other end has ended its stream
-	err    error // it was reset
-	closed bool
-	rd, wd time.Time
-	wake   chan struct{} // closed at each change
-	out    []segment
-	last   time.Time // when the newest segment is due
+	proc           *Proc
+	peer           *Conn
+	mu             *sync.Mutex // shared by both ends
+	discardOnClose bool        // Close discards data that a cut has held back
+
+	recvBuf                     []byte
+	fin                         bool  // the other end has closed its stream
+	err                         error // set once the connection was reset
+	closed                      bool
+	readDeadline, writeDeadline time.Time
+	wake                        chan struct{} // closed and replaced at each change
+	inFlight                    []segment
+	lastDue                     time.Time // due time of the newest segment
 }
 
 func connect(p, q *Proc, addr string) (*Conn, *Conn) {
 	mu := &sync.Mutex{}
-	a := &Conn{p: p, mu: mu, wake: make(chan struct{}), cutOff: true}
-	b := &Conn{p: q, mu: mu, wake: make(chan struct{}), peer: a}
+	a := &Conn{proc: p, mu: mu, wake: make(chan struct{}), discardOnClose: true}
+	b := &Conn{proc: q, mu: mu, wake: make(chan struct{}), peer: a}
 	a.peer = b
 	for _, c := range []*Conn{a, b} {
-		c.p.mu.Lock()
-		c.p.conns[c] = struct{}{}
-		c.p.mu.Unlock()
+		c.proc.mu.Lock()
+		c.proc.conns[c] = struct{}{}
+		c.proc.mu.Unlock()
 	}
 	return a, b
 }
 
-// Dial connects a process to an address. A machine that is cut off or without power is
-// silent.
+// Dial connects a process to an address. A host that is cut off or without power does not
+// answer, so that the dial ends by its context.
 func (p *Proc) Dial(ctx context.Context, addr string) (net.Conn, error) {
 	n := p.Host.net
 	wait := func(d time.Duration) error {
@@ -78,9 +78,9 @@
 			return &net.OpError{Op: "dial", Net: "tcp", Err: net.ErrClosed}
 		}
 	}
-	p.Awake()
+	p.WaitThawed()
 	for {
-		_, h := n.proc(addr)
+		_, h := n.lookup(addr)
 		if h == nil {
 			if err := wait(time.Hour); err != nil {
 				return nil, err
@@ -89,7 +89,7 @@
 		if err := wait(n.delay(p.Host, h)); err != nil {
 			return nil, err
 		}
-		if !n.passes(p.Host, h) || !n.passes(h, p.Host) || !h.powered() {
+		if !n.delivers(p.Host, h) || !n.delivers(h, p.Host) || !h.powered() {
 			if err := wait(retransmit); err != nil {
 				return nil, err
 			}
@@ -98,43 +98,44 @@
 		if err := wait(n.delay(h, p.Host)); err != nil {
 			return nil, err
 		}
-		q, _ := n.proc(addr)
+		q, _ := n.lookup(addr)
 		if q == nil {
 			return nil, errRefused
 		}
 		q.mu.Lock()
 		ln := q.ln
 		q.mu.Unlock()
-		if ln == nil || p.Dead() {
+		if ln == nil || p.Ended() {
 			return nil, errRefused
 		}
 		a, b := connect(p, q, addr)
-		if !ln.push(b) {
-			a.forget()
-			b.forget()
+		if !ln.enqueue(b) {
+			a.unregister()
+			b.unregister()
 			return nil, errRefused
 		}
-		p.Awake()
+		p.WaitThawed()
 		return a, nil
 	}
 }
 
-func (c *Conn) forget() {
-	c.p.mu.Lock()
-	delete(c.p.conns, c)
-	c.p.mu.Unlock()
+func (c *Conn) unregister() {
+	c.proc.mu.Lock()
+	delete(c.proc.conns, c)
+	c.proc.mu.Unlock()
 }
 
-// tell wakes whoever waits at this end. Under mu.
-func (c *Conn) tell() {
+// notify wakes whoever waits at this end. c.mu must be held.
+func (c *Conn) notify() {
 	close(c.wake)
 	c.wake = make(chan struct{})
 }
 
-func (c *Conn) fault(op string, err error) error { return &net.OpError{Op: op, Net: "tcp", Err: err} }
+func (c *Conn) opError(op string, err error) error { return &net.OpError{Op: op, Net: "tcp", Err: err} }
 
-// hold waits, without mu, for a change or until d.
-func hold(wake chan struct{}, d time.Time) {
+// waitForChange blocks until wake is closed or the deadline d has passed; a zero d means no
+// deadline. The caller must not hold the connection's mutex.
+func waitForChange(wake chan struct{}, d time.Time) {
 	if d.IsZero() {
 		<-wake
 		return
@@ -147,63 +148,63 @@
 	}
 }
 
-// Read reads what has come.
+// Read returns buffered data, and blocks until there is some.
 func (c *Conn) Read(b []byte) (int, error) {
 	for {
-		c.p.Awake()
+		c.proc.WaitThawed()
 		c.mu.Lock()
 		switch {
 		case c.closed:
 			c.mu.Unlock()
-			return 0, c.fault("read", net.ErrClosed)
-		case !c.rd.IsZero() && !time.Now().Before(c.rd):
+			return 0, c.opError("read", net.ErrClosed)
+		case !c.readDeadline.IsZero() && !time.Now().Before(c.readDeadline):
 			c.mu.Unlock()
-			return 0, c.fault("read", os.ErrDeadlineExceeded)
-		case len(c.in) > 0:
-			k := copy(b, c.in)
-			c.in = c.in[k:]
-			c.peer.tell()
+			return 0, c.opError("read", os.ErrDeadlineExceeded)
+		case len(c.recvBuf) > 0:
+			k := copy(b, c.recvBuf)
+			c.recvBuf = c.recvBuf[k:]
+			c.peer.notify()
 			c.mu.Unlock()
 			return k, nil
 		case c.err != nil:
 			err := c.err
 			c.mu.Unlock()
-			return 0, c.fault("read", err)
+			return 0, c.opError("read", err)
 		case c.fin:
 			c.mu.Unlock()
 			return 0, io.EOF
 		}
-		wake, d := c.wake, c.rd
+		wake, d := c.wake, c.readDeadline
 		c.mu.Unlock()
-		hold(wake, d)
+		waitForChange(wake, d)
 	}
 }
 
-// Write sends b. It returns when the system has taken it.
+// Write sends b. It returns once all of b is in the send buffer.
 func (c *Conn) Write(b []byte) (int, error) {
 	sent := 0
 	for {
-		c.p.Awake()
+		c.proc.WaitThawed()
 		c.mu.Lock()
 		switch {
 		case c.closed:
 			c.mu.Unlock()
-			return sent, c.fault("write", net.ErrClosed)
+			return sent, c.opError("write", net.ErrClosed)
 		case c.err != nil:
 			err := c.err
 			c.mu.Unlock()
-			return sent, c.fault("write", err)
-		case !c.wd.IsZero() && !time.Now().Before(c.wd):
+			return sent, c.opError("write", err)
+		case !c.writeDeadline.IsZero() && !time.Now().Before(c.writeDeadline):
 			c.mu.Unlock()
-			return sent, c.fault("write", os.ErrDeadlineExceeded)
+			return sent, c.opError("write", os.ErrDeadlineExceeded)
 		}
-		room := window - len(c.peer.in)
-		for _, s := range c.out {
+		room := recvWindow - len(c.peer.recvBuf)
+		for _, s := range c.inFlight {
 			room -= len(s.data)
 		}
 		if room > 0 {
 			k := min(room, len(b))
-			c.send(segment{data: append([]byte(nil), b[:k]...)})
+			c.enqueue(segment{data: append([]byte(nil), b[:k]...)})
 			sent += k
 			if b = b[k:]; len(b) == 0 {
 				c.mu.Unlock()
@@ -212,57 +213,58 @@
 			c.mu.Unlock()
 			continue
 		}
-		wake, d := c.wake, c.wd
+		wake, d := c.wake, c.writeDeadline
 		c.mu.Unlock()
-		hold(wake, d)
+		waitForChange(wake, d)
 	}
 }
 
-// send puts a segment on its way, behind those before it. Under mu.
-func (c *Conn) send(s segment) {
+// enqueue puts a segment in flight, in order behind earlier ones. c.mu must be held.
+func (c *Conn) enqueue(s segment) {
 	now := time.Now()
-	s.due = now.Add(c.p.Host.net.delay(c.p.Host, c.peer.p.Host))
-	if s.due.Before(c.last) {
-		s.due = c.last
+	s.due = now.Add(c.proc.Host.net.delay(c.proc.Host, c.peer.proc.Host))
+	if s.due.Before(c.lastDue) {
+		s.due = c.lastDue
 	}
-	c.last = s.due
-	c.out = append(c.out, s)
-	if len(c.out) == 1 {
-		time.AfterFunc(s.due.Sub(now), c.pump)
+	c.lastDue = s.due
+	c.inFlight = append(c.inFlight, s)
+	if len(c.inFlight) == 1 {
+		time.AfterFunc(s.due.Sub(now), c.deliverDue)
 	}
 }
 
-// pump delivers what is due.
-func (c *Conn) pump() {
-	n, from, to := c.p.Host.net, c.p.Host, c.peer.p.Host
-	pass := n.passes(from, to) && from.powered() && to.powered()
+// deliverDue delivers the segments that are due, or schedules a retransmission when they
+// are stopped by a cut or loss.
+func (c *Conn) deliverDue() {
+	n, from, to := c.proc.Host.net, c.proc.Host, c.peer.proc.Host
+	pass := n.delivers(from, to) && from.powered() && to.powered()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
-	for len(c.out) > 0 && !c.out[0].due.After(now) {
+	for len(c.inFlight) > 0 && !c.inFlight[0].due.After(now) {
 		if !pass {
 			if c.peer.closed && c.closed {
-				c.out = nil // nobody is left to hear of it
+				c.inFlight = nil // both ends are closed, nobody would notice the delivery
 				return
 			}
-			c.out[0].due = now.Add(retransmit)
+			c.inFlight[0].due = now.Add(retransmit)
 			break
 		}
-		s := c.out[0]
-		c.out = c.out[1:]
-		c.peer.deliver(s)
-		c.tell()
+		s := c.inFlight[0]
+		c.inFlight = c.inFlight[1:]
+		c.peer.receive(s)
+		c.notify()
 	}
-	if len(c.out) > 0 {
-		time.AfterFunc(c.out[0].due.Sub(now), c.pump)
+	if len(c.inFlight) > 0 {
+		time.AfterFunc(c.inFlight[0].due.Sub(now), c.deliverDue)
 	}
 }
 
-// deliver takes a segment in at this end. Under mu.
-func (c *Conn) deliver(s segment) {
+// receive handles a segment that arrives at this end. c.mu must be held.
+func (c *Conn) receive(s segment) {
 	if c.closed {
 		if len(s.data) > 0 && c.peer.err == nil && !c.peer.closed {
-			c.send(segment{rst: true})
+			c.enqueue(segment{rst: true})
 		}
 		return
 	}
@@ -274,25 +276,25 @@
 	case s.fin:
 		c.fin = true
 	case c.err == nil:
-		c.in = append(c.in, s.data...)
+		c.recvBuf = append(c.recvBuf, s.data...)
 	}
-	c.tell()
+	c.notify()
 }
 
-// Close ends the connection. What was written at an end that took the call still gets
-// there; what the end that made it wrote and a cut has held back does not, for whoever
-// calls here drops what was not answered.
+// Close closes the connection. Data written at the accepting end still arrives. Data that
+// the dialing end wrote and that a cut has held back is discarded, since a client that closes
+// its connection gives up the requests that were not answered.
 func (c *Conn) Close() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closed {
 		return nil
 	}
-	if c.cutOff {
+	if c.discardOnClose {
 		c.abort()
 	} else {
-		c.end()
-		c.send(segment{fin: true})
+		c.closeLocal()
+		c.enqueue(segment{fin: true})
 	}
 	return nil
 }
@@ -307,42 +309,44 @@
 }
 
 func (c *Conn) abort() {
-	c.end()
-	if len(c.out) > 0 && !c.p.Host.net.Open(c.p.Host.ID, c.peer.p.Host.ID) {
-		for i := range c.out {
-			c.out[i].data = nil
+	c.closeLocal()
+	if len(c.inFlight) > 0 && !c.proc.Host.net.Connected(c.proc.Host.ID, c.peer.proc.Host.ID) {
+		for i := range c.inFlight {
+			c.inFlight[i].data = nil
 		}
 	}
 	if c.err == nil {
-		c.send(segment{rst: true})
+		c.enqueue(segment{rst: true})
 	}
 }
 
-// end closes this end. Under mu.
-func (c *Conn) end() {
+// closeLocal marks this end closed. c.mu must be held.
+func (c *Conn) closeLocal() {
 	c.closed = true
-	c.tell()
-	c.forget()
+	c.notify()
+	c.unregister()
 }
 
-// LocalAddr and RemoteAddr name the processes.
-func (c *Conn) LocalAddr() net.Addr  { return address(c.p.Addr) }
-func (c *Conn) RemoteAddr() net.Addr { return address(c.peer.p.Addr) }
+// LocalAddr and RemoteAddr return the addresses of the two processes.
+func (c *Conn) LocalAddr() net.Addr  { return address(c.proc.Addr) }
+func (c *Conn) RemoteAddr() net.Addr { return address(c.peer.proc.Addr) }
 
-// SetDeadline sets both deadlines.
-func (c *Conn) SetDeadline(t time.Time) error { return c.set(&c.rd, &c.wd, t) }
+// SetDeadline sets the read and the write deadline.
+func (c *Conn) SetDeadline(t time.Time) error {
+	return c.setDeadlines(&c.readDeadline, &c.writeDeadline, t)
+}
 
-// SetReadDeadline sets that of reads.
-func (c *Conn) SetReadDeadline(t time.Time) error { return c.set(&c.rd, nil, t) }
+// SetReadDeadline sets the deadline of reads.
+func (c *Conn) SetReadDeadline(t time.Time) error { return c.setDeadlines(&c.readDeadline, nil, t) }
 
-// SetWriteDeadline sets that of writes.
-func (c *Conn) SetWriteDeadline(t time.Time) error { return c.set(nil, &c.wd, t) }
+// SetWriteDeadline sets the deadline of writes.
+func (c *Conn) SetWriteDeadline(t time.Time) error { return c.setDeadlines(nil, &c.writeDeadline, t) }
 
-func (c *Conn) set(r, w *time.Time, t time.Time) error {
+func (c *Conn) setDeadlines(r, w *time.Time, t time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closed {
-		return c.fault("set", net.ErrClosed)
+		return c.opError("set", net.ErrClosed)
 	}
 	if r != nil {
 		*r = t
@@ -350,22 +354,23 @@
 	if w != nil {
 		*w = t
 	}
-	c.tell()
+	c.notify()
 	return nil
 }
 
-// Peer is the process at the other end.
-func (c *Conn) Peer() *Proc { return c.peer.p }
+// Peer returns the process at the other end.
+func (c *Conn) Peer() *Proc { return c.peer.proc }
 
-// Gone tells whether the other end has gone, as far as this one has heard.
+// Gone reports whether the connection has ended, as far as this end knows: closed here, or
+// closed or reset by the other end.
 func (c *Conn) Gone() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.closed || c.fin || c.err != nil
 }
 
-// Change is closed at the next change of this end.
-func (c *Conn) Change() <-chan struct{} {
+// Changed returns a channel that is closed at the next state change of this end.
+func (c *Conn) Changed() <-chan struct{} {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.wake
--- a/internal/sim/simnet/conn_test.go
+++ b/internal/sim/simnet/conn_test.go
@@ -12,13 +12,13 @@
 	"time"
 )
 
-// pair runs f with two hosts, the second of which listens.
-func pair(t *testing.T, f func(t *testing.T, n *Net, a, b *Proc, ln *Listener)) {
+// withPair runs f with two hosts, the second of which listens.
+func withPair(t *testing.T, f func(t *testing.T, n *Net, a, b *Proc, ln *Listener)) {
 	synctest.Test(t, func(t *testing.T) {
 		n := New(1, time.Millisecond, 2*time.Millisecond, 0)
 		a, b := n.Host("a", "z").Start(t.Context(), "p"), n.Host("b", "z").Start(t.Context(), "p")
 		ln := b.Listen()
-		b.Open(nil)
+		b.Register(nil)
 		f(t, n, a, b, ln)
 		a.Host.Thaw()
 		b.Host.Thaw()
@@ -28,7 +28,7 @@
 	})
 }
 
-func dialled(t *testing.T, a *Proc, ln *Listener) (c, d net.Conn) {
+func dialPair(t *testing.T, a *Proc, ln *Listener) (c, d net.Conn) {
 	t.Helper()
 	c, err := a.Dial(t.Context(), "b:p")
 	if err != nil {
@@ -40,14 +40,14 @@
 	return c, d
 }
 
-func say(t *testing.T, c net.Conn, text string) {
+func writeText(t *testing.T, c net.Conn, text string) {
 	t.Helper()
 	if n, err := io.WriteString(c, text); n != len(text) || err != nil {
 		t.Fatalf("wrote %d: %v", n, err)
 	}
 }
 
-func hear(t *testing.T, c net.Conn, text string) {
+func expectText(t *testing.T, c net.Conn, text string) {
 	t.Helper()
 	b := make([]byte, len(text))
 	if _, err := io.ReadFull(c, b); err != nil || string(b) != text {
@@ -56,23 +56,23 @@
 }
 
 func TestBytesTakeTimeAndKeepTheirOrder(t *testing.T) {
-	pair(t, func(t *testing.T, _ *Net, a, _ *Proc, ln *Listener) {
-		c, d := dialled(t, a, ln)
+	withPair(t, func(t *testing.T, _ *Net, a, _ *Proc, ln *Listener) {
+		c, d := dialPair(t, a, ln)
 		at := time.Now()
 		for range 100 {
-			say(t, c, "ab")
+			writeText(t, c, "ab")
 		}
 		for range 100 {
-			hear(t, d, "ab")
+			expectText(t, d, "ab")
 		}
 		if took := time.Since(at); took < time.Millisecond || took > 3*time.Millisecond {
 			t.Errorf("took %v", took)
 		}
 		_ = d.Close()
 		if _, err := c.Read(make([]byte, 1)); err != io.EOF {
-			t.Errorf("read %v after the end", err)
+			t.Errorf("read %v after the other end closed", err)
 		}
-		say(t, c, "too late")
+		writeText(t, c, "too late")
 		time.Sleep(10 * time.Millisecond)
 		if _, err := c.Write([]byte("x")); !errors.Is(err, syscall.ECONNRESET) {
 			t.Errorf("wrote to a closed end: %v", err)
@@ -81,8 +81,8 @@
 }
 
 func TestDeadlinesEndWaits(t *testing.T) {
-	pair(t, func(t *testing.T, _ *Net, a, _ *Proc, ln *Listener) {
-		c, _ := dialled(t, a, ln)
+	withPair(t, func(t *testing.T, _ *Net, a, _ *Proc, ln *Listener) {
+		c, _ := dialPair(t, a, ln)
 		at := time.Now()
 		_ = c.SetReadDeadline(at.Add(time.Second))
 		_, err := c.Read(make([]byte, 1))
@@ -90,7 +90,7 @@
 		if !errors.Is(err, os.ErrDeadlineExceeded) || !errors.As(err, &ne) || !ne.Timeout() || time.Since(at) != time.Second {
 			t.Errorf("%v after %v", err, time.Since(at))
 		}
-		// One that is set while somebody waits counts at once.
+		// A deadline that is set during a read takes effect at once.
 		go func() {
 			time.Sleep(time.Second)
 			_ = c.SetReadDeadline(time.Unix(1, 0))
@@ -100,66 +100,66 @@
 		if _, err := c.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) || time.Since(at) != time.Second {
 			t.Errorf("%v after %v", err, time.Since(at))
 		}
-		// Nobody reads: a write ends by its deadline, too.
+		// A write to a peer that does not read ends at its deadline, too.
 		_ = c.SetWriteDeadline(time.Now().Add(time.Second))
-		if n, err := c.Write(make([]byte, 2*window)); n != window || !errors.Is(err, os.ErrDeadlineExceeded) {
+		if n, err := c.Write(make([]byte, 2*recvWindow)); n != recvWindow || !errors.Is(err, os.ErrDeadlineExceeded) {
 			t.Errorf("wrote %d: %v", n, err)
 		}
 	})
 }
 
 func TestACutHoldsBytesBack(t *testing.T) {
-	pair(t, func(t *testing.T, n *Net, a, _ *Proc, ln *Listener) {
-		c, d := dialled(t, a, ln)
-		again, mend := n.Cut("a", "b"), n.Cut("a", "b")
-		say(t, c, "x")
+	withPair(t, func(t *testing.T, n *Net, a, _ *Proc, ln *Listener) {
+		c, d := dialPair(t, a, ln)
+		restoreFirst, restore := n.Cut("a", "b"), n.Cut("a", "b")
+		writeText(t, c, "x")
 		_ = d.SetReadDeadline(time.Now().Add(time.Second))
 		if _, err := d.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) {
 			t.Errorf("read through a cut: %v", err)
 		}
-		say(t, d, "y")
-		hear(t, c, "y")
-		mend()
-		mend()
-		if n.Open("a", "b") {
-			t.Error("two cuts were mended by one")
+		writeText(t, d, "y")
+		expectText(t, c, "y")
+		restore()
+		restore()
+		if n.Connected("a", "b") {
+			t.Error("undoing one of two cuts reopened the direction")
 		}
-		again()
+		restoreFirst()
 		_ = d.SetReadDeadline(time.Time{})
-		hear(t, d, "x")
-		// What was held back at an end that was closed on purpose does not get there.
-		mend = n.Cut("a", "b")
-		say(t, c, "z")
+		expectText(t, d, "x")
+		// Data that a cut held back at the dialing end is lost when that end is closed.
+		restore = n.Cut("a", "b")
+		writeText(t, c, "z")
 		_ = c.Close()
-		mend()
+		restore()
 		if n, err := d.Read(make([]byte, 1)); n != 0 || !errors.Is(err, syscall.ECONNRESET) {
 			t.Errorf("read %d: %v", n, err)
 		}
-		mend = n.Cut("b", "a")
-		defer mend()
-		cx, end := context.WithTimeout(t.Context(), time.Second)
-		defer end()
-		if _, err := a.Dial(cx, "b:p"); !errors.Is(err, os.ErrDeadlineExceeded) {
+		restore = n.Cut("b", "a")
+		defer restore()
+		callCtx, cancel := context.WithTimeout(t.Context(), time.Second)
+		defer cancel()
+		if _, err := a.Dial(callCtx, "b:p"); !errors.Is(err, os.ErrDeadlineExceeded) {
 			t.Errorf("dialled through a cut: %v", err)
 		}
 	})
 }
 
 func TestAKilledProcessResetsAndADarkHostIsSilent(t *testing.T) {
-	pair(t, func(t *testing.T, _ *Net, a, b *Proc, ln *Listener) {
-		c, _ := dialled(t, a, ln)
+	withPair(t, func(t *testing.T, _ *Net, a, b *Proc, ln *Listener) {
+		c, _ := dialPair(t, a, ln)
 		b.Kill()
 		if _, err := c.Read(make([]byte, 1)); !errors.Is(err, syscall.ECONNRESET) {
 			t.Errorf("read %v", err)
 		}
 		if _, err := a.Dial(t.Context(), "b:p"); !errors.Is(err, syscall.ECONNREFUSED) {
-			t.Errorf("dialled the dead: %v", err)
+			t.Errorf("dialled an ended process: %v", err)
 		}
 		b = b.Host.Start(t.Context(), "p")
 		ln = b.Listen()
-		b.Open(nil)
-		c, _ = dialled(t, a, ln)
-		b.Host.Dark(true)
+		b.Register(nil)
+		c, _ = dialPair(t, a, ln)
+		b.Host.SetPowerOff(true)
 		b.Kill()
 		for _, f := range []func(time.Time) error{
 			func(d time.Time) error {
@@ -168,43 +168,43 @@
 				return err
 			},
 			func(d time.Time) error {
-				cx, end := context.WithDeadline(t.Context(), d)
-				defer end()
-				_, err := a.Dial(cx, "b:p")
+				callCtx, cancel := context.WithDeadline(t.Context(), d)
+				defer cancel()
+				_, err := a.Dial(callCtx, "b:p")
 				return err
 			},
 		} {
 			if err := f(time.Now().Add(time.Second)); !errors.Is(err, os.ErrDeadlineExceeded) {
-				t.Errorf("a dark host is not silent: %v", err)
+				t.Errorf("a host without power is not silent: %v", err)
 			}
 		}
 	})
 }
 
 func TestAFrozenProcessReadsLater(t *testing.T) {
-	pair(t, func(t *testing.T, _ *Net, a, b *Proc, ln *Listener) {
-		c, d := dialled(t, a, ln)
+	withPair(t, func(t *testing.T, _ *Net, a, b *Proc, ln *Listener) {
+		c, d := dialPair(t, a, ln)
 		b.Host.Freeze()
-		say(t, c, "x")
+		writeText(t, c, "x")
 		at := time.Now()
 		time.AfterFunc(time.Second, b.Host.Thaw)
-		hear(t, d, "x")
+		expectText(t, d, "x")
 		if took := time.Since(at); took != time.Second {
 			t.Errorf("read %v into a freeze of 1 s", took)
 		}
 		at = time.Now()
 		b.Host.Freeze()
 		time.AfterFunc(time.Second, b.Host.Thaw)
-		if err := (Clock{P: b}).Sleep(t.Context(), time.Millisecond); err != nil || time.Since(at) != time.Second {
+		if err := (Clock{Proc: b}).Sleep(t.Context(), time.Millisecond); err != nil || time.Since(at) != time.Second {
 			t.Errorf("slept %v: %v", time.Since(at), err)
 		}
 	})
 }
 
-// Whoever looks through the descriptor sees whether a connection is still quiet.
+// Code that peeks through the descriptor must see whether a connection is idle.
 func TestTheDescriptorShowsQuiet(t *testing.T) {
-	pair(t, func(t *testing.T, _ *Net, a, _ *Proc, ln *Listener) {
-		c, d := dialled(t, a, ln)
+	withPair(t, func(t *testing.T, _ *Net, a, _ *Proc, ln *Listener) {
+		c, d := dialPair(t, a, ln)
 		quiet := func() (q bool) {
 			r, err := c.(syscall.Conn).SyscallConn()
 			if err != nil {
@@ -222,12 +222,12 @@
 		if !quiet() {
 			t.Error("not quiet at first")
 		}
-		say(t, d, "x")
+		writeText(t, d, "x")
 		time.Sleep(10 * time.Millisecond)
 		if quiet() {
 			t.Error("quiet with a byte to read")
 		}
-		hear(t, c, "x")
+		expectText(t, c, "x")
 		if !quiet() {
 			t.Error("not quiet again")
 		}
@@ -240,35 +240,35 @@
 }
 
 func TestAQuestionGoesThereAndBack(t *testing.T) {
-	pair(t, func(t *testing.T, n *Net, a, b *Proc, _ *Listener) {
+	withPair(t, func(t *testing.T, n *Net, a, b *Proc, _ *Listener) {
 		ask := func() (int, error) {
-			cx, end := context.WithTimeout(t.Context(), time.Second)
-			defer end()
-			return Do(cx, a, "b:p", func(context.Context, *Proc) (int, error) { return 7, nil })
+			callCtx, cancel := context.WithTimeout(t.Context(), time.Second)
+			defer cancel()
+			return RemoteCall(callCtx, a, "b:p", func(context.Context, *Proc) (int, error) { return 7, nil })
 		}
 		if v, err := ask(); v != 7 || err != nil {
 			t.Errorf("%d, %v", v, err)
 		}
-		for _, way := range [][2]string{{"a", "b"}, {"b", "a"}} {
-			mend := n.Cut(way[0], way[1])
+		for _, direction := range [][2]string{{"a", "b"}, {"b", "a"}} {
+			restore := n.Cut(direction[0], direction[1])
 			if _, err := ask(); !errors.Is(err, context.DeadlineExceeded) {
 				t.Errorf("through a cut: %v", err)
 			}
-			mend()
+			restore()
 		}
 		b.Host.Freeze()
 		if _, err := ask(); !errors.Is(err, context.DeadlineExceeded) {
 			t.Errorf("answered while frozen: %v", err)
 		}
 		b.Host.Thaw()
-		a.Host.Lose(1)
+		a.Host.SetLossRate(1)
 		if _, err := ask(); !errors.Is(err, context.DeadlineExceeded) {
-			t.Errorf("answered though all is lost: %v", err)
+			t.Errorf("answered though all messages are lost: %v", err)
 		}
-		a.Host.Lose(0)
+		a.Host.SetLossRate(0)
 		b.Kill()
 		if _, err := ask(); !errors.Is(err, syscall.ECONNREFUSED) {
-			t.Errorf("the dead answered: %v", err)
+			t.Errorf("an ended process answered: %v", err)
 		}
 	})
 }
--- a/internal/sim/simnet/disk.go
+++ b/internal/sim/simnet/disk.go
@@ -13,46 +13,47 @@
 )
 
 var (
-	errDead = errors.New("process ended")
-	errDisk = errors.New("input/output error")
+	errProcessEnded = errors.New("process ended")
+	errIO           = errors.New("input/output error")
 )
 
-// Disk outlives the processes on its host. What was synced lasts until it is wiped; what
-// a killed process was syncing is torn. Dir has files that nobody syncs; "" is none.
+// Disk is a simulated disk that outlives the processes on its host. Synced data lasts until
+// the disk is wiped; a sync during which the process is killed is torn. Dir holds files that
+// are never synced; "" means that there are none.
 type Disk struct {
 	Dir string
 
-	mu          sync.Mutex
-	rnd         *rand.Rand
-	synced      map[string][]byte
-	least, most time.Duration
-	fails       bool
+	mu               sync.Mutex
+	rng              *rand.Rand
+	synced           map[string][]byte
+	minSync, maxSync time.Duration
+	failing          bool
 }
 
-// NewDisk makes an empty disk.
+// NewDisk returns an empty disk whose syncs take 0.2 to 3 ms.
 func NewDisk(rnd *rand.Rand, dir string) *Disk {
-	return &Disk{Dir: dir, rnd: rnd, synced: map[string][]byte{}, least: 200 * time.Microsecond, most: 3 * time.Millisecond}
+	return &Disk{Dir: dir, rng: rnd, synced: map[string][]byte{}, minSync: 200 * time.Microsecond, maxSync: 3 * time.Millisecond}
 }
 
-// Pace sets how long a sync takes.
-func (d *Disk) Pace(least, most time.Duration) {
+// SetSyncTime sets the bounds of the duration of a sync.
+func (d *Disk) SetSyncTime(minSync, maxSync time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.least, d.most = least, most
+	d.minSync, d.maxSync = minSync, maxSync
 }
 
-// Refuse makes every sync fail, or ends that.
-func (d *Disk) Refuse(on bool) {
+// SetFailing makes every sync fail, or ends that.
+func (d *Disk) SetFailing(on bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.fails = on
+	d.failing = on
 }
 
-// Refuses tells whether every sync fails now.
-func (d *Disk) Refuses() bool {
+// Failing reports whether every sync fails now.
+func (d *Disk) Failing() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.fails
+	return d.failing
 }
 
 // Wipe empties the disk. No process may be using it.
@@ -60,15 +61,15 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.synced = map[string][]byte{}
-	return d.files(os.Remove)
+	return d.eachFile(os.Remove)
 }
 
-// PowerLoss takes from each file that nobody synced nothing, its end, or all.
+// PowerLoss truncates each unsynced file: to nothing, to a random length, or not at all.
 func (d *Disk) PowerLoss() error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.files(func(path string) error {
-		switch d.rnd.IntN(3) {
+	return d.eachFile(func(path string) error {
+		switch d.rng.IntN(3) {
 		case 0:
 			return os.Truncate(path, 0)
 		case 1:
@@ -76,14 +77,14 @@
 			if err != nil {
 				return err
 			}
-			return os.Truncate(path, d.rnd.Int64N(i.Size()+1))
+			return os.Truncate(path, d.rng.Int64N(i.Size()+1))
 		}
 		return nil
 	})
 }
 
-// Holds tells whether a text stands in what was synced.
-func (d *Disk) Holds(text string) bool {
+// Contains reports whether text occurs in a synced key or value.
+func (d *Disk) Contains(text string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for k, v := range d.synced {
@@ -94,7 +95,7 @@
 	return false
 }
 
-func (d *Disk) files(f func(string) error) error {
+func (d *Disk) eachFile(f func(string) error) error {
 	if d.Dir == "" {
 		return nil
 	}
@@ -105,45 +106,46 @@
 	return err
 }
 
-// Handle is one process's use of a disk.
+// Handle is one process's handle of a disk.
 type Handle struct {
-	D *Disk
-	P *Proc
-	// Calm is set while the process starts: its first sync takes no time, for the world
-	// waits for it.
-	Calm bool
+	Disk *Disk
+	Proc *Proc
+	// SkipDelay is set while the process starts: its first sync then takes no time, because
+	// the whole simulation waits for it.
+	SkipDelay bool
 }
 
-// Load reads what was synced.
+// Load returns a copy of what was synced.
 func (x *Handle) Load() (map[string][]byte, error) {
-	x.D.mu.Lock()
-	defer x.D.mu.Unlock()
+	x.Disk.mu.Lock()
+	defer x.Disk.mu.Unlock()
 	out := map[string][]byte{}
-	for k, v := range x.D.synced {
+	for k, v := range x.Disk.synced {
 		out[k] = bytes.Clone(v)
 	}
 	return out, nil
 }
 
-// Commit syncs puts.
+// Commit syncs puts. If the process is killed meanwhile, only a random prefix of them is
+// written.
 func (x *Handle) Commit(puts []storage.Put) error {
-	d := x.D
-	if !x.Calm {
+	d := x.Disk
+	if !x.SkipDelay {
 		d.mu.Lock()
-		t := d.least + time.Duration(d.rnd.Int64N(int64(d.most-d.least)+1))
+		t := d.minSync + time.Duration(d.rng.Int64N(int64(d.maxSync-d.minSync)+1))
 		d.mu.Unlock()
-		x.P.Awake()
+		x.Proc.WaitThawed()
 		time.Sleep(t)
-		x.P.Awake()
+		x.Proc.WaitThawed()
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.fails {
-		return errDisk
+	if d.failing {
+		return errIO
 	}
-	dead := x.P.Dead()
+	dead := x.Proc.Ended()
 	for _, p := range puts {
-		if dead && d.rnd.IntN(2) == 0 {
+		if dead && d.rng.IntN(2) == 0 {
 			break
 		}
 		if p.Value == nil {
@@ -153,10 +155,10 @@
 		}
 	}
 	if dead {
-		return errDead
+		return errProcessEnded
 	}
 	return nil
 }
 
-// Close ends the use.
+// Close releases the handle; it does nothing.
 func (x *Handle) Close() error { return nil }
--- a/internal/sim/simnet/disk_test.go
+++ b/internal/sim/simnet/disk_test.go
@@ -18,44 +18,44 @@
 		h := New(1, time.Millisecond, 2*time.Millisecond, 0).Host("a", "z")
 		d := NewDisk(rand.New(rand.NewPCG(1, 1)), dir)
 		p := h.Start(t.Context(), "p")
-		x := &Handle{D: d, P: p}
+		x := &Handle{Disk: d, Proc: p}
 		at := time.Now()
 		if err := x.Commit([]storage.Put{{Key: "k", Value: []byte("v")}}); err != nil || time.Since(at) < 200*time.Microsecond {
 			t.Errorf("synced in %v: %v", time.Since(at), err)
 		}
-		d.Refuse(true)
-		if err := x.Commit([]storage.Put{{Key: "k", Value: []byte("w")}}); !errors.Is(err, errDisk) {
+		d.SetFailing(true)
+		if err := x.Commit([]storage.Put{{Key: "k", Value: []byte("w")}}); !errors.Is(err, errIO) {
 			t.Errorf("%v", err)
 		}
-		d.Refuse(false)
-		// A process that ends in the middle leaves the first ones or none.
+		d.SetFailing(false)
+		// A process that is killed during a sync leaves a prefix of the puts.
 		torn := 0
 		for range 50 {
 			p = h.Start(t.Context(), "p")
-			x = &Handle{D: d, P: p, Calm: true}
+			x = &Handle{Disk: d, Proc: p, SkipDelay: true}
 			if err := x.Commit([]storage.Put{{Key: "a"}, {Key: "b"}}); err != nil {
 				t.Fatal(err)
 			}
-			x.Calm = false
+			x.SkipDelay = false
 			done := make(chan error)
 			go func() {
 				done <- x.Commit([]storage.Put{{Key: "a", Value: []byte("1")}, {Key: "b", Value: []byte("1")}})
 			}()
 			synctest.Wait()
 			p.Kill()
-			if err := <-done; !errors.Is(err, errDead) {
+			if err := <-done; !errors.Is(err, errProcessEnded) {
 				t.Fatal(err)
 			}
 			m, _ := x.Load()
 			if m["b"] != nil && m["a"] == nil {
-				t.Fatal("the second is there without the first")
+				t.Fatal("the second put was written without the first")
 			}
 			if m["a"] != nil && m["b"] == nil {
 				torn++
 			}
 		}
 		if torn == 0 {
-			t.Error("nothing was ever torn")
+			t.Error("no sync was torn")
 		}
 		if m, _ := x.Load(); string(m["k"]) != "v" {
 			t.Errorf("%q was kept", m["k"])
--- a/internal/sim/simnet/host.go
+++ b/internal/sim/simnet/host.go
@@ -5,22 +5,22 @@
 	"time"
 )
 
-// Host is a machine. Processes run on it; it can freeze, be slow, lose messages and be
-// without power.
+// Host is a simulated machine on which processes run. It can be frozen, slowed down, made to
+// lose messages, and powered off.
 type Host struct {
 	ID, Zone string
 	net      *Net
 
-	mu    sync.Mutex
-	procs map[string]*Proc
-	ice   chan struct{} // closed on thaw; nil while not frozen
-	dark  bool          // without power: nothing answers, not even a refusal
-	slow  time.Duration // added to every way from or to it
-	loss  float64
-	reset chan struct{} // closed at the next reset of its connections
+	mu       sync.Mutex
+	procs    map[string]*Proc
+	thawed   chan struct{} // closed on thaw; nil while not frozen
+	powerOff bool          // nothing answers, not even with a refusal
+	latency  time.Duration // added to each message to or from the host
+	lossRate float64
+	reset    chan struct{} // closed at the next reset of its connections
 }
 
-// Host adds a machine.
+// Host adds a machine to the network.
 func (n *Net) Host(id, zone string) *Host {
 	h := &Host{ID: id, Zone: zone, net: n, procs: map[string]*Proc{}, reset: make(chan struct{})}
 	n.mu.Lock()
@@ -29,73 +29,73 @@
 	return h
 }
 
-func (h *Host) lag() time.Duration {
+func (h *Host) extraLatency() time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.slow
+	return h.latency
 }
 
-func (h *Host) lossy() float64 {
+func (h *Host) currentLossRate() float64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.loss
+	return h.lossRate
 }
 
 func (h *Host) powered() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return !h.dark
+	return !h.powerOff
 }
 
-// Slow adds d to every way from and to the host; 0 ends it.
-func (h *Host) Slow(d time.Duration) {
+// SetExtraLatency adds d to the delay of each message to or from the host; 0 ends it.
+func (h *Host) SetExtraLatency(d time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.slow = d
+	h.latency = d
 }
 
-// Lose makes a share of all messages from and to the host vanish.
-func (h *Host) Lose(share float64) {
+// SetLossRate makes the given share of all messages to or from the host get lost.
+func (h *Host) SetLossRate(share float64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.loss = share
+	h.lossRate = share
 }
 
-// Dark takes the host's power away, or gives it back.
-func (h *Host) Dark(on bool) {
+// SetPowerOff switches the host's power off or on.
+func (h *Host) SetPowerOff(on bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.dark = on
+	h.powerOff = on
 }
 
-// Freeze stops all processes of the host in their tracks.
+// Freeze suspends all processes of the host.
 func (h *Host) Freeze() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.ice == nil {
-		h.ice = make(chan struct{})
+	if h.thawed == nil {
+		h.thawed = make(chan struct{})
 	}
 }
 
-// Thaw lets them go on.
+// Thaw resumes them.
 func (h *Host) Thaw() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.ice != nil {
-		close(h.ice)
-		h.ice = nil
+	if h.thawed != nil {
+		close(h.thawed)
+		h.thawed = nil
 	}
 }
 
-// nextReset is closed when the host's connections are reset next.
-func (h *Host) nextReset() <-chan struct{} {
+// resetSignal returns a channel that is closed when the host's connections are reset next.
+func (h *Host) resetSignal() <-chan struct{} {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.reset
 }
 
-// Reset resets all connections of the host, those of questions under way among them: who asked is told
-// so at once, and a question that had arrived may have been carried out.
+// Reset resets all connections of the host, including those of pending requests: the caller
+// gets an error at once, and a request that had arrived may have been executed.
 func (h *Host) Reset() {
 	h.mu.Lock()
 	close(h.reset)
@@ -106,7 +106,7 @@
 	}
 	h.mu.Unlock()
 	for _, p := range ps {
-		for _, c := range p.open() {
+		for _, c := range p.openConns() {
 			c.Abort()
 		}
 	}
--- a/internal/sim/simnet/line.go
+++ b/internal/sim/simnet/line.go
@@ -7,29 +7,30 @@
 	"walkrudder/internal/link"
 )
 
-// Line is a process's end of the links between walkrudder's own nodes.
-type Line struct{ P *Proc }
+// LinkClient is a process's client side of the links between the gateway's own nodes.
+type LinkClient struct{ Proc *Proc }
 
-// Call asks the process at addr; question and answer are copied as on a real link.
-func (l Line) Call(ctx context.Context, addr string, ask any) (any, error) {
-	n := l.P.Host.net
-	ask, err := n.codecs.Through(ask)
+// Call sends a request to the process at addr; request and answer are copied through gob as
+// on a real link.
+func (l LinkClient) Call(ctx context.Context, addr string, ask any) (any, error) {
+	n := l.Proc.Host.net
+	ask, err := n.codecs.RoundTrip(ask)
 	if err != nil {
 		return nil, err
 	}
-	return Do(ctx, l.P, addr, func(cx context.Context, p *Proc) (any, error) {
-		v, err := p.desk.Answer(cx, link.Who{ID: l.P.Host.ID}, ask)
+	return RemoteCall(ctx, l.Proc, addr, func(callCtx context.Context, p *Proc) (any, error) {
+		v, err := p.handler.Answer(callCtx, link.Who{ID: l.Proc.Host.ID}, ask)
 		if err == nil {
-			v, err = n.codecs.Through(v)
+			v, err = n.codecs.RoundTrip(v)
 		}
 		return v, err
 	})
 }
 
-// Traffic is how many questions and answers of each type have travelled until now, and
-// how many bytes they took.
+// Traffic returns how many requests and answers of each type were sent so far, and their
+// total size in bytes.
 func (n *Net) Traffic() (kinds map[string]int, bytes int) {
 	n.codecs.mu.Lock()
 	defer n.codecs.mu.Unlock()
-	return maps.Clone(n.codecs.kinds), n.codecs.bytes
+	return maps.Clone(n.codecs.counts), n.codecs.bytes
 }
--- a/internal/sim/simnet/listener.go
+++ b/internal/sim/simnet/listener.go
@@ -5,31 +5,31 @@
 	"sync"
 )
 
-// Listener takes connections of one process.
+// Listener accepts the connections of one process.
 type Listener struct {
-	p    *Proc
-	mu   sync.Mutex
-	list []*Conn
-	shut bool
-	wake chan struct{}
+	proc    *Proc
+	mu      sync.Mutex
+	pending []*Conn
+	closed  bool
+	wake    chan struct{}
 }
 
 // Listen opens the process's listener.
 func (p *Proc) Listen() *Listener {
-	l := &Listener{p: p, wake: make(chan struct{})}
+	l := &Listener{proc: p, wake: make(chan struct{})}
 	p.mu.Lock()
 	p.ln = l
 	p.mu.Unlock()
 	return l
 }
 
-func (l *Listener) push(c *Conn) bool {
+func (l *Listener) enqueue(c *Conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.shut {
+	if l.closed {
 		return false
 	}
-	l.list = append(l.list, c)
+	l.pending = append(l.pending, c)
 	close(l.wake)
 	l.wake = make(chan struct{})
 	return true
@@ -38,15 +38,15 @@
 // Accept waits for a connection.
 func (l *Listener) Accept() (net.Conn, error) {
 	for {
-		l.p.Awake()
+		l.proc.WaitThawed()
 		l.mu.Lock()
-		if l.shut {
+		if l.closed {
 			l.mu.Unlock()
 			return nil, &net.OpError{Op: "accept", Net: "tcp", Err: net.ErrClosed}
 		}
-		if len(l.list) > 0 {
-			c := l.list[0]
-			l.list = l.list[1:]
+		if len(l.pending) > 0 {
+			c := l.pending[0]
+			l.pending = l.pending[1:]
 			l.mu.Unlock()
 			return c, nil
 		}
@@ -56,20 +56,20 @@
 	}
 }
 
-// Close ends the listening; who was not accepted is reset.
+// Close closes the listener and resets connections that were not accepted yet.
 func (l *Listener) Close() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !l.shut {
-		l.shut = true
+	if !l.closed {
+		l.closed = true
 		close(l.wake)
-		for _, c := range l.list {
+		for _, c := range l.pending {
 			c.Abort()
 		}
-		l.list = nil
+		l.pending = nil
 	}
 	return nil
 }
 
-// Addr is the address of the process.
-func (l *Listener) Addr() net.Addr { return address(l.p.Addr) }
+// Addr returns the address of the process.
+func (l *Listener) Addr() net.Addr { return address(l.proc.Addr) }
--- a/internal/sim/simnet/net.go
+++ b/internal/sim/simnet/net.go
@@ -1,7 +1,7 @@
-// Package simnet is the network and the machines of simulated worlds (design 15): hosts
-// with processes that can be killed, frozen and cut off, questions and byte streams
-// between them, and disks that outlive processes. All time is the bubble's of
-// testing/synctest; every delay and loss is drawn from a seed.
+// Package simnet simulates the network and the machines of a deployment (design 15): hosts
+// whose processes can be killed, frozen and cut off, requests and byte streams between them,
+// and disks that outlive processes. All time is the virtual time of a testing/synctest
+// bubble; every delay and loss is drawn from a seed.
 package simnet
 
 import (
@@ -12,64 +12,65 @@
 	"time"
 )
 
-// retransmit is the pause after which what did not get through is sent once more.
+// retransmit is the interval at which a segment or a dial that did not get through is retried.
 const retransmit = 200 * time.Millisecond
 
-// Net joins the hosts of a world.
+// Net connects the hosts of a simulation.
 type Net struct {
 	seed   uint64
-	codecs Codecs
+	codecs CodecPool
 
 	mu    sync.Mutex
-	ways  map[[2]string]*rand.Rand // each way has its own chance
+	rngs  map[[2]string]*rand.Rand // one generator per direction between two hosts
 	hosts map[string]*Host
 	procs map[string]*Proc // by address
 	cuts  map[[2]string]int
-	// A way takes from least to most, and far more between two zones.
-	least, most, far time.Duration
+	// A message takes minDelay to maxDelay, and crossZoneDelay more between two zones.
+	minDelay, maxDelay, crossZoneDelay time.Duration
 }
 
-// New makes a network on which a message takes from least to most, and far more between
-// two zones.
-func New(seed uint64, least, most, far time.Duration) *Net {
-	return &Net{seed: seed, ways: map[[2]string]*rand.Rand{}, hosts: map[string]*Host{}, procs: map[string]*Proc{}, cuts: map[[2]string]int{}, least: least, most: most, far: far}
+// New returns a network on which a message takes minDelay to maxDelay, and crossZoneDelay
+// more between two zones.
+func New(seed uint64, minDelay, maxDelay, crossZoneDelay time.Duration) *Net {
+	return &Net{seed: seed, rngs: map[[2]string]*rand.Rand{}, hosts: map[string]*Host{}, procs: map[string]*Proc{}, cuts: map[[2]string]int{}, minDelay: minDelay, maxDelay: maxDelay, crossZoneDelay: crossZoneDelay}
 }
 
-// way is the chance of one way. Under mu.
-func (n *Net) way(from, to string) *rand.Rand {
+// rng returns the random generator of one direction. n.mu must be held.
+func (n *Net) rng(from, to string) *rand.Rand {
 	k := [2]string{from, to}
-	r := n.ways[k]
+	r := n.rngs[k]
 	if r == nil {
 		h := fnv.New64a()
 		_, _ = h.Write([]byte(from + ">" + to))
 		r = rand.New(rand.NewPCG(n.seed, h.Sum64()))
-		n.ways[k] = r
+		n.rngs[k] = r
 	}
 	return r
 }
 
-// delay draws one way's time, with what slow hosts add.
+// delay draws the delay of one message, including the extra latency of both hosts.
 func (n *Net) delay(from, to *Host) time.Duration {
 	n.mu.Lock()
-	d := n.least + time.Duration(n.way(from.ID, to.ID).Int64N(int64(n.most-n.least)+1))
+	d := n.minDelay + time.Duration(n.rng(from.ID, to.ID).Int64N(int64(n.maxDelay-n.minDelay)+1))
 	n.mu.Unlock()
 	if from.Zone != to.Zone {
-		d += n.far
+		d += n.crossZoneDelay
 	}
-	return d + from.lag() + to.lag()
+	return d + from.extraLatency() + to.extraLatency()
 }
 
-// passes tells whether a message gets through now: neither cut nor lost.
-func (n *Net) passes(from, to *Host) bool {
-	loss := max(from.lossy(), to.lossy())
+// delivers reports whether a message gets through now: the direction is not cut, and the
+// message is not drawn as lost.
+func (n *Net) delivers(from, to *Host) bool {
+	loss := max(from.currentLossRate(), to.currentLossRate())
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.cuts[[2]string{from.ID, to.ID}] == 0 && (loss == 0 || n.way(from.ID, to.ID).Float64() >= loss)
+	return n.cuts[[2]string{from.ID, to.ID}] == 0 && (loss == 0 || n.rng(from.ID, to.ID).Float64() >= loss)
 }
 
-// Cut breaks the way from one host to another, and the function that it returns mends
-// it. A way that was cut twice is whole when both are mended.
-func (n *Net) Cut(from, to string) (mend func()) {
+// Cut cuts the direction from one host to another. The returned function undoes it; a
+// direction that was cut twice is open again once both cuts are undone.
+func (n *Net) Cut(from, to string) (restore func()) {
 	k := [2]string{from, to}
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -83,36 +84,36 @@
 	})
 }
 
-// Between cuts every way between two groups, both ways or only from a to b.
-func (n *Net) Between(a, b []string, both bool) (mend func()) {
-	var ms []func()
+// CutGroups cuts every connection between two groups, in both directions or only from a to b.
+func (n *Net) CutGroups(a, b []string, both bool) (restore func()) {
+	var restores []func()
 	for _, x := range a {
 		for _, y := range b {
 			if x == y {
 				continue
 			}
-			ms = append(ms, n.Cut(x, y))
+			restores = append(restores, n.Cut(x, y))
 			if both {
-				ms = append(ms, n.Cut(y, x))
+				restores = append(restores, n.Cut(y, x))
 			}
 		}
 	}
 	return func() {
-		for _, m := range ms {
+		for _, m := range restores {
 			m()
 		}
 	}
 }
 
-// Open tells whether the way from one host to another is not cut.
-func (n *Net) Open(from, to string) bool {
+// Connected reports whether the direction from one host to another is not cut.
+func (n *Net) Connected(from, to string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.cuts[[2]string{from, to}] == 0
 }
 
-// proc is the process that answers at an address, and the host there.
-func (n *Net) proc(addr string) (*Proc, *Host) {
+// lookup returns the process registered at an address, if any, and its host.
+func (n *Net) lookup(addr string) (*Proc, *Host) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if p := n.procs[addr]; p != nil {
@@ -121,7 +122,7 @@
 	return nil, n.hosts[hostOf(addr)]
 }
 
-// Addr is the address of a host's process; one without a name has that of its host.
+// Addr returns the address of a host's process; a process without a name has the host's.
 func Addr(host, name string) string {
 	if name == "" {
 		return host
@@ -138,79 +139,79 @@
 	return addr
 }
 
-// Do runs f at the process that answers at addr, as a question that goes there and whose
-// answer comes back. What is lost is noticed only by ctx; f gets a context that ends with
-// the process, and with ctx's own deadline.
-func Do[T any](ctx context.Context, from *Proc, addr string, f func(context.Context, *Proc) (T, error)) (T, error) {
+// RemoteCall runs f at the process registered at addr, as a request that travels there and
+// whose answer travels back. The caller notices a lost message only when ctx ends or after
+// 5 s. The context of f ends with the process or at ctx's deadline.
+func RemoteCall[T any](ctx context.Context, from *Proc, addr string, f func(context.Context, *Proc) (T, error)) (T, error) {
 	var zero T
-	from.Awake()
+	from.WaitThawed()
 	if err := from.ctx.Err(); err != nil {
 		return zero, err
 	}
-	type told struct {
+	type callResult struct {
 		v   T
 		err error
 	}
 	n := from.Host.net
-	back := make(chan told, 1)
-	own, peer := from.Host.nextReset(), (<-chan struct{})(nil)
-	if _, h := n.proc(addr); h != nil {
-		peer = h.nextReset()
+	results := make(chan callResult, 1)
+	localReset, peerReset := from.Host.resetSignal(), (<-chan struct{})(nil)
+	if _, h := n.lookup(addr); h != nil {
+		peerReset = h.resetSignal()
 	}
 	go func() {
-		_, h := n.proc(addr)
+		_, h := n.lookup(addr)
 		if h == nil {
 			return
 		}
 		time.Sleep(n.delay(from.Host, h))
-		if !n.passes(from.Host, h) {
+		if !n.delivers(from.Host, h) {
 			return
 		}
-		var t told
-		switch p, _ := n.proc(addr); {
+		var t callResult
+		switch p, _ := n.lookup(addr); {
 		case p == nil && !h.powered():
 			return
 		case p == nil:
 			t.err = errRefused
 		default:
-			p.Awake()
+			p.WaitThawed()
 			if p.ctx.Err() != nil {
 				return
 			}
-			// The asker's patience travels with the question.
-			cx, end := context.WithCancel(p.ctx)
+			// The caller's deadline applies at the callee, too.
+			callCtx, cancel := context.WithCancel(p.ctx)
 			if d, ok := ctx.Deadline(); ok {
-				cx, end = context.WithDeadline(p.ctx, d)
+				callCtx, cancel = context.WithDeadline(p.ctx, d)
 			}
-			t.v, t.err = f(cx, p)
-			end()
-			p.Awake()
+			t.v, t.err = f(callCtx, p)
+			cancel()
+			p.WaitThawed()
 			if p.ctx.Err() != nil {
 				return
 			}
 		}
-		if time.Sleep(n.delay(h, from.Host)); n.passes(h, from.Host) {
-			back <- t
+		if time.Sleep(n.delay(h, from.Host)); n.delivers(h, from.Host) {
+			results <- t
 		}
 	}()
-	// Nobody waits for ever on a lost message.
+	// A lost message must not block the caller for ever.
 	lost := time.NewTimer(5 * time.Second)
 	defer lost.Stop()
 	select {
-	case t := <-back:
-		from.Awake()
+	case t := <-results:
+		from.WaitThawed()
 		return t.v, t.err
 	case <-ctx.Done():
-		from.Awake()
+		from.WaitThawed()
 		return zero, ctx.Err()
 	case <-lost.C:
-		from.Awake()
+		from.WaitThawed()
 		return zero, context.DeadlineExceeded
-	case <-own:
-		from.Awake()
+	case <-localReset:
+		from.WaitThawed()
 		return zero, errReset
-	case <-peer:
-		from.Awake()
+	case <-peerReset:
+		from.WaitThawed()
 		return zero, errReset
 	case <-from.ctx.Done():
 		return zero, from.ctx.Err()
--- a/internal/sim/simnet/proc.go
+++ b/internal/sim/simnet/proc.go
@@ -7,51 +7,51 @@
 	"walkrudder/internal/link"
 )
 
-// Proc is one life of a process.
+// Proc is one run of a process.
 type Proc struct {
-	Host *Host
-	Addr string
-	name string
-	ctx  context.Context
-	end  context.CancelFunc
-	desk *link.Desk
+	Host    *Host
+	Addr    string
+	name    string
+	ctx     context.Context
+	cancel  context.CancelFunc
+	handler *link.Desk
 
 	mu    sync.Mutex
 	conns map[*Conn]struct{}
 	ln    *Listener
 }
 
-// Start begins a process; desk answers questions that come over a Line and may be nil.
-// There is one process of a name at a time.
+// Start starts a process. A host has at most one process of a name at a time.
 func (h *Host) Start(ctx context.Context, name string) *Proc {
 	p := &Proc{Host: h, Addr: Addr(h.ID, name), name: name, conns: map[*Conn]struct{}{}}
-	p.ctx, p.end = context.WithCancel(ctx)
+	p.ctx, p.cancel = context.WithCancel(ctx)
 	h.mu.Lock()
 	h.procs[name] = p
 	h.mu.Unlock()
 	return p
 }
 
-// Open lets the process be found under its address.
-func (p *Proc) Open(desk *link.Desk) {
-	p.desk = desk
+// Register makes the process reachable at its address. handler answers the requests of a
+// LinkClient and may be nil.
+func (p *Proc) Register(handler *link.Desk) {
+	p.handler = handler
 	n := p.Host.net
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.procs[p.Addr] = p
 }
 
-// Context ends with the process.
+// Context returns a context that ends with the process.
 func (p *Proc) Context() context.Context { return p.ctx }
 
-// Dead tells whether the process has ended.
-func (p *Proc) Dead() bool { return p.ctx.Err() != nil }
+// Ended reports whether the process has ended.
+func (p *Proc) Ended() bool { return p.ctx.Err() != nil }
 
-// Kill ends the process. Its connections are reset; on a host without power nobody is
-// told.
+// Kill ends the process and resets its connections. If the host has no power, the peers are
+// not notified.
 func (p *Proc) Kill() {
 	n, h := p.Host.net, p.Host
-	p.end()
+	p.cancel()
 	n.mu.Lock()
 	if n.procs[p.Addr] == p {
 		delete(n.procs, p.Addr)
@@ -68,12 +68,12 @@
 	if ln != nil {
 		_ = ln.Close()
 	}
-	for _, c := range p.open() {
+	for _, c := range p.openConns() {
 		c.Abort()
 	}
 }
 
-func (p *Proc) open() []*Conn {
+func (p *Proc) openConns() []*Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	out := make([]*Conn, 0, len(p.conns))
@@ -83,11 +83,11 @@
 	return out
 }
 
-// Awake waits while the host is frozen, unless the process has ended.
-func (p *Proc) Awake() {
+// WaitThawed blocks while the host is frozen, unless the process has ended.
+func (p *Proc) WaitThawed() {
 	for p.ctx.Err() == nil {
 		p.Host.mu.Lock()
-		ice := p.Host.ice
+		ice := p.Host.thawed
 		p.Host.mu.Unlock()
 		if ice == nil {
 			return
--- a/internal/sim/simnet/raw.go
+++ b/internal/sim/simnet/raw.go
@@ -6,10 +6,10 @@
 	"syscall"
 )
 
-// sockets are two real ones: at the first there is nothing to read, at the second there
-// is. Whoever looks at a simulated connection through its descriptor, to see whether it
-// is still quiet, is shown one of them. Nothing is ever read from either.
-var sockets = sync.OnceValues(func() (fds [2]int, err error) {
+// probeSockets are two real sockets: the first has nothing to read, the second has. Code that
+// peeks at the descriptor of a simulated connection, to see whether the connection is idle,
+// is given one of them. Nothing is ever read from either.
+var probeSockets = sync.OnceValues(func() (fds [2]int, err error) {
 	for i := range fds {
 		p, err := syscall.Socketpair(syscall.AF_UNIX, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 		if err != nil {
@@ -24,29 +24,29 @@
 	return fds, nil
 })
 
-// raw is the descriptor of a simulated connection.
-type raw struct{ c *Conn }
+// rawConn is the syscall.RawConn of a simulated connection.
+type rawConn struct{ c *Conn }
 
-// SyscallConn gives the descriptor, good for looking only.
-func (c *Conn) SyscallConn() (syscall.RawConn, error) { return raw{c}, nil }
+// SyscallConn returns a descriptor that may only be peeked at.
+func (c *Conn) SyscallConn() (syscall.RawConn, error) { return rawConn{c}, nil }
 
-var errRaw = errors.New("a simulated connection has no descriptor for that")
+var errRawUnsupported = errors.New("operation not supported on the descriptor of a simulated connection")
 
-// Control is not there.
-func (raw) Control(func(uintptr)) error { return errRaw }
+// Control is not supported.
+func (rawConn) Control(func(uintptr)) error { return errRawUnsupported }
 
-// Write is not there.
-func (raw) Write(func(uintptr) bool) error { return errRaw }
+// Write is not supported.
+func (rawConn) Write(func(uintptr) bool) error { return errRawUnsupported }
 
-// Read shows f one of the sockets.
-func (r raw) Read(f func(uintptr) bool) error {
-	fds, err := sockets()
+// Read passes one of the probe sockets to f.
+func (r rawConn) Read(f func(uintptr) bool) error {
+	fds, err := probeSockets()
 	if err != nil {
 		return err
 	}
 	r.c.mu.Lock()
 	i := 0
-	if r.c.fin || r.c.err != nil || r.c.closed || len(r.c.in) > 0 {
+	if r.c.fin || r.c.err != nil || r.c.closed || len(r.c.recvBuf) > 0 {
 		i = 1
 	}
 	r.c.mu.Unlock()
--- a/internal/sim/slow_test.go
+++ b/internal/sim/slow_test.go
@@ -6,37 +6,37 @@
 	"time"
 )
 
-// One slow disk of three slows nobody down, whatever befell the others before:
-// they are a majority.
+// One slow disk of three must not slow down or fail any call, whatever happened to another disk
+// before: the other two are a majority.
 func TestSlowDiskRefusesNobody(t *testing.T) {
 	t.Parallel()
 	for name, before := range map[string]func(*World, *Node){
 		"nothing":      func(*World, *Node) {},
-		"planned stop": func(w *World, n *Node) { n.Retire(); n.Start() },
-		"failed sync":  func(w *World, n *Node) { n.Disk.Fail() },
+		"planned stop": func(w *World, n *Node) { n.GracefulStop(); n.Start() },
+		"failed sync":  func(w *World, n *Node) { n.Disk.FailNextSync() },
 		"killed":       func(w *World, n *Node) { n.Kill(); time.Sleep(time.Second); n.Start() },
 		"lost":         func(w *World, n *Node) { n.Kill(); n.Disk.Wipe(); time.Sleep(time.Second); n.Start() },
 	} {
 		t.Run(name, func(t *testing.T) {
-			raised(t, func(ctx context.Context, w *World) {
-				w.Go(w.Platform)
-				cx, end := context.WithTimeout(ctx, 16*time.Second)
-				defer end()
+			withWorld(t, func(ctx context.Context, w *World) {
+				w.Go(w.PollReadiness)
+				callCtx, cancel := context.WithTimeout(ctx, 16*time.Second)
+				defer cancel()
 				done := make(chan struct{})
-				go func() { w.Callers(cx, 40); close(done) }()
+				go func() { w.RunCallers(callCtx, 40); close(done) }()
 				time.Sleep(time.Second)
 				before(w, w.Node("m3"))
 				time.Sleep(6 * time.Second)
 				from := time.Now()
-				w.Node("m1").Disk.Pace(50*time.Millisecond, 400*time.Millisecond)
+				w.Node("m1").Disk.SetSyncTime(50*time.Millisecond, 400*time.Millisecond)
 				<-done
-				bad, slow := len(w.Rec.Failed(from)), time.Duration(0)
-				for _, o := range w.Rec.Outcomes {
+				bad, slow := len(w.Records.Failed(from)), time.Duration(0)
+				for _, o := range w.Records.Outcomes {
 					if !o.Sent.Before(from) {
 						slow = max(slow, o.Done.Sub(o.Sent))
 					}
 				}
-				if v := w.Rec.Check(); bad > 0 || len(v.Broken) > 0 || v.Successes < 300 || slow > 700*time.Millisecond {
+				if v := w.Records.Check(); bad > 0 || len(v.Broken) > 0 || v.Successes < 300 || slow > 700*time.Millisecond {
 					t.Errorf("%d calls failed, the slowest took %s, %v %v %v", bad, slow, v.Whys, v.Classes, v.Broken)
 				}
 			})
--- a/internal/sim/stop_test.go
+++ b/internal/sim/stop_test.go
@@ -6,29 +6,29 @@
 	"time"
 )
 
-// Every gateway is stopped as planned in turn, with targets that take their time:
-// nothing is cut off, and nobody is refused.
+// Every gateway and controller is stopped as planned in turn, with slow targets: no request may
+// be cut off or refused.
 func TestPlannedStopsCutNothingOff(t *testing.T) {
 	t.Parallel()
-	raised(t, func(ctx context.Context, w *World) {
-		w.Go(w.Platform)
+	withWorld(t, func(ctx context.Context, w *World) {
+		w.Go(w.PollReadiness)
 		for _, x := range w.Targets {
-			x.Lag(500 * time.Millisecond)
+			x.SetExtraWork(500 * time.Millisecond)
 		}
-		cx, end := context.WithCancel(ctx)
+		callCtx, cancel := context.WithCancel(ctx)
 		done := make(chan struct{})
-		go func() { w.Callers(cx, 8); close(done) }()
+		go func() { w.RunCallers(callCtx, 8); close(done) }()
 		time.Sleep(2 * time.Second)
-		for _, n := range append(w.Of("gateway"), w.Of("controller")...) {
-			n.Retire()
+		for _, n := range append(w.NodesOfKind("gateway"), w.NodesOfKind("controller")...) {
+			n.GracefulStop()
 			time.Sleep(500 * time.Millisecond)
 			n.Start()
 			time.Sleep(1500 * time.Millisecond)
 		}
-		end()
+		cancel()
 		<-done
-		if v := w.Rec.Check(); len(v.Broken) > 0 || len(w.Rec.Failed(time.Time{})) > 0 || v.Successes == 0 || len(w.Rec.Stops) != len(w.Of("gateway")) {
-			t.Errorf("%d stops, %d of %d calls served, %v %v %v", len(w.Rec.Stops), v.Successes, v.Calls, v.Whys, v.Classes, v.Broken)
+		if v := w.Records.Check(); len(v.Broken) > 0 || len(w.Records.Failed(time.Time{})) > 0 || v.Successes == 0 || len(w.Records.Stops) != len(w.NodesOfKind("gateway")) {
+			t.Errorf("%d stops, %d of %d calls served, %v %v %v", len(w.Records.Stops), v.Successes, v.Calls, v.Whys, v.Classes, v.Broken)
 		}
 	})
 }
--- a/internal/sim/suspect_test.go
+++ b/internal/sim/suspect_test.go
@@ -14,17 +14,17 @@
 	"walkrudder/tools/stand"
 )
 
-// mute cuts what a target says off from the nodes named.
-func (w *World) mute(x *Target, nodes ...*Node) {
+// muteTarget cuts the direction from a target to the given nodes.
+func (w *World) muteTarget(x *Target, nodes ...*Node) {
 	for _, n := range nodes {
 		w.Net.Cut(x.ID, n.ID)
 	}
 }
 
-// noted counts the ledger's notes of a kind, about one target or, for nil, about all.
-func (w *World) noted(ctx context.Context, t *testing.T, kind string, x *Target) int {
+// countNotes counts the ledger's notes of a kind, about one target or, for nil, about all.
+func (w *World) countNotes(ctx context.Context, t *testing.T, kind string, x *Target) int {
 	t.Helper()
-	for _, n := range w.Of("controller") {
+	for _, n := range w.NodesOfKind("controller") {
 		if m := n.Controller(); m != nil && !n.Frozen() {
 			p, err := m.Speaker.Asker.Picture(ctx)
 			if err != nil {
@@ -39,9 +39,9 @@
 	return 0
 }
 
-// warden is the controller that holds the duty.
-func (w *World) warden() *Node {
-	for _, n := range w.Of("controller") {
+// wardenHolder returns the controller that holds the warden's duty, nil if none does.
+func (w *World) wardenHolder() *Node {
+	for _, n := range w.NodesOfKind("controller") {
 		if m := n.Controller(); m != nil && m.Tenant.Holds(commands.Duty) {
 			return n
 		}
@@ -49,95 +49,96 @@
 	return nil
 }
 
-// Whoever takes the warden's duty over starts from the ledger: what stands suspected
-// is not noted again, and is noted as trusted once it beats.
+// A controller that takes over the warden's duty must start from the ledger: a target that is
+// suspected already is not noted again, and is noted as trusted once its heartbeats return.
 func TestWardenStartsFromTheLedger(t *testing.T) {
 	t.Parallel()
-	raised(t, func(ctx context.Context, w *World) {
+	withWorld(t, func(ctx context.Context, w *World) {
 		time.Sleep(12 * time.Second)
 		x := w.Targets[1]
-		w.mute(x, w.Nodes...)
+		w.muteTarget(x, w.Nodes...)
 		time.Sleep(8 * time.Second)
-		if n := w.noted(ctx, t, ledger.NoteSuspect, x); n != 1 {
+		if n := w.countNotes(ctx, t, ledger.NoteSuspect, x); n != 1 {
 			t.Fatalf("noted as suspected %d times", n)
 		}
-		// Lost, and regained by whoever comes: twice.
+		// The duty is lost twice, and each time taken over by any other controller.
 		for range 2 {
-			old := w.warden()
+			old := w.wardenHolder()
 			old.Kill()
 			time.Sleep(4 * time.Second)
-			if w.warden() == nil {
+			if w.wardenHolder() == nil {
 				t.Fatal("nobody holds the duty")
 			}
 			old.Start()
 			time.Sleep(time.Second)
 		}
-		if n := w.noted(ctx, t, ledger.NoteSuspect, x); n != 1 {
+		if n := w.countNotes(ctx, t, ledger.NoteSuspect, x); n != 1 {
 			t.Errorf("after the duty moved: noted as suspected %d times", n)
 		}
-		w.Net.Mend(x.ID)
+		w.Net.Restore(x.ID)
 		time.Sleep(5 * time.Second)
-		if n := w.noted(ctx, t, ledger.NoteTrust, x); n != 1 {
+		if n := w.countNotes(ctx, t, ledger.NoteTrust, x); n != 1 {
 			t.Errorf("beats again, and noted as trusted %d times", n)
 		}
 	})
 }
 
-// A target that reaches only one controller, and a home that hears of nobody, make no
-// suspicion: the least silence that any controller has met counts, and nobody is let go.
+// A target that reaches only one controller, and a home controller that receives no heartbeats,
+// must not cause suspicions: the shortest silence that any controller has seen counts, and no
+// target is let go.
 func TestBeatsThatReachOnlySome(t *testing.T) {
 	t.Parallel()
-	raised(t, func(ctx context.Context, w *World) {
+	withWorld(t, func(ctx context.Context, w *World) {
 		time.Sleep(12 * time.Second)
-		ms := lo.Map(w.Of("controller"), func(n *Node, _ int) membership.Member {
+		controllers := lo.Map(w.NodesOfKind("controller"), func(n *Node, _ int) membership.Member {
 			return membership.Member{ID: n.ID, Kind: "controller", Zone: n.Zone}
 		})
-		deaf := registry.Homes("orders", ms)[0].ID
-		for _, n := range w.Of("controller") {
+		deaf := registry.Homes("orders", controllers)[0].ID
+		for _, n := range w.NodesOfKind("controller") {
 			if n.ID != deaf {
 				w.Net.Cut(n.ID, deaf)
 			}
 		}
 		for _, x := range w.Targets {
-			w.mute(x, w.Node(deaf))
+			w.muteTarget(x, w.Node(deaf))
 		}
-		// A beat that reaches nobody is the target's to repeat; this one's goes to one
-		// controller of two that hear.
-		others := lo.Filter(w.Of("controller"), func(n *Node, _ int) bool { return n.ID != deaf })
-		w.mute(w.Targets[0], others[1:]...)
+		// A target repeats a heartbeat that no controller received, so this one still
+		// reaches one controller that hears.
+		others := lo.Filter(w.NodesOfKind("controller"), func(n *Node, _ int) bool { return n.ID != deaf })
+		w.muteTarget(w.Targets[0], others[1:]...)
 		time.Sleep(60 * time.Second)
-		if n := w.noted(ctx, t, ledger.NoteSuspect, nil); n > 1 {
+		if n := w.countNotes(ctx, t, ledger.NoteSuspect, nil); n > 1 {
 			t.Errorf("%d suspicions", n)
 		}
-		if n := w.noted(ctx, t, ledger.NoteGone, nil); n != 0 {
+		if n := w.countNotes(ctx, t, ledger.NoteGone, nil); n != 0 {
 			t.Errorf("%d let go", n)
 		}
 	})
 }
 
-// Where the fault is ours nobody is let go, and hardly anybody suspected: a frozen
+// When the fault is the gateway's own, no target may be let go or suspected: a frozen
 // controller, a frozen gateway, all controllers frozen at once, a zone cut off.
 func TestOwnFaultsMakeNoSuspicion(t *testing.T) {
 	t.Parallel()
 	all := func(w *World, do func(*Node)) {
-		for _, n := range w.Of("controller") {
+		for _, n := range w.NodesOfKind("controller") {
 			do(n)
 		}
 	}
 	for name, x := range map[string]struct{ begin, end func(*World) }{
-		"frozen warden":      {func(w *World) { w.warden().Freeze() }, func(w *World) { all(w, (*Node).Thaw) }},
+		"frozen warden":      {func(w *World) { w.wardenHolder().Freeze() }, func(w *World) { all(w, (*Node).Thaw) }},
 		"frozen gateway":     {func(w *World) { w.Node("f1").Freeze() }, func(w *World) { w.Node("f1").Thaw() }},
 		"frozen controllers": {func(w *World) { all(w, (*Node).Freeze) }, func(w *World) { all(w, (*Node).Thaw) }},
-		"zone cut off":       {func(w *World) { w.part("z1", 8*time.Second, func(n *Node) bool { return n.Zone == "z1" }) }, func(*World) {}},
+		"zone cut off":       {func(w *World) { w.partition("z1", 8*time.Second, func(n *Node) bool { return n.Zone == "z1" }) }, func(*World) {}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			raised(t, func(ctx context.Context, w *World) {
-				w.Go(w.Platform)
-				cx, end := context.WithTimeout(ctx, 70*time.Second)
-				defer end()
+			withWorld(t, func(ctx context.Context, w *World) {
+				w.Go(w.PollReadiness)
+				callCtx, cancel := context.WithTimeout(ctx, 70*time.Second)
+				defer cancel()
 				done := make(chan struct{})
-				go func() { w.Callers(cx, 20); close(done) }()
+				go func() { w.RunCallers(callCtx, 20); close(done) }()
 				time.Sleep(12 * time.Second)
 				for range 3 {
 					x.begin(w)
@@ -145,9 +146,9 @@
 					x.end(w)
 					time.Sleep(6 * time.Second)
 				}
-				wrong, gone := w.noted(ctx, t, ledger.NoteSuspect, nil), w.noted(ctx, t, ledger.NoteGone, nil)
+				wrong, gone := w.countNotes(ctx, t, ledger.NoteSuspect, nil), w.countNotes(ctx, t, ledger.NoteGone, nil)
 				<-done
-				v := w.Rec.Check()
+				v := w.Records.Check()
 				t.Logf("%d wrong suspicions, %d let go, %d calls, %v", wrong, gone, v.Calls, v.Classes)
 				if gone > 0 || wrong > 0 || len(v.Broken) > 0 {
 					t.Errorf("%d wrong suspicions, %d let go, %v", wrong, gone, v.Broken)
@@ -157,44 +158,44 @@
 	}
 }
 
-// What left as announced, and what is lost for good and let go, is forgotten by gateways,
-// and the picture keeps why.
+// Gateways must forget a target that left as announced, and one that is lost for good and was
+// let go; the picture must keep the reason.
 func TestRemovedAndLostForGood(t *testing.T) {
 	t.Parallel()
-	raised(t, func(ctx context.Context, w *World) {
-		w.Go(w.Platform)
-		cx, end := context.WithTimeout(ctx, 55*time.Second)
-		defer end()
+	withWorld(t, func(ctx context.Context, w *World) {
+		w.Go(w.PollReadiness)
+		callCtx, cancel := context.WithTimeout(ctx, 55*time.Second)
+		defer cancel()
 		done := make(chan struct{})
-		go func() { w.Callers(cx, 20); close(done) }()
+		go func() { w.RunCallers(callCtx, 20); close(done) }()
 		time.Sleep(12 * time.Second)
 		lost, left := w.Targets[1], w.Targets[6]
 		lost.Crash()
-		w.depart(left, 2*time.Second)
+		w.drainAndStop(left, 2*time.Second)
 		<-done
-		if n := w.noted(ctx, t, ledger.NoteGone, lost); n != 1 {
+		if n := w.countNotes(ctx, t, ledger.NoteGone, lost); n != 1 {
 			t.Errorf("lost for good, and let go %d times", n)
 		}
-		for _, n := range w.Of("gateway") {
+		for _, n := range w.NodesOfKind("gateway") {
 			for _, s := range append(n.Gateway().Roster.Of("orders"), n.Gateway().Roster.Of("records")...) {
 				if s.ID == lost.ID {
 					t.Errorf("%s still knows %s", n.ID, s.ID)
 				}
 			}
 		}
-		if v := w.Rec.Check(); len(v.Broken) > 0 || v.Refusals > 0 || len(w.Rec.Leaves) != 1 {
+		if v := w.Records.Check(); len(v.Broken) > 0 || v.Refusals > 0 || len(w.Records.Leaves) != 1 {
 			t.Errorf("%v %v", v.Broken, v.Whys)
 		}
-		// Its address goes to a new machine, which serves.
-		x := &Target{w: w, ID: "orders-new", Service: "orders", Zone: lost.Zone, Addr: lost.Addr, rnd: lost.rnd}
+		// Its address is given to a new machine, which must be served.
+		x := &Target{world: w, ID: "orders-new", Service: "orders", Zone: lost.Zone, Addr: lost.Addr, rng: lost.rng}
 		w.Targets = append(w.Targets, x)
 		x.Start()
 		time.Sleep(3 * time.Second)
-		cx, end = context.WithTimeout(ctx, 10*time.Second)
-		defer end()
-		w.Callers(cx, 40)
-		if !lo.ContainsBy(w.Rec.Execs, func(e stand.Exec) bool { return e.Target == x.ID }) {
-			t.Error("a new machine at the address of a lost one got nothing")
+		callCtx, cancel = context.WithTimeout(ctx, 10*time.Second)
+		defer cancel()
+		w.RunCallers(callCtx, 40)
+		if !lo.ContainsBy(w.Records.Execs, func(e stand.Exec) bool { return e.Target == x.ID }) {
+			t.Error("a new machine at the address of a lost one got no requests")
 		}
 	})
 }
--- a/internal/sim/target.go
+++ b/internal/sim/target.go
@@ -14,57 +14,57 @@
 	"walkrudder/tools/stand"
 )
 
-// Target is a stand-in target on the virtual clock. Addresses are the world's: a
-// target that takes over an address displaces whoever stood there.
+// Target is a simulated target on the virtual clock. Addresses belong to the world: a target
+// that takes over an address displaces the one that had it.
 type Target struct {
-	w       *World
-	ID      string
-	Service string
-	Zone    string
-	Addr    string
-	passed  bool // its address has passed to another target
-	lost    bool // it is not to come back
+	world          *World
+	ID             string
+	Service        string
+	Zone           string
+	Addr           string
+	addrReassigned bool // its address now belongs to another target
+	removed        bool // it must not be started again
 
-	mu      sync.Mutex
-	rnd     *rand.Rand
-	mode    stand.Mode
-	inc     uint64
-	seq     uint64
-	leaving bool
-	lag     time.Duration // more work in every request
-	run     context.Context
-	end     context.CancelFunc
-	last    *passage.Answer
-	places  chan struct{}
+	mu          sync.Mutex
+	rng         *rand.Rand
+	mode        stand.Mode
+	incarnation uint64
+	seq         uint64
+	leaving     bool
+	extraWork   time.Duration // added to the work of every request
+	runContext  context.Context
+	cancel      context.CancelFunc
+	lastAnswer  *passage.Answer
+	slots       chan struct{}
 }
 
 const (
-	beatEvery = time.Second
-	// capacity is how many requests a target runs at once; what comes beyond waits for
-	// its turn, also when nobody waits for it any more.
+	beatInterval = time.Second
+	// capacity is how many requests a target runs at once. Further requests queue for a slot,
+	// even when their caller has given up.
 	capacity = 2
-	// least and most bound the work of one request: with these the deployments' own
-	// rates keep some 30 to 40 of 100 places busy.
-	least = 30 * time.Millisecond
-	most  = 170 * time.Millisecond
+	// minWork and maxWork bound the duration of one request: with these the deployments' own
+	// rates keep about 30 to 40 of 100 slots busy.
+	minWork = 30 * time.Millisecond
+	maxWork = 170 * time.Millisecond
 )
 
 // Start begins a new run at the target's address.
 func (t *Target) Start() {
-	ctx, end := context.WithCancel(t.w.ctx)
+	ctx, cancel := context.WithCancel(t.world.ctx)
 	t.mu.Lock()
-	t.run, t.end, t.places = ctx, end, make(chan struct{}, capacity)
-	t.inc = uint64(time.Now().UnixNano() / 1000)
+	t.runContext, t.cancel, t.slots = ctx, cancel, make(chan struct{}, capacity)
+	t.incarnation = uint64(time.Now().UnixNano() / 1000)
 	t.seq, t.leaving, t.mode = 0, false, stand.Good
 	t.mu.Unlock()
-	t.w.Net.mu.Lock()
-	t.w.at[t.Addr] = t
-	t.w.Net.mu.Unlock()
-	t.w.wg.Go(func() {
+	t.world.Net.mu.Lock()
+	t.world.targetAt[t.Addr] = t
+	t.world.Net.mu.Unlock()
+	t.world.wg.Go(func() {
 		for ctx.Err() == nil {
-			t.Beat(ctx)
+			t.SendBeat(ctx)
 			t.mu.Lock()
-			d := beatEvery*9/10 + time.Duration(t.rnd.Int64N(int64(beatEvery/5)))
+			d := beatInterval*9/10 + time.Duration(t.rng.Int64N(int64(beatInterval/5)))
 			t.mu.Unlock()
 			select {
 			case <-ctx.Done():
@@ -74,104 +74,104 @@
 	})
 }
 
-// Crash ends the run at once.
+// Crash ends the run without notice.
 func (t *Target) Crash() {
 	t.mu.Lock()
-	if t.end != nil {
-		t.end()
+	if t.cancel != nil {
+		t.cancel()
 	}
 	t.mu.Unlock()
-	t.w.Net.mu.Lock()
-	if t.w.at[t.Addr] == t {
-		delete(t.w.at, t.Addr)
+	t.world.Net.mu.Lock()
+	if t.world.targetAt[t.Addr] == t {
+		delete(t.world.targetAt, t.Addr)
 	}
-	t.w.Net.mu.Unlock()
+	t.world.Net.mu.Unlock()
 }
 
-// Up tells whether the target runs.
-func (t *Target) Up() bool {
+// Running reports whether the target runs.
+func (t *Target) Running() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.run != nil && t.run.Err() == nil
+	return t.runContext != nil && t.runContext.Err() == nil
 }
 
-// Lag adds work to every request from now on.
-func (t *Target) Lag(d time.Duration) {
+// SetExtraWork makes every request take d longer from now on.
+func (t *Target) SetExtraWork(d time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.lag = d
+	t.extraWork = d
 }
 
-// Ran tells whether the target ever ran.
-func (t *Target) Ran() bool {
+// EverRan reports whether the target was ever started.
+func (t *Target) EverRan() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.inc > 0
+	return t.incarnation > 0
 }
 
-// Set makes the target behave as m.
-func (t *Target) Set(m stand.Mode) {
+// SetMode sets the (mis)behaviour of the target.
+func (t *Target) SetMode(m stand.Mode) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.mode = m
 }
 
-// beatTime is how long a target waits for the answer to a beat before it tries another
-// controller; a leaving one waits for gateways.
+// beatTimeout is how long a target waits for the answer to a heartbeat before it tries
+// another controller. A leaving target waits longer, for leaveTimeout, because its answer
+// comes only after the gateways have confirmed.
 const (
-	beatTime  = 800 * time.Millisecond
-	leaveTime = 4500 * time.Millisecond
+	beatTimeout  = 800 * time.Millisecond
+	leaveTimeout = 4500 * time.Millisecond
 )
 
-// Beat sends one beat, to a controller drawn at random and, where no answer comes, to one
-// more.
-func (t *Target) Beat(ctx context.Context) (r registry.BeatTold, leaving, ok bool) {
+// SendBeat sends one heartbeat to a random controller and, if no answer comes, to one more.
+func (t *Target) SendBeat(ctx context.Context) (r registry.BeatTold, leaving, ok bool) {
 	t.mu.Lock()
 	t.seq++
-	b := httpapi.Beat{ID: t.ID, Service: t.Service, Zone: t.Zone, Addr: t.Addr, Capacity: capacity, Leaving: t.leaving, Seq: t.seq, Inc: t.inc, EveryMS: int(beatEvery.Milliseconds())}
+	b := httpapi.Beat{ID: t.ID, Service: t.Service, Zone: t.Zone, Addr: t.Addr, Capacity: capacity, Leaving: t.leaving, Seq: t.seq, Inc: t.incarnation, EveryMS: int(beatInterval.Milliseconds())}
 	t.mu.Unlock()
 	for range 2 {
-		if r, ok = t.beat(ctx, b); ok {
+		if r, ok = t.sendBeatOnce(ctx, b); ok {
 			break
 		}
 	}
 	return r, b.Leaving, ok
 }
 
-func (t *Target) beat(ctx context.Context, b httpapi.Beat) (r registry.BeatTold, ok bool) {
-	ms := t.w.Of("controller")
-	n := ms[t.w.Draw("beat "+t.ID, len(ms))]
-	m, up := n.Controller(), n.Host.up()
+func (t *Target) sendBeatOnce(ctx context.Context, b httpapi.Beat) (r registry.BeatTold, ok bool) {
+	controllers := t.world.NodesOfKind("controller")
+	n := controllers[t.world.RandN("beat "+t.ID, len(controllers))]
+	m, up := n.Controller(), n.Host.runningProc()
 	if m == nil || up == nil {
 		return r, false
 	}
-	type back struct {
+	type beatReply struct {
 		r  registry.BeatTold
 		ok bool
 	}
-	ch := make(chan back, 1)
+	ch := make(chan beatReply, 1)
 	go func() {
-		time.Sleep(t.w.Net.delay(t.ID, n.ID))
-		if !t.w.Net.passes(t.ID, n.ID) {
+		time.Sleep(t.world.Net.delay(t.ID, n.ID))
+		if !t.world.Net.delivers(t.ID, n.ID) {
 			return
 		}
-		n.awake()
-		cx, end := context.WithTimeout(up, 4*time.Second)
-		defer end()
-		x, err := m.Beater.Take(cx, b)
-		n.awake()
-		if up.Err() == nil && t.w.Net.passes(n.ID, t.ID) {
-			ch <- back{x, err == nil}
+		n.waitThawed()
+		callCtx, cancel := context.WithTimeout(up, 4*time.Second)
+		defer cancel()
+		x, err := m.Beater.Take(callCtx, b)
+		n.waitThawed()
+		if up.Err() == nil && t.world.Net.delivers(n.ID, t.ID) {
+			ch <- beatReply{x, err == nil}
 		}
 	}()
-	wait := beatTime
+	wait := beatTimeout
 	if b.Leaving {
-		wait = leaveTime
+		wait = leaveTimeout
 	}
 	select {
 	case k := <-ch:
 		if k.ok && k.r.Gone {
-			t.w.Rec.Gone(stand.Leave{Target: t.ID, Inc: b.Inc, Acked: time.Now()})
+			t.world.Records.Gone(stand.Leave{Target: t.ID, Inc: b.Inc, Acked: time.Now()})
 		}
 		return k.r, k.ok
 	case <-time.After(wait):
@@ -180,15 +180,15 @@
 	return registry.BeatTold{}, false
 }
 
-// Leave announces leaving until it is acknowledged, and notes when.
+// Leave announces that the target leaves until a controller acknowledges it, and records when.
 func (t *Target) Leave(ctx context.Context) bool {
 	t.mu.Lock()
 	t.leaving = true
-	inc := t.inc
+	inc := t.incarnation
 	t.mu.Unlock()
-	for ctx.Err() == nil && t.Up() {
-		if _, l, ok := t.Beat(ctx); ok && l {
-			t.w.Rec.Leave(stand.Leave{Target: t.ID, Inc: inc, Acked: time.Now()})
+	for ctx.Err() == nil && t.Running() {
+		if _, l, ok := t.SendBeat(ctx); ok && l {
+			t.world.Records.Leave(stand.Leave{Target: t.ID, Inc: inc, Acked: time.Now()})
 			return true
 		}
 		time.Sleep(50 * time.Millisecond)
@@ -196,84 +196,84 @@
 	return false
 }
 
-// courier carries sendings to the world's targets.
-type courier struct {
-	w   *World
-	h   *Host
-	run context.Context
+// targetTransport sends a gateway's requests to the simulated targets.
+type targetTransport struct {
+	world *World
+	host  *Host
+	run   context.Context
 }
 
 var errReset = errors.New("connection reset")
 
-// Carry sends s: a link is made first, and only then asks Last whether to write.
-func (c *courier) Carry(ctx context.Context, s *passage.Sending) (*passage.Answer, bool, error) {
-	cx, end := context.WithDeadline(ctx, s.Expiry)
-	defer end()
-	stop := context.AfterFunc(c.run, end)
+// Carry sends s. It connects first, and only then asks Last whether to write the request.
+func (c *targetTransport) Carry(ctx context.Context, s *passage.Sending) (*passage.Answer, bool, error) {
+	callCtx, cancel := context.WithDeadline(ctx, s.Expiry)
+	defer cancel()
+	stop := context.AfterFunc(c.run, cancel)
 	defer stop()
 	wait := func(d time.Duration) bool {
 		select {
-		case <-cx.Done():
+		case <-callCtx.Done():
 		case <-time.After(d):
 		}
-		c.h.awake()
-		return cx.Err() == nil
+		c.host.waitThawed()
+		return callCtx.Err() == nil
 	}
-	if !wait(c.w.Net.delay(c.h.ID, s.Addr)) {
-		return nil, false, cx.Err()
+	if !wait(c.world.Net.delay(c.host.ID, s.Addr)) {
+		return nil, false, callCtx.Err()
 	}
-	c.w.Net.mu.Lock()
-	t := c.w.at[s.Addr]
-	c.w.Net.mu.Unlock()
-	if t == nil || !t.Up() {
-		return nil, false, errDown
+	c.world.Net.mu.Lock()
+	t := c.world.targetAt[s.Addr]
+	c.world.Net.mu.Unlock()
+	if t == nil || !t.Running() {
+		return nil, false, errRefused
 	}
-	if !c.w.Net.passes(c.h.ID, t.ID) {
+	if !c.world.Net.delivers(c.host.ID, t.ID) {
 		wait(passage.DialTime)
-		return nil, false, errCut
+		return nil, false, errUnreachable
 	}
 	if s.Last != nil && !s.Last() {
 		return nil, false, passage.ErrStopped
 	}
-	c.h.awake()
+	c.host.waitThawed()
 	if c.run.Err() != nil {
 		return nil, false, c.run.Err()
 	}
-	// From here on the request is on its way, whatever becomes of this node.
+	// From here on the request is in flight, even if this node fails.
 	if s.Last != nil {
-		c.w.Rec.Arrive(stand.Arrival{At: time.Now(), Target: t.ID, Inc: t.runInc(), Service: t.Service, Order: orderOf(s.Req), Number: s.Number, Path: s.Req.URI})
+		c.world.Records.Arrive(stand.Arrival{At: time.Now(), Target: t.ID, Inc: t.currentIncarnation(), Service: t.Service, Order: orderID(s.Req), Number: s.Number, Path: s.Req.URI})
 	}
-	back := make(chan *passage.Answer, 1)
-	run := t.runCtx()
+	answers := make(chan *passage.Answer, 1)
+	run := t.currentRun()
 	go func() {
-		time.Sleep(c.w.Net.delay(c.h.ID, t.ID))
-		if run.Err() != nil || !c.w.Net.passes(c.h.ID, t.ID) {
+		time.Sleep(c.world.Net.delay(c.host.ID, t.ID))
+		if run.Err() != nil || !c.world.Net.delivers(c.host.ID, t.ID) {
 			return
 		}
 		a := t.serve(run, s)
-		time.Sleep(c.w.Net.delay(t.ID, c.h.ID))
-		if run.Err() == nil && c.w.Net.passes(t.ID, c.h.ID) {
-			back <- a
+		time.Sleep(c.world.Net.delay(t.ID, c.host.ID))
+		if run.Err() == nil && c.world.Net.delivers(t.ID, c.host.ID) {
+			answers <- a
 		}
 	}()
 	select {
-	case a := <-back:
-		c.h.awake()
+	case a := <-answers:
+		c.host.waitThawed()
 		if a == nil {
 			return nil, true, errReset
 		}
 		return a, true, nil
 	case <-run.Done():
-		c.h.awake()
+		c.host.waitThawed()
 		return nil, true, errReset
-	case <-cx.Done():
-		c.h.awake()
-		return nil, true, cx.Err()
+	case <-callCtx.Done():
+		c.host.waitThawed()
+		return nil, true, callCtx.Err()
 	}
 }
 
-// orderOf is the caller's own name for a request.
-func orderOf(r *passage.Request) string {
+// orderID returns the ID that the caller gave a request, "" if none.
+func orderID(r *passage.Request) string {
 	for _, f := range r.Header {
 		if f[0] == stand.OrderField {
 			return f[1]
@@ -282,24 +282,24 @@
 	return ""
 }
 
-func (t *Target) runInc() uint64 {
+func (t *Target) currentIncarnation() uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.inc
+	return t.incarnation
 }
 
-func (t *Target) runCtx() context.Context {
+func (t *Target) currentRun() context.Context {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.run
+	return t.runContext
 }
 
-// serve runs one request; nil cuts the link.
+// serve executes one request; a nil answer means that the connection is reset.
 func (t *Target) serve(run context.Context, s *passage.Sending) *passage.Answer {
 	t.mu.Lock()
-	mode, inc, work := t.mode, t.inc, least+time.Duration(t.rnd.Int64N(int64(most-least)))+t.lag
-	places := t.places
-	if mode != stand.Good && mode != stand.Vanished && t.rnd.IntN(2) == 0 {
+	mode, inc, work := t.mode, t.incarnation, minWork+time.Duration(t.rng.Int64N(int64(maxWork-minWork)))+t.extraWork
+	places := t.slots
+	if mode != stand.Good && mode != stand.Vanished && t.rng.IntN(2) == 0 {
 		mode = stand.Good
 	}
 	leaving := t.leaving
@@ -314,7 +314,7 @@
 		body := fmt.Sprintf(`{"id":%q,"service":%q,"incarnation":%d,"seq":%d,"leaving":%v}`, t.ID, t.Service, inc, n, leaving)
 		return &passage.Answer{Status: 200, Body: []byte(body), Whole: true}
 	}
-	order := orderOf(s.Req)
+	order := orderID(s.Req)
 	st := httpapi.Stamp{ID: t.ID, Service: t.Service, Inc: inc, Request: s.Number}
 	if mode == stand.Refusing {
 		return &passage.Answer{Status: 503, NotRun: true, Whole: true, Stamp: st.String()}
@@ -325,7 +325,7 @@
 	case <-run.Done():
 		return nil
 	}
-	t.w.Rec.Exec(stand.Exec{At: time.Now(), Target: t.ID, Service: t.Service, Inc: inc, Order: order, Number: s.Number, Path: s.Req.URI, Meant: s.Target, Digest: stand.Digest([]byte(order + "."))})
+	t.world.Records.Exec(stand.Exec{At: time.Now(), Target: t.ID, Service: t.Service, Inc: inc, Order: order, Number: s.Number, Path: s.Req.URI, Meant: s.Target, Digest: stand.Digest([]byte(order + "."))})
 	if mode == stand.Slow {
 		work *= 10
 	}
@@ -339,7 +339,7 @@
 	a := &passage.Answer{Status: 200, Body: []byte(body), Whole: true, Stamp: st.String()}
 	switch mode {
 	case stand.Silent:
-		// Until the gateway's expiry has passed, and its link is closed.
+		// Longer than the gateway's expiry, after which it closes the connection.
 		select {
 		case <-run.Done():
 		case <-time.After(4 * time.Second):
@@ -354,10 +354,10 @@
 		a.Body = a.Body[:len(a.Body)/2]
 	case stand.Swapping:
 		t.mu.Lock()
-		if t.last != nil {
-			a = t.last
+		if t.lastAnswer != nil {
+			a = t.lastAnswer
 		} else {
-			t.last = a
+			t.lastAnswer = a
 		}
 		t.mu.Unlock()
 	}
--- a/internal/sim/world.go
+++ b/internal/sim/world.go
@@ -27,182 +27,182 @@
 	"walkrudder/tools/stand"
 )
 
-// Shape is the size of a world.
+// Shape is the size of a simulated deployment.
 type Shape struct {
 	Zones, Disks, Controllers, Gateways int
 	Targets                             map[string]int
-	// Spares is how many control machines stand by to be swapped in; the n-th of
-	// them may take the place of the n-th controller.
+	// Spares is how many control machines stand by as replacements; the n-th may replace
+	// the n-th controller.
 	Spares int
-	// Keep is how long controllers keep decisions; 0 for as long as they do by default.
+	// Keep is how long controllers keep decisions; 0 means their default.
 	Keep time.Duration
 	Log  io.Writer
 }
 
-// Small is a world that a run in CI can afford.
+// Small is a deployment that CI can afford to simulate.
 func Small() Shape {
 	return Shape{Zones: 3, Disks: 3, Controllers: 4, Gateways: 4, Targets: map[string]int{"orders": 5, "records": 5}, Spares: 1}
 }
 
-// Tiny is a world for tests that need few of everything.
+// Tiny is the smallest deployment, for tests that need few nodes of each kind.
 func Tiny() Shape {
 	return Shape{Zones: 3, Disks: 3, Controllers: 3, Gateways: 3, Targets: map[string]int{"orders": 3, "records": 3}}
 }
 
-// Alcazar and Grachtwerk are the deployments of today.
+// Alcazar has the size of one of the two present deployments; Grachtwerk that of the other.
 func Alcazar() Shape {
 	return Shape{Zones: 3, Disks: 3, Controllers: 5, Gateways: 8, Targets: map[string]int{"orders": 14, "records": 16}, Spares: 1}
 }
 
-// Grachtwerk has a fourth disk that stands by.
+// Grachtwerk has a fourth disk as a standby.
 func Grachtwerk() Shape {
 	return Shape{Zones: 4, Disks: 4, Controllers: 6, Gateways: 8, Targets: map[string]int{"orders": 20, "records": 20}, Spares: 2}
 }
 
-// Node is one node of the world.
+// Node is a simulated controller or gateway.
 type Node struct {
 	*Host
 	Kind   string
 	Disk   *Disk
 	Faults *fault.Set
-	w      *World
-
-	mu         sync.Mutex
-	controller *controller.Controller
-	gateway    *gateway.Gateway
-	end        context.CancelFunc
-	done       chan struct{}
-	inc        uint64
-	struck     stand.Struck // guarded by mu
-	// looked is what the platform last saw: ready or not.
-	looked atomic.Bool
-	// out says that the machine is not part of the deployment: not yet, or no more.
-	out atomic.Bool
-	// came says that a spare machine was swapped in.
-	came bool
-}
-
-// World is a whole deployment on a virtual clock.
+	world  *World
+
+	mu          sync.Mutex
+	controller  *controller.Controller
+	gateway     *gateway.Gateway
+	cancel      context.CancelFunc
+	done        chan struct{}
+	incarnation uint64
+	disruption  stand.Struck // guarded by mu
+	// seenReady is whether the gateway was ready when the platform last polled it.
+	seenReady atomic.Bool
+	// excluded is set while the machine is not part of the deployment: not yet, or no longer.
+	excluded atomic.Bool
+	// swappedIn is set once a spare machine has become part of the deployment.
+	swappedIn bool
+}
+
+// World is a simulated deployment on a virtual clock.
 type World struct {
-	Net     *Net
-	Nodes   []*Node
-	Targets []*Target
-	Rec     *stand.Records
-	Shape   Shape
-	log     *log.Logger
-	seed    uint64
-	rmu     sync.Mutex
-	streams map[string]*rand.Rand
-	seeds   []string
-	orders  int
-	at      map[string]*Target // by address: who stands there now
-	// Say, set before the start, is told what happens.
-	Say   func(format string, args ...any)
-	lost  time.Time // when the last disk was lost
-	twice int       // orders that a resend did again
-	told  int       // how many tokens were given out
-	// turning and freed say that all nodes, or the targets of a service, are being
-	// replaced in turn.
-	turning, freed bool
-	stop           context.CancelFunc
-	ctx            context.Context
-	wg             sync.WaitGroup
-}
-
-// New lays a world out from a seed.
+	Net        *Net
+	Nodes      []*Node
+	Targets    []*Target
+	Records    *stand.Records
+	Shape      Shape
+	log        *log.Logger
+	seed       uint64
+	randMu     sync.Mutex
+	rngs       map[string]*rand.Rand
+	seedAddrs  []string
+	orderCount int
+	targetAt   map[string]*Target // the target that currently has the address
+	// Logf, set before the start, logs the events of the simulation.
+	Logf         func(format string, args ...any)
+	lastDiskLoss time.Time
+	duplicates   int // changes that a resend executed a second time
+	tokens       int // how many change tokens were issued
+	// restarting and replacing are set while a rolling restart of all nodes, or a rolling
+	// replacement of a service's targets, is under way.
+	restarting, replacing bool
+	stop                  context.CancelFunc
+	ctx                   context.Context
+	wg                    sync.WaitGroup
+}
+
+// New builds a world from a seed.
 func New(seed uint64, s Shape) *World {
-	rnd := rand.New(rand.NewPCG(seed, 0x5eed))
-	sub := func() *rand.Rand { return rand.New(rand.NewPCG(rnd.Uint64(), rnd.Uint64())) }
-	w := &World{Net: newNet(seed), Rec: stand.NewRecords(), Shape: s, seed: seed, streams: map[string]*rand.Rand{}, at: map[string]*Target{}}
+	rng := rand.New(rand.NewPCG(seed, 0x5eed))
+	newRNG := func() *rand.Rand { return rand.New(rand.NewPCG(rng.Uint64(), rng.Uint64())) }
+	w := &World{Net: newNet(seed), Records: stand.NewRecords(), Shape: s, seed: seed, rngs: map[string]*rand.Rand{}, targetAt: map[string]*Target{}}
 	if s.Log == nil {
 		s.Log = io.Discard
 	}
 	w.log = log.NewWithOptions(s.Log, log.Options{Formatter: log.JSONFormatter, Level: log.DebugLevel, ReportTimestamp: true, TimeFormat: "15:04:05.000"})
 	w.ctx, w.stop = context.WithCancel(context.Background())
 	for i := range s.Controllers + s.Gateways {
-		n := &Node{w: w, Faults: &fault.Set{}, Host: &Host{net: w.Net, Addr: fmt.Sprintf("10.0.0.%d:7000", i+1)}}
+		n := &Node{world: w, Faults: &fault.Set{}, Host: &Host{net: w.Net, Addr: fmt.Sprintf("10.0.0.%d:7000", i+1)}}
 		if i < s.Controllers {
 			n.ID, n.Kind, n.Zone = fmt.Sprintf("m%d", i+1), "controller", fmt.Sprintf("z%d", i%s.Zones+1)
 			if i < s.Disks {
-				n.Disk = newDisk(sub())
+				n.Disk = newDisk(newRNG())
 			}
 		} else {
 			k := i - s.Controllers
 			n.ID, n.Kind, n.Zone = fmt.Sprintf("f%d", k+1), "gateway", fmt.Sprintf("z%d", k%s.Zones+1)
 		}
-		w.Net.at[n.Addr] = n.Host
+		w.Net.hosts[n.Addr] = n.Host
 		w.Nodes = append(w.Nodes, n)
 		if i < 3 {
-			w.seeds = append(w.seeds, n.Addr)
+			w.seedAddrs = append(w.seedAddrs, n.Addr)
 		}
 	}
 	for i := range s.Spares {
 		old := w.Nodes[i]
-		n := &Node{w: w, Kind: "controller", Faults: &fault.Set{}, Disk: newDisk(sub()),
+		n := &Node{world: w, Kind: "controller", Faults: &fault.Set{}, Disk: newDisk(newRNG()),
 			Host: &Host{net: w.Net, ID: old.ID + "b", Zone: old.Zone, Addr: fmt.Sprintf("10.0.2.%d:7000", i+1)}}
-		n.out.Store(true)
-		w.Net.at[n.Addr] = n.Host
+		n.excluded.Store(true)
+		w.Net.hosts[n.Addr] = n.Host
 		w.Nodes = append(w.Nodes, n)
 	}
 	for _, n := range w.Nodes {
-		n.struck = stand.Struck{Rec: w.Rec, Node: n.ID}
+		n.disruption = stand.Struck{Rec: w.Records, Node: n.ID}
 	}
 	i := 0
 	for _, svc := range []string{"orders", "records"} {
 		for k := range s.Targets[svc] {
 			i++
-			t := &Target{w: w, ID: fmt.Sprintf("%s-%d", svc, k+1), Service: svc, Zone: fmt.Sprintf("z%d", k%s.Zones+1), Addr: fmt.Sprintf("10.0.1.%d:80", i), rnd: sub()}
+			t := &Target{world: w, ID: fmt.Sprintf("%s-%d", svc, k+1), Service: svc, Zone: fmt.Sprintf("z%d", k%s.Zones+1), Addr: fmt.Sprintf("10.0.1.%d:80", i), rng: newRNG()}
 			w.Targets = append(w.Targets, t)
 		}
 	}
 	return w
 }
 
-// stream is one purpose's own chance: what one part of the world draws does not
-// shift what another gets, so that a seed gives the same failures again.
-func (w *World) stream(name string) *rand.Rand {
-	r := w.streams[name]
+// rng returns the random generator of one purpose. With a generator per purpose, draws of one
+// part of the simulation don't shift those of another, so that a seed reproduces its failures.
+func (w *World) rng(name string) *rand.Rand {
+	r := w.rngs[name]
 	if r == nil {
 		h := fnv.New64a()
 		_, _ = h.Write([]byte(name))
 		r = rand.New(rand.NewPCG(w.seed, h.Sum64()))
-		w.streams[name] = r
+		w.rngs[name] = r
 	}
 	return r
 }
 
-// Draw draws below n for a purpose.
-func (w *World) Draw(name string, n int) int {
-	w.rmu.Lock()
-	defer w.rmu.Unlock()
-	return w.stream(name).IntN(n)
+// RandN draws a number below n for a purpose.
+func (w *World) RandN(name string, n int) int {
+	w.randMu.Lock()
+	defer w.randMu.Unlock()
+	return w.rng(name).IntN(n)
 }
 
-// Rand draws below n for the failures.
-func (w *World) Rand(n int) int { return w.Draw("chaos", n) }
+// FailureRandN draws a number below n for the failures.
+func (w *World) FailureRandN(n int) int { return w.RandN("chaos", n) }
 
-// In lists the nodes that are part of the deployment.
-func (w *World) In() []*Node {
-	return lo.Filter(w.Nodes, func(n *Node, _ int) bool { return !n.out.Load() })
+// ActiveNodes returns the nodes that are part of the deployment.
+func (w *World) ActiveNodes() []*Node {
+	return lo.Filter(w.Nodes, func(n *Node, _ int) bool { return !n.excluded.Load() })
 }
 
-// Of lists the nodes of a kind.
-func (w *World) Of(kind string) []*Node {
-	return lo.Filter(w.In(), func(n *Node, _ int) bool { return n.Kind == kind })
+// NodesOfKind returns the active nodes of a kind.
+func (w *World) NodesOfKind(kind string) []*Node {
+	return lo.Filter(w.ActiveNodes(), func(n *Node, _ int) bool { return n.Kind == kind })
 }
 
-// Disks lists the nodes with a disk.
-func (w *World) Disks() []*Node {
-	return lo.Filter(w.In(), func(n *Node, _ int) bool { return n.Disk != nil })
+// NodesWithDisk returns the active nodes that have a disk.
+func (w *World) NodesWithDisk() []*Node {
+	return lo.Filter(w.ActiveNodes(), func(n *Node, _ int) bool { return n.Disk != nil })
 }
 
-// Node finds a node.
+// Node returns the node with an ID, nil if there is none.
 func (w *World) Node(id string) *Node {
 	n, _ := lo.Find(w.Nodes, func(n *Node) bool { return n.ID == id })
 	return n
 }
 
-// Go runs f until the world ends.
+// Go runs f in a goroutine that End waits for; its context ends with the world.
 func (w *World) Go(f func(ctx context.Context)) {
 	w.wg.Go(func() { f(w.ctx) })
 }
@@ -217,11 +217,11 @@
 	}
 }
 
-// End ends everything and waits for it.
+// End stops all nodes and targets and waits for their goroutines.
 func (w *World) End() {
 	w.stop()
-	w.Net.Mend("")
-	defer time.Sleep(10 * time.Second) // whatever still waits on a clock ends
+	w.Net.Restore("")
+	defer time.Sleep(10 * time.Second) // lets every remaining timer expire
 	for _, n := range w.Nodes {
 		n.Thaw()
 		n.Kill()
@@ -240,12 +240,12 @@
 	}
 }
 
-// Start starts the node's process, if it does not run.
+// Start starts the node's process, unless it is running.
 func (n *Node) Start() {
-	// A lock is not held while waiting: a bubble's clock stands still as long as
-	// anybody waits for a lock.
+	// The lock is released while waiting: the clock of a synctest bubble stands still as
+	// long as any goroutine waits for a lock.
 	n.mu.Lock()
-	for n.end == nil && n.done != nil {
+	for n.cancel == nil && n.done != nil {
 		d := n.done
 		n.mu.Unlock()
 		<-d
@@ -255,27 +255,27 @@
 		}
 	}
 	defer n.mu.Unlock()
-	if n.end != nil || n.w.ctx.Err() != nil || n.out.Load() {
+	if n.cancel != nil || n.world.ctx.Err() != nil || n.excluded.Load() {
 		return
 	}
-	ctx, end := context.WithCancel(context.Background())
-	n.inc++
-	l := &line{h: n.Host, run: ctx}
-	s := startup.Node{ID: n.ID, Zone: n.Zone, Inner: n.Addr, Door: n.Addr + "d", Seeds: n.w.seeds}
-	lg := n.w.log.With("node", n.ID)
+	ctx, cancel := context.WithCancel(context.Background())
+	n.incarnation++
+	l := &linkClient{host: n.Host, procCtx: ctx}
+	s := startup.Node{ID: n.ID, Zone: n.Zone, Inner: n.Addr, Door: n.Addr + "d", Seeds: n.world.seedAddrs}
+	logger := n.world.log.With("node", n.ID)
 	var run func(context.Context)
 	if n.Kind == "controller" {
-		p := controller.Parts{Startup: startup.Controller{Node: s, Core: min(3, n.w.Shape.Disks)}, Inc: n.inc, Fresh: fmt.Sprintf("%s-%d", n.ID, n.inc),
-			Keep: n.w.Shape.Keep, Line: l, Clock: clock{n.Host}, Log: lg, Faults: n.Faults, WallMS: func() int64 { return time.Now().UnixMilli() },
+		p := controller.Parts{Startup: startup.Controller{Node: s, Core: min(3, n.world.Shape.Disks)}, Inc: n.incarnation, Fresh: fmt.Sprintf("%s-%d", n.ID, n.incarnation),
+			Keep: n.world.Shape.Keep, Line: l, Clock: hostClock{n.Host}, Log: logger, Faults: n.Faults, WallMS: func() int64 { return time.Now().UnixMilli() },
 			OnBad: func(error) {
 				if ctx.Err() != nil {
-					return // it was killed: its disk was cut off with it
+					return // the process was killed, and its disk handle with it
 				}
-				// The process ends; whoever looks after it starts it again.
+				// The process ends, and its supervisor restarts it.
 				go n.Kill()
-				n.w.later(time.Second, n.Start)
+				n.world.after(time.Second, n.Start)
 			}}
-		d := &handle{d: n.Disk, h: n.Host, l: l, calm: true}
+		d := &diskHandle{disk: n.Disk, host: n.Host, client: l, skipDelay: true}
 		if n.Disk != nil {
 			p.Disk = d
 		}
@@ -283,24 +283,24 @@
 		if err != nil {
 			panic(err)
 		}
-		d.calm = false
+		d.skipDelay = false
 		n.controller, run = m, m.Run
 		n.Host.mu.Lock()
-		n.desk = m.Desk
+		n.handler = m.Desk
 		n.Host.mu.Unlock()
 	} else {
-		f := gateway.New(gateway.Parts{Startup: startup.Gateway{Node: s}, Inc: n.inc, Line: l, Clock: clock{n.Host}, Log: lg, Faults: n.Faults,
-			Courier: &courier{w: n.w, h: n.Host, run: ctx}})
+		f := gateway.New(gateway.Parts{Startup: startup.Gateway{Node: s}, Inc: n.incarnation, Line: l, Clock: hostClock{n.Host}, Log: logger, Faults: n.Faults,
+			Courier: &targetTransport{world: n.world, host: n.Host, run: ctx}})
 		n.gateway, run = f, f.Run
 		n.Host.mu.Lock()
-		n.desk = f.Desk
+		n.handler = f.Desk
 		n.Host.mu.Unlock()
 	}
 	done := make(chan struct{})
-	n.end, n.done = end, done
-	n.struck.End()
+	n.cancel, n.done = cancel, done
+	n.disruption.End()
 	n.Host.mu.Lock()
-	n.run = ctx
+	n.procCtx = ctx
 	n.Host.mu.Unlock()
 	go func() {
 		run(ctx)
@@ -308,171 +308,173 @@
 	}()
 }
 
-// Kill ends the process at once; what it had not synced is lost.
+// Kill ends the process without notice; what it had not synced is lost.
 func (n *Node) Kill() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.end != nil {
-		n.struck.Begin("killed")
+	if n.cancel != nil {
+		n.disruption.Begin("killed")
 	}
-	n.halt()
+	n.stopLocked()
 }
 
-// halt ends the process; n.mu is held.
-func (n *Node) halt() {
-	if n.end != nil {
-		n.end()
-		n.end = nil
+// stopLocked ends the process. n.mu must be held.
+func (n *Node) stopLocked() {
+	if n.cancel != nil {
+		n.cancel()
+		n.cancel = nil
 	}
 	n.Host.Thaw()
 }
 
-// Freeze stops the node in its tracks.
+// Freeze suspends the node.
 func (n *Node) Freeze() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.struck.Begin("frozen")
+	n.disruption.Begin("frozen")
 	n.Host.Freeze()
 }
 
-// Thaw lets it go on.
+// Thaw resumes the node.
 func (n *Node) Thaw() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.Host.Thaw()
-	if n.end != nil {
-		n.struck.End()
+	if n.cancel != nil {
+		n.disruption.End()
 	}
 }
 
-// linger and whole are the times of a planned stop, as the programs keep them.
+// drainLinger and stopTimeout are the periods of a planned stop, as in production.
 const (
-	linger = shell.Linger
-	whole  = shell.Whole
+	drainLinger = shell.Linger
+	stopTimeout = shell.Whole
 )
 
-// Retire stops the process as planned; the platform kills it 6 s after its
-// warning. What was cut off by it is for the checker to find.
-func (n *Node) Retire() {
-	f, m, up := n.Gateway(), n.Controller(), n.Host.up()
+// GracefulStop performs a planned stop; the platform kills the process 6 s after its warning.
+// The checker looks for requests that the stop cut off.
+func (n *Node) GracefulStop() {
+	f, m, up := n.Gateway(), n.Controller(), n.Host.runningProc()
 	if up == nil || n.Frozen() {
 		return
 	}
-	from, cold := time.Now(), n.colds()
+	from, cold := time.Now(), n.freezeCount()
 	switch {
 	case f != nil:
 		f.Stop()
-		time.Sleep(linger)
-		for f.Passage.Flying() > 0 && time.Since(from) < whole-200*time.Millisecond {
+		time.Sleep(drainLinger)
+		for f.Passage.Flying() > 0 && time.Since(from) < stopTimeout-200*time.Millisecond {
 			time.Sleep(10 * time.Millisecond)
 		}
-		cx, end := context.WithTimeout(up, 300*time.Millisecond)
-		f.Part(cx)
-		end()
+		callCtx, cancel := context.WithTimeout(up, 300*time.Millisecond)
+		f.Part(callCtx)
+		cancel()
 	case m != nil:
 		m.Stop()
-		time.Sleep(linger / 2)
-		cx, end := context.WithTimeout(up, 150*time.Millisecond)
-		m.Tenant.Leave(cx)
-		end()
+		time.Sleep(drainLinger / 2)
+		callCtx, cancel := context.WithTimeout(up, 150*time.Millisecond)
+		m.Tenant.Leave(callCtx)
+		cancel()
 	}
-	n.awake()
-	// Another failure may have come first.
-	if up.Err() == nil && n.colds() == cold && f != nil {
-		n.w.Rec.Stop(stand.Stop{Gateway: n.ID, From: from, End: time.Now()})
+	n.waitThawed()
+	// Another failure may have hit the node meanwhile.
+	if up.Err() == nil && n.freezeCount() == cold && f != nil {
+		n.world.Records.Stop(stand.Stop{Gateway: n.ID, From: from, End: time.Now()})
 	}
 	if up.Err() == nil {
 		n.mu.Lock()
 		defer n.mu.Unlock()
-		n.halt()
+		n.stopLocked()
 	}
 }
 
-// Up tells whether the process runs.
-func (n *Node) Up() bool { return n.Host.up() != nil }
+// Running reports whether the process runs.
+func (n *Node) Running() bool { return n.Host.runningProc() != nil }
 
-// Controller is the running controller, nil when none runs.
+// Controller returns the running controller, nil when none runs.
 func (n *Node) Controller() *controller.Controller {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.end == nil {
+	if n.cancel == nil {
 		return nil
 	}
 	return n.controller
 }
 
-// Gateway is the running gateway, nil when none runs.
+// Gateway returns the running gateway, nil when none runs.
 func (n *Node) Gateway() *gateway.Gateway {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.end == nil {
+	if n.cancel == nil {
 		return nil
 	}
 	return n.gateway
 }
 
-// Frozen tells whether the host stands still.
+// Frozen reports whether the host is frozen.
 func (n *Node) Frozen() bool {
 	n.Host.mu.Lock()
 	defer n.Host.mu.Unlock()
-	return n.ice != nil
+	return n.thawed != nil
 }
 
-// Order sends an order to a controller, as an operator would over HTTP; ok is false
-// when no answer came.
+// Order sends a change to a controller, as an operator would over HTTP; ok is false when no
+// answer came.
 func (w *World) Order(ctx context.Context, n *Node, o commands.Order) (commands.Result, bool) {
-	return speak(ctx, n, func(cx context.Context, m *controller.Controller) commands.Result { return m.Changer.Change(cx, o) })
+	return callController(ctx, n, func(callCtx context.Context, m *controller.Controller) commands.Result {
+		return m.Changer.Change(callCtx, o)
+	})
 }
 
-// insist sends an order to any controller until it has a final result, and notes it.
-func (w *World) insist(ctx context.Context, who string, a stand.Asked, base *uint64) (commands.Result, bool) {
-	w.rmu.Lock()
-	w.told++
-	a.Token, a.At = fmt.Sprintf("%s-%d", who, w.told), time.Now()
-	w.rmu.Unlock()
+// submitChange sends a change to random controllers until it has a final result, and records it.
+func (w *World) submitChange(ctx context.Context, who string, a stand.Asked, base *uint64) (commands.Result, bool) {
+	w.randMu.Lock()
+	w.tokens++
+	a.Token, a.At = fmt.Sprintf("%s-%d", who, w.tokens), time.Now()
+	w.randMu.Unlock()
 	send := func() (commands.Result, bool) {
-		ms := w.Of("controller")
-		n := ms[w.Draw(who, len(ms))]
+		controllers := w.NodesOfKind("controller")
+		n := controllers[w.RandN(who, len(controllers))]
 		if a.Back == 0 {
 			return w.Order(ctx, n, commands.Order{Token: a.Token, Base: base, Edits: a.Edits})
 		}
-		return speak(ctx, n, func(cx context.Context, m *controller.Controller) commands.Result {
-			x, err := m.Speaker.Say(cx, fmt.Sprintf("roll back to %d token %s", a.Back, a.Token))
+		return callController(ctx, n, func(callCtx context.Context, m *controller.Controller) commands.Result {
+			x, err := m.Speaker.Say(callCtx, fmt.Sprintf("roll back to %d token %s", a.Back, a.Token))
 			if err != nil {
 				return commands.Result{Outcome: commands.NoCore, Why: err.Error()}
 			}
 			return x.Data.(commands.Result)
 		})
 	}
-	r, ok := w.Rec.Insist(ctx, a, send, func() { time.Sleep(w.pause(who, 20, 200)) })
+	r, ok := w.Records.Insist(ctx, a, send, func() { time.Sleep(w.randomDelay(who, 20, 200)) })
 	if ok && r.Outcome == commands.InForce {
-		w.tell("version %d in force: %s", r.Version, a.Token)
-		if w.Draw(who, 4) == 0 {
-			// An acknowledgement that never arrived: the same order once more.
+		w.logf("version %d in force: %s", r.Version, a.Token)
+		if w.RandN(who, 4) == 0 {
+			// Simulates a lost acknowledgement: the same change is sent once more.
 			if x, ok := send(); ok && x.Outcome == commands.InForce && !x.Again {
-				w.tell("order %s done twice", a.Token)
-				w.twice++
+				w.logf("change %s was executed twice", a.Token)
+				w.duplicates++
 			}
 		}
 	}
 	return r, ok
 }
 
-// speak has a controller do something for an operator; ok is false when no answer came.
-func speak[R any](ctx context.Context, n *Node, do func(context.Context, *controller.Controller) R) (r R, ok bool) {
-	w := n.w
-	m, up := n.Controller(), n.Host.up()
+// callController runs an operator's request at a controller; ok is false when no answer came.
+func callController[R any](ctx context.Context, n *Node, do func(context.Context, *controller.Controller) R) (r R, ok bool) {
+	w := n.world
+	m, up := n.Controller(), n.Host.runningProc()
 	if m == nil || up == nil {
 		return r, false
 	}
-	cx, end := context.WithTimeout(up, 10*time.Second)
-	defer end()
+	callCtx, cancel := context.WithTimeout(up, 10*time.Second)
+	defer cancel()
 	ch := make(chan R, 1)
 	go func() {
 		time.Sleep(w.Net.delay("op", n.ID))
-		n.awake()
-		r := do(cx, m)
-		n.awake()
+		n.waitThawed()
+		r := do(callCtx, m)
+		n.waitThawed()
 		if up.Err() == nil {
 			ch <- r
 		}
@@ -481,13 +483,13 @@
 	case r = <-ch:
 		return r, true
 	case <-ctx.Done():
-	case <-cx.Done():
+	case <-callCtx.Done():
 	}
 	return r, false
 }
 
-// kinds of call in a world.
-var kinds = []stand.Kind{
+// callKinds are the kinds of calls that clients make.
+var callKinds = []stand.Kind{
 	{Method: "POST", Path: "/orders", Service: "orders"},
 	{Method: "GET", Path: "/status", Service: "orders", Repeatable: true},
 	{Method: "GET", Path: "/glossary", Service: "records", Repeatable: true},
@@ -495,28 +497,28 @@
 	{Method: "GET", Path: "/notice", Service: "records", Repeatable: true, Loose: true},
 }
 
-// Sheet is the world's first sheet.
+// Sheet returns the first route sheet.
 func Sheet() spec.Sheet {
 	s := spec.Sheet{Services: []spec.Service{{Name: "orders"}, {Name: "records"}}}
-	for _, k := range kinds {
-		s.Bindings = append(s.Bindings, binding(k, k.Service))
+	for _, k := range callKinds {
+		s.Bindings = append(s.Bindings, bindingFor(k, k.Service))
 	}
 	return s.Sorted()
 }
 
-func binding(k stand.Kind, service string) spec.Binding {
+func bindingFor(k stand.Kind, service string) spec.Binding {
 	return spec.Binding{Name: k.Path[1:], Service: service, Methods: []string{k.Method}, Path: k.Path, ExpiryMS: 3000, Repeatable: k.Repeatable}
 }
 
-// Form waits until the first sheet is in force and every gateway is ready.
-func (w *World) Form(within time.Duration) error {
-	ctx, end := context.WithTimeout(w.ctx, within)
-	defer end()
+// WaitReady puts the first sheet in force and waits until every gateway is ready.
+func (w *World) WaitReady(within time.Duration) error {
+	ctx, cancel := context.WithTimeout(w.ctx, within)
+	defer cancel()
 	s := Sheet()
-	if r, ok := w.insist(ctx, "form", stand.Asked{Edits: []spec.Edit{{Op: spec.Replace, Sheet: &s}}}, nil); !ok {
-		return fmt.Errorf("no first sheet: %+v", r)
+	if r, ok := w.submitChange(ctx, "form", stand.Asked{Edits: []spec.Edit{{Op: spec.Replace, Sheet: &s}}}, nil); !ok {
+		return fmt.Errorf("the first sheet did not come into force: %+v", r)
 	}
-	for !lo.EveryBy(w.Of("gateway"), func(n *Node) bool { f := n.Gateway(); return f != nil && f.Ready() }) {
+	for !lo.EveryBy(w.NodesOfKind("gateway"), func(n *Node) bool { f := n.Gateway(); return f != nil && f.Ready() }) {
 		if ctx.Err() != nil {
 			return fmt.Errorf("gateways not ready")
 		}
@@ -525,41 +527,41 @@
 	return nil
 }
 
-// Call makes one call at a gateway, chosen among the ready ones as the platform
-// does, and notes the outcome.
-// An order goes out under a key, and is sent again under it, through any gateway,
-// while its caller does not know that it ran.
+// Call makes one call at a random gateway among those that the platform saw ready, and records
+// the outcome. An order carries an idempotency key and is retried under it, through any
+// gateway, while its caller does not know that it was executed.
 func (w *World) Call(k stand.Kind) {
-	w.rmu.Lock()
-	w.orders++
-	order := fmt.Sprintf("o%d", w.orders)
-	w.rmu.Unlock()
+	w.randMu.Lock()
+	w.orderCount++
+	order := fmt.Sprintf("o%d", w.orderCount)
+	w.randMu.Unlock()
 	o := w.call(k, order, "")
 	for i := 0; i < 3 && !k.Repeatable && (o.Status >= 300 || o.Err != ""); i++ {
-		time.Sleep(w.pause("again", 10, 1500))
+		time.Sleep(w.randomDelay("again", 10, 1500))
 		if o = w.call(k, order, ""); o.Code == httpapi.AlreadyRun {
 			return
 		}
 	}
 }
 
-// call sends one call once. One that names its client hammers, and is not proper.
+// call sends one call once. A call with a client name belongs to an abusive client, and its
+// outcome doesn't count as a proper call's.
 func (w *World) call(k stand.Kind, order, client string) (o stand.Outcome) {
 	var ready []*Node
-	for _, n := range w.Of("gateway") {
-		if n.looked.Load() {
+	for _, n := range w.NodesOfKind("gateway") {
+		if n.seenReady.Load() {
 			ready = append(ready, n)
 		}
 	}
 	o = stand.Outcome{Order: order, Path: k.Path, Service: k.Service, Repeatable: k.Repeatable, Proper: !k.Loose && client == "", Sent: time.Now()}
-	defer func() { o.Done = time.Now(); w.Rec.Outcome(o) }()
+	defer func() { o.Done = time.Now(); w.Records.Outcome(o) }()
 	if len(ready) == 0 {
 		o.Err = stand.NoNode
 		return o
 	}
-	n := ready[w.Draw("calls", len(ready))]
+	n := ready[w.RandN("calls", len(ready))]
 	o.Gateway = n.ID
-	f, up := n.Gateway(), n.Host.up()
+	f, up := n.Gateway(), n.Host.runningProc()
 	if f == nil || up == nil {
 		o.Err = "connection refused"
 		return o
@@ -571,12 +573,12 @@
 	ch := make(chan *passage.Trip, 1)
 	go func() {
 		time.Sleep(w.Net.delay("op", n.ID))
-		n.awake()
+		n.waitThawed()
 		if up.Err() != nil {
 			return
 		}
 		t := f.Passage.Enter(up, client, key, &passage.Request{Method: k.Method, URI: k.Path, Host: "x", Header: [][2]string{{stand.OrderField, order}}})
-		n.awake()
+		n.waitThawed()
 		if up.Err() == nil {
 			ch <- t
 		}
@@ -609,10 +611,10 @@
 	return o
 }
 
-// timeline tells, for each second, what callers got.
+// timeline logs the results of the calls of each second.
 func (w *World) timeline() {
 	by := map[int64]map[string]int{}
-	for _, o := range w.Rec.Outcomes {
+	for _, o := range w.Records.Outcomes {
 		k := "ok"
 		if o.Err != "" || o.Status >= 300 {
 			k = o.Err + o.Code + " " + o.Why
@@ -624,32 +626,32 @@
 		by[n][k]++
 	}
 	for _, n := range slices.Sorted(maps.Keys(by)) {
-		w.tell("calls sent in second %d: %v", n%60, by[n])
+		w.logf("calls sent in second %d: %v", n%60, by[n])
 	}
 }
 
-// Platform asks every gateway once a second whether it is ready.
-func (w *World) Platform(ctx context.Context) {
+// PollReadiness is the platform's readiness check: it polls every gateway once a second.
+func (w *World) PollReadiness(ctx context.Context) {
 	for ctx.Err() == nil {
-		for _, n := range w.Of("gateway") {
+		for _, n := range w.NodesOfKind("gateway") {
 			f := n.Gateway()
-			n.looked.Store(f != nil && !n.Frozen() && f.Ready())
+			n.seenReady.Store(f != nil && !n.Frozen() && f.Ready())
 		}
 		time.Sleep(time.Second)
 	}
 }
 
-// Rush is a crowd: n calls within d, of whom nobody waits for another. Those who
-// are refused come again at once and then every 100 ms, five times.
-func (w *World) Rush(n int, d time.Duration) {
+// Burst makes n calls within d, independent of each other. Calls that are refused are retried
+// every 100 ms, up to five attempts in all.
+func (w *World) Burst(n int, d time.Duration) {
 	for range n {
-		k, at := kinds[w.Draw("rush", len(kinds))], w.pause("rush", 0, int(d.Milliseconds()))
+		k, at := callKinds[w.RandN("rush", len(callKinds))], w.randomDelay("rush", 0, int(d.Milliseconds()))
 		w.Go(func(ctx context.Context) {
 			time.Sleep(at)
-			w.rmu.Lock()
-			w.orders++
-			order := fmt.Sprintf("o%d", w.orders)
-			w.rmu.Unlock()
+			w.randMu.Lock()
+			w.orderCount++
+			order := fmt.Sprintf("o%d", w.orderCount)
+			w.randMu.Unlock()
 			for range 5 {
 				if o := w.call(k, order, ""); ctx.Err() != nil || o.Err == "" && o.Status < 500 {
 					return
@@ -660,14 +662,14 @@
 	}
 }
 
-// Hammer is a client that sends the same order and reads again and again, without a
-// pause, whatever he is told, until ctx ends.
-func (w *World) Hammer(ctx context.Context, client string) {
+// RunAbusiveClient sends the same order and reads over and over, 20 ms after each answer,
+// whatever the answer is, until ctx ends.
+func (w *World) RunAbusiveClient(ctx context.Context, client string) {
 	var wg sync.WaitGroup
 	for i := range 2 {
 		wg.Go(func() {
 			for n := 0; ctx.Err() == nil; n++ {
-				k := kinds[i%2]
+				k := callKinds[i%2]
 				order := fmt.Sprintf("%s-%d", client, n/50)
 				if k.Repeatable {
 					order = fmt.Sprintf("%s-%d-%d", client, i, n)
@@ -680,24 +682,24 @@
 	wg.Wait()
 }
 
-// Callers calls at rate a second until ctx ends, then waits for what is open.
-func (w *World) Callers(ctx context.Context, rate float64) {
+// RunCallers makes rate calls a second until ctx ends, then waits for the open ones.
+func (w *World) RunCallers(ctx context.Context, rate float64) {
 	var wg sync.WaitGroup
 	for ctx.Err() == nil {
-		w.rmu.Lock()
-		r := w.stream("callers")
+		w.randMu.Lock()
+		r := w.rng("callers")
 		d := time.Duration(r.ExpFloat64() / rate * float64(time.Second))
-		k := kinds[r.IntN(len(kinds))]
-		w.rmu.Unlock()
+		k := callKinds[r.IntN(len(callKinds))]
+		w.randMu.Unlock()
 		time.Sleep(d)
 		wg.Go(func() { w.Call(k) })
 	}
 	wg.Wait()
 }
 
-// till is a context that ends at t, or with the world.
-func (w *World) till(t time.Time) context.Context {
-	ctx, end := context.WithDeadline(w.ctx, t)
-	context.AfterFunc(ctx, end)
+// until returns a context that ends at t, or with the world.
+func (w *World) until(t time.Time) context.Context {
+	ctx, cancel := context.WithDeadline(w.ctx, t)
+	context.AfterFunc(ctx, cancel)
 	return ctx
 }
