--- a/internal/sim/world_test.go
+++ b/internal/sim/world_test.go
@@ -16,153 +16,154 @@
 )
 
 var (
-	seeds = flag.Int("sim.seeds", 1, "how many seeds a run takes")
-	first = flag.Uint64("sim.first", 1, "the first seed")
-	span  = flag.Duration("sim.span", 0, "how long failures go on, in virtual time; above the suite's own 20 s or so")
-	loud  = flag.Bool("sim.loud", false, "tell what happens, and log to standard error")
-	dump  = flag.String("sim.dump", "", "folder for the logs of failing seeds")
-	size  = flag.String("sim.size", "small", "small, alcazar or grachtwerk")
+	seedCount = flag.Int("sim.seeds", 1, "number of seeds")
+	firstSeed = flag.Uint64("sim.first", 1, "first seed")
+	minSpan   = flag.Duration("sim.span", 0, "how long failures go on, in virtual time, if above the suite's own 20 s or so")
+	verbose   = flag.Bool("sim.loud", false, "log the events of the simulation, and the nodes' logs to standard error")
+	dumpDir   = flag.String("sim.dump", "", "folder for the logs of failing seeds")
+	sizeName  = flag.String("sim.size", "small", "small, alcazar or grachtwerk")
 )
 
 func shape() Shape {
 	s := Small()
-	switch *size {
+	switch *sizeName {
 	case "alcazar":
 		s = Alcazar()
 	case "grachtwerk":
 		s = Grachtwerk()
 	}
-	if *loud {
+	if *verbose {
 		s.Log = os.Stderr
 	}
 	return s
 }
 
-// chaos is one seeded run: form, fail for a while, heal, recover, judge.
+// chaos runs one seed: start up, fail for a while, heal, recover, check.
 func chaos(t *testing.T, seed uint64, d Defects) {
-	bubble(t, func(t *testing.T) { chaosIn(t, seed, d) })
+	inBubble(t, func(t *testing.T) { chaosRun(t, seed, d) })
 }
 
-func chaosIn(t *testing.T, seed uint64, d Defects) {
+func chaosRun(t *testing.T, seed uint64, d Defects) {
 	s := shape()
-	var book bytes.Buffer
-	if *dump != "" {
-		s.Log = &book
+	var logs bytes.Buffer
+	if *dumpDir != "" {
+		s.Log = &logs
 	}
 	w := New(seed, s)
-	if *loud {
-		w.Say = t.Logf
-	} else if *dump != "" {
-		w.Say = func(f string, a ...any) { w.log.Info(fmt.Sprintf(f, a...)) }
+	if *verbose {
+		w.Logf = t.Logf
+	} else if *dumpDir != "" {
+		w.Logf = func(f string, a ...any) { w.log.Info(fmt.Sprintf(f, a...)) }
 	}
 	defer func() {
 		w.End()
-		if *dump != "" && t.Failed() {
-			_ = os.WriteFile(filepath.Join(*dump, fmt.Sprintf("%s-%d.log", filepath.Base(filepath.Dir(t.Name())), seed)), book.Bytes(), 0o644)
+		if *dumpDir != "" && t.Failed() {
+			_ = os.WriteFile(filepath.Join(*dumpDir, fmt.Sprintf("%s-%d.log", filepath.Base(filepath.Dir(t.Name())), seed)), logs.Bytes(), 0o644)
 		}
 	}()
 	w.Start()
-	if err := w.Form(15 * time.Second); err != nil {
+	if err := w.WaitReady(15 * time.Second); err != nil {
 		t.Fatalf("seed %d: %v", seed, err)
 	}
-	w.Go(w.Platform)
-	d.Span = max(d.Span, *span)
-	cx, end := context.WithTimeout(w.ctx, d.Span)
-	defer end()
+	w.Go(w.PollReadiness)
+	d.Span = max(d.Span, *minSpan)
+	callCtx, cancel := context.WithTimeout(w.ctx, d.Span)
+	defer cancel()
 	calls, stop := context.WithTimeout(w.ctx, d.Span+22*time.Second)
 	defer stop()
 	done := make(chan struct{})
-	go func() { w.Callers(calls, 40); close(done) }()
+	go func() { w.RunCallers(calls, 40); close(done) }()
 	ops := make(chan struct{})
-	go func() { w.Operate(calls); close(ops) }()
+	go func() { w.RunOperators(calls); close(ops) }()
 	if d.Crowds || d.Day {
-		w.Go(func(context.Context) { w.Hammer(calls, "hammer") })
+		w.Go(func(context.Context) { w.RunAbusiveClient(calls, "hammer") })
 	}
 	time.Sleep(2 * time.Second)
-	w.Chaos(cx, d)
+	w.Chaos(callCtx, d)
 	healed := time.Now()
 	<-done
 	<-ops
-	if len(w.Rec.Acts) == 0 {
+	if len(w.Records.Acts) == 0 {
 		t.Errorf("seed %d: no failure was brought about", seed)
 	}
-	finish(t, w)
-	v := judge(t, w)
+	loseDiskAtEnd(t, w)
+	v := checkRecords(t, w)
 	if d.Day && v.Refused {
 		t.Errorf("seed %d: %d of %d calls refused: %v", seed, v.Refusals, v.Calls, v.Whys)
 	}
-	if late := w.Rec.Failed(healed.Add(15 * time.Second)); len(late) > 0 {
-		t.Errorf("seed %d: %d calls failed later than 15 s after all came back, first %+v", seed, len(late), late[0])
+	if late := w.Records.Failed(healed.Add(15 * time.Second)); len(late) > 0 {
+		t.Errorf("seed %d: %d calls failed later than 15 s after all had recovered, first %+v", seed, len(late), late[0])
 	}
-	if *loud || *dump != "" {
+	if *verbose || *dumpDir != "" {
 		w.timeline()
 	}
 	t.Logf("seed %d: %d calls, %d ok, %d refused, %d unknown, %v, %v, %d changes, %d extra, worst %.0f, slowest change %.0f ms, slip %.0f ms",
-		seed, v.Calls, v.Successes, v.Refusals, v.Unknown, v.Whys, v.Classes, w.Rec.Changed(), v.Extra, v.WorstExtra, v.SlowestMS, v.SlipMS)
-	drawn.note(d, v.Acts)
+		seed, v.Calls, v.Successes, v.Refusals, v.Unknown, v.Whys, v.Classes, w.Records.Changed(), v.Extra, v.WorstExtra, v.SlowestMS, v.SlipMS)
+	triggered.add(d, v.Acts)
 }
 
-// finish ends the day on a final fault: a change and a leaving are acknowledged, and
-// the disk of one machine is lost in that instant. The picture is read at once from
-// those that are left, and later also from the emptied machine.
-func finish(t *testing.T, w *World) {
-	time.Sleep(13 * time.Second) // the last loss of a disk is mended
-	if !w.lastLoss() {
+// loseDiskAtEnd ends the day with a final failure: a change and a leaving target are
+// acknowledged, and at that instant the disk of one machine is lost. The picture is checked at
+// once through the remaining controllers, and later also through the wiped one.
+func loseDiskAtEnd(t *testing.T, w *World) {
+	time.Sleep(13 * time.Second) // the core has recovered from the previous loss of a disk
+	if !w.loseDiskAfterAck() {
 		return
 	}
-	w.Rec.Act("disk lost at the last moment")
-	ctx, end := context.WithTimeout(w.ctx, 8*time.Second)
-	defer end()
-	for _, n := range w.Of("controller") {
-		if n.Up() {
-			for _, b := range w.Picture(ctx, n) {
+	w.Records.Act("disk lost at the last moment")
+	ctx, cancel := context.WithTimeout(w.ctx, 8*time.Second)
+	defer cancel()
+	for _, n := range w.NodesOfKind("controller") {
+		if n.Running() {
+			for _, b := range w.CheckPicture(ctx, n) {
 				t.Error("right after the last loss:", b)
 			}
 		}
 	}
-	for _, n := range w.Of("controller") {
+	for _, n := range w.NodesOfKind("controller") {
 		n.Start()
 	}
 	time.Sleep(5 * time.Second)
 }
 
-// tally counts what the runs of a sweep brought about.
-type tally struct {
-	mu   sync.Mutex
-	acts map[Defects]map[string]int
+// failureTally counts the failures that the runs of a sweep brought about.
+type failureTally struct {
+	mu     sync.Mutex
+	counts map[Defects]map[string]int
 }
 
-var drawn = tally{acts: map[Defects]map[string]int{}}
+var triggered = failureTally{counts: map[Defects]map[string]int{}}
 
-func (y *tally) note(d Defects, acts map[string]int) {
+func (y *failureTally) add(d Defects, acts map[string]int) {
 	y.mu.Lock()
 	defer y.mu.Unlock()
-	m := y.acts[d]
+	m := y.counts[d]
 	if m == nil {
 		m = map[string]int{}
-		y.acts[d] = m
+		y.counts[d] = m
 	}
 	for n, k := range acts {
 		m[n] += k
 	}
 }
 
-// whole fails a sweep in which a failure of its suite never came about.
-func (y *tally) whole(t *testing.T, d Defects) {
+// requireAll fails a sweep in which a failure of its suite never came about.
+func (y *failureTally) requireAll(t *testing.T, d Defects) {
 	y.mu.Lock()
 	defer y.mu.Unlock()
-	for _, n := range append(d.names(), last...) {
-		if y.acts[d][n] == 0 {
-			t.Errorf("%d runs, and never: %s", *seeds, n)
+	for _, n := range append(d.failureNames(), finalFailures...) {
+		if y.counts[d][n] == 0 {
+			t.Errorf("not brought about in %d runs: %s", *seedCount, n)
 		}
 	}
-	t.Logf("brought about: %v", y.acts[d])
+	t.Logf("brought about: %v", y.counts[d])
 }
 
-// The simulator brings about every failure of the list that it shares with the fleet.
+// The simulator must bring about every failure of the list that it shares with the fleet of
+// real processes.
 func TestFailuresAreAllBroughtAbout(t *testing.T) {
-	have := (&World{}).acts()
-	all := append(Defects{Nodes: true, Disks: true, Net: true, Targets: true, Crowds: true}.names(), last...)
+	have := (&World{}).failures()
+	all := append(Defects{Nodes: true, Disks: true, Net: true, Targets: true, Crowds: true}.failureNames(), finalFailures...)
 	for _, n := range stand.Failures {
 		if have[n] == nil || !slices.Contains(all, n) {
 			t.Errorf("no suite brings about: %s", n)
@@ -178,13 +179,13 @@
 	if d.Span == 0 {
 		d.Span = 20 * time.Second
 	}
-	if *seeds >= 10 && os.Getenv(meantEnv) == "" {
-		t.Cleanup(func() { d.Span = max(d.Span, *span); drawn.whole(t, d) })
+	if *seedCount >= 10 && os.Getenv(childTestEnv) == "" {
+		t.Cleanup(func() { d.Span = max(d.Span, *minSpan); triggered.requireAll(t, d) })
 	}
-	for i := range *seeds {
-		t.Run(fmt.Sprint(*first+uint64(i)), func(t *testing.T) {
+	for i := range *seedCount {
+		t.Run(fmt.Sprint(*firstSeed+uint64(i)), func(t *testing.T) {
 			t.Parallel()
-			chaos(t, *first+uint64(i), d)
+			chaos(t, *firstSeed+uint64(i), d)
 		})
 	}
 }
@@ -199,9 +200,9 @@
 	sweep(t, Defects{Nodes: true, Disks: true, Net: true, Targets: true, Crowds: true})
 }
 
-// TestFinds runs seeds again that found defects, each with its suite of then; what
-// befalls a seed changes when failures are added, so this guards kinds of runs more
-// than single ones.
+// TestFinds repeats seeds that found defects, each with its suite of that time. What happens
+// in a seed changes when failures are added, so this covers kinds of runs rather than the
+// exact runs.
 func TestFinds(t *testing.T) {
 	t.Parallel()
 	for name, x := range map[string]struct {
--- a/internal/sim/zone_test.go
+++ b/internal/sim/zone_test.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// rate is how many calls a second the deployment of the size asked for gets.
+// rate returns how many calls a second a deployment of the chosen size gets.
 func rate() float64 {
-	switch *size {
+	switch *sizeName {
 	case "alcazar":
 		return 230
 	case "grachtwerk":
@@ -18,38 +18,38 @@
 	return 60
 }
 
-// A zone goes out in each way, with changes under way, and comes back: what is refused
-// stays within what is promised, and all serve again. The log has the figures.
+// A zone fails in each way, with changes in progress, and comes back: refusals must stay within
+// the promised bound, and all nodes must serve again. The log has the figures.
 func TestZonesOut(t *testing.T) {
 	t.Parallel()
 	zones := shape().Zones
-	if *seeds == 1 {
-		zones = 1 // a sweep takes each
+	if *seedCount == 1 {
+		zones = 1 // a sweep with more seeds takes each zone
 	}
 	for z := 1; z <= zones; z++ {
 		for _, how := range []string{"kill", "freeze", "cut"} {
 			t.Run(fmt.Sprintf("z%d-%s", z, how), func(t *testing.T) {
 				t.Parallel()
-				raisedAs(t, shape(), func(ctx context.Context, w *World) { zoneTrial(ctx, t, w, fmt.Sprintf("z%d", z), how) })
+				withShape(t, shape(), func(ctx context.Context, w *World) { zoneOutage(ctx, t, w, fmt.Sprintf("z%d", z), how) })
 			})
 		}
 	}
 }
 
-func zoneTrial(ctx context.Context, t *testing.T, w *World, zone, how string) {
-	w.Go(w.Platform)
-	cx, end := context.WithTimeout(ctx, 50*time.Second)
-	defer end()
+func zoneOutage(ctx context.Context, t *testing.T, w *World, zone, how string) {
+	w.Go(w.PollReadiness)
+	callCtx, cancel := context.WithTimeout(ctx, 50*time.Second)
+	defer cancel()
 	done, ops := make(chan struct{}), make(chan struct{})
-	go func() { w.Callers(cx, rate()); close(done) }()
-	go func() { w.Operate(cx); close(ops) }()
+	go func() { w.RunCallers(callCtx, rate()); close(done) }()
+	go func() { w.RunOperators(callCtx); close(ops) }()
 	time.Sleep(14 * time.Second)
 	side := func(n *Node) bool { return n.Zone == zone }
 	if how == "cut" {
-		w.part(zone, 10*time.Second, side)
-		// The zone's targets are cut off with it.
+		w.partition(zone, 10*time.Second, side)
+		// The zone's targets are cut off with their zone.
 		for _, x := range w.Targets {
-			for _, n := range w.In() {
+			for _, n := range w.ActiveNodes() {
 				if side(n) != (x.Zone == zone) {
 					w.Net.Cut(x.ID, n.ID)
 					w.Net.Cut(n.ID, x.ID)
@@ -57,7 +57,7 @@
 			}
 		}
 	}
-	for _, n := range w.In() {
+	for _, n := range w.ActiveNodes() {
 		if n.Zone == zone && how == "kill" {
 			n.Kill()
 		} else if n.Zone == zone && how == "freeze" {
@@ -70,23 +70,23 @@
 		}
 	}
 	time.Sleep(10 * time.Second)
-	for _, n := range w.In() {
+	for _, n := range w.ActiveNodes() {
 		n.Thaw()
 		n.Start()
 	}
 	for _, x := range w.Targets {
-		if !x.Up() {
+		if !x.Running() {
 			x.Start()
 		}
 	}
-	back := time.Now()
+	returned := time.Now()
 	<-done
 	<-ops
-	v := judge(t, w)
-	late := w.Rec.Failed(back.Add(15 * time.Second))
+	v := checkRecords(t, w)
+	late := w.Records.Failed(returned.Add(15 * time.Second))
 	last := time.Duration(0)
-	for _, o := range w.Rec.Failed(back) {
-		last = max(last, o.Sent.Sub(back))
+	for _, o := range w.Records.Failed(returned) {
+		last = max(last, o.Sent.Sub(returned))
 	}
 	t.Logf("%d calls, %d refused (%d promised), %v, %v, last failure %s after the return", v.Calls, v.Refusals, 5+v.Calls/500, v.Classes, v.Whys, last)
 	if v.Refused || len(late) > 0 {
