--- a/cmd/trial/main.go
+++ b/cmd/trial/main.go
@@ -68,7 +68,7 @@
 		p.WriteHelp(out)
 		return 0
 	}
-	plan, perr := stand.Plans(a.Plan)
+	plan, perr := stand.PlanByName(a.Plan)
 	switch {
 	case err != nil:
 	case perr != nil:
@@ -116,16 +116,16 @@
 }
 
 func runTrial(a args, plan stand.Plan, out io.Writer) (*report, error) {
-	town, err := stand.NewTown(plan, a.Dir, a.Bin, a.Net, a.How == "cut")
+	town, err := stand.NewDeployment(plan, a.Dir, a.Bin, a.Net, a.How == "cut")
 	if err != nil {
 		return nil, err
 	}
-	defer town.Lower()
+	defer town.Stop()
 	ctx, cancel := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer cancel()
 	startCtx, cancelStart := context.WithTimeout(ctx, time.Minute)
 	defer cancelStart()
-	if err := town.Raise(startCtx); err != nil {
+	if err := town.Start(startCtx); err != nil {
 		return nil, err
 	}
 	logf := func(format string, args ...any) {
@@ -141,11 +141,11 @@
 	}
 	loadCtx, stopLoad := context.WithCancel(ctx)
 	defer stopLoad()
-	go town.Platform.Run(loadCtx)
+	go town.Balancer.Run(loadCtx)
 	callersDone, operatorDone := make(chan struct{}), make(chan struct{})
-	go func() { town.Callers.Go(loadCtx); close(callersDone) }()
-	go func() { town.Operate(loadCtx, func(uint64) {}); close(operatorDone) }()
-	go town.Callers.Hammer(loadCtx, plan.Kinds[0], "hammer")
+	go func() { town.Callers.Run(loadCtx); close(callersDone) }()
+	go func() { town.RunOperator(loadCtx, func(uint64) {}); close(operatorDone) }()
+	go town.Callers.CallContinuously(loadCtx, plan.CallKinds[0], "hammer")
 	// Run undisturbed at first: the limit on refused requests is relative to all requests.
 	sleep(20 * time.Second)
 	result := &report{Plan: plan.Name, Zone: a.Zone, How: a.How}
@@ -184,13 +184,13 @@
 	logf("zone %s comes back: %d nodes, %d targets", a.Zone, result.Nodes, result.Targets)
 	returned := time.Now()
 	if a.How == "cut" {
-		town.Wires.Cut(nil)
+		town.Relays.SetCut(nil)
 	}
 	for _, n := range town.Fleet.Nodes {
 		switch {
 		case n.Zone != a.Zone:
 		case a.How == "freeze":
-			n.Thaw()
+			n.Unfreeze()
 		case a.How == "kill":
 			if err := n.Start(); err != nil {
 				return nil, err
@@ -211,21 +211,21 @@
 	if a.Plant && len(town.Rec.Execs) > 0 {
 		for _, o := range town.Rec.Outcomes {
 			if !o.Repeatable && o.Status == 200 {
-				town.Rec.Exec(stand.Exec{At: time.Now(), Order: o.Order, Path: o.Path, Service: o.Service, Target: "planted"})
+				town.Rec.RecordExec(stand.Exec{At: time.Now(), Order: o.Order, Path: o.Path, Service: o.Service, Target: "planted"})
 				break
 			}
 		}
 	}
 	judgeCtx, cancelJudge := context.WithTimeout(ctx, 20*time.Second)
 	defer cancelJudge()
-	result.Verdict = town.Judge(judgeCtx)
+	result.Verdict = town.Check(judgeCtx)
 	for _, o := range town.Rec.Failed(returned) {
 		result.RecoveryMS = max(result.RecoveryMS, float64(o.Sent.Sub(returned).Milliseconds()))
 		if o.Sent.Sub(returned) > maxRecovery {
 			result.LateFails++
 		}
 	}
-	result.Held = len(result.Verdict.Broken) == 0 && !result.Verdict.Refused && result.LateFails == 0
+	result.Held = len(result.Verdict.Violations) == 0 && !result.Verdict.TooManyRefusals && result.LateFails == 0
 	return result, nil
 }
 
@@ -238,13 +238,13 @@
 	}
 	v := r.Verdict
 	_, _ = fmt.Fprintf(out, "calls %d, successes %d, refused %d, outcome unknown %d; %v\n", v.Calls, v.Successes, v.Refusals, v.Unknown, v.Classes)
-	_, _ = fmt.Fprintf(out, "median %.1f ms, 99 of 100 within %.1f ms; extra sends %d\n", v.P50MS, v.P99MS, v.Extra)
+	_, _ = fmt.Fprintf(out, "median %.1f ms, 99 of 100 within %.1f ms; extra sends %d\n", v.P50MS, v.P99MS, v.ExtraSends)
 	_, _ = fmt.Fprintf(out, "last failure %.0f ms after the zone's return; %d later than 15 s\n", r.RecoveryMS, r.LateFails)
-	for _, b := range v.Broken {
+	for _, b := range v.Violations {
 		_, _ = fmt.Fprintln(out, "BROKEN:", b)
 	}
-	if v.Refused {
-		_, _ = fmt.Fprintln(out, "BROKEN: refused too often:", v.Whys)
+	if v.TooManyRefusals {
+		_, _ = fmt.Fprintln(out, "BROKEN: refused too often:", v.RefusalReasons)
 	}
 	if r.Held {
 		_, _ = fmt.Fprintln(out, "all promises held")
