--- a/internal/proxy/node.go
+++ b/internal/proxy/node.go
@@ -190,7 +190,7 @@
 			}
 			s := n.service(r.Service)
 			if s == nil || len(n.runs) >= maxRuns {
-				n.warnLimited("run ignored: too many services or runs", "step", "news", "peer", r.ID, "runs", len(n.runs))
+				n.warnLimited("a run is left out", "step", "news", "peer", r.ID, "runs", len(n.runs))
 				continue
 			}
 			k = &runRecord{run: r, svc: s}
