--- a/internal/commands/change.go
+++ b/internal/commands/change.go
@@ -17,8 +17,8 @@
 	"walkrudder/internal/steperr"
 )
 
-// ChangeRequest is an operator's request to change the route sheet.
-type ChangeRequest struct {
+// Order is an operator's request to change the route sheet.
+type Order struct {
 	// Base is the version that the operator's edits are based on; nil skips the check.
 	Base *uint64 `json:"base,omitempty"`
 	// Token identifies the request, so that a retry is not applied twice.
@@ -62,7 +62,7 @@
 
 // Apply decides a change and brings it into force (design 8.1). The outcome is "in force"
 // only when every gateway has the change or has lost its lease.
-func (c *Changer) Apply(ctx context.Context, o ChangeRequest) Result {
+func (c *Changer) Apply(ctx context.Context, o Order) Result {
 	for try := 0; ; try++ {
 		state, err := c.Ledger.Refresh(ctx)
 		if err != nil {
--- a/internal/controller/http.go
+++ b/internal/controller/http.go
@@ -102,7 +102,7 @@
 var statusOf = map[string]int{commands.InForce: 200, commands.Valid: 200, commands.Invalid: 422, commands.Conflict: 409, commands.OutcomeUnknown: 504, commands.NoMajority: 503}
 
 func (ctl *Controller) postChange(c *fiber.Ctx) error {
-	var o commands.ChangeRequest
+	var o commands.Order
 	d := json.NewDecoder(bytes.NewReader(c.Body()))
 	d.DisallowUnknownFields()
 	if err := d.Decode(&o); err != nil {
--- a/internal/sim/orders_test.go
+++ b/internal/sim/orders_test.go
@@ -53,7 +53,7 @@
 		results := make(chan commands.Result, 2)
 		for i, m := range []*Node{m1, m2} {
 			go func() {
-				r, _ := w.Order(ctx, m, commands.ChangeRequest{Base: &one, Token: string('a' + rune(i)), Edits: putService("s" + string('a'+rune(i)))})
+				r, _ := w.Order(ctx, m, commands.Order{Base: &one, Token: string('a' + rune(i)), Edits: putService("s" + string('a'+rune(i)))})
 				results <- r
 			}()
 		}
@@ -67,7 +67,7 @@
 		// Without a base version both succeed, one after the other.
 		for i, m := range []*Node{m1, m2} {
 			go func() {
-				r, _ := w.Order(ctx, m, commands.ChangeRequest{Edits: putService("t" + string('a'+rune(i)))})
+				r, _ := w.Order(ctx, m, commands.Order{Edits: putService("t" + string('a'+rune(i)))})
 				results <- r
 			}()
 		}
@@ -75,15 +75,15 @@
 			t.Errorf("%+v %+v", x, y)
 		}
 		// The same change again, through a controller that has not seen it.
-		o := commands.ChangeRequest{Token: "again", Edits: putService("u")}
+		o := commands.Order{Token: "again", Edits: putService("u")}
 		first, _ := w.Order(ctx, m1, o)
 		again, _ := w.Order(ctx, m4, o)
 		if first.Version != 5 || again.Version != 5 || !again.Duplicate || first.Duplicate {
 			t.Errorf("%+v, then %+v", first, again)
 		}
 		// Invalid changes and dry runs have no effect.
-		bad, _ := w.Order(ctx, m2, commands.ChangeRequest{Edits: append(putService("v"), spec.Edit{Op: spec.RemoveBinding, Name: "none"})})
-		dry, _ := w.Order(ctx, m2, commands.ChangeRequest{DryRun: true, Edits: putService("v")})
+		bad, _ := w.Order(ctx, m2, commands.Order{Edits: append(putService("v"), spec.Edit{Op: spec.RemoveBinding, Name: "none"})})
+		dry, _ := w.Order(ctx, m2, commands.Order{DryRun: true, Edits: putService("v")})
 		if bad.Outcome != commands.Invalid || len(bad.Problems) != 1 || dry.Outcome != commands.Valid {
 			t.Errorf("%+v %+v", bad, dry)
 		}
@@ -118,7 +118,7 @@
 		m4 := w.Node("m4").Controller()
 		callCtx, cancel := context.WithTimeout(ctx, 4*time.Second)
 		defer cancel()
-		if r := m4.Changer.Apply(callCtx, commands.ChangeRequest{Edits: putService("s")}); r.Outcome != commands.OutcomeUnknown || !strings.Contains(r.Reason, "waiting for f2") {
+		if r := m4.Changer.Apply(callCtx, commands.Order{Edits: putService("s")}); r.Outcome != commands.OutcomeUnknown || !strings.Contains(r.Reason, "waiting for f2") {
 			t.Errorf("%+v", r)
 		}
 		callCtx, cancel = context.WithTimeout(ctx, 2*time.Second)
@@ -135,7 +135,7 @@
 	withWorld(t, func(ctx context.Context, w *World) {
 		f := w.Node("f2")
 		f.Kill()
-		if r, _ := w.Order(ctx, w.Node("m1"), commands.ChangeRequest{Edits: putService("late")}); r.Outcome != commands.InForce {
+		if r, _ := w.Order(ctx, w.Node("m1"), commands.Order{Edits: putService("late")}); r.Outcome != commands.InForce {
 			t.Fatalf("%+v", r)
 		}
 		f.Start()
@@ -271,7 +271,7 @@
 			t.Errorf("%s still has its seat, or %s has none: %+v", out, in, w.Node("m2").Controller().Proposer.Core())
 		}
 		w.Node(out).Kill()
-		if r, _ := w.Order(ctx, w.Node("m2"), commands.ChangeRequest{Edits: putService("after")}); r.Outcome != commands.InForce {
+		if r, _ := w.Order(ctx, w.Node("m2"), commands.Order{Edits: putService("after")}); r.Outcome != commands.InForce {
 			t.Errorf("a change without the machine that was swapped out: %+v", r)
 		}
 		// The machine comes back as a standby; the operator's wish must not be undone.
@@ -337,7 +337,7 @@
 		n := uint64(1)
 		order := func(k int) {
 			for range k {
-				r, _ := w.Order(ctx, w.Node("m1"), commands.ChangeRequest{Edits: putService(fmt.Sprint("s", n%5))})
+				r, _ := w.Order(ctx, w.Node("m1"), commands.Order{Edits: putService(fmt.Sprint("s", n%5))})
 				if n++; r.Outcome != commands.InForce || r.Version != n {
 					t.Fatalf("%+v, want version %d", r, n)
 				}
--- a/internal/sim/world.go
+++ b/internal/sim/world.go
@@ -420,7 +420,7 @@
 
 // Order sends a change to a controller, as an operator would over HTTP; ok is false when no
 // answer came.
-func (w *World) Order(ctx context.Context, n *Node, o commands.ChangeRequest) (commands.Result, bool) {
+func (w *World) Order(ctx context.Context, n *Node, o commands.Order) (commands.Result, bool) {
 	return callController(ctx, n, func(callCtx context.Context, m *controller.Controller) commands.Result {
 		return m.Changer.Apply(callCtx, o)
 	})
@@ -436,7 +436,7 @@
 		controllers := w.NodesOfKind("controller")
 		n := controllers[w.RandN(who, len(controllers))]
 		if a.RollbackTo == 0 {
-			return w.Order(ctx, n, commands.ChangeRequest{Token: a.Token, Base: base, Edits: a.Edits})
+			return w.Order(ctx, n, commands.Order{Token: a.Token, Base: base, Edits: a.Edits})
 		}
 		return callController(ctx, n, func(callCtx context.Context, m *controller.Controller) commands.Result {
 			x, err := m.Statements.Execute(callCtx, fmt.Sprintf("roll back to %d token %s", a.RollbackTo, a.Token))
--- a/internal/statement/executor.go
+++ b/internal/statement/executor.go
@@ -130,7 +130,7 @@
 
 // change converts an order into edits and applies them.
 func (ex *Executor) change(ctx context.Context, x *Order) (Reply, error) {
-	o := commands.ChangeRequest{Base: x.Base, Token: x.Token, Operator: x.By, Note: x.Note, DryRun: x.Check}
+	o := commands.Order{Base: x.Base, Token: x.Token, Operator: x.By, Note: x.Note, DryRun: x.Check}
 	for _, e := range x.Edits {
 		switch {
 		case e.RollBack != nil:
--- a/tools/stand/deployment.go
+++ b/tools/stand/deployment.go
@@ -133,7 +133,7 @@
 var operatorClient = &http.Client{Timeout: 12 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 
 // SubmitChange sends a change to any controller.
-func (d *Deployment) SubmitChange(ctx context.Context, o commands.ChangeRequest) (r commands.Result, err error) {
+func (d *Deployment) SubmitChange(ctx context.Context, o commands.Order) (r commands.Result, err error) {
 	addrs := d.Fleet.PublicAddrs("controller")
 	err = errors.New("no controller")
 	for _, i := range rand.Perm(len(addrs)) {
@@ -145,7 +145,7 @@
 }
 
 // SendChange sends a change to one controller.
-func SendChange(ctx context.Context, addr string, o commands.ChangeRequest) (r commands.Result, err error) {
+func SendChange(ctx context.Context, addr string, o commands.Order) (r commands.Result, err error) {
 	b, err := json.Marshal(o)
 	if err != nil {
 		return r, err
@@ -177,7 +177,7 @@
 		if a.RollbackTo > 0 {
 			err = d.Query(ctx, fmt.Sprintf("roll back to %d token %s", a.RollbackTo, a.Token), &r)
 		} else {
-			r, err = d.SubmitChange(ctx, commands.ChangeRequest{Token: a.Token, Operator: "stand", Edits: a.Edits})
+			r, err = d.SubmitChange(ctx, commands.Order{Token: a.Token, Operator: "stand", Edits: a.Edits})
 		}
 		return r, err == nil
 	}, func() { time.Sleep(50 * time.Millisecond) })
