--- a/cmd/controller/rollout.go
+++ b/cmd/controller/rollout.go
@@ -79,19 +79,19 @@
 }
 
 // execute sends the request and prints the result.
-func (a rolloutArgs) execute(client link.Line, out, errw io.Writer) int {
+func (a rolloutArgs) execute(transport link.Transport, out, errw io.Writer) int {
 	ctx, cancel := context.WithTimeout(context.Background(), a.Timeout)
 	defer cancel()
 	var err error
 	switch {
 	case a.Start != nil:
 		order := upgrade.Order{Service: a.Start.Service, To: a.Start.Version, Term: a.Start.Term}
-		_, err = link.Call[control.UpgradeTold](ctx, client, a.Start.Node, control.UpgradeOrderAsk{Order: order})
+		_, err = link.Call[control.UpgradeTold](ctx, transport, a.Start.Node, control.UpgradeOrderAsk{Order: order})
 	case a.Revert != nil:
-		_, err = link.Call[control.UpgradeTold](ctx, client, a.Revert.Node, control.UpgradeRevertAsk{Service: a.Revert.Service})
+		_, err = link.Call[control.UpgradeTold](ctx, transport, a.Revert.Node, control.UpgradeRevertAsk{Service: a.Revert.Service})
 	default:
 		status := showArgs{Node: a.Status.Node, JSON: a.Status.JSON}
-		err = printRows[control.UpgradeRow](ctx, status, client, control.UpgradesAsk{Prefix: a.Status.Service}, out)
+		err = printRows[control.UpgradeRow](ctx, status, transport, control.UpgradesAsk{Prefix: a.Status.Service}, out)
 	}
 	if err != nil {
 		_, _ = fmt.Fprintln(errw, "controller rollout:", err)
--- a/cmd/controller/show.go
+++ b/cmd/controller/show.go
@@ -86,26 +86,26 @@
 }
 
 // execute requests the list and prints it.
-func (a showArgs) execute(client link.Line, out, errw io.Writer) int {
+func (a showArgs) execute(transport link.Transport, out, errw io.Writer) int {
 	ctx, cancel := context.WithTimeout(context.Background(), a.Timeout)
 	defer cancel()
 	page := control.Page{After: a.After, Most: a.Most}
 	var err error
 	switch a.List {
 	case listItems:
-		err = printRows[control.ItemRow](ctx, a, client, control.ItemsAsk{Page: page, Prefix: a.Prefix}, out)
+		err = printRows[control.ItemRow](ctx, a, transport, control.ItemsAsk{Page: page, Prefix: a.Prefix}, out)
 	case listRuns:
-		err = printRows[control.RunRow](ctx, a, client, control.RunsAsk{Page: page, Service: a.Service, Prefix: a.Prefix}, out)
+		err = printRows[control.RunRow](ctx, a, transport, control.RunsAsk{Page: page, Service: a.Service, Prefix: a.Prefix}, out)
 	case listMembers:
-		err = printRows[control.MemberRow](ctx, a, client, control.MembersAsk{Page: page}, out)
+		err = printRows[control.MemberRow](ctx, a, transport, control.MembersAsk{Page: page}, out)
 	case listCore:
-		err = printRows[control.SeatRow](ctx, a, client, control.CoreAsk{Page: page}, out)
+		err = printRows[control.SeatRow](ctx, a, transport, control.CoreAsk{Page: page}, out)
 	case listDisk:
-		err = printRows[control.DiskRow](ctx, a, client, control.DiskAsk{Page: page}, out)
+		err = printRows[control.DiskRow](ctx, a, transport, control.DiskAsk{Page: page}, out)
 	case listCounters:
-		err = printRows[control.CounterRow](ctx, a, client, control.CountersAsk{Page: page, Prefix: a.Prefix}, out)
+		err = printRows[control.CounterRow](ctx, a, transport, control.CountersAsk{Page: page, Prefix: a.Prefix}, out)
 	case listRollouts:
-		err = printRows[control.UpgradeRow](ctx, a, client, control.UpgradesAsk{Page: page, Prefix: a.Prefix}, out)
+		err = printRows[control.UpgradeRow](ctx, a, transport, control.UpgradesAsk{Page: page, Prefix: a.Prefix}, out)
 	}
 	if err != nil {
 		_, _ = fmt.Fprintf(errw, "controller show: %s not told: %v\n", a.List, err)
@@ -115,8 +115,8 @@
 }
 
 // printRows sends one request and prints the rows of its answer.
-func printRows[R any](ctx context.Context, a showArgs, client link.Line, request any, out io.Writer) error {
-	answer, err := link.Call[control.Answer[R]](ctx, client, a.Node, request)
+func printRows[R any](ctx context.Context, a showArgs, transport link.Transport, request any, out io.Writer) error {
+	answer, err := link.Call[control.Answer[R]](ctx, transport, a.Node, request)
 	if err != nil {
 		return err
 	}
--- a/internal/claim/claim.go
+++ b/internal/claim/claim.go
@@ -209,9 +209,9 @@
 }
 
 // Serve registers the handlers for TakeAsk and EndAsk.
-func (q *QuorumStore) Serve(d *link.Mux) {
-	link.Handle(d, func(ctx context.Context, _ link.Identity, a TakeAsk) (TakeTold, error) { return q.Take(ctx, a) })
-	link.Handle(d, func(ctx context.Context, _ link.Identity, a EndAsk) (EndTold, error) {
+func (q *QuorumStore) Serve(mux *link.Mux) {
+	link.Handle(mux, func(ctx context.Context, _ link.Identity, a TakeAsk) (TakeTold, error) { return q.Take(ctx, a) })
+	link.Handle(mux, func(ctx context.Context, _ link.Identity, a EndAsk) (EndTold, error) {
 		err := q.End(ctx, a)
 		return EndTold{OK: err == nil}, err
 	})
--- a/internal/claim/coordinator.go
+++ b/internal/claim/coordinator.go
@@ -81,11 +81,11 @@
 // voting gateways decide, and their decisions are uploaded to the disks when the core is
 // back (design 17.2).
 type Coordinator struct {
-	Self  string
-	Link  link.Line
-	Clock clock.Clock
-	Store Store
-	Log   *log.Logger
+	Self      string
+	Transport link.Transport
+	Clock     clock.Clock
+	Store     Store
+	Log       *log.Logger
 	// LeasedPeers lists the inner addresses of the other nodes that hold a lease, Peers
 	// those of all other known nodes.
 	LeasedPeers, Peers func() []string
@@ -111,8 +111,8 @@
 }
 
 // Serve registers the handler for MarkAsk.
-func (c *Coordinator) Serve(d *link.Mux) {
-	link.Handle(d, func(ctx context.Context, _ link.Identity, a MarkAsk) (r MarkTold, err error) {
+func (c *Coordinator) Serve(mux *link.Mux) {
+	link.Handle(mux, func(ctx context.Context, _ link.Identity, a MarkAsk) (r MarkTold, err error) {
 		if len(a.Marks) > 2*maxBatch {
 			return r, steperr.New("mark", "", "message carries too many marks: %d", len(a.Marks))
 		}
@@ -262,7 +262,7 @@
 	ch := make(chan MarkTold, len(addrs)+1)
 	for _, a := range addrs {
 		go func() {
-			r, _ := link.Call[MarkTold](cx, c.Link, a, MarkAsk{Marks: ms})
+			r, _ := link.Call[MarkTold](cx, c.Transport, a, MarkAsk{Marks: ms})
 			ch <- r
 		}()
 	}
--- a/internal/commands/drain.go
+++ b/internal/commands/drain.go
@@ -19,7 +19,7 @@
 type Drainer struct {
 	Ledger     *ledger.Ledger
 	Membership *membership.LeaseClient
-	Transport  link.Line
+	Transport  link.Transport
 	Clock      clock.Clock
 	Faults     *fault.Set
 
@@ -39,7 +39,7 @@
 	return d.record(ctx, ledger.LeavePrefix, t, ledger.Note{Kind: ledger.NoteLeave, Target: &t, HeartbeatSeq: b.Seq})
 }
 
-// MarkGone records that a target run is removed, and tells every gateway.
+// MarkGone records that a target run is removed and informs every gateway.
 func (d *Drainer) MarkGone(ctx context.Context, t ledger.Target, suspicion float64, reason string) error {
 	return d.record(ctx, ledger.GonePrefix, t, ledger.Note{Kind: ledger.NoteGone, Target: &t, Suspicion: suspicion, Reason: reason})
 }
--- a/internal/commands/heartbeat.go
+++ b/internal/commands/heartbeat.go
@@ -16,7 +16,7 @@
 type HeartbeatReceiver struct {
 	Registry   *registry.HomeTable
 	Membership *membership.LeaseClient
-	Transport  link.Line
+	Transport  link.Transport
 	NodeID     string
 	Drainer    *Drainer
 }
--- a/internal/commands/supervisor.go
+++ b/internal/commands/supervisor.go
@@ -45,7 +45,7 @@
 	Membership *membership.LeaseClient
 	Drainer    *Drainer
 	Proposer   *quorum.Proposer
-	Transport  link.Line
+	Transport  link.Transport
 	Clock      clock.Clock
 	Faults     *fault.Set
 	Log        *log.Logger
@@ -142,7 +142,7 @@
 	return nil
 }
 
-// broadcastMark tells every controller's registry. A controller that misses the message
+// broadcastMark informs every controller's registry. A controller that misses the message
 // shows the old state for a while longer; the gateways do not depend on it.
 func (sv *Supervisor) broadcastMark(ctx context.Context, t ledger.Target, suspect, gone bool) {
 	callCtx, cancel := context.WithTimeout(ctx, 300*time.Millisecond)
--- a/internal/commands/trim.go
+++ b/internal/commands/trim.go
@@ -21,7 +21,7 @@
 	Ledger     *ledger.Ledger
 	Proposer   *quorum.Proposer
 	Membership *membership.LeaseClient
-	Transport  link.Line
+	Transport  link.Transport
 	Drainer    *Drainer
 	Retention  time.Duration
 }
--- a/internal/control/cluster_test.go
+++ b/internal/control/cluster_test.go
@@ -164,14 +164,14 @@
 func (m *controllerHost) boot() {
 	proc := m.Start(m.cluster.ctx, "")
 	m.inc += 1 + uint64(m.cluster.randN(1000))
-	p := Parts{Settings: Settings{ID: m.id, Zone: m.zone, Region: m.cluster.regions[m.zone], Zones: m.cluster.regions, InternalAddr: m.addr, Seeds: m.cluster.seedList(), Tolerance: m.cluster.tolerance, InitialStart: m.cluster.initialStart, HeartbeatInterval: time.Second},
-		Incarnation: m.inc, NewDiskID: fmt.Sprintf("%s-%d", m.id, m.inc), Line: simnet.LinkClient{Proc: proc}, Clock: simnet.Clock{Proc: proc}, Log: discardLog(), OnDiskFailure: func(error) { proc.Kill() }}
+	cfg := Config{Settings: Settings{ID: m.id, Zone: m.zone, Region: m.cluster.regions[m.zone], Zones: m.cluster.regions, InternalAddr: m.addr, Seeds: m.cluster.seedList(), Tolerance: m.cluster.tolerance, InitialStart: m.cluster.initialStart, HeartbeatInterval: time.Second},
+		Incarnation: m.inc, NewDiskID: fmt.Sprintf("%s-%d", m.id, m.inc), Transport: simnet.LinkClient{Proc: proc}, Clock: simnet.Clock{Proc: proc}, Log: discardLog(), OnDiskFailure: func(error) { proc.Kill() }}
 	var h *simnet.Handle
 	if m.disk != nil {
 		h = &simnet.Handle{Disk: m.disk.Disk, Proc: proc, SkipDelay: true}
-		p.Disk, p.RunJournal = h, &diskJournal{m.disk, proc.Context()}
+		cfg.Disk, cfg.RunJournal = h, &diskJournal{m.disk, proc.Context()}
 	}
-	n, err := New(p)
+	n, err := New(cfg)
 	if err != nil {
 		m.cluster.t.Fatal(err)
 	}
@@ -181,7 +181,7 @@
 	m.mu.Lock()
 	m.node = n
 	m.mu.Unlock()
-	m.start(proc, n.Desk, n.Run)
+	m.start(proc, n.Mux, n.Run)
 }
 
 func (m *controllerHost) control() *Node {
@@ -194,7 +194,7 @@
 func (x *gatewayHost) boot() {
 	proc := x.Start(x.cluster.ctx, "")
 	x.inc++
-	s := &watch.Subscriber{Me: watch.Member{ID: x.id, Kind: watch.Gateway, Zone: x.zone, Inc: x.inc}, Line: simnet.LinkClient{Proc: proc}, Clock: simnet.Clock{Proc: proc}, Log: discardLog()}
+	s := &watch.Subscriber{Me: watch.Member{ID: x.id, Kind: watch.Gateway, Zone: x.zone, Inc: x.inc}, Transport: simnet.LinkClient{Proc: proc}, Clock: simnet.Clock{Proc: proc}, Log: discardLog()}
 	items, runs := map[item.Key]item.Item{}, map[string]target.Run{}
 	s.OnUpdate = func(t watch.WatchTold) {
 		x.mu.Lock()
@@ -216,7 +216,7 @@
 	x.mu.Lock()
 	x.subscription, x.items, x.runs = s, items, runs
 	x.mu.Unlock()
-	x.start(proc, newDesk(), s.Run)
+	x.start(proc, newMux(), s.Run)
 }
 
 func (x *gatewayHost) subscriber() *watch.Subscriber {
@@ -431,4 +431,4 @@
 	return c
 }
 
-func newDesk() *link.Mux { return link.NewMux() }
+func newMux() *link.Mux { return link.NewMux() }
--- a/internal/control/core_test.go
+++ b/internal/control/core_test.go
@@ -18,8 +18,8 @@
 	runCluster(t, 34, s, func(cl *cluster) {
 		cl.mustApply(baseChange(2), cl.controllers)
 		time.Sleep(recoveryTime)
-		line, m := cl.operatorLine(), cl.controllers[0]
-		a := mustAsk[SeatRow](cl, line, m, CoreAsk{})
+		transport, m := cl.operatorTransport(), cl.controllers[0]
+		a := mustAsk[SeatRow](cl, transport, m, CoreAsk{})
 		if len(a.Rows) != 3 {
 			t.Fatalf("%+v", a.Rows)
 		}
@@ -35,7 +35,7 @@
 			}
 		}
 		for name, want := range map[string]uint64{"core_epoch": 1, "core_seats": 3, "core_exposed_regions": 1, "core_exposed_zones": 0, "core_exposed_machines": 0} {
-			if got := counter(cl, line, m, name); got != want {
+			if got := counter(cl, transport, m, name); got != want {
 				t.Errorf("%s is %d, want %d", name, got, want)
 			}
 		}
@@ -45,7 +45,7 @@
 // The losses that the core tolerates are logged when they change, and so is the loss of its majority.
 func TestTheCoreIsLoggedWhenItChanges(t *testing.T) {
 	var out bytes.Buffer
-	n := &Node{Parts: Parts{Settings: Settings{Tolerance: quorum.Tolerance{Regions: 1}}, Log: log.NewWithOptions(&out, log.Options{Formatter: log.JSONFormatter})}}
+	n := &Node{Config: Config{Settings: Settings{Tolerance: quorum.Tolerance{Regions: 1}}, Log: log.NewWithOptions(&out, log.Options{Formatter: log.JSONFormatter})}}
 	seats := []quorum.Seat{{ID: "a", Zone: "n1", Region: "north", Disk: "1"}, {ID: "b", Zone: "n2", Region: "north", Disk: "2"}, {ID: "c", Zone: "s1", Region: "south", Disk: "3"}}
 	exposed := coreStatus{epoch: 1, exposure: n.Tolerance.ExposureOf(seats), quorum: true}
 	n.logCoreChange(coreStatus{quorum: true}, exposed, seats, nil)
--- a/internal/control/net_test.go
+++ b/internal/control/net_test.go
@@ -80,12 +80,12 @@
 }
 
 // start makes a process reachable, and runs main until its context ends.
-func (h *host) start(p *simnet.Proc, desk *link.Mux, main func(context.Context)) {
+func (h *host) start(p *simnet.Proc, mux *link.Mux, main func(context.Context)) {
 	done := make(chan struct{})
 	h.mu.Lock()
 	h.proc, h.done = p, done
 	h.mu.Unlock()
-	p.Register(desk)
+	p.Register(mux)
 	go func() {
 		defer close(done)
 		main(p.Context())
--- a/internal/control/node.go
+++ b/internal/control/node.go
@@ -58,13 +58,13 @@
 	HeartbeatInterval time.Duration `validate:"min=1ms"`
 }
 
-// Parts are the settings and dependencies of a node.
-type Parts struct {
+// Config holds the settings and dependencies of a node.
+type Config struct {
 	Settings
 	Incarnation uint64 // of this process
 	// NewDiskID is the incarnation that is given to an empty disk.
 	NewDiskID string
-	Line      link.Line
+	Transport link.Transport
 	Clock     clock.Clock
 	Disk      storage.Disk // nil for a controller that does not vote
 	// RunJournal keeps the known runs for the next process of this node; nil if it cannot be
@@ -78,8 +78,8 @@
 
 // Node is a control-plane node.
 type Node struct {
-	Parts
-	Desk     *link.Mux
+	Config
+	Mux      *link.Mux
 	Voter    *quorum.Voter // nil without a disk
 	Proposer *quorum.Proposer
 	Board    *watch.Replica
@@ -112,56 +112,56 @@
 var validate = validator.New(validator.WithRequiredStructEnabled())
 
 // New builds a node; Run starts it.
-func New(p Parts) (*Node, error) {
-	if err := validate.Struct(p.Settings); err != nil {
+func New(cfg Config) (*Node, error) {
+	if err := validate.Struct(cfg.Settings); err != nil {
 		return nil, steperr.Wrap("settings", "", err)
 	}
-	n := &Node{Parts: p, Desk: link.NewMux(), Proposer: quorum.NewProposer(p.ID+"."+p.NewDiskID, p.Line, p.Clock), Board: watch.NewReplica(p.Clock),
-		book: route.NewValidator(), pauses: liveness.NewPauseMonitorEvery(p.Clock, pausePollInterval), changeSlot: make(chan struct{}, 1),
-		querySlots: make(chan struct{}, maxConcurrentQueries), started: p.Clock.Now()}
-	if p.Disk != nil {
-		p.Disk, n.diskMeter = storage.MeterDisk(p.Disk, p.Clock)
-		n.Disk = p.Disk
+	n := &Node{Config: cfg, Mux: link.NewMux(), Proposer: quorum.NewProposer(cfg.ID+"."+cfg.NewDiskID, cfg.Transport, cfg.Clock), Board: watch.NewReplica(cfg.Clock),
+		book: route.NewValidator(), pauses: liveness.NewPauseMonitorEvery(cfg.Clock, pausePollInterval), changeSlot: make(chan struct{}, 1),
+		querySlots: make(chan struct{}, maxConcurrentQueries), started: cfg.Clock.Now()}
+	if cfg.Disk != nil {
+		cfg.Disk, n.diskMeter = storage.MeterDisk(cfg.Disk, cfg.Clock)
+		n.Disk = cfg.Disk
 	}
-	if p.RunJournal != nil {
-		n.RunJournal, n.journalMeter = storage.MeterJournal(p.RunJournal, p.Clock)
+	if cfg.RunJournal != nil {
+		n.RunJournal, n.journalMeter = storage.MeterJournal(cfg.RunJournal, cfg.Clock)
 	}
-	n.runWatch = &target.Monitor{HeartbeatInterval: p.HeartbeatInterval, Pauses: n.pauses}
+	n.runWatch = &target.Monitor{HeartbeatInterval: cfg.HeartbeatInterval, Pauses: n.pauses}
 	n.Board.OnItem = func(i item.Item) {
 		n.recordUpgrade(i)
 		if err := n.book.Apply(i); err != nil {
-			p.Log.Error("item that can't be read", "step", "apply", "item", i.Name, "err", err)
+			cfg.Log.Error("item that can't be read", "step", "apply", "item", i.Name, "err", err)
 		}
 	}
-	if p.Disk != nil {
-		v, err := quorum.NewVoter(quorum.Seat{ID: p.ID, Addr: p.InternalAddr, Zone: p.Zone, Region: p.Region}, p.Disk, p.NewDiskID, p.Line, p.Faults, p.OnDiskFailure)
+	if cfg.Disk != nil {
+		v, err := quorum.NewVoter(quorum.Seat{ID: cfg.ID, Addr: cfg.InternalAddr, Zone: cfg.Zone, Region: cfg.Region}, cfg.Disk, cfg.NewDiskID, cfg.Transport, cfg.Faults, cfg.OnDiskFailure)
 		if err != nil {
 			return nil, err
 		}
 		n.Voter = v
 		v.OnMerge = n.applyMerged
 		n.applyMerged(v.LoadedMergeItems())
-		v.Serve(n.Desk)
+		v.Serve(n.Mux)
 	}
-	if p.RunJournal != nil {
+	if cfg.RunJournal != nil {
 		n.loadJournal()
 	}
-	size := p.Tolerance.MinSeats(p.Zones)
-	attainable := p.Tolerance.Attainable(p.Zones, size)
+	size := cfg.Tolerance.MinSeats(cfg.Zones)
+	attainable := cfg.Tolerance.Attainable(cfg.Zones, size)
 	if attainable.Total() > 0 {
-		p.Log.Warn("no placement in the zones of this deployment bears what is to be tolerated", "step", "core", "tolerance", p.Tolerance, "exposed", attainable)
+		cfg.Log.Warn("no placement in the zones of this deployment bears what is to be tolerated", "step", "core", "tolerance", cfg.Tolerance, "exposed", attainable)
 	}
-	n.bootstrapper = &quorum.Bootstrapper{Seeds: p.Seeds, Self: p.InternalAddr, Size: size, Tolerance: p.Tolerance, Attainable: attainable, Transport: p.Line, Clock: p.Clock, Proposer: n.Proposer, Voter: n.Voter, SubsequentStart: !p.InitialStart}
-	n.bootstrapper.Serve(n.Desk)
-	n.Mesh = &watch.Mesh{Me: n.selfMember, Line: p.Line, Clock: p.Clock, Replica: n.Board, Core: n.core, LearnCore: func(c quorum.Core) { n.Proposer.Learn(c) }, VotingEpoch: n.seatEpoch}
-	n.SetSeeds(p.Seeds)
-	n.teller = &watch.Publisher{Me: n.selfMember, Replica: n.Board, Clock: p.Clock, Core: n.core, VotingEpoch: n.seatEpoch, Fresh: n.fresh, Stopping: n.stopping.Load,
+	n.bootstrapper = &quorum.Bootstrapper{Seeds: cfg.Seeds, Self: cfg.InternalAddr, Size: size, Tolerance: cfg.Tolerance, Attainable: attainable, Transport: cfg.Transport, Clock: cfg.Clock, Proposer: n.Proposer, Voter: n.Voter, SubsequentStart: !cfg.InitialStart}
+	n.bootstrapper.Serve(n.Mux)
+	n.Mesh = &watch.Mesh{Me: n.selfMember, Transport: cfg.Transport, Clock: cfg.Clock, Replica: n.Board, Core: n.core, LearnCore: func(c quorum.Core) { n.Proposer.Learn(c) }, VotingEpoch: n.seatEpoch}
+	n.SetSeeds(cfg.Seeds)
+	n.teller = &watch.Publisher{Me: n.selfMember, Replica: n.Board, Clock: cfg.Clock, Core: n.core, VotingEpoch: n.seatEpoch, Fresh: n.fresh, Stopping: n.stopping.Load,
 		Others: n.Mesh.Others, OtherGateways: n.Mesh.Gateways, OnController: n.Mesh.OnController}
-	n.teller.Serve(n.Desk)
+	n.teller.Serve(n.Mux)
 	n.serveQueries()
 	n.registerReportHandler()
 	if n.Voter != nil {
-		n.reconfigurer = &quorum.Reconfigurer{Contacts: n.Mesh.DiskContacts, Tolerance: p.Tolerance, Size: size, Proposer: n.Proposer, Transport: p.Line, Clock: p.Clock, Faults: p.Faults, Log: p.Log}
+		n.reconfigurer = &quorum.Reconfigurer{Contacts: n.Mesh.DiskContacts, Tolerance: cfg.Tolerance, Size: size, Proposer: n.Proposer, Transport: cfg.Transport, Clock: cfg.Clock, Faults: cfg.Faults, Log: cfg.Log}
 	}
 	return n, nil
 }
--- a/internal/control/page_test.go
+++ b/internal/control/page_test.go
@@ -12,10 +12,10 @@
 func TestPagesMakeTheList(t *testing.T) {
 	runCluster(t, 25, smallCluster, func(cl *cluster) {
 		cl.mustApply(baseChange(20), cl.controllers[:1])
-		line := cl.operatorLine()
+		transport := cl.operatorTransport()
 		var got []string
 		for after, pages := "", 1; ; pages++ {
-			a := mustAsk[ItemRow](cl, line, cl.controllers[0], ItemsAsk{Page: Page{After: after, Most: 7}})
+			a := mustAsk[ItemRow](cl, transport, cl.controllers[0], ItemsAsk{Page: Page{After: after, Most: 7}})
 			if a.Total != 23 || len(a.Rows) > 7 {
 				t.Fatalf("%d rows of %d", len(a.Rows), a.Total)
 			}
--- a/internal/control/query.go
+++ b/internal/control/query.go
@@ -43,7 +43,7 @@
 
 // registerQuery registers a handler that validates the request, and limits concurrency, before it calls f.
 func registerQuery[A, R any](n *Node, f func(context.Context, A) (R, error)) {
-	link.Handle(n.Desk, func(ctx context.Context, _ link.Identity, a A) (r R, err error) {
+	link.Handle(n.Mux, func(ctx context.Context, _ link.Identity, a A) (r R, err error) {
 		if err := validate.Struct(a); err != nil {
 			n.calls.queries.record(true, nil)
 			return r, steperr.Wrap("query", n.ID, err)
--- a/internal/control/query_test.go
+++ b/internal/control/query_test.go
@@ -19,25 +19,25 @@
 )
 
 // operatorLine returns a link from a host that queries nodes.
-func (cl *cluster) operatorLine() simnet.LinkClient {
+func (cl *cluster) operatorTransport() simnet.LinkClient {
 	return simnet.LinkClient{Proc: cl.net.addHost("operator", nil).Start(cl.ctx, "")}
 }
 
 // mustAsk queries a controller over the network, and fails the test without an answer.
-func mustAsk[R any](cl *cluster, line link.Line, m *controllerHost, ask any) Answer[R] {
+func mustAsk[R any](cl *cluster, transport link.Transport, m *controllerHost, ask any) Answer[R] {
 	cl.t.Helper()
 	callCtx, cancel := context.WithTimeout(cl.ctx, 3*time.Second)
 	defer cancel()
-	a, err := link.Call[Answer[R]](callCtx, line, m.addr, ask)
+	a, err := link.Call[Answer[R]](callCtx, transport, m.addr, ask)
 	if err != nil {
 		cl.t.Fatalf("%s, asked %+v: %v", m.id, ask, err)
 	}
 	return a
 }
 
-func counter(cl *cluster, line link.Line, m *controllerHost, name string) uint64 {
+func counter(cl *cluster, transport link.Transport, m *controllerHost, name string) uint64 {
 	cl.t.Helper()
-	x, ok := lo.Find(mustAsk[CounterRow](cl, line, m, CountersAsk{Prefix: name}).Rows, func(r CounterRow) bool { return r.Name == name })
+	x, ok := lo.Find(mustAsk[CounterRow](cl, transport, m, CountersAsk{Prefix: name}).Rows, func(r CounterRow) bool { return r.Name == name })
 	if !ok {
 		cl.t.Fatalf("no counter %s", name)
 	}
@@ -48,7 +48,7 @@
 	runCluster(t, 21, smallCluster, func(cl *cluster) {
 		cl.mustApply(baseChange(3), cl.controllers[:1])
 		time.Sleep(propagationLimit)
-		line, m := cl.operatorLine(), cl.controllers[0]
+		transport, m := cl.operatorTransport(), cl.controllers[0]
 		before := m.control().Board.Cursor()
 		bad := []any{
 			ItemsAsk{Page: Page{Most: -1}}, ItemsAsk{Page: Page{Most: 1001}}, ItemsAsk{Prefix: strings.Repeat("x", 2049)},
@@ -58,13 +58,13 @@
 		for _, ask := range bad {
 			callCtx, cancel := context.WithTimeout(cl.ctx, 3*time.Second)
 			start := time.Now()
-			r, err := line.Call(callCtx, m.addr, ask)
+			r, err := transport.Call(callCtx, m.addr, ask)
 			cancel()
 			if err == nil || r != nil || !strings.Contains(err.Error(), "query (m0)") || time.Since(start) > 100*time.Millisecond {
 				t.Errorf("%.80s: %v, %v after %v", fmt.Sprintf("%+v", ask), r, err, time.Since(start))
 			}
 		}
-		if n := counter(cl, line, m, "queries_refused"); n != uint64(len(bad)) {
+		if n := counter(cl, transport, m, "queries_refused"); n != uint64(len(bad)) {
 			t.Errorf("%d refused, want %d", n, len(bad))
 		}
 		if end := m.control().Board.Cursor(); end != before || !m.control().Ready() {
@@ -76,15 +76,15 @@
 // Querying a paused controller fails at the caller's deadline, and another controller answers.
 func TestASilentControllerCostsNoMoreThanPatience(t *testing.T) {
 	runCluster(t, 22, smallCluster, func(cl *cluster) {
-		line := cl.operatorLine()
+		transport := cl.operatorTransport()
 		cl.controllers[1].freeze()
 		callCtx, cancel := context.WithTimeout(cl.ctx, 3*time.Second)
 		defer cancel()
 		start := time.Now()
-		if _, err := link.Call[Answer[ItemRow]](callCtx, line, cl.controllers[1].addr, ItemsAsk{}); !errors.Is(err, context.DeadlineExceeded) || time.Since(start) != 3*time.Second {
+		if _, err := link.Call[Answer[ItemRow]](callCtx, transport, cl.controllers[1].addr, ItemsAsk{}); !errors.Is(err, context.DeadlineExceeded) || time.Since(start) != 3*time.Second {
 			t.Errorf("%v after %v", err, time.Since(start))
 		}
-		mustAsk[ItemRow](cl, line, cl.controllers[2], ItemsAsk{})
+		mustAsk[ItemRow](cl, transport, cl.controllers[2], ItemsAsk{})
 		cl.controllers[1].thaw()
 	})
 }
@@ -96,9 +96,9 @@
 		for range maxConcurrentQueries {
 			node.querySlots <- struct{}{}
 		}
-		line := cl.operatorLine()
+		transport := cl.operatorTransport()
 		callCtx, cancel := context.WithTimeout(cl.ctx, time.Second)
-		if _, err := node.Desk.Dispatch(callCtx, link.Identity{}, DiskAsk{}); !errors.Is(err, context.DeadlineExceeded) {
+		if _, err := node.Mux.Dispatch(callCtx, link.Identity{}, DiskAsk{}); !errors.Is(err, context.DeadlineExceeded) {
 			t.Errorf("query without a free slot: %v", err)
 		}
 		cancel()
@@ -106,7 +106,7 @@
 			time.Sleep(time.Second)
 			<-node.querySlots
 		}()
-		mustAsk[DiskRow](cl, line, cl.controllers[0], DiskAsk{})
+		mustAsk[DiskRow](cl, transport, cl.controllers[0], DiskAsk{})
 		if used := len(node.querySlots); used != maxConcurrentQueries-1 {
 			t.Errorf("%d slots are in use", used)
 		}
@@ -135,8 +135,8 @@
 
 // standaloneNode returns a controller without a network.
 func standaloneNode(tb testing.TB) *Node {
-	n, err := New(Parts{Settings: Settings{ID: "m", Zone: "z", InternalAddr: "in-m", Seeds: []string{"in-m"}, HeartbeatInterval: time.Second}, Incarnation: 1, NewDiskID: "x",
-		Line: simnet.LinkClient{}, Clock: clock.Wall{}, Log: discardLog()})
+	n, err := New(Config{Settings: Settings{ID: "m", Zone: "z", InternalAddr: "in-m", Seeds: []string{"in-m"}, HeartbeatInterval: time.Second}, Incarnation: 1, NewDiskID: "x",
+		Transport: simnet.LinkClient{}, Clock: clock.Wall{}, Log: discardLog()})
 	if err != nil {
 		tb.Fatal(err)
 	}
--- a/internal/control/querydisk_test.go
+++ b/internal/control/querydisk_test.go
@@ -7,13 +7,13 @@
 
 func TestDisksTellOfTheirWrites(t *testing.T) {
 	runCluster(t, 29, smallCluster, func(cl *cluster) {
-		line := cl.operatorLine()
+		transport := cl.operatorTransport()
 		// The run journal is written from the start; each change is also synced to the disk.
-		before := mustAsk[DiskRow](cl, line, cl.controllers[0], DiskAsk{}).Rows
+		before := mustAsk[DiskRow](cl, transport, cl.controllers[0], DiskAsk{}).Rows
 		cl.mustApply(baseChange(2), cl.controllers[:1])
 		time.Sleep(propagationLimit)
 		for _, m := range cl.controllers {
-			rows := mustAsk[DiskRow](cl, line, m, DiskAsk{}).Rows
+			rows := mustAsk[DiskRow](cl, transport, m, DiskAsk{}).Rows
 			if m.disk == nil {
 				if len(rows) != 0 {
 					t.Errorf("%s has no disk: %+v", m.id, rows)
@@ -25,7 +25,7 @@
 				t.Errorf("%s: %+v", m.id, rows)
 			}
 		}
-		if after := mustAsk[DiskRow](cl, line, cl.controllers[0], DiskAsk{}).Rows; after[0].Writes <= before[0].Writes {
+		if after := mustAsk[DiskRow](cl, transport, cl.controllers[0], DiskAsk{}).Rows; after[0].Writes <= before[0].Writes {
 			t.Errorf("%d writes before a change, %d after", before[0].Writes, after[0].Writes)
 		}
 	})
--- a/internal/control/queryitems_test.go
+++ b/internal/control/queryitems_test.go
@@ -14,7 +14,7 @@
 
 func TestItemsTellWhatStandsAndWhoHasIt(t *testing.T) {
 	runCluster(t, 24, smallCluster, func(cl *cluster) {
-		line, m, o := cl.operatorLine(), cl.controllers[0], cl.controllers[1]
+		transport, m, o := cl.operatorTransport(), cl.controllers[0], cl.controllers[1]
 		time.Sleep(6 * time.Second) // gateways that started at any controller have moved to one of their zone
 		cl.mustApply(baseChange(5), []*controllerHost{m})
 		cl.mustApply(Change{Drops: []Drop{{Kind: item.Route, Name: "r0", Version: 2}}}, []*controllerHost{m})
@@ -22,7 +22,7 @@
 		by := func(rows []ItemRow) map[string]ItemRow {
 			return lo.SliceToMap(rows, func(r ItemRow) (string, ItemRow) { return r.Kind + "/" + r.Name, r })
 		}
-		a := mustAsk[ItemRow](cl, line, m, ItemsAsk{})
+		a := mustAsk[ItemRow](cl, transport, m, ItemsAsk{})
 		if a.Node != m.id || a.Zone != m.zone || !a.Fresh || a.Total != 8 || len(a.Rows) != 8 || a.Next != "" {
 			t.Fatalf("%+v", a)
 		}
@@ -36,11 +36,11 @@
 		if r := all["route/r1"]; r.State != InForce || r.Version != 1 || r.Place != "h.example/r1/" || !slices.Equal(r.Services, []string{"a"}) || !r.Held || r.Gateways == 0 || r.Behind > 0 {
 			t.Errorf("%+v", r)
 		}
-		if r := by(mustAsk[ItemRow](cl, line, o, ItemsAsk{}).Rows)["route/r1"]; r.Held || r.State != InForce {
+		if r := by(mustAsk[ItemRow](cl, transport, o, ItemsAsk{}).Rows)["route/r1"]; r.Held || r.State != InForce {
 			t.Errorf("a controller that did not receive the change from its caller: %+v", r)
 		}
 		for prefix, want := range map[string]int{"r1": 1, "h.example/r": 4, "h.example/r3/": 1, "limits": 1, "none": 0, "": 8} {
-			if a := mustAsk[ItemRow](cl, line, m, ItemsAsk{Prefix: prefix}); len(a.Rows) != want || a.Total != want {
+			if a := mustAsk[ItemRow](cl, transport, m, ItemsAsk{Prefix: prefix}); len(a.Rows) != want || a.Total != want {
 				t.Errorf("%q: %d rows, total %d, want %d", prefix, len(a.Rows), a.Total, want)
 			}
 		}
@@ -54,7 +54,7 @@
 		frozen.freeze()
 		cl.mustApply(Change{Routes: nil, Drops: []Drop{{Kind: item.Route, Name: "r1", Version: 7}}}, []*controllerHost{m})
 		time.Sleep(500 * time.Millisecond)
-		a = mustAsk[ItemRow](cl, line, m, ItemsAsk{Prefix: "r"})
+		a = mustAsk[ItemRow](cl, transport, m, ItemsAsk{Prefix: "r"})
 		if r := by(a.Rows)["route/r1"]; r.Version != 7 || r.Behind != 1 || len(r.Late) != 1 || r.Late[0].Gateway != frozen.id || r.Late[0].AskedMS < 400 || r.Gateways < 1 {
 			t.Errorf("%s is frozen: %+v", frozen.id, r)
 		}
@@ -63,7 +63,7 @@
 		}
 		frozen.thaw()
 		time.Sleep(propagationLimit)
-		if r := by(mustAsk[ItemRow](cl, line, m, ItemsAsk{}).Rows)["route/r1"]; r.Behind > 0 {
+		if r := by(mustAsk[ItemRow](cl, transport, m, ItemsAsk{}).Rows)["route/r1"]; r.Behind > 0 {
 			t.Errorf("%s has caught up: %+v", frozen.id, r)
 		}
 	})
--- a/internal/control/querymembers_test.go
+++ b/internal/control/querymembers_test.go
@@ -13,9 +13,9 @@
 	runCluster(t, 27, smallCluster, func(cl *cluster) {
 		cl.mustApply(baseChange(2), cl.controllers[:1])
 		time.Sleep(6 * time.Second)
-		line, m := cl.operatorLine(), cl.controllers[0]
+		transport, m := cl.operatorTransport(), cl.controllers[0]
 		ask := func() map[string]MemberRow {
-			a := mustAsk[MemberRow](cl, line, m, MembersAsk{})
+			a := mustAsk[MemberRow](cl, transport, m, MembersAsk{})
 			return lo.SliceToMap(a.Rows, func(r MemberRow) (string, MemberRow) { return firstNonEmpty(r.ID, r.Inner), r })
 		}
 		got := ask()
@@ -73,7 +73,7 @@
 		m := cl.controllers[0]
 		m.control().SetSeeds(append(cl.seedList(), "in-nobody"))
 		time.Sleep(time.Second)
-		a := mustAsk[MemberRow](cl, cl.operatorLine(), m, MembersAsk{})
+		a := mustAsk[MemberRow](cl, cl.operatorTransport(), m, MembersAsk{})
 		r, ok := lo.Find(a.Rows, func(r MemberRow) bool { return r.Inner == "in-nobody" })
 		if !ok || r.ID != "" || r.AnsweredMS.Known || r.AskedMS.Known {
 			t.Errorf("%v %+v", ok, r)
--- a/internal/control/queryruns_test.go
+++ b/internal/control/queryruns_test.go
@@ -20,13 +20,13 @@
 		}
 		other := cl.startHeartbeats("x-0", "b", "z1", "10.0.1.0:80")
 		time.Sleep(20 * time.Second)
-		line := cl.operatorLine()
+		transport := cl.operatorTransport()
 		addr := cl.controllers[0].control().Home("a", "z0")
 		home, _ := lo.Find(cl.controllers, func(m *controllerHost) bool { return m.addr == addr })
 		away, _ := lo.Find(cl.controllers, func(m *controllerHost) bool { return m.zone != "z0" })
 		row := func(m *controllerHost, id string) RunRow {
 			t.Helper()
-			a := mustAsk[RunRow](cl, line, m, RunsAsk{Service: "a", Prefix: id})
+			a := mustAsk[RunRow](cl, transport, m, RunsAsk{Service: "a", Prefix: id})
 			if len(a.Rows) != 1 || a.Total != 1 {
 				t.Fatalf("%s: %+v", id, a)
 			}
@@ -40,10 +40,10 @@
 		if r := row(away, "i-1"); r.State != "ready" || r.Home != home.addr || r.Suspicion.Known || !r.NewsMS.Known {
 			t.Errorf("at another controller: %+v", r)
 		}
-		if a := mustAsk[RunRow](cl, line, home, RunsAsk{}); a.Total != 5 || len(a.Rows) != 5 {
+		if a := mustAsk[RunRow](cl, transport, home, RunsAsk{}); a.Total != 5 || len(a.Rows) != 5 {
 			t.Errorf("%d rows, total %d", len(a.Rows), a.Total)
 		}
-		if a := mustAsk[RunRow](cl, line, home, RunsAsk{Service: "b"}); len(a.Rows) != 1 || a.Total != 1 || a.Rows[0].ID != "x-0" {
+		if a := mustAsk[RunRow](cl, transport, home, RunsAsk{Service: "b"}); len(a.Rows) != 1 || a.Total != 1 || a.Rows[0].ID != "x-0" {
 			t.Errorf("runs of the other service: %+v", a)
 		}
 		// A controller that received one heartbeat of a run does not judge its silence after the run moved on.
--- a/internal/control/queryupgrades.go
+++ b/internal/control/queryupgrades.go
@@ -79,7 +79,7 @@
 	if d == nil {
 		return row
 	}
-	row.Routes = d.judge.Routes()
+	row.Routes = d.analyzer.Routes()
 	if !u.Active() {
 		return row
 	}
--- a/internal/control/upgradesteps.go
+++ b/internal/control/upgradesteps.go
@@ -41,7 +41,7 @@
 	currentSince   time.Time // when the current step became known here
 	firstNewAnswer time.Time // when the first answer of the new version was reported
 	dueSince       time.Time // when the next step became due; zero if it is not due
-	judge          *upgrade.Analyzer
+	analyzer       *upgrade.Analyzer
 	reports        map[string]*gatewayReport // by gateway
 }
 
@@ -70,19 +70,19 @@
 	}
 	d := n.upgrades.byService[u.Service]
 	if d == nil || d.current.Order != u.Order {
-		d = &upgradeState{judge: upgrade.NewAnalyzer(), reports: map[string]*gatewayReport{}}
+		d = &upgradeState{analyzer: upgrade.NewAnalyzer(), reports: map[string]*gatewayReport{}}
 		n.upgrades.byService[u.Service] = d
 	}
 	d.current, d.currentSince, d.dueSince = u, n.Clock.Now(), time.Time{}
 	if !u.Active() {
 		d.reports = map[string]*gatewayReport{}
 	}
-	n.Log.Info("upgrade", "step", "upgrade", "service", u.Service, "version", u.To, "phase", u.Phase.String(), "share", u.Share, "reason", u.Reason, "answers", d.judge.NewAnswers(), "routes", d.judge.Routes())
+	n.Log.Info("upgrade", "step", "upgrade", "service", u.Service, "version", u.To, "phase", u.Phase.String(), "share", u.Share, "reason", u.Reason, "answers", d.analyzer.NewAnswers(), "routes", d.analyzer.Routes())
 }
 
 // registerReportHandler registers the handler of reports from gateways.
 func (n *Node) registerReportHandler() {
-	link.Handle(n.Desk, func(_ context.Context, _ link.Identity, a upgrade.ReportAsk) (upgrade.ReportTold, error) {
+	link.Handle(n.Mux, func(_ context.Context, _ link.Identity, a upgrade.ReportAsk) (upgrade.ReportTold, error) {
 		now := n.Clock.Now()
 		n.upgrades.mu.Lock()
 		defer n.upgrades.mu.Unlock()
@@ -108,17 +108,17 @@
 	h.Report, h.receivedAt = r, now
 	// The old version's answers come first, because those of the new version are judged against them.
 	for _, c := range r.Routes {
-		d.judge.AddOld(c.Route, unjudged(h.oldTallies, c.Route, c.Old))
+		d.analyzer.AddOld(c.Route, unjudged(h.oldTallies, c.Route, c.Old))
 	}
 	for _, c := range r.Targets {
-		d.judge.AddTarget(c.Target, unjudged(h.targetTallies, c.Target, c.Tally))
+		d.analyzer.AddTarget(c.Target, unjudged(h.targetTallies, c.Target, c.Tally))
 	}
 	for _, c := range r.Routes {
 		since := unjudged(h.newTallies, c.Route, c.New)
 		if since.Answers > 0 && d.firstNewAnswer.IsZero() {
 			d.firstNewAnswer = now
 		}
-		d.judge.AddNew(c.Route, since)
+		d.analyzer.AddNew(c.Route, since)
 	}
 }
 
@@ -217,8 +217,8 @@
 	if !d.firstNewAnswer.IsZero() {
 		e.SinceFirstAnswer = now.Sub(d.firstNewAnswer)
 	}
-	e.EnoughAnswers = d.judge.EnoughAnswers()
-	e.DegradedRoute, e.Degraded = d.judge.DegradedRoute()
+	e.EnoughAnswers = d.analyzer.EnoughAnswers()
+	e.DegradedRoute, e.Degraded = d.analyzer.DegradedRoute()
 	e.OldDrained = len(attached) > 0
 	for id := range attached {
 		e.OldDrained = e.OldDrained && d.hasSwitched(id, u.Number, now)
--- a/internal/control/upgradesteps_test.go
+++ b/internal/control/upgradesteps_test.go
@@ -10,7 +10,7 @@
 // Reports hold totals since the order: a late or repeated report counts nothing twice, and the counts of a lost report are
 // included in the next one.
 func TestReportsCountOnce(t *testing.T) {
-	d := &upgradeState{judge: upgrade.NewAnalyzer(), reports: map[string]*gatewayReport{}}
+	d := &upgradeState{analyzer: upgrade.NewAnalyzer(), reports: map[string]*gatewayReport{}}
 	report := func(inc, seq uint64, answers int) upgrade.Report {
 		count := upgrade.Tally{Answers: answers, Bad: answers / 2, Failed: answers / 4}
 		return upgrade.Report{Gateway: "g", Inc: inc, Seq: seq, Routes: []upgrade.RouteCount{{Route: "r", Old: count, New: count}}, Targets: []upgrade.TargetCount{{Target: "t", Tally: count}}}
@@ -21,7 +21,7 @@
 		want     int // total answers
 	}{{1, 1, 4, 4}, {1, 3, 12, 12}, {1, 2, 8, 12}, {1, 3, 12, 12}, {1, 5, 20, 20}, {2, 1, 4, 24}} {
 		d.addReport(report(x.inc, x.seq, x.answers), time.Now())
-		if got := d.judge.Routes()[0]; got.New.Answers != x.want || got.Old.Answers != x.want {
+		if got := d.analyzer.Routes()[0]; got.New.Answers != x.want || got.Old.Answers != x.want {
 			t.Errorf("after report %d of incarnation %d: %+v, want %d answers", x.seq, x.inc, got, x.want)
 		}
 	}
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -34,7 +34,7 @@
 	Incarnation uint64
 	// NewDiskID is the ID that an empty disk takes; it must be unique to this run.
 	NewDiskID string
-	Transport link.Line
+	Transport link.Transport
 	Clock     clock.Clock
 	Disk      storage.Disk // nil for a controller that does not vote
 	Log       *log.Logger
@@ -98,7 +98,7 @@
 		return &ledger.Ledger{Proposer: do.MustInvoke[*quorum.Proposer](injector), Clock: cfg.Clock, Controller: cfg.Startup.ID, WallMS: cfg.WallMS}, nil
 	})
 	do.Provide(injector, func(injector do.Injector) (*rollout.Executor, error) {
-		return &rollout.Executor{Ledger: do.MustInvoke[*ledger.Ledger](injector), Membership: do.MustInvoke[*membership.LeaseClient](injector), Link: cfg.Transport, Clock: cfg.Clock, Faults: cfg.Faults, Log: cfg.Log}, nil
+		return &rollout.Executor{Ledger: do.MustInvoke[*ledger.Ledger](injector), Membership: do.MustInvoke[*membership.LeaseClient](injector), Transport: cfg.Transport, Clock: cfg.Clock, Faults: cfg.Faults, Log: cfg.Log}, nil
 	})
 	do.Provide(injector, func(injector do.Injector) (*registry.HomeTable, error) {
 		h := &registry.HomeTable{Clock: cfg.Clock, Pauses: do.MustInvoke[*liveness.PauseMonitor](injector), Incarnation: cfg.Incarnation}
@@ -140,7 +140,7 @@
 	ctl.Claims = &claim.QuorumStore{Proposer: ctl.Proposer, WallMS: cfg.WallMS}
 	ctl.Claims.Serve(ctl.Mux)
 	ctl.trimmer = &commands.Trimmer{Ledger: ctl.Ledger, Proposer: ctl.Proposer, Membership: ctl.Membership, Transport: cfg.Transport, Drainer: ctl.Drainer, Retention: cmp.Or(cfg.Retention, defaultRetention)}
-	claims := &claim.Coordinator{Self: cfg.Startup.ID, Link: cfg.Transport, Clock: cfg.Clock, Log: cfg.Log, Store: ctl.Claims, HasLease: ctl.Membership.Held,
+	claims := &claim.Coordinator{Self: cfg.Startup.ID, Transport: cfg.Transport, Clock: cfg.Clock, Log: cfg.Log, Store: ctl.Claims, HasLease: ctl.Membership.Held,
 		CoreLost: func() bool { return false }, Voters: func() ([]string, bool) { return nil, false },
 		LeasedPeers: func() []string { return ctl.Membership.OtherAddrs(cfg.Startup.ID) }, Peers: func() []string { return ctl.Membership.OtherAddrs(cfg.Startup.ID) }}
 	claims.Init()
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -39,7 +39,7 @@
 type Config struct {
 	Startup      startup.Gateway
 	Incarnation  uint64
-	Transport    link.Line
+	Transport    link.Transport
 	Clock        clock.Clock
 	TargetClient passage.Transport
 	Log          *log.Logger
@@ -52,7 +52,7 @@
 	Config
 	Mux        *link.Mux
 	Membership *membership.LeaseClient
-	Routes     *rollout.SheetStore
+	Sheets     *rollout.SheetStore
 	Targets    *registry.GatewayTable
 	Proxy      *passage.Pipeline
 	Pauses     *liveness.PauseMonitor
@@ -82,18 +82,18 @@
 		return &membership.LeaseClient{Transport: cfg.Transport, Clock: cfg.Clock, Proposer: do.MustInvoke[*quorum.Proposer](injector)}, nil
 	})
 	do.Provide(injector, newTargets)
-	do.Provide(injector, newRoutes)
+	do.Provide(injector, newSheets)
 	do.Provide(injector, newClaims)
 	do.Provide(injector, newProxy)
 	g := &Gateway{Config: cfg, created: cfg.Clock.Now(), Mux: link.NewMux(), Membership: do.MustInvoke[*membership.LeaseClient](injector), Pauses: do.MustInvoke[*liveness.PauseMonitor](injector),
-		Routes: do.MustInvoke[*rollout.SheetStore](injector), Targets: do.MustInvoke[*registry.GatewayTable](injector), Proxy: do.MustInvoke[*passage.Pipeline](injector)}
+		Sheets: do.MustInvoke[*rollout.SheetStore](injector), Targets: do.MustInvoke[*registry.GatewayTable](injector), Proxy: do.MustInvoke[*passage.Pipeline](injector)}
 	since := time.Now().UnixMilli()
 	g.Membership.Self = func() membership.Member {
 		return membership.Member{ID: cfg.Startup.ID, Inc: cfg.Incarnation, Kind: "gateway", Inner: cfg.Startup.Inner, Door: cfg.Startup.Door,
-			Zone: cfg.Startup.Zone, Spec: g.Routes.Version(), Since: since, Rest: g.drained.Load()}
+			Zone: cfg.Startup.Zone, Spec: g.Sheets.Version(), Since: since, Rest: g.drained.Load()}
 	}
 	g.Targets.OnNewTarget = g.probeTarget
-	g.Routes.Serve(g.Mux)
+	g.Sheets.Serve(g.Mux)
 	g.Targets.Serve(g.Mux)
 	claims := do.MustInvoke[*claim.Coordinator](injector)
 	claims.Serve(g.Mux)
@@ -105,7 +105,7 @@
 		g.wg.Go(func() {
 			clock.Every(ctx, cfg.Clock, maxGateClosed/8, func() { g.Ready() })
 		})
-		for _, run := range []func(context.Context){bootstrapper.Run, g.Membership.Run, g.Routes.Run, g.Targets.Run, g.Proxy.Run, g.Pauses.Run, claims.Run} {
+		for _, run := range []func(context.Context){bootstrapper.Run, g.Membership.Run, g.Sheets.Run, g.Targets.Run, g.Proxy.Run, g.Pauses.Run, claims.Run} {
 			g.wg.Go(func() { run(ctx) })
 		}
 	}
@@ -120,9 +120,9 @@
 	return r, nil
 }
 
-func newRoutes(i do.Injector) (*rollout.SheetStore, error) {
+func newSheets(i do.Injector) (*rollout.SheetStore, error) {
 	cfg, members, targets := do.MustInvoke[Config](i), do.MustInvoke[*membership.LeaseClient](i), do.MustInvoke[*registry.GatewayTable](i)
-	routes := &rollout.SheetStore{Membership: members, Link: cfg.Transport, Clock: cfg.Clock, ID: cfg.Startup.ID, Log: cfg.Log,
+	sheets := &rollout.SheetStore{Membership: members, Transport: cfg.Transport, Clock: cfg.Clock, ID: cfg.Startup.ID, Log: cfg.Log,
 		Controllers: func() []string { return controllersByDistance(members.MembersOfKind("controller"), cfg.Startup) },
 		Peers: func() []string {
 			return lo.Union(members.OtherAddrs(cfg.Startup.ID), lo.Without(cfg.Startup.Seeds, cfg.Startup.Inner))
@@ -136,8 +136,8 @@
 			}
 		},
 	}
-	routes.Init()
-	return routes, nil
+	sheets.Init()
+	return sheets, nil
 }
 
 // controllersByDistance lists the controllers to ask, those of the gateway's own zone first.
@@ -176,8 +176,8 @@
 }
 
 func newClaims(i do.Injector) (*claim.Coordinator, error) {
-	cfg, members, routes := do.MustInvoke[Config](i), do.MustInvoke[*membership.LeaseClient](i), do.MustInvoke[*rollout.SheetStore](i)
-	claims := &claim.Coordinator{Self: cfg.Startup.ID, Link: cfg.Transport, Clock: cfg.Clock, Log: cfg.Log, Peers: routes.Peers, HasLease: members.Held, CoreLost: routes.ServesWithoutLease, Voters: routes.Voters,
+	cfg, members, sheets := do.MustInvoke[Config](i), do.MustInvoke[*membership.LeaseClient](i), do.MustInvoke[*rollout.SheetStore](i)
+	claims := &claim.Coordinator{Self: cfg.Startup.ID, Transport: cfg.Transport, Clock: cfg.Clock, Log: cfg.Log, Peers: sheets.Peers, HasLease: members.Held, CoreLost: sheets.ServesWithoutLease, Voters: sheets.Voters,
 		LeasedPeers: func() []string { return members.OtherAddrs(cfg.Startup.ID) },
 		Store:       &claimClient{transport: cfg.Transport, clock: cfg.Clock, controllers: func() []string { return controllersByDistance(members.MembersOfKind("controller"), cfg.Startup) }}}
 	claims.Init()
@@ -186,7 +186,7 @@
 
 // claimClient makes idempotency-key claims through any controller that answers.
 type claimClient struct {
-	transport   link.Line
+	transport   link.Transport
 	clock       clock.Clock
 	controllers func() []string
 }
@@ -246,20 +246,20 @@
 // Ready is the readiness reported to the platform: the node serves calls and is not stopping.
 func (g *Gateway) Ready() bool {
 	now := g.Clock.Now()
-	if _, open := g.Routes.Gate(); open {
+	if _, open := g.Sheets.Gate(); open {
 		g.lastOpen.Store(int64(now.Sub(g.created)) + 1)
 	}
 	// A hold closes the gate for a moment on all gateways at once. That alone must not make
 	// all of them not ready.
 	// A gateway that is cut off reports so before its lease ends, because the platform takes
 	// a second to notice.
-	if g.Routes.Isolated() || g.drained.Load() {
+	if g.Sheets.Isolated() || g.drained.Load() {
 		return false
 	}
 	if o := g.lastOpen.Load(); o == 0 || now.Sub(g.created)-time.Duration(o) > maxGateClosed || g.stopping.Load() {
 		return false
 	}
-	if g.Routes.Version() == 0 {
+	if g.Sheets.Version() == 0 {
 		// No binding is in force yet, so there are no targets to learn about.
 		return true
 	}
@@ -276,7 +276,7 @@
 // wait for it, and it no longer counts among the gateways.
 func (g *Gateway) Deregister(ctx context.Context) {
 	g.Membership.Release(ctx)
-	for _, a := range g.Routes.Controllers() {
+	for _, a := range g.Sheets.Controllers() {
 		if r, err := link.Call[rollout.PartTold](ctx, g.Transport, a, rollout.PartAsk{ID: g.Startup.ID}); err == nil && r.OK {
 			return
 		}
--- a/internal/link/link.go
+++ b/internal/link/link.go
@@ -16,8 +16,8 @@
 	Kind string // "gateway", "controller" or "tool"
 }
 
-// Line is an RPC client: Call sends one request to the process at an internal address.
-type Line interface {
+// Transport is an RPC client: Call sends one request to the process at an internal address.
+type Transport interface {
 	Call(ctx context.Context, addr string, ask any) (any, error)
 }
 
@@ -54,9 +54,9 @@
 }
 
 // Call sends request to addr and expects a response of type R.
-func Call[R any](ctx context.Context, client Line, addr string, request any) (R, error) {
+func Call[R any](ctx context.Context, transport Transport, addr string, request any) (R, error) {
 	var zero R
-	v, err := client.Call(ctx, addr, request)
+	v, err := transport.Call(ctx, addr, request)
 	if err != nil {
 		return zero, err
 	}
--- a/internal/link/tcp.go
+++ b/internal/link/tcp.go
@@ -33,7 +33,7 @@
 	maxAcceptedConns = 1024
 )
 
-// TCP is the Line of a real process, and the server that dispatches to a Mux. It opens one connection for
+// TCP is the Transport of a real process, and the server that dispatches to a Mux. It opens one connection for
 // each address and multiplexes concurrent requests on it (design 3).
 type TCP struct {
 	Self Identity
@@ -57,7 +57,7 @@
 	return &TCP{Self: self, Log: logger, LocalIP: ip, conns: map[string]*tcpConn{}, accepted: map[net.Conn]bool{}}
 }
 
-// Dialer returns a dialer that uses localIP as source address, so that peers can tell who calls; ""
+// Dialer returns a dialer that uses localIP as source address, so that peers can identify the caller; ""
 // lets the system choose.
 func Dialer(localIP string, timeout time.Duration) net.Dialer {
 	dialer := net.Dialer{Timeout: timeout}
--- a/internal/membership/leaseclient.go
+++ b/internal/membership/leaseclient.go
@@ -17,7 +17,7 @@
 
 // LeaseClient renews this node's lease and tracks the other members.
 type LeaseClient struct {
-	Transport link.Line
+	Transport link.Transport
 	Clock     clock.Clock
 	// Proposer knows the voters of the core; it is told of newer cores.
 	Proposer *quorum.Proposer
--- a/internal/membership/leaseclient_test.go
+++ b/internal/membership/leaseclient_test.go
@@ -39,7 +39,7 @@
 
 func (l *cluster) Call(ctx context.Context, addr string, ask any) (any, error) {
 	l.mu.Lock()
-	d, w := l.servers[addr], l.delay[addr]
+	mux, w := l.servers[addr], l.delay[addr]
 	l.mu.Unlock()
 	if w < 0 {
 		return nil, errUnreachable
@@ -47,7 +47,7 @@
 	if (clock.Wall{}).Sleep(ctx, time.Millisecond+w) != nil {
 		return nil, ctx.Err()
 	}
-	return d.Dispatch(ctx, link.Identity{ID: "t"}, ask)
+	return mux.Dispatch(ctx, link.Identity{ID: "t"}, ask)
 }
 
 // setDelay sets the delay of requests to a lease server; below 0 it is unreachable.
@@ -65,10 +65,10 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		d := link.NewMux()
-		v.Serve(d)
-		NewLeaseServer(v, clock.Wall{}).Serve(d)
-		l.servers[id] = d
+		mux := link.NewMux()
+		v.Serve(mux)
+		NewLeaseServer(v, clock.Wall{}).Serve(mux)
+		l.servers[id] = mux
 		l.core.Seats = append(l.core.Seats, v.Seat())
 		voters = append(voters, v)
 		go v.Run(ctx)
@@ -96,10 +96,10 @@
 	return network
 }
 
-func (l *cluster) leaseClient(id string, line link.Line) *LeaseClient {
-	p := quorum.NewProposer(id, line, clock.Wall{})
+func (l *cluster) leaseClient(id string, transport link.Transport) *LeaseClient {
+	p := quorum.NewProposer(id, transport, clock.Wall{})
 	p.Learn(l.core)
-	return &LeaseClient{Transport: line, Clock: clock.Wall{}, Proposer: p, Self: func() Member { return Member{ID: id, Inc: 1, Kind: "gateway"} }}
+	return &LeaseClient{Transport: transport, Clock: clock.Wall{}, Proposer: p, Self: func() Member { return Member{ID: id, Inc: 1, Kind: "gateway"} }}
 }
 
 // A lease that moves from one majority of lease servers to another must be in every table read
--- a/internal/membership/leaseserver.go
+++ b/internal/membership/leaseserver.go
@@ -122,9 +122,9 @@
 }
 
 // Serve registers the server's request handlers with d.
-func (s *LeaseServer) Serve(d *link.Mux) {
-	link.Handle(d, s.renew)
-	link.Handle(d, s.table)
+func (s *LeaseServer) Serve(mux *link.Mux) {
+	link.Handle(mux, s.renew)
+	link.Handle(mux, s.table)
 }
 
 // checkEpoch follows the core and reports whether this server may answer for epoch.
@@ -250,8 +250,8 @@
 func byID(a, b Member) int { return cmp.Compare(a.ID, b.ID) }
 
 // ServeDrain registers with d the handler that starts and ends draining by an operator.
-func ServeDrain(d *link.Mux, on *atomic.Bool) {
-	link.Handle(d, func(_ context.Context, _ link.Identity, a RestAsk) (RestTold, error) {
+func ServeDrain(mux *link.Mux, on *atomic.Bool) {
+	link.Handle(mux, func(_ context.Context, _ link.Identity, a RestAsk) (RestTold, error) {
 		on.Store(a.On)
 		return RestTold{true}, nil
 	})
--- a/internal/passage/select_test.go
+++ b/internal/passage/select_test.go
@@ -19,19 +19,19 @@
 	t.Helper()
 	pauses := liveness.NewPauseMonitor(clock.Wall{})
 	go pauses.Run(ctx)
-	roster := &registry.GatewayTable{Clock: clock.Wall{}, Pauses: pauses, ProbeInterval: 400 * time.Millisecond}
-	roster.Init()
-	go roster.RunWithoutHomes(ctx)
+	gatewayTable := &registry.GatewayTable{Clock: clock.Wall{}, Pauses: pauses, ProbeInterval: 400 * time.Millisecond}
+	gatewayTable.Init()
+	go gatewayTable.RunWithoutHomes(ctx)
 	var entries []registry.Entry
 	for i := range n {
 		entries = append(entries, registry.Entry{Beat: httpapi.Beat{ID: fmt.Sprint("t", i), Service: "s", Zone: "z1", Addr: fmt.Sprintf("127.0.0.1:%d", i+1), Capacity: 4, Seq: 1, Inc: 1}})
 	}
-	if err := roster.MergeEntries(ctx, "s", entries); err != nil {
+	if err := gatewayTable.MergeEntries(ctx, "s", entries); err != nil {
 		t.Fatal(err)
 	}
-	p := &Pipeline{Clock: clock.Wall{}, Targets: roster, Zone: "z1", Gateways: func() int { return 1 }}
+	p := &Pipeline{Clock: clock.Wall{}, Targets: gatewayTable, Zone: "z1", Gateways: func() int { return 1 }}
 	p.Init()
-	return p, roster.Targets("s")
+	return p, gatewayTable.Targets("s")
 }
 
 // heartbeats lets the first k targets send heartbeats for a while; the others stay silent.
--- a/internal/passage/story.go
+++ b/internal/passage/story.go
@@ -80,8 +80,8 @@
 }
 
 // Serve registers the handler for StoryAsk.
-func (p *Pipeline) Serve(d *link.Mux) {
-	link.Handle(d, func(ctx context.Context, _ link.Identity, a StoryAsk) (StoryTold, error) {
+func (p *Pipeline) Serve(mux *link.Mux) {
+	link.Handle(mux, func(ctx context.Context, _ link.Identity, a StoryAsk) (StoryTold, error) {
 		return owner.Call(ctx, p.stories.owner, func() StoryTold {
 			x, ok := p.stories.byCall[a.Call]
 			return StoryTold{ok, x}
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -8,13 +8,13 @@
 )
 
 // closeReporter is a connection without a file descriptor that can report a close by its peer.
-type closeReporter interface{ Gone() bool }
+type closeReporter interface{ Closed() bool }
 
 // Closed reports, without reading or blocking, whether the remote end has closed or reset the
 // connection. It does not detect a close that comes after unread bytes.
 func Closed(nc net.Conn) bool {
 	if reporter, ok := nc.(closeReporter); ok {
-		return reporter.Gone()
+		return reporter.Closed()
 	}
 	s, ok := nc.(syscall.Conn)
 	if !ok {
--- a/internal/proxy/choice.go
+++ b/internal/proxy/choice.go
@@ -12,36 +12,36 @@
 )
 
 const (
-	// maxSubset and minSubset bound the instances of a service that a node sends to, counted
-	// separately for its own zone and for all other zones. Each instance costs health probes, and
-	// fewer instances mean better connection reuse. minSubset applies while load is low.
+	// maxSubset and minSubset bound the endpoints of a service that a node sends to, counted
+	// separately for its own zone and for all other zones. Each endpoint costs health probes, and
+	// fewer endpoints mean better connection reuse. minSubset applies while load is low.
 	maxSubset, minSubset = 24, 12
-	// subsetPerRequest is the number of instances wanted per request in flight. loadDecay is the
+	// subsetPerRequest is the number of endpoints wanted per request in flight. loadDecay is the
 	// factor by which the remembered peak of requests in flight shrinks every probeTick.
 	subsetPerRequest, loadDecay = 2, 0.95
-	// newConnCost is added to the score of an instance without a usable idle connection: besides
+	// newConnCost is added to the score of an endpoint without a usable idle connection: besides
 	// the time to connect, a new connection may hold a slot at the target, and it is paid for.
 	newConnCost = 150 * time.Millisecond
-	// orderWeight is the weight of an instance's position in this node's own order, in requests
-	// in flight. It makes nodes that know nothing of each other start with different instances.
+	// orderWeight is the weight of an endpoint's position in this node's own order, in requests
+	// in flight. It makes nodes that know nothing of each other start with different endpoints.
 	orderWeight = 0.5
-	// inFlightWeight is the weight of a request in flight at an instance, in expected latencies.
+	// inFlightWeight is the weight of a request in flight at an endpoint, in expected latencies.
 	// It is above 1 because other nodes are likely to have requests there too, and targets slow
 	// down when nearly full. It is low enough that with one request in flight a slot of the own
 	// zone still beats one of another zone (farZone).
 	inFlightWeight = 1.9
 )
 
-// rebuildSubsets selects the instances that this node sends to, by zone and upgrade lane.
+// rebuildSubsets selects the endpoints that this node sends to, by zone and traffic class.
 func (s *service) rebuildSubsets() {
 	var local, remote, canaries []*endpoint
 	for _, e := range s.endpoints {
-		e.lane = s.upgrade.versions.Class(e.run.Version)
+		e.trafficClass = s.upgrade.versions.Class(e.run.Version)
 		switch {
-		case e.run.State != target.Ready || e.lane == upgrade.Excluded:
+		case e.run.State != target.Ready || e.trafficClass == upgrade.NoTraffic:
 			e.closeIdle()
 			continue
-		case e.lane == upgrade.Candidate:
+		case e.trafficClass == upgrade.CanaryTraffic:
 			canaries = append(canaries, e)
 			continue
 		}
@@ -55,7 +55,7 @@
 	s.subset = append(s.subsetOf(local), s.subsetOf(remote)...)
 	s.canaries = s.upgrade.canarySubset(canaries)
 	for _, e := range previous {
-		// An instance that was outside the subset was not probed meanwhile.
+		// An endpoint that was outside the subset was not probed meanwhile.
 		e.probed = e.probed && slices.Contains(s.subset, e)
 	}
 }
@@ -84,7 +84,7 @@
 	s.recentPeak = max(loadDecay*s.recentPeak, float64(s.limit.inFlight))
 	slots := 0
 	for _, e := range s.endpoints {
-		if e.available() && e.lane != upgrade.Candidate {
+		if e.available() && e.trafficClass != upgrade.CanaryTraffic {
 			slots += e.slots()
 		}
 	}
@@ -96,7 +96,7 @@
 	}
 }
 
-// ejections returns the instances that must not be chosen now: at most half of all, because a
+// ejections returns the endpoints that must not be chosen now: at most half of all, because a
 // fault on this node is more likely when more fail at once; beyond that the least suspected stay
 // in use. If more than half would be ejected or are on probation, passive health is ignored: then
 // the whole service is in that state.
@@ -135,9 +135,9 @@
 	return ejected
 }
 
-// pick chooses an instance for a request. Instances in the own zone with a slot that this node
+// pick chooses an endpoint for a request. Endpoints in the own zone with a slot that this node
 // has not filled come first; among equals, the lowest expected latency wins. known reports
-// whether any instance might take the request at all.
+// whether any endpoint might take the request at all.
 func (s *service) pick(now time.Time, x *exchange) (best *endpoint, known bool) {
 	if !s.limit.allows() {
 		return nil, true
@@ -167,10 +167,10 @@
 	return best, known
 }
 
-// tier ranks an instance for a request, lower being better; -1 means that it has no capacity.
+// tier ranks an endpoint for a request, lower being better; -1 means that it has no capacity.
 // Traffic between zones is expensive, most of all for downloads, so downloads fill the own zone
 // first. For other requests the zones of a region count as one, and distance only adds to the
-// expected latency (zoneFactor): otherwise a zone that lost a third of its instances would be
+// expected latency (zoneFactor): otherwise a zone that lost a third of its targets would be
 // full beside one that is half empty.
 func (e *endpoint) tier(now time.Time, x *exchange) int {
 	slots := e.slots()
--- a/internal/proxy/choice_test.go
+++ b/internal/proxy/choice_test.go
@@ -15,7 +15,7 @@
 
 // testService returns a node without a network and its one service, to test choices alone.
 func testService(runs ...target.Run) (*Node, *service) {
-	n := New(Options{Settings: Settings{ID: "gateway1", Zone: "a", Zones: map[string]string{"a": "r", "b": "r", "c": "far"}, Headers: dialect}, Clock: clock.Wall{}})
+	n := New(Config{Settings: Settings{ID: "gateway1", Zone: "a", Zones: map[string]string{"a": "r", "b": "r", "c": "far"}, Headers: dialect}, Clock: clock.Wall{}})
 	n.ApplyItems([]item.Item{route.Service{Name: "svc", Version: 1, MaxConns: 100, Health: "/health"}.Item()})
 	n.SetGateways(1, 1)
 	n.ApplyRuns(runs)
@@ -73,7 +73,7 @@
 	}
 }
 
-// TestFasterFirst: of two otherwise equal instances the faster one gets more requests.
+// TestFasterFirst: of two otherwise equal endpoints the faster one gets more requests.
 func TestFasterFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n, s := testService(readyRun("slow", "a", 20), readyRun("fast", "a", 20))
@@ -91,7 +91,7 @@
 	})
 }
 
-// TestColdLast: of two instances of unknown latency, the one that has just started is expected to
+// TestColdLast: of two targets of unknown latency, the one that has just started is expected to
 // be slower.
 func TestColdLast(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -99,7 +99,7 @@
 		cold.Cold = 5 * time.Second
 		n, s := testService(cold, readyRun("warm", "a", 20))
 		if g := s.tryAcquire(testExchange(n, s, route.AtMostOnce)); g.e.run.ID != "warm" {
-			t.Error("the cold instance was chosen first")
+			t.Error("the cold target was chosen first")
 		}
 		time.Sleep(6 * time.Second)
 		if n.clock.Now().Before(s.endpoints["cold"].coldUntil) {
@@ -108,11 +108,11 @@
 	})
 }
 
-// TestNodesBeginApart: nodes that know nothing of each other start with different instances.
+// TestNodesBeginApart: nodes that know nothing of each other start with different endpoints.
 func TestNodesBeginApart(t *testing.T) {
 	firsts := map[string]bool{}
 	for i := range 20 {
-		n := New(Options{Settings: Settings{ID: fmt.Sprint("gateway", i), Zone: "a", Headers: dialect}, Clock: clock.Wall{}})
+		n := New(Config{Settings: Settings{ID: fmt.Sprint("gateway", i), Zone: "a", Headers: dialect}, Clock: clock.Wall{}})
 		for k := range 9 {
 			n.ApplyRuns([]target.Run{readyRun(fmt.Sprint("r", k), "a", 2)})
 		}
@@ -120,11 +120,11 @@
 		firsts[s.tryAcquire(testExchange(n, s, route.AtMostOnce)).e.run.ID] = true
 	}
 	if len(firsts) < 5 {
-		t.Errorf("20 nodes start with %d of 9 instances", len(firsts))
+		t.Errorf("20 nodes start with %d of 9 endpoints", len(firsts))
 	}
 }
 
-// TestHalfPassedOver: bad instances are ejected, but never more than half of all.
+// TestHalfPassedOver: bad endpoints are ejected, but never more than half of all.
 func TestHalfPassedOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var runs []target.Run
@@ -199,7 +199,7 @@
 	})
 }
 
-// TestOwnZoneGone: without a healthy instance in the own zone, other zones serve.
+// TestOwnZoneGone: without a healthy endpoint in the own zone, other zones serve.
 func TestOwnZoneGone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n, s := testService(readyRun("a1", "a", 2), readyRun("b1", "b", 2), readyRun("b2", "b", 2))
@@ -211,7 +211,7 @@
 	})
 }
 
-// TestNewsMerge: updates merge to the same state in any order, and an ended instance stays ended.
+// TestNewsMerge: updates merge to the same state in any order, and an ended target stays ended.
 func TestNewsMerge(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ready := readyRun("r0", "a", 2)
@@ -230,12 +230,12 @@
 			}
 			n.ApplyRuns([]target.Run{later})
 			if s.endpoints["r0"] != nil {
-				t.Errorf("%v: an ended instance was added again", order)
+				t.Errorf("%v: an ended target was added again", order)
 			}
 			time.Sleep(endedRunRetention + time.Second)
 			n.dropEndedRuns(n.clock.Now())
 			if len(n.runs) != 0 {
-				t.Error("an ended instance was never forgotten")
+				t.Error("an ended target was never forgotten")
 			}
 		}
 	})
@@ -280,7 +280,7 @@
 	})
 }
 
-// TestZoneWithFewRuns: where the instances of the own zone are slow because they are full, less
+// TestZoneWithFewRuns: where the targets of the own zone are slow because they are full, less
 // loaded ones of another zone in the region are used too, except for downloads.
 func TestZoneWithFewRuns(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -303,7 +303,7 @@
 }
 
 // TestRunsFollowTheLoad: the subset is small under low load, grows at once with the load, and
-// shrinks slowly. An instance that returns to the subset is not suspected for the time in which
+// shrinks slowly. An endpoint that returns to the subset is not suspected for the time in which
 // it was not probed.
 func TestRunsFollowTheLoad(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -351,7 +351,7 @@
 	})
 }
 
-// TestKeptConnectionsFirst: of otherwise equal instances, one with an idle connection is chosen,
+// TestKeptConnectionsFirst: of otherwise equal endpoints, one with an idle connection is chosen,
 // but not for a request that must run at most once if the connection has been idle for too long.
 func TestKeptConnectionsFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/proxy/endpoint.go
+++ b/internal/proxy/endpoint.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	// suspicionThreshold is the suspicion from which an instance is ejected.
+	// suspicionThreshold is the suspicion from which an endpoint is ejected.
 	suspicionThreshold = 0.99
 	// The backoff doubles with each consecutive failure up to maxBackoff. Silence and a failed
 	// connect are strong signs of failure. A reset or a malformed answer is a weaker one
@@ -24,27 +24,27 @@
 	// riseWeight and fallWeight are the weights of a new sample in the moving average of the
 	// latency, for samples above and below it.
 	riseWeight, fallWeight = 0.3, 0.15
-	// latencyWindow is the number of latency samples kept per instance. The 99th percentile is
+	// latencyWindow is the number of latency samples kept per endpoint. The 99th percentile is
 	// recomputed every refitEvery samples once the window holds minLatencySamples.
 	latencyWindow, refitEvery, minLatencySamples = 50, 8, 10
 )
 
-// endpoint is one target instance as this node sees it. The lock of its service guards it.
+// endpoint is one target as this node sees it. The lock of its service guards it.
 //
-// Three signals tell its health. The failure detector (docs/detector.md) watches the replies to
+// Three signals determine its health. The failure detector (docs/detector.md) watches the replies to
 // this node's numbered probes, for which valid answers to requests may substitute; its suspicion
 // is evaluated at each choice. Passive health compares the outcomes of requests with those at
-// the service's other instances (passiveHealth). The third is backoff: a failed connect, a reset,
+// the service's other endpoints (passiveHealth). The third is backoff: a failed connect, a reset,
 // silence until the deadline or a malformed answer starts one, which doubles with consecutive
-// failures; any answer ends it. After a backoff of initialBackoff or more, the instance gets one
+// failures; any answer ends it. After a backoff of initialBackoff or more, the endpoint gets one
 // request at a time until one is answered.
 type endpoint struct {
-	svc        *service
-	run        target.Run
-	sameZone   bool    // in this node's zone
-	zoneFactor float64 // cost factor of the distance to its zone
-	rank       float64 // position in this node's own order, 0 to 1
-	lane       upgrade.TrafficClass
+	svc          *service
+	run          target.Run
+	sameZone     bool    // in this node's zone
+	zoneFactor   float64 // cost factor of the distance to its zone
+	rank         float64 // position in this node's own order, 0 to 1
+	trafficClass upgrade.TrafficClass
 
 	coldUntil time.Time
 	inFlight  []time.Time // start times of the requests in flight, ascending
@@ -62,25 +62,25 @@
 	backoffUntil     time.Time
 	overEjectionCap  bool      // in use despite its suspicion, as too many are suspected
 	fullUntil        time.Time // it reported that it has no capacity
-	replaced         bool      // another instance answers at its address
+	replaced         bool      // another target answers at its address
 	replacedSeq      uint64
 	probed           bool
 	probeInFlight    bool
 	nextProbe        time.Time
 	probeSeq         uint64
-	detector         *liveness.Detector // nil until the instance is to be probed
+	detector         *liveness.Detector // nil until the endpoint is to be probed
 	detectorInterval time.Duration      // probe interval that the detector was made for
 	validAnswerAt    time.Time          // last valid answer that has not counted as an arrival yet
 	passive          *passiveHealth     // nil until a request to it has ended
 	ignorePassive    bool               // passive health is ignored, as too many are unhealthy by it
 }
 
-// available reports whether requests may be sent to the instance at all.
+// available reports whether requests may be sent to the endpoint at all.
 func (e *endpoint) available() bool {
-	return e.run.State == target.Ready && !e.replaced && e.lane != upgrade.Excluded
+	return e.run.State == target.Ready && !e.replaced && e.trafficClass != upgrade.NoTraffic
 }
 
-// suspicion combines active and passive suspicion; from suspicionThreshold on, the instance is
+// suspicion combines active and passive suspicion; from suspicionThreshold on, the endpoint is
 // ejected.
 func (e *endpoint) suspicion(now time.Time) float64 {
 	w := e.activeSuspicion(now)
@@ -121,7 +121,7 @@
 	return d
 }
 
-// silenceLimit is the time without an answer after which, by this instance's own latencies, a
+// silenceLimit is the time without an answer after which, by this endpoint's own latencies, a
 // normal answer has become unlikely.
 func (e *endpoint) silenceLimit(aim, left time.Duration) time.Duration {
 	d := e.latency
@@ -174,7 +174,7 @@
 	e.failures, e.singleRequest, e.backoffUntil = 0, false, time.Time{}
 }
 
-// headroom is how many more requests this node may send to the instance now, up to limit.
+// headroom is how many more requests this node may send to the endpoint now, up to limit.
 func (e *endpoint) headroom(now time.Time, limit int) int {
 	if now.Before(e.fullUntil) {
 		return 0
--- a/internal/proxy/failure_test.go
+++ b/internal/proxy/failure_test.go
@@ -276,7 +276,7 @@
 	}
 }
 
-// TestMisdirectedIsGone: an instance at whose address another one answers is not chosen again
+// TestMisdirectedIsGone: an endpoint at whose address another target answers is not chosen again
 // until there is an update of it.
 func TestMisdirectedIsGone(t *testing.T) {
 	l := newHarness(t, loopback{}, nil)
@@ -300,7 +300,7 @@
 		}
 	}
 	if n := asked(); n > 1 {
-		t.Errorf("the replaced instance got %d requests", n)
+		t.Errorf("the replaced endpoint got %d requests", n)
 	}
 	s := l.node.allServices()
 	for _, v := range s {
@@ -315,14 +315,14 @@
 	for _, v := range s {
 		v.mu.Lock()
 		if e := v.endpoints["was"]; e != nil && e.replaced {
-			t.Error("an update of the instance did not restore it")
+			t.Error("an update of the target did not restore it")
 		}
 		v.mu.Unlock()
 	}
 }
 
 // TestMute: in virtual time, a silent target holds a request that must run at most once until its
-// deadline; a repeatable one is hedged to another instance.
+// deadline; a repeatable one is hedged to another endpoint.
 func TestMute(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		mute := runThen(func(_ *harness, c net.Conn, _ *receivedRequest) bool {
@@ -385,7 +385,7 @@
 	})
 }
 
-// TestSilentConnect: a connect without a reply is given up in time to use another instance.
+// TestSilentConnect: a connect without a reply is given up in time to use another endpoint.
 func TestSilentConnect(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPipes()
@@ -432,7 +432,7 @@
 }
 
 // TestDeadBeforeWrite: where an idle connection looked alive but not one byte could be written,
-// the same instance is used over a new connection.
+// the same endpoint is used over a new connection.
 func TestDeadBeforeWrite(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		for _, kind := range []string{"once", "idem"} {
@@ -543,7 +543,7 @@
 	}
 }
 
-// TestNewsWhileConnecting: an update of an instance may arrive while a connect to it fails; the
+// TestNewsWhileConnecting: an update of a target may arrive while a connect to it fails; the
 // race detector checks the state that both access.
 func TestNewsWhileConnecting(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/proxy/harness_test.go
+++ b/internal/proxy/harness_test.go
@@ -66,8 +66,8 @@
 	return p.Conn.Close()
 }
 
-// Gone reports whether the other end is closed.
-func (p *pipeEnd) Gone() bool { return p.peer.Load() }
+// Closed reports whether the other end is closed.
+func (p *pipeEnd) Closed() bool { return p.peer.Load() }
 
 func newPipes() *pipes { return &pipes{lns: map[string]*pipeListener{}} }
 
@@ -173,11 +173,11 @@
 	if err := s.Check(); err != nil {
 		t.Fatal(err)
 	}
-	p := Options{Settings: s, Clock: clock.Wall{}}
+	cfg := Config{Settings: s, Clock: clock.Wall{}}
 	if _, ok := nw.(loopback); !ok {
-		p.Dial = nw.dial
+		cfg.Dial = nw.dial
 	}
-	l.node = New(p)
+	l.node = New(cfg)
 	l.listener = nw.listen()
 	l.addr = l.listener.Addr().String()
 	l.wg.Go(func() {
--- a/internal/proxy/mix_test.go
+++ b/internal/proxy/mix_test.go
@@ -75,14 +75,14 @@
 					c = nil
 				}
 				if k == 0 && i%97 == 50 {
-					// One instance replaces another.
+					// One target replaces another.
 					old := names[0]
 					names = append(names[1:], fmt.Sprint("n", i))
 					l.node.ApplyRuns([]target.Run{{ID: old, Service: "svc", State: target.Draining, Seq: seq}})
 					l.startTarget(names[len(names)-1], nil, randomFailures(silent))
 				}
 				if k == 0 && i%5 == 0 {
-					// Later heartbeats restore instances that were marked as replaced.
+					// Later heartbeats restore endpoints that were marked as replaced.
 					seq++
 					for _, id := range names {
 						l.node.ApplyRuns([]target.Run{{ID: id, Service: "svc", Addr: l.targets[id].ln.Addr().String(), Zone: "a", Slots: 4, State: target.Ready, Seq: seq}})
--- a/internal/proxy/node.go
+++ b/internal/proxy/node.go
@@ -37,8 +37,8 @@
 	pauseCheckInterval = 500 * time.Millisecond
 )
 
-// Options are the dependencies of a node.
-type Options struct {
+// Config holds the settings and dependencies of a node.
+type Config struct {
 	Settings Settings
 	Clock    clock.Clock
 	Log      *log.Logger
@@ -103,14 +103,14 @@
 }
 
 // New returns a node; it is ready once it is synced and has routes.
-func New(p Options) *Node {
-	s := p.Settings.withDefaults()
+func New(cfg Config) *Node {
+	s := cfg.Settings.withDefaults()
 	n := &Node{
-		settings: s, clock: p.Clock, log: p.Log, dialContext: p.Dial,
+		settings: s, clock: cfg.Clock, log: cfg.Log, dialContext: cfg.Dial,
 		memory:       memoryBudget{limit: int64(s.MemoryMB) << 20 / 5},
 		largeAnswers: newLargeAnswerMemory(s.MemoryMB),
-		budget:       budget.New(s.BudgetRatio, s.BudgetWindow, s.BudgetSlack, p.Clock),
-		pauses:       liveness.NewPauseMonitorEvery(p.Clock, pauseCheckInterval),
+		budget:       budget.New(s.BudgetRatio, s.BudgetWindow, s.BudgetSlack, cfg.Clock),
+		pauses:       liveness.NewPauseMonitorEvery(cfg.Clock, pauseCheckInterval),
 		maxCallers:   int64(s.MaxFiles) * 5 / 8,
 		items:        item.NewSet(), services: map[string]*service{}, runs: map[string]*runRecord{},
 		callers: map[*callerConn]struct{}{}, sendsClosed: make(chan struct{}),
--- a/internal/proxy/passive_health.go
+++ b/internal/proxy/passive_health.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	// passiveWindow is the number of recent gaps kept per instance. priorGaps is the number of
+	// passiveWindow is the number of recent gaps kept per endpoint. priorGaps is the number of
 	// gaps of the service's average length that are assumed in addition.
 	passiveWindow, priorGaps = 8, 2
 	// baselineWindow is the number of gaps kept per service. The baseline is refitted every
@@ -20,14 +20,14 @@
 	// a moving average with weight failureRateWeight, and at least minFailureRate. A dead idle
 	// connection adds only staleConnWeight of that, for targets drop idle connections.
 	minFailureRate, failureRateWeight, staleConnWeight = 0.03, 1.0 / 32, 0.3
-	// ejectSlowdown is the ratio of an instance's gaps to those of its peers from which it is
+	// ejectSlowdown is the ratio of an endpoint's gaps to those of its peers from which it is
 	// ejected. At least minFailedGaps of its gaps must contain a failure.
 	ejectSlowdown = 1.4
 	minFailedGaps = 2
 	// minSilence is the shortest silence that is not attributed to chance, in expected latencies.
 	minSilence = 3.0
-	// initialEjection is how long an unhealthy instance is ejected; it doubles with each relapse
-	// within relapseWindow up to maxEjection. Then the instance is on probation until it has given
+	// initialEjection is how long an unhealthy endpoint is ejected; it doubles with each relapse
+	// within relapseWindow up to maxEjection. Then the endpoint is on probation until it has given
 	// recoverAfter valid answers.
 	initialEjection = 500 * time.Millisecond
 	maxEjection     = 4 * time.Second
@@ -35,8 +35,8 @@
 	recoverAfter    = 3
 )
 
-// passiveHealth tracks the outcomes of requests to one instance (docs/detector.md, "Fates of
-// requests"). A valid answer is an arrival. The gap before it is the time that the instance spent
+// passiveHealth tracks the outcomes of requests to one endpoint (docs/detector.md, "Fates of
+// requests"). A valid answer is an arrival. The gap before it is the time that the target spent
 // on requests since the previous arrival, in units of the service's typical latency; failures
 // lengthen it. The window of gaps is compared with the Weibull fit of the service's gaps.
 type passiveHealth struct {
@@ -61,7 +61,7 @@
 	f.silence, f.failureInGap = 0, false
 }
 
-// isOutlier reports whether the gaps are too long for the instance to stay in use, and not only
+// isOutlier reports whether the gaps are too long for the endpoint to stay in use, and not only
 // because it is slow: the choice by expected latency already handles slowness.
 func (f *passiveHealth) isOutlier(fit liveness.Fit) bool {
 	failed := 0
@@ -73,7 +73,7 @@
 	return failed >= minFailedGaps && f.slowdown(fit) >= ejectSlowdown
 }
 
-// slowdown is the ratio of the instance's gaps to those of the fit: the maximum-likelihood α of
+// slowdown is the ratio of the endpoint's gaps to those of the fit: the maximum-likelihood α of
 // the window over α of the fit, both with the fit's shape; (t/α)^β has mean 1.
 func (f *passiveHealth) slowdown(fit liveness.Fit) float64 {
 	k := min(f.gapCount, passiveWindow)
@@ -84,7 +84,7 @@
 	return math.Pow(sum/(priorGaps+passiveWindow), 1/fit.Beta)
 }
 
-// eject marks the instance unhealthy and starts an ejection.
+// eject marks the endpoint unhealthy and starts an ejection.
 func (f *passiveHealth) eject(now time.Time) {
 	if !f.unhealthy && now.Sub(f.changedAt) > relapseWindow {
 		f.ejectionsInRow = 0
@@ -94,7 +94,7 @@
 	f.unhealthy, f.changedAt, f.probationAnswers, f.silence, f.failureInGap, f.gapCount = true, now, 0, 0, false, 0
 }
 
-// serviceBaseline describes what is normal for a service: the window of all its instances' gaps.
+// serviceBaseline describes what is normal for a service: the window of all its endpoints' gaps.
 type serviceBaseline struct {
 	gaps        *liveness.Window
 	gapCount    int
@@ -126,7 +126,7 @@
 	}
 }
 
-// gapUnit is the latency in seconds that the instance is expected to have among its peers.
+// gapUnit is the latency in seconds that the endpoint is expected to have among its peers.
 func (e *endpoint) gapUnit(now time.Time) float64 {
 	d := e.svc.typicalLatencyLocked()
 	if now.Before(e.coldUntil) {
@@ -158,7 +158,7 @@
 		e.passive = f
 	}
 	if began.Before(f.changedAt) {
-		// Sent before the instance was ejected or recovered: no new information.
+		// Sent before the endpoint was ejected or recovered: no new information.
 		return
 	}
 	f.silence += gap
@@ -201,7 +201,7 @@
 	return max(suspicionThreshold, m.fit.Suspicion(t))
 }
 
-// onProbation reports whether the instance gets only repeatable requests, at first one at a time.
+// onProbation reports whether the endpoint gets only repeatable requests, at first one at a time.
 func (e *endpoint) onProbation() bool {
 	return e.passive != nil && e.passive.unhealthy && !e.overEjectionCap && !e.ignorePassive
 }
--- a/internal/proxy/passive_health_test.go
+++ b/internal/proxy/passive_health_test.go
@@ -11,7 +11,7 @@
 	"walkrudder/internal/target"
 )
 
-// warmService returns a service with instances r0, r1, … that have each answered a number of
+// warmService returns a service with endpoints r0, r1, … that have each answered a number of
 // requests, at varying latencies. No time passes.
 func warmService(runs int) (*Node, *service) {
 	var rs []target.Run
@@ -29,7 +29,7 @@
 	return n, s
 }
 
-// finishRequest sends one request to an instance and ends it with an outcome after d.
+// finishRequest sends one request to an endpoint and ends it with an outcome after d.
 func finishRequest(n *Node, s *service, id string, o outcome, d time.Duration) {
 	s.mu.Lock()
 	g := s.reserve(s.endpoints[id], n.clock.Now())
@@ -38,7 +38,7 @@
 	s.release(g, o, d, 0)
 }
 
-// usableRuns returns the instances to which requests of a kind may be sent, and how many each.
+// usableRuns returns the endpoints to which requests of a kind may be sent, and how many each.
 func usableRuns(n *Node, s *service, k route.RetryPolicy) map[string]int {
 	m := map[string]int{}
 	for _, id := range takeAll(n, s, k) {
@@ -53,7 +53,7 @@
 	return m
 }
 
-// TestFailingRun: an instance that fails a good part of its requests is ejected although it answers
+// TestFailingRun: an endpoint that fails a good part of its requests is ejected although it answers
 // the others. It returns by a few repeatable requests at first, and later with each relapse.
 func TestFailingRun(t *testing.T) {
 	for _, o := range []outcome{outcomeReset, outcomeInvalid, outcomeServerError, outcomeSilent} {
@@ -98,7 +98,7 @@
 }
 
 // TestFateWindow: where failures are common in the service, a single one is weak evidence; an
-// instance with many more of them in its window than its peers is ejected.
+// endpoint with many more of them in its window than its peers is ejected.
 func TestFateWindow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n, s := warmService(6)
@@ -124,7 +124,7 @@
 }
 
 // TestSilentRun: a request that waits for longer than the peers' latencies make likely has the
-// instance suspected while it waits; its answer ends that.
+// endpoint suspected while it waits; its answer ends that.
 func TestSilentRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n, s := warmService(6)
@@ -146,7 +146,7 @@
 	})
 }
 
-// TestFatesOfAll: up to half of the instances are ejected; where more than half fail alike, passive
+// TestFatesOfAll: up to half of the endpoints are ejected; where more than half fail alike, passive
 // health is ignored for all.
 func TestFatesOfAll(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -163,7 +163,7 @@
 				t.Errorf("%d unhealthy: %v usable", i+1, got)
 			}
 		}
-		// The same holds where the other instances are in backoff.
+		// The same holds where the other endpoints are in backoff.
 		for i := 1; i < 6; i++ {
 			s.endpoints[fmt.Sprint("r", i)].passive = nil
 		}
@@ -208,7 +208,7 @@
 	})
 }
 
-// TestOldFailure: a request sent before an instance was ejected gives no new information.
+// TestOldFailure: a request sent before an endpoint was ejected gives no new information.
 func TestOldFailure(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n, s := warmService(6)
@@ -228,7 +228,7 @@
 	})
 }
 
-// TestFatesAreSmall: a node may know thousands of instances and has little processor time.
+// TestFatesAreSmall: a node may know thousands of endpoints and has little processor time.
 func TestFatesAreSmall(t *testing.T) {
 	if k := unsafe.Sizeof(passiveHealth{}); k > 160 {
 		t.Errorf("%d bytes a run", k)
@@ -246,7 +246,7 @@
 	}
 }
 
-// BenchmarkPick measures one choice among 48 instances, with passive health and without.
+// BenchmarkPick measures one choice among 48 endpoints, with passive health and without.
 func BenchmarkPick(b *testing.B) {
 	for _, known := range []bool{true, false} {
 		b.Run(fmt.Sprint("fates=", known), func(b *testing.B) {
--- a/internal/proxy/pool.go
+++ b/internal/proxy/pool.go
@@ -14,7 +14,7 @@
 const maxIdleAtMostOnce = 1500 * time.Millisecond
 
 // getConn returns a reused or new connection to the run, for a use that ends by deadline; reused
-// tells which. atMostOnce requires a recently used connection, forceNew a new one.
+// reports which. atMostOnce requires a recently used connection, forceNew a new one.
 func (e *endpoint) getConn(now, deadline time.Time, atMostOnce, forceNew bool) (c *conn, reused bool, err error) {
 	s := e.svc
 	for !forceNew {
--- a/internal/proxy/probe.go
+++ b/internal/proxy/probe.go
@@ -14,12 +14,12 @@
 const probeTick = 500 * time.Millisecond
 
 // minProbeWait is the least time between two looks for due probes: short enough that each probe
-// is sent about when it is due, long enough that one wake-up serves many instances.
+// is sent about when it is due, long enough that one wake-up serves many endpoints.
 const minProbeWait = 50 * time.Millisecond
 
-// runProbes sends health probes alongside the requests: to the instances of its own zone that the
+// runProbes sends health probes alongside the requests: to the endpoints of its own zone that the
 // node uses or, if there are none, to those of other zones. Probes are numbered, and reply j that
-// names the instance is arrival j for the instance's failure detector, whose suspicion is
+// names the target is arrival j for the endpoint's failure detector, whose suspicion is
 // evaluated at each choice. A valid answer to a request substitutes for the reply to the probe
 // that would be due.
 func (n *Node) runProbes(ctx context.Context) {
@@ -115,13 +115,13 @@
 	return out, next
 }
 
-// jitterProbe draws a random time to the next probe, so that nodes and instances do not probe in
+// jitterProbe draws a random time to the next probe, so that nodes and endpoints do not probe in
 // lockstep.
 func jitterProbe(every float64) time.Duration {
 	return time.Duration((0.8 + 0.4*rand.Float64()) * every)
 }
 
-// recordValidAnswer records a valid answer to a request. It counts at once if the instance is
+// recordValidAnswer records a valid answer to a request. It counts at once if the endpoint is
 // suspected, otherwise when a probe is due.
 func (e *endpoint) recordValidAnswer(now time.Time) {
 	if e.svc.node.noAnswerEvidence || !e.probed {
@@ -191,7 +191,7 @@
 }
 
 // exchangeProbe sends a probe over one connection and reads the reply. healthy means that the
-// instance reported itself healthy, replaced that another instance replied; keep is how long the
+// target reported itself healthy, replaced that another target replied; keep is how long the
 // connection may be reused.
 func (n *Node) exchangeProbe(c *conn, p probeRequest) (healthy, replaced bool, keep time.Duration) {
 	b := append(c.buf[:0], "GET "...)
@@ -211,11 +211,11 @@
 	}
 	keep = defaultIdleTimeout
 	closes := h.ConnectionClose()
-	var instance string
+	var targetID string
 	for k, v := range h.All() {
 		switch {
 		case equalFieldName(k, n.settings.Headers.Instance):
-			instance = string(v)
+			targetID = string(v)
 		case equalFieldName(k, n.settings.Headers.RequestID):
 			// An extra answer to some request.
 			return false, false, 0
@@ -237,5 +237,5 @@
 	if closes || c.r.Buffered() > 0 {
 		keep = 0
 	}
-	return h.StatusCode() == 200 && instance == p.id, instance != "" && instance != p.id, keep
+	return h.StatusCode() == 200 && targetID == p.id, targetID != "" && targetID != p.id, keep
 }
--- a/internal/proxy/probe_interval.go
+++ b/internal/proxy/probe_interval.go
@@ -17,7 +17,7 @@
 	requestRateWindow = 10 * time.Second
 )
 
-// probePacer determines the interval at which a node probes each instance that it uses: the base
+// probePacer determines the interval at which a node probes each endpoint that it uses: the base
 // interval, or two, four or eight times that if probes would exceed a fraction of its requests.
 // Where many nodes share many services, probes at a fixed interval would outnumber the requests;
 // and the more requests there are, the more of them substitute for probes.
@@ -31,7 +31,7 @@
 
 func (r *probePacer) interval() time.Duration { return time.Duration(r.current.Load()) }
 
-// adjust takes the total number of requests and the number of probed instances, a tick after the
+// adjust takes the total number of requests and the number of probed endpoints, a tick after the
 // last call, and reports whether the interval has changed.
 func (r *probePacer) adjust(tick time.Duration, requests uint64, runs int) bool {
 	r.requestRate += min(1, tick.Seconds()/requestRateWindow.Seconds()) * (float64(requests-r.lastRequests)/tick.Seconds() - r.requestRate)
@@ -66,7 +66,7 @@
 	}
 }
 
-// probedCount returns the number of instances that are probed.
+// probedCount returns the number of endpoints that are probed.
 func (s *service) probedCount() (n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -96,8 +96,8 @@
 	}
 }
 
-// startDetector starts or restarts the failure detector of the instance for the present probe
-// interval. Most known instances are never probed and have none.
+// startDetector starts or restarts the failure detector of the endpoint for the present probe
+// interval. Most known endpoints are never probed and have none.
 func (e *endpoint) startDetector(now time.Time) {
 	n := e.svc.node
 	if every := n.rhythm.interval(); e.detector == nil || e.detectorInterval != every {
@@ -107,7 +107,7 @@
 	e.detector.Restart(now)
 }
 
-// probeInterval is the time between probes to the instance. A suspected one is probed at the base
+// probeInterval is the time between probes to the endpoint. A suspected one is probed at the base
 // interval: it gets no requests whose answers could substitute, and its recovery is to be noticed
 // soon.
 func (e *endpoint) probeInterval(now time.Time) float64 {
@@ -118,7 +118,7 @@
 	return float64(r.interval())
 }
 
-// advanceProbe brings forward the next probe of an instance that has become suspected.
+// advanceProbe brings forward the next probe of an endpoint that has become suspected.
 func (e *endpoint) advanceProbe(now time.Time) {
 	if !e.probed || e.nextProbe.Sub(now) <= 2*e.svc.node.rhythm.base {
 		return
--- a/internal/proxy/probe_interval_test.go
+++ b/internal/proxy/probe_interval_test.go
@@ -41,7 +41,7 @@
 			}
 		}
 		if r.interval() != c.want || changes > 6 {
-			t.Errorf("%d instances, %v requests per second: interval %v after %d changes, want %v", c.runs, c.requestRate, r.interval(), changes, c.want)
+			t.Errorf("%d endpoints, %v requests per second: interval %v after %d changes, want %v", c.runs, c.requestRate, r.interval(), changes, c.want)
 		}
 	}
 	// From high load to low and back.
@@ -61,8 +61,8 @@
 	}
 }
 
-// TestSeldomProbed: a node with many instances and little load probes them rarely, suspects none
-// for that, and still detects one that becomes silent. A suspected instance is probed at the base
+// TestSeldomProbed: a node with many endpoints and little load probes them rarely, suspects none
+// for that, and still detects one that becomes silent. A suspected endpoint is probed at the base
 // interval, and its recovery is noticed soon.
 func TestSeldomProbed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -90,7 +90,7 @@
 		advance := func(d time.Duration) {
 			for range int(d / time.Second) {
 				s.mu.Lock()
-				// Keep all instances in the subset, and the service in use without requests that
+				// Keep all endpoints in the subset, and the service in use without requests that
 				// substitute for probes.
 				s.recentPeak, s.lastUsed = 1000, time.Now()
 				for id, e := range s.endpoints {
@@ -119,7 +119,7 @@
 			t.Errorf("%d probes in 5 minutes, about 450 expected", n)
 		}
 		if maxSuspicion >= suspicionThreshold {
-			t.Errorf("a healthy instance has a suspicion of %v", maxSuspicion)
+			t.Errorf("a healthy endpoint has a suspicion of %v", maxSuspicion)
 		}
 		for _, st := range l.targets {
 			if st.id == "r7" {
@@ -131,7 +131,7 @@
 		w := s.endpoints["r7"].suspicion(time.Now())
 		s.mu.Unlock()
 		if w < suspicionThreshold {
-			t.Errorf("a silent instance has a suspicion of %v after 80 s", w)
+			t.Errorf("a silent endpoint has a suspicion of %v after 80 s", w)
 		}
 		l.mu.Lock()
 		silenced = false
@@ -142,7 +142,7 @@
 		w = s.endpoints["r7"].suspicion(time.Now())
 		s.mu.Unlock()
 		if w >= suspicionThreshold {
-			t.Errorf("a recovered instance has a suspicion of %v after 15 s", w)
+			t.Errorf("a recovered endpoint has a suspicion of %v after 15 s", w)
 		}
 		l.close()
 	})
--- a/internal/proxy/probe_test.go
+++ b/internal/proxy/probe_test.go
@@ -11,7 +11,7 @@
 	"walkrudder/internal/target"
 )
 
-// TestProbes: instances in use are probed about as often as configured. One that becomes silent is
+// TestProbes: endpoints in use are probed about as often as configured. One that becomes silent is
 // suspected by the failure detector and ejected although no request failed there; probes stop when
 // the service is not used.
 func TestProbes(t *testing.T) {
@@ -56,11 +56,11 @@
 		}
 		time.Sleep(20 * time.Second)
 		if got := suspicion("quiet"); got < suspicionThreshold {
-			t.Errorf("suspicion of a silent instance is %v after 20 s", got)
+			t.Errorf("suspicion of a silent endpoint is %v after 20 s", got)
 		}
 		for i := range 4 {
 			if got := suspicion(fmt.Sprint("r", i)); got >= suspicionThreshold {
-				t.Errorf("suspicion of an instance that replies is %v", got)
+				t.Errorf("suspicion of an endpoint that replies is %v", got)
 			}
 		}
 		st := l.node.Stats()
@@ -83,7 +83,7 @@
 		if now := l.node.Stats().Probes; now != before {
 			t.Errorf("%d probes of an unused service", now-before)
 		}
-		// An instance is not suspected for time in which it was not probed.
+		// An endpoint is not suspected for time in which it was not probed.
 		if g := l.request("/idem/x", "again", time.Second); !g.proper("again") {
 			t.Errorf("%+v", g)
 		}
@@ -98,7 +98,7 @@
 	})
 }
 
-// TestProbeFindsAnother: a health reply that names another instance shows that the expected one
+// TestProbeFindsAnother: a health reply that names another target shows that the expected one
 // has been replaced at its address.
 func TestProbeFindsAnother(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -115,7 +115,7 @@
 				t.Error("not marked as replaced")
 			}
 			if e := s.endpoints["good"]; e != nil && e.replaced {
-				t.Error("the good instance is marked as replaced")
+				t.Error("the good endpoint is marked as replaced")
 			}
 			s.mu.Unlock()
 		}
@@ -123,7 +123,7 @@
 	})
 }
 
-// TestAnswersStandIn: valid answers substitute for the replies to probes: an instance that answers
+// TestAnswersStandIn: valid answers substitute for the replies to probes: a target that answers
 // requests is not probed and not suspected, even if its health check fails; one without requests
 // is probed as usual.
 func TestAnswersStandIn(t *testing.T) {
@@ -170,7 +170,7 @@
 			probes, idleProbes := asked["busy"], asked["idle"]
 			l.mu.Unlock()
 			if idleProbes < 10 {
-				t.Errorf("%d probes of an instance without requests", idleProbes)
+				t.Errorf("%d probes of an endpoint without requests", idleProbes)
 			}
 			if disabled {
 				if probes < 10 || maxSuspicion < suspicionThreshold {
@@ -184,7 +184,7 @@
 	}
 }
 
-// TestErrorsAreNoProof: an answer that reports the instance's own failure saves no probe.
+// TestErrorsAreNoProof: an answer that reports the target's own failure saves no probe.
 func TestErrorsAreNoProof(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := newHarness(t, newPipes(), func(s *Settings) { s.ProbeInterval = 4 * time.Second })
@@ -235,7 +235,7 @@
 			probedAt = nil
 			return k
 		}
-		// Keep all instances in the subset.
+		// Keep all endpoints in the subset.
 		s := l.node.allServices()[0]
 		s.mu.Lock()
 		s.recentPeak = 1000
@@ -265,7 +265,7 @@
 	})
 }
 
-// TestAnswerEndsSuspicion: a valid answer ends the suspicion of an instance at once, without
+// TestAnswerEndsSuspicion: a valid answer ends the suspicion of an endpoint at once, without
 // waiting for the next probe.
 func TestAnswerEndsSuspicion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/proxy/serve.go
+++ b/internal/proxy/serve.go
@@ -75,7 +75,7 @@
 	}()
 }
 
-// Stop shuts the node down gracefully. It immediately reports not ready, tells callers to close their
+// Stop shuts the node down gracefully. It immediately reports not ready, asks callers to close their
 // connections and starts no download that it could not finish. For the linger time it still accepts
 // callers that have not noticed yet; then it closes the listeners and the idle connections, lets large
 // answers use the whole link, and returns when every request is answered or the grace period is over.
--- a/internal/proxy/service.go
+++ b/internal/proxy/service.go
@@ -18,12 +18,12 @@
 	// distrustIdleFor is how long requests that must run at most once avoid idle connections of a
 	// service after one died under a request.
 	distrustIdleFor = 10 * time.Second
-	// probeAfterUse is how long after its last request a service's instances are probed.
+	// probeAfterUse is how long after its last request a service's endpoints are probed.
 	probeAfterUse = 30 * time.Second
 )
 
-// service is a group of target instances that serve the same routes. Its lock is held only while
-// some dozens of instances are examined, never while waiting for anything.
+// service is a group of targets that serve the same routes. Its lock is held only while
+// some dozens of endpoints are examined, never while waiting for anything.
 type service struct {
 	name   string
 	node   *Node
@@ -34,8 +34,8 @@
 	mu        sync.Mutex
 	config    route.Service
 	endpoints map[string]*endpoint
-	subset    []*endpoint // instances that this node sends to
-	canaries  []*endpoint // instances of a new version that get a share of the requests
+	subset    []*endpoint // endpoints that this node sends to
+	canaries  []*endpoint // endpoints of a new version that get a share of the requests
 	upgrade   upgradeState
 	// canaryScratch is a buffer for pickCanary.
 	canaryScratch   []*endpoint
@@ -43,7 +43,7 @@
 	pace            requestRates
 	limit           concurrencyLimit
 	baseline        serviceBaseline
-	subsetSize      int     // most instances in use, counted separately for the own and all other zones
+	subsetSize      int     // most endpoints in use, counted separately for the own and all other zones
 	recentPeak      float64 // decaying maximum of the requests in flight
 	latency         time.Duration
 	lastStaleConn   time.Time
@@ -51,7 +51,7 @@
 	ejectionScratch []ejectionCandidate // buffer for ejections
 }
 
-// ejectionCandidate is an instance with its active and passive suspicion.
+// ejectionCandidate is an endpoint with its active and passive suspicion.
 type ejectionCandidate struct {
 	e               *endpoint
 	active, passive float64
@@ -70,7 +70,7 @@
 	return s.typicalLatencyLocked()
 }
 
-// maxConns is how many connections this node may open to one instance.
+// maxConns is how many connections this node may open to one endpoint.
 func (s *service) maxConns() int {
 	if s.config.MaxConns <= 0 {
 		return 1 << 16
@@ -85,7 +85,7 @@
 	s.mu.Unlock()
 }
 
-// update applies new states of instances, already merged by the caller.
+// update applies new states of targets, already merged by the caller.
 func (s *service) update(runs []target.Run, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/proxy/upgrade.go
+++ b/internal/proxy/upgrade.go
@@ -30,7 +30,7 @@
 // upgradeState is a service's state of an upgrade. The service's lock guards it.
 type upgradeState struct {
 	versions       upgrade.VersionRouting
-	judge          *upgrade.Analyzer
+	analyzer       *upgrade.Analyzer
 	routes         map[string]*upgrade.RouteCount
 	targets        map[string]upgrade.Tally // of the new version
 	changedTargets map[string]bool          // targets whose tally changed since the last report
@@ -61,8 +61,8 @@
 	if !s.upgrade.versions.ApplyUpgrade(u) {
 		return
 	}
-	if u.Order != previous.Order || s.upgrade.judge == nil {
-		s.upgrade.judge, s.upgrade.routes = upgrade.NewAnalyzer(), map[string]*upgrade.RouteCount{}
+	if u.Order != previous.Order || s.upgrade.analyzer == nil {
+		s.upgrade.analyzer, s.upgrade.routes = upgrade.NewAnalyzer(), map[string]*upgrade.RouteCount{}
 		s.upgrade.targets, s.upgrade.changedTargets = map[string]upgrade.Tally{}, map[string]bool{}
 	}
 	s.node.log.Info("upgrade", "step", "upgrade", "service", s.name, "version", u.To, "phase", u.Phase.String(), "share", u.Share, "reason", u.Reason)
@@ -179,15 +179,15 @@
 	}
 	if !isNew {
 		count.Old = count.Old.Add(t)
-		m.judge.AddOld(route, t)
+		m.analyzer.AddOld(route, t)
 		return
 	}
 	count.New = count.New.Add(t)
 	m.targets[e.run.ID] = m.targets[e.run.ID].Add(t)
 	m.changedTargets[e.run.ID] = true
-	m.judge.AddTarget(e.run.ID, t)
-	m.judge.AddNew(route, t)
-	if worst, isBad := m.judge.DegradedRoute(); isBad && m.versions.StopLocally() {
+	m.analyzer.AddTarget(e.run.ID, t)
+	m.analyzer.AddNew(route, t)
+	if worst, isBad := m.analyzer.DegradedRoute(); isBad && m.versions.StopLocally() {
 		s.node.log.Warn("gateway stopped sending requests to a bad new version", "step", "upgrade", "service", s.name, "version", u.To, "route", worst)
 		s.rebuildSubsets()
 	}
--- a/internal/proxy/upgrade_test.go
+++ b/internal/proxy/upgrade_test.go
@@ -45,7 +45,7 @@
 			}
 		}
 		n.SetAsOf(seen.Add(time.Millisecond))
-		if s.endpoints["a3"].lane != upgrade.Stable {
+		if s.endpoints["a3"].trafficClass != upgrade.StableTraffic {
 			t.Error("it is not in use although no upgrade to it was acknowledged")
 		}
 	})
--- a/internal/queries/queries.go
+++ b/internal/queries/queries.go
@@ -30,7 +30,7 @@
 	Registry   *registry.HomeTable
 	Membership *membership.LeaseClient
 	Proposer   *quorum.Proposer
-	Transport  link.Line
+	Transport  link.Transport
 }
 
 // NodeRow describes one member of the cluster.
--- a/internal/quorum/bootstrapper.go
+++ b/internal/quorum/bootstrapper.go
@@ -50,7 +50,7 @@
 	// SubsequentStart says that this is not the first start of the whole system: this
 	// node neither proposes nor consents to a first core.
 	SubsequentStart bool
-	Transport       link.Line
+	Transport       link.Transport
 	Clock           clock.Clock
 	Proposer        *Proposer
 	Voter           *Voter // nil without a disk
@@ -71,8 +71,8 @@
 }
 
 // Serve registers the handlers for bootstrap requests with d.
-func (b *Bootstrapper) Serve(d *link.Mux) {
-	link.Handle(d, func(_ context.Context, _ link.Identity, a HelloAsk) (CoreTold, error) {
+func (b *Bootstrapper) Serve(mux *link.Mux) {
+	link.Handle(mux, func(_ context.Context, _ link.Identity, a HelloAsk) (CoreTold, error) {
 		b.recordDisk(a.Seat, 0)
 		b.Proposer.Learn(a.Core)
 		return b.answerHello(a.Epoch), nil
@@ -81,7 +81,7 @@
 		b.Voter.refuseNewConsent.Store(b.SubsequentStart)
 		return
 	}
-	link.Handle(d, func(_ context.Context, _ link.Identity, a FormAsk) (FormTold, error) {
+	link.Handle(mux, func(_ context.Context, _ link.Identity, a FormAsk) (FormTold, error) {
 		return b.handleForm(a), nil
 	})
 }
--- a/internal/quorum/bootstrapper_test.go
+++ b/internal/quorum/bootstrapper_test.go
@@ -41,19 +41,19 @@
 func (g *formingCluster) startNode(p nodePlan, m *mem) {
 	b := &Bootstrapper{Seeds: g.seeds, Self: p.id, Size: g.size, Tolerance: g.tolerance, SubsequentStart: p.subsequentStart, Transport: nodeTransport{g.cluster, p.id}, Clock: freezableClock{node: &node{}}}
 	ctx := g.ctx
-	var d *link.Mux
+	var mux *link.Mux
 	if p.hasDisk {
 		n := g.boot(p.id, p.zone, m)
 		b.Proposer, b.Voter, ctx = n.proposer, n.voter, n.ctx
-		d = link.NewMux()
-		n.voter.Serve(d)
+		mux = link.NewMux()
+		n.voter.Serve(mux)
 	} else {
 		b.Proposer = NewProposer(p.id, nodeTransport{g.cluster, p.id}, b.Clock)
-		d = link.NewMux()
+		mux = link.NewMux()
 	}
-	b.Serve(d)
+	b.Serve(mux)
 	g.locked(func() {
-		g.desks[p.id] = d
+		g.muxes[p.id] = mux
 		g.bootstrappers[p.id] = b
 	})
 	go b.Run(ctx)
@@ -72,7 +72,7 @@
 	g.mu.Lock()
 	bootstrappers := map[string]*Bootstrapper{}
 	for id, f := range g.bootstrappers {
-		if g.desks[id] != nil {
+		if g.muxes[id] != nil {
 			bootstrappers[id] = f
 		}
 	}
@@ -131,7 +131,7 @@
 					g := newFormingCluster(ctx, t, x.size, x.seeds...)
 					if silent {
 						// A node that has not started does not even refuse connections.
-						g.dropAsk = func(_, to string, _ any) bool { return g.desks[to] == nil }
+						g.dropAsk = func(_, to string, _ any) bool { return g.muxes[to] == nil }
 					}
 					ps := slices.Clone(x.ps)
 					for k := range ps {
@@ -339,7 +339,7 @@
 }
 
 // A node that knows a core sends one request every two seconds, which is enough to learn
-// of a newer core and to tell a seed of it.
+// of a newer core and to inform a seed of it.
 func TestKnownCoreIsRecheckedCheaply(t *testing.T) {
 	runSynctest(t, func(ctx context.Context, t *testing.T) {
 		g := newFormingCluster(ctx, t, 3, "a", "b", "m")
--- a/internal/quorum/cluster_test.go
+++ b/internal/quorum/cluster_test.go
@@ -68,7 +68,7 @@
 	ctx           context.Context
 	mu            sync.Mutex
 	nodes         map[string]*node
-	desks         map[string]*link.Mux
+	muxes         map[string]*link.Mux
 	starts        int
 	isCut         func(a, b string) bool
 	dropAsk       func(from, to string, ask any) bool
@@ -81,7 +81,7 @@
 }
 
 func newCluster(ctx context.Context, t *testing.T) *cluster {
-	return &cluster{t: t, ctx: ctx, nodes: map[string]*node{}, desks: map[string]*link.Mux{}, askCounts: map[string]int{}}
+	return &cluster{t: t, ctx: ctx, nodes: map[string]*node{}, muxes: map[string]*link.Mux{}, askCounts: map[string]int{}}
 }
 
 // nodeTransport is the transport of one node.
@@ -94,7 +94,7 @@
 	c := p.c
 	c.mu.Lock()
 	c.askCounts[p.from]++
-	d, n := c.desks[to], c.nodes[to]
+	mux, n := c.muxes[to], c.nodes[to]
 	blocked := c.isCut != nil && c.isCut(p.from, to) || c.dropAsk != nil && c.dropAsk(p.from, to, ask)
 	c.mu.Unlock()
 	if blocked {
@@ -102,7 +102,7 @@
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
-	if d == nil {
+	if mux == nil {
 		return nil, errors.New("connection refused")
 	}
 	if err := (clock.Wall{}).Sleep(ctx, time.Millisecond); err != nil {
@@ -113,12 +113,12 @@
 			return nil, err
 		}
 	}
-	r, err := d.Dispatch(ctx, link.Identity{ID: p.from}, ask)
+	r, err := mux.Dispatch(ctx, link.Identity{ID: p.from}, ask)
 	if err != nil {
 		return nil, err
 	}
 	c.mu.Lock()
-	closed := c.desks[to] != d
+	closed := c.muxes[to] != mux
 	c.mu.Unlock()
 	if closed {
 		return nil, errors.New("connection reset")
@@ -187,11 +187,11 @@
 	n.proposer = NewProposer(fresh, nodeTransport{c, id}, freezableClock{node: n})
 	n.bootstrapper = &Bootstrapper{Seeds: []string{id}, Self: id, Transport: nodeTransport{c, id}, Clock: freezableClock{node: n}, Proposer: n.proposer, Voter: v}
 	n.reconfigurer = &Reconfigurer{Contacts: n.contacts, Tolerance: c.tolerance, Size: c.size, Proposer: n.proposer, Transport: nodeTransport{c, id}, Clock: freezableClock{node: n}, Faults: n.faults}
-	d := link.NewMux()
-	v.Serve(d)
-	n.bootstrapper.Serve(d)
+	mux := link.NewMux()
+	v.Serve(mux)
+	n.bootstrapper.Serve(mux)
 	c.mu.Lock()
-	c.nodes[id], c.desks[addr] = n, d
+	c.nodes[id], c.muxes[addr] = n, mux
 	c.mu.Unlock()
 	go v.Run(n.ctx)
 	if !c.bootstrapOnly {
@@ -249,7 +249,7 @@
 		return nil
 	}
 	delete(c.nodes, id)
-	delete(c.desks, n.seat.Addr)
+	delete(c.muxes, n.seat.Addr)
 	c.mu.Unlock()
 	n.disk.end()
 	n.stop()
--- a/internal/quorum/join_bench_test.go
+++ b/internal/quorum/join_bench_test.go
@@ -26,7 +26,7 @@
 // meteredClient calls voters of the same process and measures the pages of a transfer.
 type meteredClient struct {
 	mu          sync.Mutex
-	desks       map[string]*link.Mux
+	muxes       map[string]*link.Mux
 	pages       int
 	bytes       int
 	longestPage time.Duration
@@ -34,7 +34,7 @@
 
 func (l *meteredClient) Call(ctx context.Context, addr string, ask any) (any, error) {
 	start := time.Now()
-	answer, err := l.desks[addr].Dispatch(ctx, link.Identity{ID: "bench"}, ask)
+	answer, err := l.muxes[addr].Dispatch(ctx, link.Identity{ID: "bench"}, ask)
 	took := time.Since(start)
 	switch ask.(type) {
 	case ListAsk, RecordsAsk, MergedAsk:
@@ -55,9 +55,9 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		desk := link.NewMux()
-		v.Serve(desk)
-		l.desks[id] = desk
+		mux := link.NewMux()
+		v.Serve(mux)
+		l.muxes[id] = mux
 		go v.Run(ctx)
 		all = append(all, v)
 	}
@@ -87,7 +87,7 @@
 func BenchmarkJoin(b *testing.B) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	l := &meteredClient{desks: map[string]*link.Mux{}}
+	l := &meteredClient{muxes: map[string]*link.Mux{}}
 	voters := startBenchVoters(b, ctx, l, "a", "b", "c")
 	core := Core{Epoch: 1}
 	for _, v := range voters {
--- a/internal/quorum/proposer.go
+++ b/internal/quorum/proposer.go
@@ -24,7 +24,7 @@
 // has one (design 4.1).
 type Proposer struct {
 	ID        string
-	Transport link.Line
+	Transport link.Transport
 	Clock     clock.Clock
 
 	mu         sync.Mutex
@@ -33,7 +33,7 @@
 }
 
 // NewProposer returns a proposer; id must be unique across processes and restarts.
-func NewProposer(id string, transport link.Line, clk clock.Clock) *Proposer {
+func NewProposer(id string, transport link.Transport, clk clock.Clock) *Proposer {
 	return &Proposer{ID: id, Transport: transport, Clock: clk, lastBallot: map[string]uint64{}}
 }
 
--- a/internal/quorum/reconfigurer.go
+++ b/internal/quorum/reconfigurer.go
@@ -66,7 +66,7 @@
 	// number stays as it is.
 	Size      int
 	Proposer  *Proposer
-	Transport link.Line
+	Transport link.Transport
 	Clock     clock.Clock
 	Faults    *fault.Set
 	Log       *log.Logger
--- a/internal/quorum/voter.go
+++ b/internal/quorum/voter.go
@@ -47,7 +47,7 @@
 	faults        *fault.Set
 	commands      chan *command
 	onDiskFailure func(error)
-	client        link.Line
+	transport     link.Transport
 	// OnMerge is called with all merge items that are new to this voter, including those pulled
 	// by a join, after they are synced and before the response is sent. It must be set before
 	// Run. It is called from the voter's goroutine and must not call the voter.
@@ -91,8 +91,8 @@
 
 // NewVoter loads a voter from its disk. newIncarnation is used if the disk is empty;
 // onDiskFailure is called once if the disk fails.
-func NewVoter(self Seat, d storage.Disk, newIncarnation string, client link.Line, faults *fault.Set, onDiskFailure func(error)) (*Voter, error) {
-	v := &Voter{self: self, disk: d, faults: faults, client: client, onDiskFailure: onDiskFailure,
+func NewVoter(self Seat, d storage.Disk, newIncarnation string, transport link.Transport, faults *fault.Set, onDiskFailure func(error)) (*Voter, error) {
+	v := &Voter{self: self, disk: d, faults: faults, transport: transport, onDiskFailure: onDiskFailure,
 		commands: make(chan *command, 4*maxBatch), joinToken: make(chan struct{}, 1), registers: map[string]Item{}, floors: map[string]string{}, mergeItems: map[item.Key]item.Item{}, records: map[item.Key]record{}}
 	values, err := d.Load()
 	if err != nil {
@@ -253,21 +253,21 @@
 }
 
 // Serve registers this voter's request handlers with d.
-func (v *Voter) Serve(d *link.Mux) {
-	link.Handle(d, v.prepare)
-	link.Handle(d, v.accept)
-	link.Handle(d, v.read)
-	link.Handle(d, v.list)
-	link.Handle(d, v.handleForm)
-	link.Handle(d, v.seal)
-	link.Handle(d, v.join)
-	link.Handle(d, v.raiseFloor)
-	link.Handle(d, v.merge)
-	link.Handle(d, v.listMerged)
-	link.Handle(d, v.offer)
-	link.Handle(d, v.decide)
-	link.Handle(d, v.listRecords)
-	link.Handle(d, v.trace)
+func (v *Voter) Serve(mux *link.Mux) {
+	link.Handle(mux, v.prepare)
+	link.Handle(mux, v.accept)
+	link.Handle(mux, v.read)
+	link.Handle(mux, v.list)
+	link.Handle(mux, v.handleForm)
+	link.Handle(mux, v.seal)
+	link.Handle(mux, v.join)
+	link.Handle(mux, v.raiseFloor)
+	link.Handle(mux, v.merge)
+	link.Handle(mux, v.listMerged)
+	link.Handle(mux, v.offer)
+	link.Handle(mux, v.decide)
+	link.Handle(mux, v.listRecords)
+	link.Handle(mux, v.trace)
 }
 
 type (
--- a/internal/quorum/votercluster_test.go
+++ b/internal/quorum/votercluster_test.go
@@ -62,7 +62,7 @@
 	t           *testing.T
 	ctx         context.Context
 	mu          sync.Mutex
-	desks       map[string]*link.Mux
+	muxes       map[string]*link.Mux
 	voters      map[string]*Voter
 	unreachable func(addr string, ask any) bool
 	core        Core
@@ -70,16 +70,16 @@
 
 func (l *voterCluster) Call(ctx context.Context, addr string, ask any) (any, error) {
 	l.mu.Lock()
-	desk, unreachable := l.desks[addr], l.unreachable
+	mux, unreachable := l.muxes[addr], l.unreachable
 	l.mu.Unlock()
-	if desk == nil || unreachable != nil && unreachable(addr, ask) {
+	if mux == nil || unreachable != nil && unreachable(addr, ask) {
 		return nil, errors.New("unreachable")
 	}
 	// A delay per request, so that events that follow each other get different times.
 	if err := (clock.Wall{}).Sleep(ctx, time.Millisecond); err != nil {
 		return nil, err
 	}
-	return desk.Dispatch(ctx, link.Identity{ID: "t"}, ask)
+	return mux.Dispatch(ctx, link.Identity{ID: "t"}, ask)
 }
 
 func (l *voterCluster) setUnreachable(f func(addr string, ask any) bool) {
@@ -95,17 +95,17 @@
 	if err != nil {
 		l.t.Fatal(err)
 	}
-	desk := link.NewMux()
-	v.Serve(desk)
+	mux := link.NewMux()
+	v.Serve(mux)
 	l.mu.Lock()
-	l.desks[id], l.voters[id] = desk, v
+	l.muxes[id], l.voters[id] = mux, v
 	l.mu.Unlock()
 	go v.Run(l.ctx)
 	return v
 }
 
 func newVoterCluster(ctx context.Context, t *testing.T) (*voterCluster, map[string]*mem) {
-	l := &voterCluster{t: t, ctx: ctx, desks: map[string]*link.Mux{}, voters: map[string]*Voter{}, core: Core{Epoch: 1}}
+	l := &voterCluster{t: t, ctx: ctx, muxes: map[string]*link.Mux{}, voters: map[string]*Voter{}, core: Core{Epoch: 1}}
 	memDisks := map[string]*mem{}
 	for _, id := range []string{"a", "b", "c"} {
 		memDisks[id] = newMemDisk()
--- a/internal/quorum/votertransfer.go
+++ b/internal/quorum/votertransfer.go
@@ -77,7 +77,7 @@
 
 // pullPage requests one page from a sealed voter; headOf returns the header of the response.
 func pullPage[R any](ctx context.Context, v *Voter, source Seat, ask any, headOf func(R) Told) (R, error) {
-	t, err := link.Call[R](ctx, v.client, source.Addr, ask)
+	t, err := link.Call[R](ctx, v.transport, source.Addr, ask)
 	if err != nil {
 		return t, err
 	}
--- a/internal/registry/gatewaytable.go
+++ b/internal/registry/gatewaytable.go
@@ -68,7 +68,7 @@
 // GatewayTable is a gateway's table of targets, by service. Its owner goroutine replaces the
 // snapshot that the request path reads.
 type GatewayTable struct {
-	Transport   link.Line
+	Transport   link.Transport
 	Clock       clock.Clock
 	Pauses      *liveness.PauseMonitor
 	Self        string
@@ -396,10 +396,10 @@
 }
 
 // Serve registers the handlers for leave notifications and for queries of the gateway's views.
-func (g *GatewayTable) Serve(d *link.Mux) {
-	link.Handle(d, func(ctx context.Context, _ link.Identity, a DrainAsk) (DrainTold, error) {
+func (g *GatewayTable) Serve(mux *link.Mux) {
+	link.Handle(mux, func(ctx context.Context, _ link.Identity, a DrainAsk) (DrainTold, error) {
 		err := g.Drain(ctx, a.Service, a.ID, a.Inc, a.Gone)
 		return DrainTold{OK: err == nil}, err
 	})
-	link.Handle(d, func(context.Context, link.Identity, ViewAsk) (ViewTold, error) { return ViewTold{g.Views()}, nil })
+	link.Handle(mux, func(context.Context, link.Identity, ViewAsk) (ViewTold, error) { return ViewTold{g.Views()}, nil })
 }
--- a/internal/registry/hometable.go
+++ b/internal/registry/hometable.go
@@ -214,7 +214,7 @@
 
 // CollectSeen merges the tables of all controllers: for each target its latest run, the newest
 // beat of that run, and the shortest silence that any controller measured.
-func CollectSeen(ctx context.Context, l link.Line, ms []membership.Member) []Seen {
+func CollectSeen(ctx context.Context, transport link.Transport, ms []membership.Member) []Seen {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	byKey := map[string]Seen{}
@@ -225,7 +225,7 @@
 			continue
 		}
 		wg.Go(func() {
-			r, err := link.Call[SeenTold](askCtx, l, m.Inner, SeenAsk{})
+			r, err := link.Call[SeenTold](askCtx, transport, m.Inner, SeenAsk{})
 			if err != nil {
 				return
 			}
@@ -290,18 +290,18 @@
 }
 
 // Serve registers the table's request handlers with d.
-func (h *HomeTable) Serve(d *link.Mux) {
-	link.Handle(d, func(ctx context.Context, _ link.Identity, a BeatAsk) (BeatTold, error) {
+func (h *HomeTable) Serve(mux *link.Mux) {
+	link.Handle(mux, func(ctx context.Context, _ link.Identity, a BeatAsk) (BeatTold, error) {
 		return h.MergeBeat(ctx, a.Beat)
 	})
-	link.Handle(d, func(ctx context.Context, _ link.Identity, a WatchAsk) (WatchTold, error) { return h.Watch(ctx, a) })
-	link.Handle(d, func(ctx context.Context, _ link.Identity, a MarkAsk) (MarkTold, error) {
+	link.Handle(mux, func(ctx context.Context, _ link.Identity, a WatchAsk) (WatchTold, error) { return h.Watch(ctx, a) })
+	link.Handle(mux, func(ctx context.Context, _ link.Identity, a MarkAsk) (MarkTold, error) {
 		err := h.Mark(ctx, a.Service, a.ID, a.Inc, func(e *Entry) { e.Suspect, e.Gone = a.Suspect, e.Gone || a.Gone })
 		return MarkTold{OK: err == nil}, err
 	})
-	link.Handle(d, func(ctx context.Context, _ link.Identity, _ SeenAsk) (SeenTold, error) {
+	link.Handle(mux, func(ctx context.Context, _ link.Identity, _ SeenAsk) (SeenTold, error) {
 		s, err := h.List(ctx)
 		return SeenTold{s}, err
 	})
-	link.Handle(d, func(ctx context.Context, _ link.Identity, a JudgeAsk) (JudgeTold, error) { return h.Judge(ctx, a) })
+	link.Handle(mux, func(ctx context.Context, _ link.Identity, a JudgeAsk) (JudgeTold, error) { return h.Judge(ctx, a) })
 }
--- a/internal/registry/tables_test.go
+++ b/internal/registry/tables_test.go
@@ -24,15 +24,15 @@
 
 func (l *network) Call(ctx context.Context, addr string, ask any) (any, error) {
 	l.mu.Lock()
-	d, shut := l.homes[addr], l.unreachable[addr]
+	mux, shut := l.homes[addr], l.unreachable[addr]
 	l.mu.Unlock()
-	if d == nil || shut {
+	if mux == nil || shut {
 		return nil, errors.New("unreachable")
 	}
 	if err := (clock.Wall{}).Sleep(ctx, time.Millisecond); err != nil {
 		return nil, err
 	}
-	v, err := d.Dispatch(ctx, link.Identity{}, ask)
+	v, err := mux.Dispatch(ctx, link.Identity{}, ask)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.unreachable[addr] {
@@ -61,10 +61,10 @@
 			h := &HomeTable{Clock: clock.Wall{}, Pauses: p, Incarnation: run}
 			h.Init()
 			go h.Run(ctx)
-			d := link.NewMux()
-			h.Serve(d)
+			mux := link.NewMux()
+			h.Serve(mux)
 			l.mu.Lock()
-			l.homes[addr] = d
+			l.homes[addr] = mux
 			l.mu.Unlock()
 			return h
 		}
--- a/internal/registry/views.go
+++ b/internal/registry/views.go
@@ -31,7 +31,7 @@
 func (w GatewayViews) TrustedByHalf() bool { return w.Gateways > 0 && 2*w.Trusting >= w.Gateways }
 
 // CollectViews asks the gateways among ms for their views of the targets (design 10.7).
-func CollectViews(ctx context.Context, l link.Line, ms []membership.Member) map[ledger.Target]GatewayViews {
+func CollectViews(ctx context.Context, transport link.Transport, ms []membership.Member) map[ledger.Target]GatewayViews {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	out := map[ledger.Target]GatewayViews{}
@@ -42,7 +42,7 @@
 			continue
 		}
 		wg.Go(func() {
-			r, err := link.Call[ViewTold](askCtx, l, m.Inner, ViewAsk{})
+			r, err := link.Call[ViewTold](askCtx, transport, m.Inner, ViewAsk{})
 			if err != nil {
 				return
 			}
--- a/internal/rollout/executor.go
+++ b/internal/rollout/executor.go
@@ -36,7 +36,7 @@
 type Executor struct {
 	Ledger     *ledger.Ledger
 	Membership *membership.LeaseClient
-	Link       link.Line
+	Transport  link.Transport
 	Clock      clock.Clock
 	Faults     *fault.Set
 	Log        *log.Logger
@@ -267,7 +267,7 @@
 func (e *Executor) askAll(ctx context.Context, step string, ask any, enough func([]string) bool) ([]string, error) {
 	var tried sync.Map
 	ids, err := ForEachGateway(ctx, e.Membership, e.Clock, enough, func(cx context.Context, m membership.Member) bool {
-		reply, err := link.Call[GatewayTold](cx, e.Link, m.Inner, ask)
+		reply, err := link.Call[GatewayTold](cx, e.Transport, m.Inner, ask)
 		if _, again := tried.LoadOrStore(m.ID, true); err != nil && !again && e.Log != nil {
 			e.Log.Warn("gateway unreachable; waiting for its lease to lapse", "step", step, "mate", m.ID, "err", err)
 		}
@@ -335,8 +335,8 @@
 
 // Serve registers the handlers of a controller. leaves returns the target runs that must
 // get no new work.
-func (e *Executor) Serve(d *link.Mux, leaves func(context.Context) ([]Leave, error)) {
-	link.Handle(d, func(ctx context.Context, w link.Identity, a ConfirmAsk) (reply ConfirmTold, err error) {
+func (e *Executor) Serve(mux *link.Mux, leaves func(context.Context) ([]Leave, error)) {
+	link.Handle(mux, func(ctx context.Context, w link.Identity, a ConfirmAsk) (reply ConfirmTold, err error) {
 		fold, err := e.Ledger.Refresh(ctx)
 		if err != nil {
 			return reply, err
@@ -374,11 +374,11 @@
 		}
 		return reply, nil
 	})
-	link.Handle(d, func(ctx context.Context, _ link.Identity, a PartAsk) (PartTold, error) {
+	link.Handle(mux, func(ctx context.Context, _ link.Identity, a PartAsk) (PartTold, error) {
 		err := e.Ledger.RemoveGateway(ctx, a.ID)
 		return PartTold{OK: err == nil}, err
 	})
-	link.Handle(d, func(context.Context, link.Identity, LastAsk) (LastTold, error) {
+	link.Handle(mux, func(context.Context, link.Identity, LastAsk) (LastTold, error) {
 		// A controller's own record of what is in force may be old; only its lease matters.
 		return LastTold{Held: e.Membership.TablesKnown(), Fresh: e.Membership.TablesKnown() && e.Membership.Remaining() > membership.OverdueThreshold}, nil
 	})
--- a/internal/rollout/sheetstore.go
+++ b/internal/rollout/sheetstore.go
@@ -47,7 +47,7 @@
 // SheetStore holds a gateway's route sheets: the one in force and the staged ones.
 type SheetStore struct {
 	Membership *membership.LeaseClient
-	Link       link.Line
+	Transport  link.Transport
 	Clock      clock.Clock
 	ID         string
 	// Controllers lists the inner addresses of the controllers, nearest first.
@@ -183,8 +183,8 @@
 }
 
 // Serve registers the handlers for the messages of a roll-out.
-func (st *SheetStore) Serve(d *link.Mux) {
-	link.Handle(d, func(ctx context.Context, _ link.Identity, a StageAsk) (r GatewayTold, err error) {
+func (st *SheetStore) Serve(mux *link.Mux) {
+	link.Handle(mux, func(ctx context.Context, _ link.Identity, a StageAsk) (r GatewayTold, err error) {
 		return owner.Call(ctx, st.owner, func() (r GatewayTold) {
 			if a.N > st.Version() && st.staged[a.N] == nil && len(st.staged) < 64 {
 				st.staged[a.N] = spec.NewTable(a.N, a.Sheet)
@@ -193,7 +193,7 @@
 			return r
 		})
 	})
-	link.Handle(d, func(ctx context.Context, _ link.Identity, a HoldAsk) (r GatewayTold, err error) {
+	link.Handle(mux, func(ctx context.Context, _ link.Identity, a HoldAsk) (r GatewayTold, err error) {
 		return owner.Call(ctx, st.owner, func() (r GatewayTold) {
 			// A process that started after the staging is held too, and receives the sheet
 			// with its confirmation.
@@ -207,7 +207,7 @@
 			return r
 		})
 	})
-	link.Handle(d, func(ctx context.Context, _ link.Identity, a FreeAsk) (r GatewayTold, err error) {
+	link.Handle(mux, func(ctx context.Context, _ link.Identity, a FreeAsk) (r GatewayTold, err error) {
 		return owner.Call(ctx, st.owner, func() (r GatewayTold) {
 			if st.held[a.By] == a.N && a.N > st.Version() {
 				delete(st.held, a.By)
@@ -216,7 +216,7 @@
 			return GatewayTold{OK: true, N: st.Version()}
 		})
 	})
-	link.Handle(d, func(ctx context.Context, _ link.Identity, a FlipAsk) (r GatewayTold, err error) {
+	link.Handle(mux, func(ctx context.Context, _ link.Identity, a FlipAsk) (r GatewayTold, err error) {
 		return owner.Call(ctx, st.owner, func() (r GatewayTold) {
 			if t := st.staged[a.N]; a.N > st.Version() && t != nil {
 				st.confirmed, st.closedVersion = true, a.N
@@ -233,13 +233,13 @@
 			return r
 		})
 	})
-	link.Handle(d, func(ctx context.Context, _ link.Identity, a CountAsk) (r GatewayTold, err error) {
+	link.Handle(mux, func(ctx context.Context, _ link.Identity, a CountAsk) (r GatewayTold, err error) {
 		return owner.Call(ctx, st.owner, func() (r GatewayTold) {
 			st.setVoters(a.Round, a.Gateways, a.Sure)
 			return GatewayTold{OK: st.voterRound == a.Round && slices.Equal(st.voters, a.Gateways), N: st.Version()}
 		})
 	})
-	link.Handle(d, func(ctx context.Context, _ link.Identity, a LastAsk) (r LastTold, err error) {
+	link.Handle(mux, func(ctx context.Context, _ link.Identity, a LastAsk) (r LastTold, err error) {
 		return owner.Call(ctx, st.owner, func() (r LastTold) {
 			r = LastTold{ID: st.ID, Held: st.Membership.Held(), Fresh: st.Membership.TablesKnown() && st.Membership.Remaining() > membership.OverdueThreshold, Confirmed: st.confirmed, Shut: st.isClosed(st.Version()), N: st.Version(), Round: st.voterRound, Gateways: st.voters}
 			if s := st.current.Load().table.Sheet; r.Confirmed && a.Have != r.N {
@@ -292,7 +292,7 @@
 			return
 		}
 		cx, cancel := context.WithTimeout(ctx, 600*time.Millisecond)
-		r, err := link.Call[ConfirmTold](cx, st.Link, addr, ConfirmAsk{ID: st.ID, Have: st.Version()})
+		r, err := link.Call[ConfirmTold](cx, st.Transport, addr, ConfirmAsk{ID: st.ID, Have: st.Version()})
 		cancel()
 		if err != nil || !r.OK {
 			if st.Log != nil {
@@ -387,7 +387,7 @@
 	ch := make(chan result, len(addrs))
 	for _, a := range addrs {
 		go func() {
-			r, err := link.Call[LastTold](cx, st.Link, a, LastAsk{Have: have})
+			r, err := link.Call[LastTold](cx, st.Transport, a, LastAsk{Have: have})
 			ch <- result{r, err}
 		}()
 	}
--- a/internal/sim/day/caller.go
+++ b/internal/sim/day/caller.go
@@ -122,7 +122,7 @@
 	for len(cr.idle) > 0 {
 		s := cr.idle[len(cr.idle)-1]
 		cr.idle = cr.idle[:len(cr.idle)-1]
-		if time.Now().Before(s.idleUntil) && !s.conn.Gone() {
+		if time.Now().Before(s.idleUntil) && !s.conn.Closed() {
 			return s
 		}
 		_ = s.conn.Close()
--- a/internal/sim/day/machine.go
+++ b/internal/sim/day/machine.go
@@ -92,19 +92,19 @@
 	}
 	p := m.host.Start(w.ctx, controllerName)
 	incarnation := m.nextIncarnation()
-	parts := control.Parts{Settings: control.Settings{ID: m.ID, Zone: m.Zone, Region: w.Deployment.region(m.Zone), Zones: w.Deployment.regions(), InternalAddr: m.internalAddr(), PublicAddr: m.internalAddr(), Seeds: w.seedList(),
+	cfg := control.Config{Settings: control.Settings{ID: m.ID, Zone: m.Zone, Region: w.Deployment.region(m.Zone), Zones: w.Deployment.regions(), InternalAddr: m.internalAddr(), PublicAddr: m.internalAddr(), Seeds: w.seedList(),
 		Tolerance: quorum.Tolerance{Machines: w.Deployment.MaxLostMachines, Zones: w.Deployment.MaxLostZones, Regions: w.Deployment.MaxLostRegions}, InitialStart: w.initialStart, HeartbeatInterval: heartbeatInterval},
-		Incarnation: incarnation, NewDiskID: fmt.Sprintf("%s-%d", m.ID, incarnation), Line: simnet.LinkClient{Proc: p}, Clock: simnet.Clock{Proc: p}, Log: discardLogger()}
+		Incarnation: incarnation, NewDiskID: fmt.Sprintf("%s-%d", m.ID, incarnation), Transport: simnet.LinkClient{Proc: p}, Clock: simnet.Clock{Proc: p}, Log: discardLogger()}
 	l := &process{proc: p, done: make(chan struct{})}
-	parts.OnDiskFailure = func(error) { go m.endController(l) }
+	cfg.OnDiskFailure = func(error) { go m.endController(l) }
 	var h *simnet.Handle
 	var journal *storage.FileJournal
 	if m.disk != nil {
 		h = &simnet.Handle{Disk: m.disk, Proc: p, SkipDelay: true}
 		journal = storage.OpenJournal(m.disk.Dir, "runs.journal")
-		parts.Disk, parts.RunJournal = h, journal
+		cfg.Disk, cfg.RunJournal = h, journal
 	}
-	n, err := control.New(parts)
+	n, err := control.New(cfg)
 	if err != nil {
 		// On a disk that refuses writes the process exits at once; the platform restarts it when the disk works again.
 		if m.disk == nil || !m.disk.Failing() {
@@ -119,7 +119,7 @@
 	m.mu.Lock()
 	m.controller, m.controllerProcess = n, l
 	m.mu.Unlock()
-	p.Register(n.Desk)
+	p.Register(n.Mux)
 	w.processes.Go(func() {
 		n.Run(p.Context())
 		if journal != nil {
@@ -144,8 +144,8 @@
 	if err := settings.Check(); err != nil {
 		w.t.Fatal(err)
 	}
-	n := proxy.New(proxy.Options{Settings: settings, Clock: simnet.Clock{Proc: p}, Log: discardLogger(), Dial: p.Dial})
-	subscriber := &watch.Subscriber{Me: watch.Member{ID: m.ID, Kind: watch.Gateway, Zone: m.Zone, Inc: m.nextIncarnation()}, Line: simnet.LinkClient{Proc: p}, Clock: simnet.Clock{Proc: p}, Log: discardLogger(), ChangeDeadline: s.Bounds.Apply, SlowLink: settings.NarrowLink()}
+	n := proxy.New(proxy.Config{Settings: settings, Clock: simnet.Clock{Proc: p}, Log: discardLogger(), Dial: p.Dial})
+	subscriber := &watch.Subscriber{Me: watch.Member{ID: m.ID, Kind: watch.Gateway, Zone: m.Zone, Inc: m.nextIncarnation()}, Transport: simnet.LinkClient{Proc: p}, Clock: simnet.Clock{Proc: p}, Log: discardLogger(), ChangeDeadline: s.Bounds.Apply, SlowLink: settings.NarrowLink()}
 	n.Follow(subscriber)
 	subscriber.Init(w.seedList())
 	l := &process{proc: p, done: make(chan struct{})}
@@ -160,7 +160,7 @@
 		wg.Go(func() { _ = n.Serve(ln) }) // returns when the process ends
 		wg.Go(func() { subscriber.Run(p.Context()) })
 		wg.Go(func() { n.Run(p.Context()) })
-		reporter := &upgrade.Reporter{Link: simnet.LinkClient{Proc: p}, Clock: simnet.Clock{Proc: p}, Incarnation: subscriber.Me.Inc, Reports: n.UpgradeReports, Controllers: subscriber.Controllers}
+		reporter := &upgrade.Reporter{Transport: simnet.LinkClient{Proc: p}, Clock: simnet.Clock{Proc: p}, Incarnation: subscriber.Me.Inc, Reports: n.UpgradeReports, Controllers: subscriber.Controllers}
 		wg.Go(func() { reporter.Run(p.Context()) })
 		wg.Wait()
 		close(l.done)
--- a/internal/sim/day/target_request.go
+++ b/internal/sim/day/target_request.go
@@ -92,7 +92,7 @@
 	for {
 		var err error
 		change := c.Changed()
-		if c.Gone() {
+		if c.Closed() {
 			err = errCallerGone
 		} else {
 			select {
@@ -160,7 +160,7 @@
 	defer timer.Stop()
 	for done := false; !done; {
 		change := x.conn.Changed()
-		if x.conn.Gone() {
+		if x.conn.Closed() {
 			x.update(func(a *Arrival) { a.FinishedAt = w.now() })
 			return false
 		}
@@ -194,9 +194,9 @@
 
 // holdOpen keeps the connection open without a response until the other side has gone.
 func (x *targetRequest) holdOpen() bool {
-	for !x.conn.Gone() && !x.target.proc.Ended() {
+	for !x.conn.Closed() && !x.target.proc.Ended() {
 		changed := x.conn.Changed()
-		if x.conn.Gone() {
+		if x.conn.Closed() {
 			break
 		}
 		select {
--- a/internal/sim/model/network.go
+++ b/internal/sim/model/network.go
@@ -77,7 +77,7 @@
 		}
 		m.ask = changed
 	}
-	answer, err := p.control.Desk.Dispatch(withActor(p.ctx, m.actor), link.Identity{ID: m.from, Kind: "controller"}, m.ask)
+	answer, err := p.control.Mux.Dispatch(withActor(p.ctx, m.actor), link.Identity{ID: m.from, Kind: "controller"}, m.ask)
 	if p.ctx.Err() != nil {
 		deliver(result{err: errMessageLost})
 		return
--- a/internal/sim/model/node.go
+++ b/internal/sim/model/node.go
@@ -70,9 +70,9 @@
 	transport := nodeTransport{n.w, n, p.ctx}
 	clock := modelClock{n.w, n, p.ctx}
 	n.disk.immediate = true
-	c, err := control.New(control.Parts{
+	c, err := control.New(control.Config{
 		Settings:    control.Settings{ID: n.id, Zone: n.zone, InternalAddr: n.id, Seeds: []string{n.id}, Tolerance: n.w.tolerance(), InitialStart: n.initialStart(), HeartbeatInterval: time.Second},
-		Incarnation: uint64(n.starts), NewDiskID: diskID, Line: transport, Clock: clock,
+		Incarnation: uint64(n.starts), NewDiskID: diskID, Transport: transport, Clock: clock,
 		Disk: &handle{n.disk, n.w, n, p.ctx}, RunJournal: &fixedJournal{n.journal}, Log: discardLogger(), OnDiskFailure: func(error) {}})
 	if err != nil {
 		panic(err) // a fault of the model's settings
@@ -177,7 +177,7 @@
 	n.disk.immediate = true
 	defer func() { n.disk.immediate = false }()
 	p := n.current.Load()
-	answer, err := p.control.Desk.Dispatch(p.ctx, link.Identity{ID: "model"}, request)
+	answer, err := p.control.Mux.Dispatch(p.ctx, link.Identity{ID: "model"}, request)
 	if err != nil {
 		panic(fmt.Sprintf("%s: %v", n.id, err)) // a fault of the model's set-up
 	}
--- a/internal/sim/orders_test.go
+++ b/internal/sim/orders_test.go
@@ -97,8 +97,8 @@
 			}
 		}
 		for _, n := range w.NodesOfKind("gateway") {
-			if n.Gateway().Routes.Version() != 5 {
-				t.Errorf("%s serves version %d", n.ID, n.Gateway().Routes.Version())
+			if n.Gateway().Sheets.Version() != 5 {
+				t.Errorf("%s serves version %d", n.ID, n.Gateway().Sheets.Version())
 			}
 		}
 	})
@@ -141,11 +141,11 @@
 		f.Start()
 		for range 200 {
 			time.Sleep(10 * time.Millisecond)
-			if _, open := f.Gateway().Routes.Gate(); open {
+			if _, open := f.Gateway().Sheets.Gate(); open {
 				break
 			}
 		}
-		if tab, open := f.Gateway().Routes.Gate(); !open || tab.Version != 2 {
+		if tab, open := f.Gateway().Sheets.Gate(); !open || tab.Version != 2 {
 			t.Errorf("two seconds after its restart: version %d, open %v", tab.Version, open)
 		}
 		time.Sleep(2 * time.Second) // it learns its targets
@@ -155,8 +155,8 @@
 		}
 		time.Sleep(3 * time.Second)
 		for _, n := range w.NodesOfKind("gateway") {
-			if !n.Gateway().Ready() || !n.Gateway().Routes.ServesWithoutLease() {
-				t.Errorf("%s: ready %v, stranded %v without the core", n.ID, n.Gateway().Ready(), n.Gateway().Routes.ServesWithoutLease())
+			if !n.Gateway().Ready() || !n.Gateway().Sheets.ServesWithoutLease() {
+				t.Errorf("%s: ready %v, stranded %v without the core", n.ID, n.Gateway().Ready(), n.Gateway().Sheets.ServesWithoutLease())
 			}
 		}
 		for _, n := range w.NodesOfKind("gateway") {
@@ -205,7 +205,7 @@
 	}
 }
 
-// Any controller must be able to tell what happened to a call, by asking the gateway that
+// Any controller must be able to report what happened to a call, by asking the gateway that
 // received it.
 func TestWhyOfACall(t *testing.T) {
 	t.Parallel()
--- a/internal/sim/simnet/conn.go
+++ b/internal/sim/simnet/conn.go
@@ -361,9 +361,9 @@
 // Peer returns the process at the other end.
 func (c *Conn) Peer() *Proc { return c.peer.proc }
 
-// Gone reports whether the connection has ended, as far as this end knows: closed here, or
+// Closed reports whether the connection has ended, as far as this end knows: closed here, or
 // closed or reset by the other end.
-func (c *Conn) Gone() bool {
+func (c *Conn) Closed() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.closed || c.fin || c.err != nil
--- a/internal/sim/world.go
+++ b/internal/sim/world.go
@@ -265,7 +265,7 @@
 	logger := n.world.log.With("node", n.ID)
 	var run func(context.Context)
 	if n.Kind == "controller" {
-		p := controller.Config{Startup: startup.Controller{Node: s, Core: min(3, n.world.Shape.Disks)}, Incarnation: n.incarnation, NewDiskID: fmt.Sprintf("%s-%d", n.ID, n.incarnation),
+		cfg := controller.Config{Startup: startup.Controller{Node: s, Core: min(3, n.world.Shape.Disks)}, Incarnation: n.incarnation, NewDiskID: fmt.Sprintf("%s-%d", n.ID, n.incarnation),
 			Retention: n.world.Shape.Keep, Transport: l, Clock: hostClock{n.Host}, Log: logger, Faults: n.Faults, WallMS: func() int64 { return time.Now().UnixMilli() },
 			OnDiskFailure: func(error) {
 				if ctx.Err() != nil {
@@ -277,9 +277,9 @@
 			}}
 		d := &diskHandle{disk: n.Disk, host: n.Host, client: l, skipDelay: true}
 		if n.Disk != nil {
-			p.Disk = d
+			cfg.Disk = d
 		}
-		m, err := controller.New(p)
+		m, err := controller.New(cfg)
 		if err != nil {
 			panic(err)
 		}
--- a/internal/upgrade/reporter.go
+++ b/internal/upgrade/reporter.go
@@ -33,7 +33,7 @@
 
 // Reporter sends a gateway's reports to the controllers that coordinate the upgrades.
 type Reporter struct {
-	Link        link.Line
+	Transport   link.Transport
 	Clock       clock.Clock
 	Incarnation uint64 // of the gateway's process
 	// Reports returns the gateway's reports on active upgrades.
@@ -76,7 +76,7 @@
 			callCtx, cancel := context.WithTimeout(ctx, reportTimeout)
 			defer cancel()
 			// Errors are ignored: counts are cumulative, so a later report covers a lost one.
-			_, _ = link.Call[ReportTold](callCtx, r.Link, controllers[id], *ask)
+			_, _ = link.Call[ReportTold](callCtx, r.Transport, controllers[id], *ask)
 		}()
 	}
 }
--- a/internal/upgrade/routing.go
+++ b/internal/upgrade/routing.go
@@ -6,15 +6,15 @@
 type TrafficClass uint8
 
 const (
-	// Stable targets share the service's regular requests.
-	Stable TrafficClass = iota + 1
-	// Candidate targets get exactly the share of the requests that the upgrade assigns.
-	Candidate
-	// Excluded targets get no requests.
-	Excluded
+	// StableTraffic is for targets that share the service's regular requests.
+	StableTraffic TrafficClass = iota + 1
+	// CanaryTraffic is for targets that get exactly the share of the requests that the upgrade assigns.
+	CanaryTraffic
+	// NoTraffic is for targets that get no requests.
+	NoTraffic
 )
 
-// VersionRouting tells a gateway which versions' targets may get requests. Its owner guards it.
+// VersionRouting determines which versions' targets a gateway may send requests to. Its owner guards it.
 //
 // A target of a version other than its service's starts only after the order for the upgrade was
 // acknowledged. A gateway that knows everything acknowledged up to a moment after it first saw a
@@ -37,7 +37,7 @@
 // Upgrade is the newest known upgrade; its phase is 0 if there is none.
 func (v *VersionRouting) Upgrade() Upgrade { return v.upgrade }
 
-// ApplyUpgrade stores an upgrade, and tells whether it is newer than the known one.
+// ApplyUpgrade stores an upgrade and reports whether it is newer than the known one.
 func (v *VersionRouting) ApplyUpgrade(u Upgrade) bool {
 	if u.Number <= v.upgrade.Number {
 		return false
@@ -70,8 +70,8 @@
 	}
 }
 
-// Confirm reports the time up to which all acknowledged changes are known, and tells whether that
-// confirmed a version.
+// Confirm confirms the versions first seen before knownUntil, up to which all acknowledged changes are
+// known, and reports whether there were any.
 func (v *VersionRouting) Confirm(knownUntil time.Time) (changed bool) {
 	for _, s := range v.seen {
 		if !s.confirmed && knownUntil.After(s.firstSeen) {
@@ -90,22 +90,22 @@
 	case u.Phase != 0 && version == u.To:
 		return v.newVersionClass()
 	case u.IsDenied(version), !confirmed, u.Active() && u.Share >= FullShare && !v.Stopped():
-		return Excluded
+		return NoTraffic
 	}
-	return Stable
+	return StableTraffic
 }
 
 // newVersionClass is the traffic class of the new version.
 func (v *VersionRouting) newVersionClass() TrafficClass {
 	switch {
 	case v.upgrade.Phase == Completed:
-		return Stable
+		return StableTraffic
 	case v.upgrade.Phase == Reverted || v.Stopped():
-		return Excluded
+		return NoTraffic
 	case v.upgrade.Share >= FullShare:
-		return Stable
+		return StableTraffic
 	}
-	return Candidate
+	return CanaryTraffic
 }
 
 // StopLocally stops sending to the new version at this gateway until the upgrade ends. It returns false if the upgrade is not
@@ -118,10 +118,10 @@
 	return true
 }
 
-// Stopped tells whether this gateway has stopped on its own.
+// Stopped reports whether this gateway has stopped on its own.
 func (v *VersionRouting) Stopped() bool { return v.stoppedStep > 0 && v.upgrade.Active() }
 
-// Share is the ratio of this gateway's requests that goes to candidate targets, from 0 to 1.
+// Share is the ratio of this gateway's requests that goes to canary targets, from 0 to 1.
 func (v *VersionRouting) Share() float64 {
 	if !v.upgrade.Active() || v.Stopped() || v.upgrade.Share >= FullShare {
 		return 0
--- a/internal/upgrade/upgrade_test.go
+++ b/internal/upgrade/upgrade_test.go
@@ -116,32 +116,32 @@
 		}
 	}
 	v.Observe(map[string]int{"v1": 9, "v2": 2}, start)
-	want("at the first sight", Stable, Excluded, Excluded)
+	want("at the first sight", StableTraffic, NoTraffic, NoTraffic)
 	v.Confirm(start)
-	want("news as old as that", Stable, Excluded, Excluded)
+	want("news as old as that", StableTraffic, NoTraffic, NoTraffic)
 	u := newUpgrade(t)
 	v.ApplyUpgrade(u)
-	want("canary", Stable, Candidate, Excluded)
+	want("canary", StableTraffic, CanaryTraffic, NoTraffic)
 	v.Confirm(start.Add(time.Second))
-	want("news newer than the sight", Stable, Candidate, Excluded)
+	want("news newer than the sight", StableTraffic, CanaryTraffic, NoTraffic)
 	v.ApplyUpgrade(u.WithShare(200))
 	if v.ApplyUpgrade(u) || v.Upgrade().Share != 200 {
 		t.Error("an older step was applied")
 	}
 	v.ApplyUpgrade(u.WithShare(200).WithShare(FullShare))
-	want("all", Excluded, Stable, Excluded)
+	want("all", NoTraffic, StableTraffic, NoTraffic)
 	v.StopLocally()
-	want("all, stopped here", Stable, Excluded, Excluded)
+	want("all, stopped here", StableTraffic, NoTraffic, NoTraffic)
 	v.ApplyUpgrade(u.WithShare(200).WithShare(FullShare).Complete(nil))
-	want("completed", Excluded, Stable, Excluded)
+	want("completed", NoTraffic, StableTraffic, NoTraffic)
 
 	v = VersionRouting{}
 	v.Observe(map[string]int{"v1": 3}, start)
 	v.Observe(map[string]int{"v1": 3, "v3": 1}, start.Add(time.Second))
 	v.ApplyUpgrade(u.Revert("bad"))
-	want("reverted, another one unproven", Stable, Excluded, Excluded)
+	want("reverted, another one unproven", StableTraffic, NoTraffic, NoTraffic)
 	v.Confirm(start.Add(2 * time.Second))
-	want("no upgrade to it was acknowledged", Stable, Excluded, Stable)
+	want("no upgrade to it was acknowledged", StableTraffic, NoTraffic, StableTraffic)
 }
 
 // simulate gives an analyzer random answers of two versions with the given probabilities of bad ones per target. It returns after how many answers of the
@@ -262,9 +262,9 @@
 // A gateway must report exactly to the controllers that the controllers themselves rank first.
 func TestReportsGoToTheFirstInRank(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		line := &recordingLink{asks: map[string][]ReportAsk{}}
+		transport := &recordingLink{asks: map[string][]ReportAsk{}}
 		ids := map[string]string{"c1": "a1", "c2": "a2", "c3": "a3", "c4": "a4", "c5": "a5"}
-		r := Reporter{Link: line, Clock: clock.Wall{}, Incarnation: 7, Controllers: func() map[string]string { return ids },
+		r := Reporter{Transport: transport, Clock: clock.Wall{}, Incarnation: 7, Controllers: func() map[string]string { return ids },
 			Reports: func() []Report { return []Report{{Service: "a"}} }}
 		ctx, end := context.WithTimeout(t.Context(), 5*reportInterval+reportInterval/2)
 		defer end()
@@ -272,7 +272,7 @@
 		synctest.Wait()
 		ranked := RankControllers("a", slices.Collect(maps.Keys(ids)))
 		for i, id := range ranked {
-			got := line.asks[ids[id]]
+			got := transport.asks[ids[id]]
 			if want := 5 * max(0, min(1, CoordinatorsPerService-i)); len(got) != want {
 				t.Errorf("%s, at rank %d, got %d reports, want %d", id, i, len(got), want)
 			}
@@ -300,7 +300,7 @@
 	}
 }
 
-// faultyMachinesRaiseAlarm simulates a good version of whose targets one in seven fails two fifths of its requests, and tells
+// faultyMachinesRaiseAlarm simulates a good version of whose targets one in seven fails two fifths of its requests, and reports
 // whether the version was found to be degraded.
 func faultyMachinesRaiseAlarm(rnd *rand.Rand) bool {
 	a := NewAnalyzer()
--- a/internal/watch/follow.go
+++ b/internal/watch/follow.go
@@ -23,9 +23,9 @@
 
 // poller requests changes from controllers and merges them.
 type poller struct {
-	me      func() Member
-	line    link.Line
-	replica *Replica
+	me        func() Member
+	transport link.Transport
+	replica   *Replica
 	// epoch returns the epoch of the newest core known here.
 	epoch func() uint64
 	// deliveryMu, if set, is locked before an answer is merged and left locked for the caller.
@@ -46,7 +46,7 @@
 			}
 			a.Me, a.Sums = me, state.sums
 		}
-		if t, err = link.Call[WatchTold](ctx, p.line, state.addr, a); err != nil {
+		if t, err = link.Call[WatchTold](ctx, p.transport, state.addr, a); err != nil {
 			return t, nil, nil, err
 		}
 		if t.Anew {
--- a/internal/watch/mesh.go
+++ b/internal/watch/mesh.go
@@ -43,10 +43,10 @@
 // Mesh is a controller's view of all other controllers. It follows each of them by long
 // polling and merges what it receives into the replica.
 type Mesh struct {
-	Me      func() Member
-	Line    link.Line
-	Clock   clock.Clock
-	Replica *Replica
+	Me        func() Member
+	Transport link.Transport
+	Clock     clock.Clock
+	Replica   *Replica
 	// Core returns the newest known core, LearnCore accepts a core that may be newer, and
 	// VotingEpoch returns the epoch of the core in which this node's disk has a seat, or 0.
 	Core        func() quorum.Core
@@ -79,7 +79,7 @@
 }
 
 func (m *Mesh) poller() *poller {
-	return &poller{me: m.Me, line: m.Line, replica: m.Replica, epoch: func() uint64 { return m.Core().Epoch }}
+	return &poller{me: m.Me, transport: m.Transport, replica: m.Replica, epoch: func() uint64 { return m.Core().Epoch }}
 }
 
 // SetSeeds replaces the seeds.
--- a/internal/watch/publisher.go
+++ b/internal/watch/publisher.go
@@ -78,8 +78,8 @@
 }
 
 // Serve registers the handler for WatchAsk at d.
-func (t *Publisher) Serve(d *link.Mux) {
-	link.Handle(d, func(ctx context.Context, _ link.Identity, a WatchAsk) (WatchTold, error) {
+func (t *Publisher) Serve(mux *link.Mux) {
+	link.Handle(mux, func(ctx context.Context, _ link.Identity, a WatchAsk) (WatchTold, error) {
 		return t.handleWatch(ctx, a)
 	})
 }
--- a/internal/watch/report_test.go
+++ b/internal/watch/report_test.go
@@ -15,7 +15,7 @@
 
 func TestAGatewayReportsWhomItFollowsAndSinceWhen(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := &delayedLine{delay: 10 * time.Millisecond, controllers: map[string]*testPublisher{}, connected: map[string]bool{}, silent: map[string]bool{}}
+		f := &delayedTransport{delay: 10 * time.Millisecond, controllers: map[string]*testPublisher{}, connected: map[string]bool{}, silent: map[string]bool{}}
 		var all []Member
 		for _, id := range []string{"a", "b", "c"} {
 			b := newTestPublisher()
@@ -25,7 +25,7 @@
 			all = append(all, me)
 			f.controllers["in-"+id] = b
 		}
-		s := &Subscriber{Me: Member{ID: "f", Kind: Gateway, Zone: "za", Inc: 1}, Line: f, Clock: clock.Wall{}, Log: log.New(nil), OnUpdate: func(WatchTold) {}}
+		s := &Subscriber{Me: Member{ID: "f", Kind: Gateway, Zone: "za", Inc: 1}, Transport: f, Clock: clock.Wall{}, Log: log.New(nil), OnUpdate: func(WatchTold) {}}
 		s.Init([]string{"in-a", "in-b", "in-c"})
 		if r := s.Report(); r.Synced || r.BehindMS != -1 || len(r.Follows) > 0 || r.Newest != "" {
 			t.Errorf("before its first request: %+v", r)
@@ -64,13 +64,13 @@
 // A gateway that selects the same controller again has followed it without interruption.
 func TestAGatewayThatStaysHasFollowedSinceItCame(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := &delayedLine{delay: 10 * time.Millisecond, controllers: map[string]*testPublisher{}, connected: map[string]bool{}, silent: map[string]bool{}}
+		f := &delayedTransport{delay: 10 * time.Millisecond, controllers: map[string]*testPublisher{}, connected: map[string]bool{}, silent: map[string]bool{}}
 		for _, id := range []string{"a", "b"} {
 			b := newTestPublisher()
 			b.Me = func() Member { return Member{ID: id, Kind: Controller, Inner: "in-" + id, Zone: "z" + id, Inc: 7} }
 			f.controllers["in-"+id] = b
 		}
-		s := &Subscriber{Me: Member{ID: "f", Kind: Gateway, Zone: "za", Inc: 1}, Line: f, Clock: clock.Wall{}, Log: log.New(nil), OnUpdate: func(WatchTold) {}}
+		s := &Subscriber{Me: Member{ID: "f", Kind: Gateway, Zone: "za", Inc: 1}, Transport: f, Clock: clock.Wall{}, Log: log.New(nil), OnUpdate: func(WatchTold) {}}
 		s.Init([]string{"in-a", "in-b"})
 		ctx, end := context.WithCancel(t.Context())
 		done := make(chan struct{})
--- a/internal/watch/subscriber.go
+++ b/internal/watch/subscriber.go
@@ -61,10 +61,10 @@
 // if possible and a second one of another zone, and switches to the next when one is
 // silent, fails, or may miss an acknowledged change.
 type Subscriber struct {
-	Me    Member
-	Line  link.Line
-	Clock clock.Clock
-	Log   *log.Logger
+	Me        Member
+	Transport link.Transport
+	Clock     clock.Clock
+	Log       *log.Logger
 	// ChangeDeadline is the time in which a change has to take effect; 0 means the usual. With a
 	// shorter one, a gateway polls more often, so that its state is never older.
 	ChangeDeadline time.Duration
@@ -358,7 +358,7 @@
 // follow follows one controller for as long as it is suitable. ok is false if the controller
 // was selected although it is in backoff.
 func (s *Subscriber) follow(ctx context.Context, slot int, addr string, ok bool) {
-	q := &poller{me: func() Member { return s.Me }, line: s.Line, replica: s.replica, epoch: func() uint64 { return maxEpoch }, deliveryMu: &s.deliveryMu}
+	q := &poller{me: func() Member { return s.Me }, transport: s.Transport, replica: s.replica, epoch: func() uint64 { return maxEpoch }, deliveryMu: &s.deliveryMu}
 	s.mu.Lock()
 	state := s.states[addr]
 	s.mu.Unlock()
--- a/internal/watch/subscriber_test.go
+++ b/internal/watch/subscriber_test.go
@@ -17,9 +17,9 @@
 	"walkrudder/internal/quorum"
 )
 
-// delayedLine is a link.Line with a delay in each direction. A request takes one round trip,
+// delayedTransport is a link.Transport with a delay in each direction. A request takes one round trip,
 // and two more on a new connection.
-type delayedLine struct {
+type delayedTransport struct {
 	delay       time.Duration
 	mu          sync.Mutex
 	controllers map[string]*testPublisher
@@ -29,8 +29,8 @@
 }
 
 // newDelayedLine creates controllers that know each other, each in a zone of its own.
-func newDelayedLine(way time.Duration, ids ...string) *delayedLine {
-	f := &delayedLine{delay: way, controllers: map[string]*testPublisher{}, connected: map[string]bool{}, silent: map[string]bool{}}
+func newDelayedTransport(way time.Duration, ids ...string) *delayedTransport {
+	f := &delayedTransport{delay: way, controllers: map[string]*testPublisher{}, connected: map[string]bool{}, silent: map[string]bool{}}
 	var members []Member
 	for _, id := range ids {
 		b := newTestPublisher()
@@ -44,13 +44,13 @@
 }
 
 // setDelay sets the delay of each direction from now on.
-func (f *delayedLine) setDelay(way time.Duration) {
+func (f *delayedTransport) setDelay(way time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.delay = way
 }
 
-func (f *delayedLine) Call(ctx context.Context, addr string, ask any) (any, error) {
+func (f *delayedTransport) Call(ctx context.Context, addr string, ask any) (any, error) {
 	f.mu.Lock()
 	b, first, mute, way := f.controllers[addr], !f.connected[addr], f.silent[addr], f.delay
 	f.connected[addr] = true
@@ -92,10 +92,10 @@
 	for name, mute := range map[string]bool{"cut off": false, "silent": true} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				f := newDelayedLine(120*time.Millisecond, "a", "b", "c", "d", "e")
+				f := newDelayedTransport(120*time.Millisecond, "a", "b", "c", "d", "e")
 				var mu sync.Mutex
 				versions := map[string]uint64{}
-				s := &Subscriber{Me: Member{ID: "f", Kind: Gateway, Zone: "za", Inc: 1}, Line: f, Clock: clock.Wall{}, Log: log.New(nil),
+				s := &Subscriber{Me: Member{ID: "f", Kind: Gateway, Zone: "za", Inc: 1}, Transport: f, Clock: clock.Wall{}, Log: log.New(nil),
 					OnUpdate: func(w WatchTold) {
 						mu.Lock()
 						defer mu.Unlock()
@@ -152,8 +152,8 @@
 func TestAGatewayKnowsWhatIsYoungEnough(t *testing.T) {
 	maxAge := func(t *testing.T, within time.Duration) (old time.Duration) {
 		synctest.Test(t, func(t *testing.T) {
-			f := newDelayedLine(120*time.Millisecond, "a", "b", "c")
-			s := &Subscriber{Me: Member{ID: "f", Kind: Gateway, Zone: "za", Inc: 1}, Line: f, Clock: clock.Wall{}, Log: log.New(nil), ChangeDeadline: within, OnUpdate: func(WatchTold) {}}
+			f := newDelayedTransport(120*time.Millisecond, "a", "b", "c")
+			s := &Subscriber{Me: Member{ID: "f", Kind: Gateway, Zone: "za", Inc: 1}, Transport: f, Clock: clock.Wall{}, Log: log.New(nil), ChangeDeadline: within, OnUpdate: func(WatchTold) {}}
 			s.Init([]string{"b", "c"})
 			ctx, cancel := context.WithCancel(t.Context())
 			done := make(chan struct{})
@@ -182,8 +182,8 @@
 // shortly before its answer came, opened connections that took as long, and received nothing for seconds.
 func TestALinkThatHoldsMessagesUpStillBringsNews(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newDelayedLine(10*time.Millisecond, "a", "b", "c")
-		s := &Subscriber{Me: Member{ID: "f", Kind: Gateway, Zone: "za", Inc: 1}, Line: f, Clock: clock.Wall{}, Log: log.New(nil), SlowLink: true, OnUpdate: func(WatchTold) {}}
+		f := newDelayedTransport(10*time.Millisecond, "a", "b", "c")
+		s := &Subscriber{Me: Member{ID: "f", Kind: Gateway, Zone: "za", Inc: 1}, Transport: f, Clock: clock.Wall{}, Log: log.New(nil), SlowLink: true, OnUpdate: func(WatchTold) {}}
 		s.Init([]string{"a", "b", "c"})
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan struct{})
@@ -211,7 +211,7 @@
 func TestAStartIsToldOnce(t *testing.T) {
 	start := func(mute string) (bytes int, took time.Duration) {
 		synctest.Test(t, func(t *testing.T) {
-			f := newDelayedLine(5*time.Millisecond, "a", "b", "c")
+			f := newDelayedTransport(5*time.Millisecond, "a", "b", "c")
 			f.silent[mute] = true
 			for _, b := range f.controllers {
 				var items []item.Item
@@ -220,7 +220,7 @@
 				}
 				b.Replica.MergeItems(items)
 			}
-			s := &Subscriber{Me: Member{ID: "f", Kind: Gateway, Zone: "za", Inc: 1}, Line: f, Clock: clock.Wall{}, Log: log.New(nil), OnUpdate: func(WatchTold) {}}
+			s := &Subscriber{Me: Member{ID: "f", Kind: Gateway, Zone: "za", Inc: 1}, Transport: f, Clock: clock.Wall{}, Log: log.New(nil), OnUpdate: func(WatchTold) {}}
 			s.Init([]string{"a", "b", "c"})
 			ctx, end := context.WithCancel(t.Context())
 			done := make(chan struct{})
--- a/tools/hollow/controllers.go
+++ b/tools/hollow/controllers.go
@@ -62,11 +62,11 @@
 	}
 	id := fmt.Sprintf("controller%d", a.N)
 	line := link.NewTCP(link.Identity{ID: id, Kind: "controller"}, a.Inner, quiet())
-	way := &Way{Line: line, Delay: ways(controllerZone(a.N))}
+	way := &Way{Transport: line, Delay: ways(controllerZone(a.N))}
 	bad := &atomic.Pointer[string]{}
-	n, err := control.New(control.Parts{
+	n, err := control.New(control.Config{
 		Settings:    control.Settings{ID: id, Zone: zoneName(controllerZone(a.N)), InternalAddr: a.Inner, PublicAddr: a.Door, Seeds: strings.Split(a.Seeds, ","), Tolerance: quorum.Tolerance{Machines: a.Bear}, InitialStart: a.First, HeartbeatInterval: a.Every},
-		Incarnation: rand.Uint64() | 1, NewDiskID: fmt.Sprintf("%016x", rand.Uint64()), Line: way, Clock: clock.Wall{}, Disk: disk, Log: quiet(),
+		Incarnation: rand.Uint64() | 1, NewDiskID: fmt.Sprintf("%016x", rand.Uint64()), Transport: way, Clock: clock.Wall{}, Disk: disk, Log: quiet(),
 		OnDiskFailure: func(err error) { s := err.Error(); bad.Store(&s) }})
 	if err != nil {
 		return nil, errors.Join(err, inner.Close(), door.Close(), disk.Close())
@@ -74,7 +74,7 @@
 	m := &Meter{Role: roleOf}
 	life, end := context.WithCancel(context.Background())
 	fin := make(chan struct{})
-	go line.Serve(metered{inner, m, true}, n.Desk)
+	go line.Serve(metered{inner, m, true}, n.Mux)
 	go func() { n.Run(life); close(fin) }()
 	var beats atomic.Int64
 	var prof profile
--- a/tools/hollow/cut.go
+++ b/tools/hollow/cut.go
@@ -13,7 +13,7 @@
 // Way is a line with a delay, on which IPs may be cut off. A cut is silent: what was
 // asked, or is yet to be answered, is waited for in vain.
 type Way struct {
-	link.Line
+	link.Transport
 	// Delay is the time of both ways together to an IP.
 	Delay func(ip string) time.Duration
 
@@ -50,7 +50,7 @@
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
-	v, err := w.Line.Call(ctx, addr, ask)
+	v, err := w.Transport.Call(ctx, addr, ask)
 	if w.gone(ip) {
 		<-ctx.Done()
 		return nil, ctx.Err()
--- a/tools/hollow/cut_test.go
+++ b/tools/hollow/cut_test.go
@@ -20,7 +20,7 @@
 func TestACutIsSilent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &slow{}
-		w := &Way{Line: s, Delay: func(ip string) time.Duration { return 300 * time.Millisecond }}
+		w := &Way{Transport: s, Delay: func(ip string) time.Duration { return 300 * time.Millisecond }}
 		ask := func() (any, time.Duration, error) {
 			ctx, end := context.WithTimeout(t.Context(), 5*time.Second)
 			defer end()
--- a/tools/hollow/gateways.go
+++ b/tools/hollow/gateways.go
@@ -73,8 +73,8 @@
 	for i := range a.Count {
 		id := fmt.Sprintf("gateway%d-%d", a.Zone, i)
 		line := link.NewTCP(link.Identity{ID: id, Kind: watch.Gateway}, ip(a.Net, gatewayNet, a.Zone)+":0", quiet())
-		way := &Way{Line: line, Delay: ways(a.Zone)}
-		sub := &watch.Subscriber{Me: watch.Member{ID: id, Kind: watch.Gateway, Zone: zoneName(a.Zone), Inc: rand.Uint64() | 1}, Line: way, Clock: clock.Wall{}, Log: quiet()}
+		way := &Way{Transport: line, Delay: ways(a.Zone)}
+		sub := &watch.Subscriber{Me: watch.Member{ID: id, Kind: watch.Gateway, Zone: zoneName(a.Zone), Inc: rand.Uint64() | 1}, Transport: way, Clock: clock.Wall{}, Log: quiet()}
 		sub.OnUpdate = func(t watch.WatchTold) {
 			s.count(t)
 			for _, x := range t.Items {
--- a/tools/hollow/proxy.go
+++ b/tools/hollow/proxy.go
@@ -37,7 +37,7 @@
 	if err := s.Check(); err != nil {
 		return nil, err
 	}
-	n := proxy.New(proxy.Options{Settings: s, Clock: clock.Wall{}, Log: quiet()})
+	n := proxy.New(proxy.Config{Settings: s, Clock: clock.Wall{}, Log: quiet()})
 	begun := time.Now()
 	var items []item.Item
 	for _, x := range services(a.Services, 1) {
