--- a/internal/httpapi/heartbeat.go
+++ b/internal/httpapi/heartbeat.go
@@ -103,7 +103,7 @@
 func ProbeNumber(n uint64) string { return "p" + strconv.FormatUint(n, 10) }
 
 // BeatResponse is a controller's response to a heartbeat. Leaving confirms that no new requests
-// are sent to the target. Gone tells a run that it was removed and must restart.
+// are sent to the target. Gone informs a run that it was removed and must restart.
 type BeatResponse struct {
 	OK      bool   `json:"ok"`
 	Seq     uint64 `json:"call_seq"`
--- a/internal/httpapi/stamp.go
+++ b/internal/httpapi/stamp.go
@@ -15,12 +15,12 @@
 	TargetHeader = "Walk-Target"
 	// StampHeader carries the target's stamp on an answer.
 	StampHeader = "Walk-Stamp"
-	// NotRunHeader, on a stamped 503, tells that the request was not run and will
+	// NotRunHeader, on a stamped 503, reports that the request was not run and will
 	// not be.
 	NotRunHeader = "Walk-Not-Run"
 	// KeyHeader carries the caller's idempotency key for a request that it may repeat.
 	KeyHeader = "Idempotency-Key"
-	// CallHeader tells the caller the ID of its call in the logs.
+	// CallHeader returns to the caller the ID of its call in the logs.
 	CallHeader = "Walk-Call"
 	// ClientHeader names the client, where all calls come from the one address of the
 	// platform.
--- a/internal/passage/claims.go
+++ b/internal/passage/claims.go
@@ -97,7 +97,7 @@
 	return httpapi.ErrorResponse{Status: 409, Code: httpapi.OutcomeUnknown, Reason: "call " + s.Call + " under this key is under way, or its outcome is unknown", RetryDelay: 2 * time.Second}
 }
 
-// closeClaim tells the controllers how a claimed call ended. The claim is released if
+// closeClaim informs the controllers how a claimed call ended. The claim is released if
 // nothing ran and nothing will, and marked as ended if the call was answered; with an
 // unknown outcome the key stays claimed for as long as keys are kept.
 func (p *Pipeline) closeClaim(call *Call) {
--- a/internal/passage/pipeline.go
+++ b/internal/passage/pipeline.go
@@ -51,7 +51,7 @@
 	maxClients     = 10000
 )
 
-// Gate tells which route sheet requests may be sent under now.
+// Gate provides the route sheet under which requests may be sent now.
 type Gate interface {
 	Gate() (*spec.Table, bool)
 	Wait(ctx context.Context) (*spec.Table, bool)
--- a/internal/quorum/handover.go
+++ b/internal/quorum/handover.go
@@ -100,7 +100,7 @@
 	return answer.Items, err
 }
 
-// sealVoters tells the nodes of the seats of next and of the former seats that next takes over, and
+// sealVoters informs the nodes of the seats of next and of the former seats that next takes over, and
 // returns the disks that are in its epoch. A node that has both a new and a former seat is asked once:
 // its answer names its present disk. Nodes that were not heard from recently are not waited for.
 func (rc *Reconfigurer) sealVoters(ctx context.Context, v view, next Core) map[string]bool {
--- a/internal/quorum/types.go
+++ b/internal/quorum/types.go
@@ -180,11 +180,11 @@
 		Core Core
 		Disk string
 	}
-	// SealAsk tells a voter that Next succeeds its epoch.
+	// SealAsk informs a voter that Next succeeds its epoch.
 	SealAsk struct{ Next Core }
 	// SealTold is the response to SealAsk.
 	SealTold struct{ Told }
-	// JoinAsk tells a node to pull all state from the former voters in From and then to vote
+	// JoinAsk asks a node to pull all state from the former voters in From and then to vote
 	// in Next.
 	JoinAsk struct {
 		Next Core
--- a/internal/quorum/voterform.go
+++ b/internal/quorum/voterform.go
@@ -46,7 +46,7 @@
 
 // handleForm consents to a first core, withdraws a consent, or seals the core (design 4.5).
 // A consent binds until its own proposer withdraws it. Seeds are asked even if they get no
-// seat; Disk in the response tells whether they have a disk.
+// seat; Disk in the response reports whether they have a disk.
 func (v *Voter) handleForm(ctx context.Context, _ link.Identity, req FormAsk) (r FormTold, err error) {
 	return doResult(ctx, v, func() (r FormTold) {
 		f, c, ok := v.consent.afterRequest(v.core, req, !v.refuseNewConsent.Load())
--- a/internal/registry/types.go
+++ b/internal/registry/types.go
@@ -52,7 +52,7 @@
 		Same    bool
 		Entries []Entry
 	}
-	// DrainAsk tells a gateway that a target run is leaving, or gone.
+	// DrainAsk informs a gateway that a target run is leaving, or gone.
 	DrainAsk struct {
 		Service string
 		ID      string
@@ -61,7 +61,7 @@
 	}
 	// DrainTold answers DrainAsk.
 	DrainTold struct{ OK bool }
-	// MarkAsk tells a controller what was decided about a target run.
+	// MarkAsk informs a controller of what was decided about a target run.
 	MarkAsk struct {
 		Service string
 		ID      string
--- a/internal/route/types.go
+++ b/internal/route/types.go
@@ -15,7 +15,7 @@
 	Download
 )
 
-// AllowsRetry tells whether a request may be sent again after it may have run.
+// AllowsRetry reports whether a request may be sent again after it may have run.
 func (r RetryPolicy) AllowsRetry() bool { return r == Idempotent || r == Download }
 
 // Share is the weight of one service among the services of a route.
--- a/internal/sim/day/record.go
+++ b/internal/sim/day/record.go
@@ -61,7 +61,7 @@
 	// BadResponse reports that a response began and ended early, or was not valid HTTP.
 	BadResponse bool
 	// Truncated qualifies BadResponse: the response began correctly and ended before its declared
-	// length, so that the caller can tell that it is incomplete.
+	// length, so that the caller can see that it is incomplete.
 	Truncated bool
 	// UnsolicitedBytes reports that bytes arrived that no request was waiting for.
 	UnsolicitedBytes bool
--- a/internal/sim/model/actors.go
+++ b/internal/sim/model/actors.go
@@ -205,7 +205,7 @@
 	}
 }
 
-// learnCores tells a node the cores that the others know, as gossip does continuously in production.
+// learnCores informs a node of the cores that the others know, as gossip does continuously in production.
 func (n *node) learnCores() {
 	p := n.current.Load()
 	for _, o := range n.w.nodeList {
--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -46,7 +46,7 @@
 	Items []item.Item // sorted by kind and name
 }
 
-// Partial tells whether acknowledged items may be missing.
+// Partial reports whether acknowledged items may be missing.
 func (s Snapshot) Partial() bool { return len(s.Nodes) < s.Need }
 
 // Merge combines the contents of several disks into one snapshot: the newest copy of each item.
--- a/internal/statement/executor.go
+++ b/internal/statement/executor.go
@@ -28,7 +28,7 @@
 	WaitInForce func(ctx context.Context, n uint64) (uint64, error)
 }
 
-// Reply is the answer to a statement. Kind tells what Data holds.
+// Reply is the answer to a statement. Kind identifies what Data holds.
 type Reply struct {
 	Kind string `json:"kind"`
 	Data any    `json:"data"`
--- a/internal/topology/topology.go
+++ b/internal/topology/topology.go
@@ -29,7 +29,7 @@
 	nearest map[string]float64
 }
 
-// Read reads a file, whose format its extension tells: .dot or .gv, .geojson or .json.
+// Read reads a file; its extension selects the format: .dot or .gv, .geojson or .json.
 func Read(path string) (*Distances, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/upgrade/analyzer.go
+++ b/internal/upgrade/analyzer.go
@@ -104,7 +104,7 @@
 // AddTarget adds answers of one target of the new version; they must also be given to AddNew.
 func (a *Analyzer) AddTarget(target string, t Tally) { a.targets[target] = a.targets[target].Add(t) }
 
-// affectsManyTargets tells whether answers of a kind came from as many targets as they would if all targets gave them equally: a
+// affectsManyTargets reports whether answers of a kind came from as many targets as they would if all targets gave them equally: a
 // fault of the version affects all its targets, a fault of a machine one. While few targets have given enough answers, a
 // minimum ratio of all targets must have given one.
 func (a *Analyzer) affectsManyTargets(kind func(Tally) int) bool {
@@ -151,7 +151,7 @@
 	return sum
 }
 
-// EnoughAnswers tells whether each route with a significant share of the service's requests has enough answers of the new version.
+// EnoughAnswers reports whether each route with a significant share of the service's requests has enough answers of the new version.
 func (a *Analyzer) EnoughAnswers() bool {
 	old := 0
 	for _, r := range a.routes {
--- a/internal/upgrade/upgrade.go
+++ b/internal/upgrade/upgrade.go
@@ -70,10 +70,10 @@
 	Reason string `json:"reason,omitempty"`
 }
 
-// Active tells whether the upgrade is in progress.
+// Active reports whether the upgrade is in progress.
 func (u Upgrade) Active() bool { return u.Phase == Canary || u.Phase == Shifting }
 
-// IsDenied tells whether targets of a version get no requests.
+// IsDenied reports whether targets of a version get no requests.
 func (u Upgrade) IsDenied(version string) bool { return slices.Contains(u.Denied, version) }
 
 // Deadline is the wall-clock time by which the upgrade must have ended.
