--- a/internal/budget/budget.go
+++ b/internal/budget/budget.go
@@ -52,13 +52,13 @@
 // Randomized rounding. Where there are more nodes than the shared slack has sends, a part is
 // less than one, and with few requests at each node so is its whole limit: rounded down, no node
 // would ever send. There a node has no part; the limit x that its own requests give it is
-// rounded up with probability lean x (the fraction of x), else down, lean being roundingBias. The
+// rounded up with probability bias x (the fraction of x), else down, bias being roundingBias. The
 // whole s x slack is the margin for that. Proof: with X the sum of all x, which is
 // at most s x ratio x R, S the sum of all rounded limits, and any h > 0,
 //
-//	E exp(h S) <= product of exp(h floor(x)) (1 + lean frac(x) (exp(h)-1)) <= exp(h X),
+//	E exp(h S) <= product of exp(h floor(x)) (1 + bias frac(x) (exp(h)-1)) <= exp(h X),
 //
-// the last where lean = h / (exp(h)-1). So S exceeds s x (ratio x R + slack) with a
+// the last where bias = h / (exp(h)-1). So S exceeds s x (ratio x R + slack) with a
 // probability below exp(-h x s x slack), which is exp(-overrunExponent) = exp(-50) for
 // h = 50 / (s x slack), whatever the number of nodes and the distribution of the requests. With
 // 700 nodes and 400 services checked in each slot of each node, a year has 4e13 windows, and one of
@@ -95,7 +95,7 @@
 	clock                 clock.Clock
 	created               time.Time
 	slotDuration          time.Duration
-	halfRatio, totalSlack float64
+	halfRatio, totalSlack float64 // half of the ratio and the whole slack, both times safetyFactor
 	roundingBias          float64 // factor on the probability of rounding a limit up
 	random                func() float64
 
@@ -189,7 +189,7 @@
 	if a == nil {
 		a = &Account{budget: b}
 		if len(b.accounts) >= maxAccounts {
-			a.closed = true
+			a.disabled = true
 			return a
 		}
 		b.accounts[service] = a
@@ -199,10 +199,10 @@
 
 // Account is one service's part of the budget.
 type Account struct {
-	budget *Budget
-	closed bool
-	mu     sync.Mutex
-	ring   [ringSlots]slotCounts
+	budget   *Budget
+	disabled bool // beyond maxAccounts: it gets no extra sends
+	mu       sync.Mutex
+	ring     [ringSlots]slotCounts
 	// drawPeriod is the number of the period for which lastDraw, from 0 to 1, was drawn; previousDraw is
 	// that of the period before.
 	drawPeriod             int64
@@ -236,7 +236,7 @@
 	part, randomized := a.budget.slackPart(now)
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.closed || !a.fits(now, part, randomized) {
+	if a.disabled || !a.fits(now, part, randomized) {
 		return false
 	}
 	a.countsOf(now).extraSends++
@@ -267,14 +267,15 @@
 	return whole
 }
 
-// fits checks every slot in which a window that contains a send at now may end, the
-// latest first: that window contains the fewest sends and requests.
+// fits reports whether the budget admits one more extra send. It checks every slot in which a
+// window that contains a send at now may end, the latest first: that window contains the fewest
+// sends and requests.
 func (a *Account) fits(now int64, part float64, randomized bool) bool {
 	draw := 0.0
 	if randomized {
 		draw = a.drawAt(now)
 	}
-	at := func(slot int64) (c slotCounts) {
+	countsAt := func(slot int64) (c slotCounts) {
 		if slot >= 0 {
 			if c = a.ring[slot%ringSlots]; c.slot != slot {
 				c = slotCounts{}
@@ -284,15 +285,15 @@
 	}
 	extraSends, requests := int32(1), int32(0)
 	for s := now; s > now-slotsPerWindow+2; s-- {
-		requests += at(s).requests
+		requests += countsAt(s).requests
 	}
-	extraSends += at(now).extraSends
+	extraSends += countsAt(now).extraSends
 	for end := now + slotsPerWindow; end >= now; end-- {
 		// The window that ends in this slot begins in slot end-slotsPerWindow.
 		if s := end - slotsPerWindow - 1; s < now {
-			extraSends += at(s).extraSends
+			extraSends += countsAt(s).extraSends
 		}
-		requests += at(end - 2*slotsPerWindow + 2).requests
+		requests += countsAt(end - 2*slotsPerWindow + 2).requests
 		if float64(extraSends) > a.allowance(a.budget.halfRatio*float64(requests)+part, randomized, draw) {
 			return false
 		}
--- a/internal/budget/budget_test.go
+++ b/internal/budget/budget_test.go
@@ -284,7 +284,7 @@
 	})
 }
 
-func takeAll(a *Account) (n int) {
+func useUpExtraSends(a *Account) (n int) {
 	for a.TryExtraSend() {
 		n++
 	}
@@ -300,29 +300,29 @@
 }
 
 func TestPartOfTheSlack(t *testing.T) {
-	whole := func(n int) int { return int(safetyFactor * slack / float64(n)) }
+	partOfSlack := func(n int) int { return int(safetyFactor * slack / float64(n)) }
 	for _, c := range []struct {
-		name string
-		then func(b *Budget)
-		want int
+		name    string
+		prepare func(b *Budget)
+		want    int
 	}{
 		{"told by one window", func(b *Budget) { reportNodes(b, 4, 10) }, 0},
-		{"told for long", func(b *Budget) { reportNodes(b, 4, 17) }, whole(4)},
+		{"told for long", func(b *Budget) { reportNodes(b, 4, 17) }, partOfSlack(4)},
 		{"never told", func(b *Budget) { time.Sleep(time.Minute) }, 0},
 		{"no longer told", func(b *Budget) { reportNodes(b, 4, 17); time.Sleep(3 * time.Second) }, 0},
 		{"told again after a gap", func(b *Budget) { reportNodes(b, 4, 17); time.Sleep(3 * time.Second); reportNodes(b, 4, 5) }, 0},
-		{"more come", func(b *Budget) { reportNodes(b, 4, 17); reportNodes(b, 8, 1) }, whole(8)},
-		{"some go", func(b *Budget) { reportNodes(b, 8, 17); reportNodes(b, 4, 30) }, whole(8)},
-		{"some went long ago", func(b *Budget) { reportNodes(b, 8, 17); reportNodes(b, 4, 90) }, whole(4)},
+		{"more come", func(b *Budget) { reportNodes(b, 4, 17); reportNodes(b, 8, 1) }, partOfSlack(8)},
+		{"some go", func(b *Budget) { reportNodes(b, 8, 17); reportNodes(b, 4, 30) }, partOfSlack(8)},
+		{"some went long ago", func(b *Budget) { reportNodes(b, 8, 17); reportNodes(b, 4, 90) }, partOfSlack(4)},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				b := New(ratio, window, slack, clock.Wall{})
-				c.then(b)
-				if n := takeAll(b.ForService("s")); n != c.want {
+				c.prepare(b)
+				if n := useUpExtraSends(b.ForService("s")); n != c.want {
 					t.Errorf("%d extra sends, want %d", n, c.want)
 				}
-				if n := takeAll(b.ForService("other")); n != c.want {
+				if n := useUpExtraSends(b.ForService("other")); n != c.want {
 					t.Errorf("%d extra sends for another service, want %d", n, c.want)
 				}
 			})
@@ -508,7 +508,7 @@
 				b.ForService("s").RecordRequest()
 				time.Sleep(time.Second)
 			}
-			sent += takeAll(b.ForService("s"))
+			sent += useUpExtraSends(b.ForService("s"))
 		}
 		if sent == 0 || float64(sent) > safetyFactor*slack+ratio*float64(n)*10 {
 			t.Errorf("%d extra sends", sent)
--- a/internal/budget/remaining.go
+++ b/internal/budget/remaining.go
@@ -9,9 +9,9 @@
 	now := a.budget.currentSlot()
 	part, randomized := a.budget.slackPart(now)
 	a.mu.Lock()
-	copied := &Account{budget: a.budget, closed: a.closed, ring: a.ring, drawPeriod: a.drawPeriod, lastDraw: a.lastDraw, previousDraw: a.previousDraw}
+	copied := &Account{budget: a.budget, disabled: a.disabled, ring: a.ring, drawPeriod: a.drawPeriod, lastDraw: a.lastDraw, previousDraw: a.previousDraw}
 	a.mu.Unlock()
-	if copied.closed {
+	if copied.disabled {
 		return 0
 	}
 	counts := copied.countsOf(now)
--- a/internal/liveness/detector.go
+++ b/internal/liveness/detector.go
@@ -148,15 +148,15 @@
 	case d.opts.NoExtensions:
 		s.fit, s.ready = f, ok && d.window.Len() == d.opts.WindowSize
 	default:
-		s.fit, s.ready = d.bound(f, ok), d.window.Len() > 0
+		s.fit, s.ready = d.boundFit(f, ok), d.window.Len() > 0
 	}
 	d.current.Store(s)
 }
 
-// bound keeps the fit usable if gaps are nearly equal: it limits the shape, so that the
+// boundFit keeps the fit usable if gaps are nearly equal: it limits the shape, so that the
 // spread is not assumed to be below MinSpread. α is then computed anew for the limited
 // shape, so that the fitted line still passes through the mean point.
-func (d *Detector) bound(f Fit, ok bool) Fit {
+func (d *Detector) boundFit(f Fit, ok bool) Fit {
 	meanLog := d.window.MeanLog()
 	maxBeta := d.opts.MaxBeta
 	if minSpread := d.opts.MinSpread.Seconds(); minSpread > 0 {
--- a/internal/liveness/pauses.go
+++ b/internal/liveness/pauses.go
@@ -13,8 +13,8 @@
 	defaultInterval = 50 * time.Millisecond
 	// pauseThreshold is how late a check may come before the delay counts as a pause.
 	pauseThreshold = 200 * time.Millisecond
-	// longPause is the length from which on a pause may have made those who wait for this
-	// process turn to another one.
+	// longPause is the length from which a pause counts as long: clients of this process may have
+	// turned to another one meanwhile.
 	longPause = 900 * time.Millisecond
 )
 
@@ -59,8 +59,8 @@
 // Total returns the sum of the pauses up to now.
 func (p *PauseMonitor) Total() time.Duration { return p.TotalAt(p.clock.Now()) }
 
-// TotalAt returns the sum of the pauses up to now, with a pause that the next check has yet
-// to record: the first reading after a freeze is already right.
+// TotalAt returns the sum of the pauses up to now. It includes a pause that the next check has
+// yet to record, so the first reading after a freeze is already right.
 func (p *PauseMonitor) TotalAt(now time.Time) time.Duration {
 	b := p.state.Load()
 	if d := now.Sub(b.lastCheck); d > p.interval+pauseThreshold {
--- a/internal/liveness/quality_test.go
+++ b/internal/liveness/quality_test.go
@@ -28,8 +28,8 @@
 
 // trace is a replayed observation: the arrivals, and the pauses of the observer.
 type trace struct {
-	in     []arrival
-	pauses [][2]time.Duration
+	arrivals []arrival
+	pauses   [][2]time.Duration
 }
 
 // traces generates each kind of trace from a random source.
@@ -40,18 +40,18 @@
 		})
 	},
 	"jittery": func(r *rand.Rand, span time.Duration) trace {
-		return periodicTrace(r, span, func(time.Duration) (time.Duration, bool) { return late(r, 30, 0.9), false })
+		return periodicTrace(r, span, func(time.Duration) (time.Duration, bool) { return randomDelay(r, 30, 0.9), false })
 	},
 	"lossy": func(r *rand.Rand, span time.Duration) trace {
-		return periodicTrace(r, span, func(time.Duration) (time.Duration, bool) { return late(r, 10, 0.6), r.Float64() < 0.1 })
+		return periodicTrace(r, span, func(time.Duration) (time.Duration, bool) { return randomDelay(r, 10, 0.6), r.Float64() < 0.1 })
 	},
 	// In 5 s of every minute many arrivals are late or lost.
 	"bursty": func(r *rand.Rand, span time.Duration) trace {
 		return periodicTrace(r, span, func(t time.Duration) (time.Duration, bool) {
 			if t%time.Minute < 5*time.Second {
-				return late(r, 150, 0.6), r.Float64() < 0.3
+				return randomDelay(r, 150, 0.6), r.Float64() < 0.3
 			}
-			return late(r, 5, 0.5), false
+			return randomDelay(r, 5, 0.5), false
 		})
 	},
 	// From half of the trace on arrivals come every 700 ms.
@@ -62,13 +62,13 @@
 			if at > span/2 {
 				at += 300 * time.Millisecond
 			}
-			t.in = append(t.in, arrival{at + late(r, 5, 0.5), i})
+			t.arrivals = append(t.arrivals, arrival{at + randomDelay(r, 5, 0.5), i})
 		}
 		return t
 	},
 	// The observer pauses for 0.5 to 3 s about every 20 s.
 	"paused": func(r *rand.Rand, span time.Duration) trace {
-		t := periodicTrace(r, span, func(time.Duration) (time.Duration, bool) { return late(r, 10, 0.6), false })
+		t := periodicTrace(r, span, func(time.Duration) (time.Duration, bool) { return randomDelay(r, 10, 0.6), false })
 		for at := 15 * time.Second; at < span; at += time.Duration(10+r.IntN(20)) * time.Second {
 			t.pauses = append(t.pauses, [2]time.Duration{at, at + time.Duration(500+r.IntN(2500))*time.Millisecond})
 		}
@@ -77,7 +77,7 @@
 }
 
 // late draws a delay around a median in milliseconds.
-func late(r *rand.Rand, median, spread float64) time.Duration {
+func randomDelay(r *rand.Rand, median, spread float64) time.Duration {
 	return time.Duration(median * math.Exp(spread*r.NormFloat64()) * float64(time.Millisecond))
 }
 
@@ -90,7 +90,7 @@
 		}
 		// An arrival that was overtaken by a later one is ignored.
 		if at := time.Duration(i)*every + d; at > last {
-			t.in, last = append(t.in, arrival{at, i}), at
+			t.arrivals, last = append(t.arrivals, arrival{at, i}), at
 		}
 	}
 	return t
@@ -118,15 +118,15 @@
 	h := &manualClock{time.Unix(0, 0)}
 	start := h.t
 	p := NewPauseMonitor(h)
-	use := p
+	monitor := p
 	if !pause {
-		use = nil
+		monitor = nil
 	}
-	d := NewDetector(o, use, start)
-	looks, right, was := 0, 0, false
+	d := NewDetector(o, monitor, start)
+	readings, correct, suspected := 0, 0, false
 	sum, n := 0.0, 0
 	i, k := 0, 0
-	end := tr.in[len(tr.in)-1].at
+	end := tr.arrivals[len(tr.arrivals)-1].at
 	for t := time.Duration(0); t < end; t += 10 * time.Millisecond {
 		if k < len(tr.pauses) && t >= tr.pauses[k][0] {
 			t = tr.pauses[k][1]
@@ -135,17 +135,17 @@
 		h.t = start.Add(t)
 		// After a pause the observer may judge before it reads what arrived meanwhile.
 		s := d.Suspicion(h.t) >= threshold
-		looks++
+		readings++
 		if !s {
-			right++
+			correct++
 		}
-		if s && !was {
+		if s && !suspected {
 			q.mistakes++
 		}
-		was = s
-		for ; i < len(tr.in) && tr.in[i].at <= t; i++ {
-			at := max(tr.in[i].at, t-10*time.Millisecond)
-			if d.RecordArrival(tr.in[i].seq, start.Add(at)) && d.current.Load().ready {
+		suspected = s
+		for ; i < len(tr.arrivals) && tr.arrivals[i].at <= t; i++ {
+			at := max(tr.arrivals[i].at, t-10*time.Millisecond)
+			if d.RecordArrival(tr.arrivals[i].seq, start.Add(at)) && d.current.Load().ready {
 				if x := d.current.Load().fit.Quantile(threshold); !math.IsInf(x, 0) && !math.IsNaN(x) {
 					sum, n = sum+x, n+1
 				}
@@ -156,7 +156,7 @@
 		}
 	}
 	q.mistakes /= end.Hours()
-	q.accuracy = float64(right) / float64(looks)
+	q.accuracy = float64(correct) / float64(readings)
 	if n > 0 {
 		q.detect = time.Duration(sum / float64(n) * float64(time.Second))
 	}
@@ -186,7 +186,7 @@
 	for s := range 300 {
 		tr := traces["jittery"](rand.New(rand.NewPCG(uint64(s), 9)), 20*every)
 		q := replay(tr, o, true)
-		n += q.mistakes * tr.in[len(tr.in)-1].at.Hours()
+		n += q.mistakes * tr.arrivals[len(tr.arrivals)-1].at.Hours()
 	}
 	return n
 }
@@ -226,10 +226,10 @@
 	all := map[string]map[string]quality{}
 	for name, v := range variants() {
 		all[name] = map[string]quality{}
-		for kind, mk := range traces {
+		for kind, newTrace := range traces {
 			var q quality
 			for s := range *qualitySeeds {
-				x := replay(mk(rand.New(rand.NewPCG(uint64(s), 7)), *qualitySpan), v.o, v.pause)
+				x := replay(newTrace(rand.New(rand.NewPCG(uint64(s), 7)), *qualitySpan), v.o, v.pause)
 				q.mistakes += x.mistakes / float64(*qualitySeeds)
 				q.accuracy += x.accuracy / float64(*qualitySeeds)
 				q.detect += x.detect / time.Duration(*qualitySeeds)
@@ -247,20 +247,20 @@
 		}
 		t.Log(strings.Join(row, " | "), "|", earlyDetectionTime(variants()[name].o).Milliseconds(), "|", startupMistakes(variants()[name].o), "|")
 	}
-	is := func(v, kind string) quality { return all[v][kind] }
+	resultOf := func(v, kind string) quality { return all[v][kind] }
 	const full = "a as it is"
 	for k, least := range map[string]float64{"steady": 1, "jittery": 0.99, "lossy": 0.9, "bursty": 0.97, "slowing": 0.98, "paused": 0.999} {
-		if q := is(full, k); q.detect > 950*time.Millisecond || q.accuracy < least {
+		if q := resultOf(full, k); q.detect > 950*time.Millisecond || q.accuracy < least {
 			t.Errorf("%s: %+v", k, q)
 		}
 	}
-	if a, b := is(full, "steady").mistakes, is("b no clamp, no floor", "steady").mistakes; a > 0 || b < 100 {
+	if a, b := resultOf(full, "steady").mistakes, resultOf("b no clamp, no floor", "steady").mistakes; a > 0 || b < 100 {
 		t.Errorf("clamp and floor don't help: %.0f and %.0f mistakes", a, b)
 	}
-	if a, b := is(full, "paused").mistakes, is("g pauses count", "paused").mistakes; a*5 > b {
+	if a, b := resultOf(full, "paused").mistakes, resultOf("g pauses count", "paused").mistakes; a*5 > b {
 		t.Errorf("discounting pauses helps too little: %.0f and %.0f mistakes", a, b)
 	}
-	if a, b := is(full, "slowing").mistakes, is("h window of 1000", "slowing").mistakes; a*2 > b {
+	if a, b := resultOf(full, "slowing").mistakes, resultOf("h window of 1000", "slowing").mistakes; a*2 > b {
 		t.Errorf("a short window helps too little: %.0f and %.0f mistakes", a, b)
 	}
 	if a, b := startupMistakes(variants()[full].o), startupMistakes(variants()["e no prior"].o); a*2 > b || earlyDetectionTime(variants()[full].o) == 0 || earlyDetectionTime(variants()["i source, 1000"].o) != 0 {
--- a/internal/proxy/acquire.go
+++ b/internal/proxy/acquire.go
@@ -9,9 +9,9 @@
 	// maxWaitDivisor: a request waits for capacity for at most its latency target divided by
 	// this. A refusal must reach the caller within a quarter of the target.
 	maxWaitDivisor = 5
-	// minQueuedPerRank is how many requests of each rank may queue even if their expected wait is too long.
+	// minQueuedPerRank is how many requests of each priority may queue even if their expected wait is too long.
 	minQueuedPerRank = 2
-	// minRetryAfter is the shortest delay that a refused caller is told.
+	// minRetryAfter is the shortest delay in the Retry-After field of a refusal.
 	minRetryAfter = 100 * time.Millisecond
 )
 
@@ -21,14 +21,14 @@
 	startedAt time.Time
 }
 
-// reserve counts a request at a run.
+// reserve adds a request in flight at an endpoint and returns its grant.
 func (s *service) reserve(e *endpoint, now time.Time) grant {
 	e.inFlight = append(e.inFlight, now)
 	s.limit.begin()
 	return grant{e, now}
 }
 
-// tryAcquire selects a run without waiting; the grant is empty if there is none.
+// tryAcquire selects an endpoint without waiting; the grant is empty if none has capacity.
 func (s *service) tryAcquire(x *exchange) grant {
 	now := s.node.clock.Now()
 	s.mu.Lock()
@@ -43,9 +43,9 @@
 	return grant{}
 }
 
-// acquire selects a run and waits for capacity if none has any: early enough in the latency
-// target for a refusal to be useful, and at most a quarter of the remaining time. If there is
-// no grant, retry is when capacity is likely.
+// acquire selects an endpoint, and waits for capacity if none has any. It waits for at most a
+// quarter of the remaining time, and ends early enough in the latency target for a refusal to be
+// useful. If there is no grant, retry is the delay after which capacity is likely.
 func (s *service) acquire(x *exchange) (g grant, retry time.Duration) {
 	now := s.node.clock.Now()
 	left := x.deadline.Sub(now)
@@ -55,8 +55,8 @@
 	}
 	s.mu.Lock()
 	s.lastUsed = now
-	s.pace.decay(now)
-	s.pace.requested++
+	s.rates.decay(now)
+	s.rates.requested++
 	if len(s.queue.waiters) > 0 {
 		s.dispatch(now)
 	}
@@ -68,8 +68,8 @@
 	}
 	w := &waiter{x: x, priority: x.priority, arrived: now, granted: make(chan grant, 1), index: -1}
 	before, peers := s.queue.position(w)
-	// Requests that would wait in vain are refused at once, except a few of each rank: these
-	// may get the turn that goes to the request that has waited longest.
+	// Requests that would wait in vain are refused at once, except a few of each priority: they
+	// may get the grant that goes to the request that has waited longest (oldestEvery).
 	displaced := w
 	if known && limit > 0 && (s.expectedWait(now, before) <= limit || peers < minQueuedPerRank) {
 		displaced = s.queue.push(w)
@@ -110,8 +110,9 @@
 	return g, s.retryAfter(now, x.deadline.Sub(now))
 }
 
-// expectedWait estimates the wait of a request behind so many others, from the completion rate of the last
-// second or, if that is higher, the rate this node should get from the runs in its zone.
+// expectedWait estimates the wait of a request with the given number of others before it. It uses the
+// completion rate of the last second or, if that is higher, the rate that this node should get from the
+// endpoints in its zone.
 func (s *service) expectedWait(now time.Time, before int) time.Duration {
 	slots := 0.0
 	for _, e := range s.subset {
@@ -120,15 +121,15 @@
 		}
 	}
 	expectedRate := slots / s.typicalLatencyLocked().Seconds() / float64(max(1, s.node.gatewaysNear.Load()))
-	rate := max(s.pace.completionRate(now), expectedRate, 1)
+	rate := max(s.rates.completionRate(now), expectedRate, 1)
 	return time.Duration(float64(before+1) / rate * float64(time.Second))
 }
 
-// retryAfter is the delay told to a refused caller: when capacity is likely, longer the more requests
-// arrive per completed one, and short enough for a retry that can still succeed.
+// retryAfter is the delay after which a refused caller should retry. It lasts until capacity is likely,
+// grows with the number of requests per completed one, and is short enough for the retry to succeed.
 func (s *service) retryAfter(now time.Time, left time.Duration) time.Duration {
 	eta := s.expectedWait(now, len(s.queue.waiters))
-	d := time.Duration(float64(max(eta, minRetryAfter)) * s.pace.overloadRatio(now))
+	d := time.Duration(float64(max(eta, minRetryAfter)) * s.rates.overloadRatio(now))
 	return min(d, max(minRetryAfter, left/3))
 }
 
@@ -151,9 +152,8 @@
 	}
 }
 
-// release ends a request at a run, records its outcome and assigns the freed
-// capacity.
-func (s *service) release(g grant, o outcome, took, aim time.Duration) {
+// release ends a request at an endpoint, records its outcome and assigns the freed capacity.
+func (s *service) release(g grant, o outcome, took, latencyTarget time.Duration) {
 	e, began := g.e, g.startedAt
 	now := s.node.clock.Now()
 	s.mu.Lock()
@@ -161,8 +161,8 @@
 	if i := slices.IndexFunc(e.inFlight, began.Equal); i >= 0 {
 		e.inFlight = slices.Delete(e.inFlight, i, i+1)
 	}
-	s.limit.end(now, o == outcomeRejected || o == outcomeReset || o == outcomeStaleConn, aim > 0 && took > aim)
-	if !s.node.noFates {
+	s.limit.end(now, o == outcomeRejected || o == outcomeReset || o == outcomeStaleConn, latencyTarget > 0 && took > latencyTarget)
+	if !s.node.noPassiveHealth {
 		e.recordOutcome(now, began, o, took)
 	} else if o == outcomeServerError {
 		o = outcomeAnswered
@@ -170,8 +170,8 @@
 	switch o {
 	case outcomeServerError:
 		e.resetBackoff()
-		s.pace.decay(now)
-		s.pace.completed++
+		s.rates.decay(now)
+		s.rates.completed++
 	case outcomeAnswered:
 		e.recordAnswer(now, took)
 		e.recordValidAnswer(now)
@@ -180,8 +180,8 @@
 			w = 1
 		}
 		s.latency += time.Duration(w * float64(took-s.latency))
-		s.pace.decay(now)
-		s.pace.completed++
+		s.rates.decay(now)
+		s.rates.completed++
 	case outcomeRejected:
 		e.resetBackoff()
 		e.fullUntil = now.Add(max(20*time.Millisecond, s.typicalLatencyLocked()/2))
--- a/internal/proxy/answer.go
+++ b/internal/proxy/answer.go
@@ -26,7 +26,7 @@
 	// stream is the body of an answer that is still being received; nil if the body is complete.
 	stream *bodyStream
 	// pending is the delivery of a large body on a narrow link.
-	pending *delivery
+	pendingDelivery *delivery
 }
 
 func (a *answer) free() {
@@ -90,12 +90,12 @@
 // an overloaded or faulty target may repeat the answer to an earlier request ahead of
 // the expected one. Such a connection is not reused again.
 //
-// pass, which may be nil, is asked whether a large body is streamed to the caller while it is
-// received; such an answer is returned even if it was cut off, and then belongs to whoever
-// accepted it.
-func (n *Node) readAnswer(c *conn, id []byte, head bool, allowStream func(*answer) bool) (*answer, answerControl, error) {
+// allowStream, which may be nil, decides whether a large body is streamed to the caller while it is
+// received. A streamed answer is returned even if it was cut off, and belongs to the exchange that
+// accepted it. noBody means that the answer has no body, as for HEAD.
+func (n *Node) readAnswer(c *conn, id []byte, noBody bool, allowStream func(*answer) bool) (*answer, answerControl, error) {
 	for surplus := 0; ; surplus++ {
-		a, p, err := n.readNextAnswer(c, id, head, allowStream)
+		a, p, err := n.readNextAnswer(c, id, noBody, allowStream)
 		if errors.Is(err, errOtherRequest) && c.uses > 1 && surplus < maxSurplusAnswers {
 			n.stats.surplus.Add(1)
 			continue
@@ -106,7 +106,7 @@
 }
 
 // readNextAnswer reads one answer. errOtherRequest means a complete answer to another request.
-func (n *Node) readNextAnswer(c *conn, id []byte, head bool, allowStream func(*answer) bool) (*answer, answerControl, error) {
+func (n *Node) readNextAnswer(c *conn, id []byte, noBody bool, allowStream func(*answer) bool) (*answer, answerControl, error) {
 	h := &c.h
 	for {
 		h.Reset()
@@ -127,7 +127,7 @@
 	a := &answer{status: h.StatusCode(), contentLength: -1, head: getBuffer()}
 	p, err := n.readFields(h, a, id)
 	otherRequest := errors.Is(err, errOtherRequest)
-	if size := c.h.ContentLength(); err == nil && allowStream != nil && !head && a.status < 300 && size >= largeBodySize && size <= n.settings.MaxAnswerBytes {
+	if size := c.h.ContentLength(); err == nil && allowStream != nil && !noBody && a.status < 300 && size >= largeBodySize && size <= n.settings.MaxAnswerBytes {
 		a.stream = newBodyStream(c, size)
 		if allowStream(a) {
 			reserve := func(k int) {
@@ -142,7 +142,7 @@
 	}
 	if err == nil || otherRequest {
 		// The body of an answer to another request is only consumed.
-		if e := n.readAnswerBody(c, a, head && !otherRequest); e != nil {
+		if e := n.readAnswerBody(c, a, noBody && !otherRequest); e != nil {
 			err = e
 		}
 	}
@@ -154,6 +154,7 @@
 	return a, p, nil
 }
 
+// readFields validates the header fields of an answer and appends those that are forwarded to a.head.
 func (n *Node) readFields(h *fasthttp.ResponseHeader, a *answer, id []byte) (answerControl, error) {
 	d := &n.settings.Headers
 	p := answerControl{idleTimeout: defaultIdleTimeout, close: h.ConnectionClose()}
@@ -211,13 +212,14 @@
 	return status == 408 || status == 421 || status == 429 || status == 503
 }
 
-func (n *Node) readAnswerBody(c *conn, a *answer, head bool) error {
+// readAnswerBody reads the complete body of an answer into a.body.
+func (n *Node) readAnswerBody(c *conn, a *answer, noBody bool) error {
 	size := c.h.ContentLength()
 	switch {
 	case a.status == 204 || a.status == 304:
 		a.noBodyOrLength = true
 		return nil
-	case head:
+	case noBody:
 		a.contentLength, a.noBodyOrLength = max(size, -1), true
 		return nil
 	case size < chunkedLength:
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -17,10 +17,10 @@
 	outcomeMisdirected                    // another run has the address
 	outcomeUnreachable                    // no connection, so no byte was sent
 	outcomeReset                          // the connection ended after the request was sent
-	outcomeStaleConn                      // the same on a reused connection, before any byte was received
+	outcomeStaleConn                      // a reused connection ended before any byte was received
 	outcomeInvalid                        // the answer received is not a valid answer to the request
 	outcomeSilent                         // silence for longer than earlier answers make plausible
-	outcomeCanceled                       // aborted or out of time before that
+	outcomeCanceled                       // aborted or out of time before the silence became implausible
 	outcomeNotSent                        // not sent, for reasons other than the run
 	outcomeServerError                    // a valid answer that reports a failure of the run itself
 	outcomeCount
@@ -36,7 +36,7 @@
 	paused := n.pauses.TotalAt(began)
 	o = n.send(x, g.e, began)
 	now := n.clock.Now()
-	// Time during which this process was paused is not held against the run.
+	// Time during which this process was paused does not count against the run.
 	pausedFor := n.pauses.TotalAt(now) - paused
 	took := max(0, now.Sub(began)-pausedFor)
 	if o == outcomeCanceled && pausedFor == 0 {
@@ -119,7 +119,7 @@
 	e.discard(c, true)
 	o = classifyError(c, err, reused)
 	if o == outcomeInvalid {
-		n.warnLimited("an answer was thrown away", "step", "answer", "peer", run, "err", err)
+		n.warnLimited("an invalid answer was discarded", "step", "answer", "peer", run, "err", err)
 	}
 	return o, false
 }
@@ -166,7 +166,7 @@
 }
 
 // appendHead appends the request head for one attempt: the forwarded fields, the run that
-// is addressed, and the remaining time.
+// is addressed, the remaining time and the length of the body.
 func (x *exchange) appendHead(b []byte, d HeaderNames, run string, left time.Duration) []byte {
 	b = append(b, x.head...)
 	b = appendField(b, d.ExpectedRun, run)
@@ -196,8 +196,8 @@
 	return bs.WriteTo(c.nc)
 }
 
-// hedge is called when a repeatable request has waited longer than is plausible: it asks
-// a second run in parallel (design 13.14), unless one is being asked already.
+// hedge sends a repeatable request to a second run in parallel (design 13.14), unless a hedged
+// attempt is in progress. It is called when the request has waited longer than is plausible.
 func (n *Node) hedge(x *exchange) {
 	if x.hedgeInProgress() != nil || !x.canSend() {
 		return
--- a/internal/proxy/bench_test.go
+++ b/internal/proxy/bench_test.go
@@ -24,11 +24,11 @@
 	})
 	n.SetGateways(1, 1)
 	n.SetSynced(true)
-	to := loopback{}.listen()
-	defer to.Close()
+	targetListener := loopback{}.listen()
+	defer targetListener.Close()
 	go func() {
 		for {
-			c, err := to.Accept()
+			c, err := targetListener.Accept()
 			if err != nil {
 				return
 			}
@@ -49,7 +49,7 @@
 			}()
 		}
 	}()
-	n.ApplyRuns([]target.Run{{ID: "t", Service: "svc", Addr: to.Addr().String(), Zone: "a", Slots: 4, State: target.Ready, Seq: 1}})
+	n.ApplyRuns([]target.Run{{ID: "t", Service: "svc", Addr: targetListener.Addr().String(), Zone: "a", Slots: 4, State: target.Ready, Seq: 1}})
 	ln := loopback{}.listen()
 	go func() { _ = n.Serve(ln) }()
 	defer ln.Close()
--- a/internal/proxy/bytes_test.go
+++ b/internal/proxy/bytes_test.go
@@ -62,8 +62,8 @@
 	})
 	c := l.client()
 	defer c.c.Close()
-	more := "x-lower: 1\r\nX-Twice: a\r\nX-Twice: b\r\nCookie: k=v\r\nConnection: x-hop, X-Id\r\nX-Hop: 1\r\nTE: trailers\r\nUpgrade: y\r\nx-run: other\r\nUser-Agent: u\r\n"
-	if err := c.send("GET", "/once/x", "q1", 5*time.Second, more, ""); err != nil {
+	extraFields := "x-lower: 1\r\nX-Twice: a\r\nX-Twice: b\r\nCookie: k=v\r\nConnection: x-hop, X-Id\r\nX-Hop: 1\r\nTE: trailers\r\nUpgrade: y\r\nx-run: other\r\nUser-Agent: u\r\n"
+	if err := c.send("GET", "/once/x", "q1", 5*time.Second, extraFields, ""); err != nil {
 		t.Fatal(err)
 	}
 	g, err := c.read()
--- a/internal/proxy/caller.go
+++ b/internal/proxy/caller.go
@@ -240,8 +240,8 @@
 	x.timeout = timeout
 	x.deadline = x.receivedAt.Add(timeout)
 	x.head = n.appendRequest(getBuffer(), h, connectionFields)
-	if why := c.readBody(x, limits); why != nil {
-		return x, why
+	if rejected := c.readBody(x, limits); rejected != nil {
+		return x, rejected
 	}
 	return x, nil
 }
--- a/internal/proxy/choice.go
+++ b/internal/proxy/choice.go
@@ -28,7 +28,7 @@
 	// inFlightWeight is the weight of a request in flight at an endpoint, in expected latencies.
 	// It is above 1 because other nodes are likely to have requests there too, and targets slow
 	// down when nearly full. It is low enough that with one request in flight a slot of the own
-	// zone still beats one of another zone (farZone).
+	// zone still beats one of another zone (sameRegionDistance).
 	inFlightWeight = 1.9
 )
 
--- a/internal/proxy/choice_test.go
+++ b/internal/proxy/choice_test.go
@@ -32,7 +32,7 @@
 }
 
 // takeAll takes targets for requests until none has capacity, and returns their IDs in order.
-func takeAll(n *Node, s *service, k route.RetryPolicy) (ids []string) {
+func acquireAll(n *Node, s *service, k route.RetryPolicy) (ids []string) {
 	for {
 		g := s.tryAcquire(testExchange(n, s, k))
 		if g.e == nil {
@@ -53,7 +53,7 @@
 			route.Download:   {"a1", "a1", "a1", "a1", "b1", "b1", "c1", "c1", "b1", "c1", "b1", "c1"},
 		} {
 			n, s := testService(readyRun("a1", "a", 2), readyRun("b1", "b", 2), readyRun("c1", "c", 2))
-			if got := takeAll(n, s, kind); !slices.Equal(got, want) {
+			if got := acquireAll(n, s, kind); !slices.Equal(got, want) {
 				t.Errorf("%d: %v, want %v", kind, got, want)
 			}
 		}
@@ -65,7 +65,7 @@
 	n, s := testService(readyRun("a1", "a", 50))
 	for gateways, want := range map[int]int{2: 40, 10: 8, 100: 2} {
 		n.SetGateways(gateways, 1)
-		got := takeAll(n, s, route.Idempotent)
+		got := acquireAll(n, s, route.Idempotent)
 		if len(got) != want {
 			t.Errorf("%d gateways: %d requests at once, want %d", gateways, len(got), want)
 		}
@@ -134,7 +134,7 @@
 		n, s := testService(runs...)
 		usedRuns := func() map[string]bool {
 			m := map[string]bool{}
-			for _, id := range takeAll(n, s, route.AtMostOnce) {
+			for _, id := range acquireAll(n, s, route.AtMostOnce) {
 				m[id] = true
 			}
 			for _, e := range s.endpoints {
@@ -246,7 +246,7 @@
 func TestLastRankMayWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n, s := testService(readyRun("a1", "a", 1))
-		takeAll(n, s, route.AtMostOnce)
+		acquireAll(n, s, route.AtMostOnce)
 		now := n.clock.Now()
 		for range 100 {
 			s.queue.push(&waiter{x: testExchange(n, s, route.AtMostOnce), arrived: now, granted: make(chan grant, 1), index: -1})
--- a/internal/proxy/config_age.go
+++ b/internal/proxy/config_age.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// A node's copy of routes, targets and upgrades is valid for a limited time, like a lease: once it is older than the time
-// in which changes take effect, a request based on it must not arrive at a target any more. So the network delay to the
-// target counts as part of the age (design 24.11).
+// A node's copy of routes, targets and upgrades is valid for a limited time, like a lease. Once it is older than the time
+// in which changes take effect, no request based on it may arrive at a target. So the network delay to the target counts
+// as part of the age (design 24.11).
 
 // configState classifies the age of a node's copy of the control plane's state.
 type configState int32
@@ -33,7 +33,7 @@
 	congestedFactor = 2
 )
 
-// configAgeMonitor tracks changes of the node's configState and the delays on its link.
+// configAgeMonitor holds the node's last configState and the delays measured on its link.
 type configAgeMonitor struct {
 	state       atomic.Int32 // the last configState
 	roundTrip   atomic.Int64 // network time of the last exchange with the control plane
@@ -42,21 +42,21 @@
 
 // SetControlRoundTrip sets how long the last exchange with the control plane spent on the network, there and back.
 func (n *Node) SetControlRoundTrip(took time.Duration) {
-	n.newsWatch.roundTrip.Store(int64(took))
+	n.configAge.roundTrip.Store(int64(took))
 	n.recordRoundTrip(took)
 }
 
 // recordRoundTrip records how long a message and its reply took.
 func (n *Node) recordRoundTrip(took time.Duration) {
 	if took > slowConnect {
-		n.newsWatch.congestedAt.Store(n.clock.Now().UnixNano())
+		n.configAge.congestedAt.Store(n.clock.Now().UnixNano())
 	}
 }
 
 // congested reports whether the node's own link delayed messages recently: then a silent control plane is weak evidence of
 // a partition.
 func (n *Node) congested(now time.Time) bool {
-	at := n.newsWatch.congestedAt.Load()
+	at := n.configAge.congestedAt.Load()
 	return at > 0 && now.Sub(time.Unix(0, at)) < n.settings.NewsLost
 }
 
@@ -75,7 +75,7 @@
 	switch {
 	case age >= isolatedAfter:
 		state = configIsolated
-	case age > max(n.settings.NewsWithin, minNewsAgeLimit):
+	case age > max(n.settings.NewsWithin, minConfigAgeLimit):
 		state = configStale
 	}
 	n.setConfigState(state, age)
@@ -84,18 +84,18 @@
 
 // setConfigState counts and logs a change of state.
 func (n *Node) setConfigState(state configState, age time.Duration) {
-	previous := configState(n.newsWatch.state.Swap(int32(state)))
+	previous := configState(n.configAge.state.Swap(int32(state)))
 	if previous == state {
 		return
 	}
 	n.stats.newsTurns.Add(1)
-	n.log.Warn("what this node knows has another age", "step", "news", "was", configStateNames[previous], "is", configStateNames[state],
+	n.log.Warn("the age class of the known configuration changed", "step", "news", "was", configStateNames[previous], "is", configStateNames[state],
 		"age_ms", age.Milliseconds(), "way_ms", n.sendDelay().Milliseconds())
 }
 
 // sendDelay estimates the network delay of a request to a target by the last exchange with the control plane.
 func (n *Node) sendDelay() time.Duration {
-	return min(time.Duration(n.newsWatch.roundTrip.Load()), maxDelay)
+	return min(time.Duration(n.configAge.roundTrip.Load()), maxDelay)
 }
 
 // configStale reports whether a change that this node does not know may be in force. A node that considers itself cut off
@@ -108,7 +108,7 @@
 // configStaleOnArrival reports whether a request that is sent now might arrive when the state is stale.
 func (n *Node) configStaleOnArrival() bool {
 	state, age := n.configState()
-	return state == configStale || state == configFresh && age > 0 && age+n.sendDelay() > max(n.settings.NewsWithin, minNewsAgeLimit)
+	return state == configStale || state == configFresh && age > 0 && age+n.sendDelay() > max(n.settings.NewsWithin, minConfigAgeLimit)
 }
 
 // controlLost reports whether this node has heard nothing from the control plane for so long that it must not send requests
--- a/internal/proxy/config_age_test.go
+++ b/internal/proxy/config_age_test.go
@@ -55,8 +55,8 @@
 // target had announced meanwhile that it was leaving.
 func TestNoRequestLeavesThatWouldArriveByOutdatedNews(t *testing.T) {
 	for name, x := range map[string]struct {
-		way, age time.Duration
-		status   int
+		roundTrip, age time.Duration
+		status         int
 	}{
 		"a short way":               {10 * time.Millisecond, 1500 * time.Millisecond, 200},
 		"a long way, younger news":  {700 * time.Millisecond, 1200 * time.Millisecond, 200},
@@ -69,7 +69,7 @@
 				l.routes(2)
 				l.startTarget("t1", nil, serveOK)
 				l.node.SetAsOf(time.Now().Add(-x.age))
-				l.node.SetControlRoundTrip(x.way)
+				l.node.SetControlRoundTrip(x.roundTrip)
 				if g := l.request("/once/1", "q1", 2*time.Second); g.status != x.status || g.status == 503 && (l.runCount("q1") > 0 || g.header.Get(dialect.RetryAfter) == "") {
 					t.Errorf("%d, ran %d times, want %d", g.status, l.runCount("q1"), x.status)
 				}
--- a/internal/proxy/conn.go
+++ b/internal/proxy/conn.go
@@ -23,7 +23,7 @@
 )
 
 var (
-	errAborted   = errors.New("aborted: another answer came first")
+	errAborted   = errors.New("aborted: the answer is no longer needed")
 	errNoAnswer  = errors.New("no answer before the deadline")
 	pastDeadline = time.Unix(1, 0)
 )
@@ -45,7 +45,7 @@
 	deadline, softDeadline, appliedDeadline time.Time
 	onSoftDeadline                          func() time.Time
 	aborted                                 atomic.Bool
-	receivedByte                            bool // a byte was received during this use
+	receivedByte                            bool // at least one byte was received during this use
 }
 
 func newConn(nc net.Conn) *conn {
@@ -57,7 +57,7 @@
 	return c
 }
 
-// startUse prepares the connection for a use that ends by deadline.
+// startUse prepares the connection for one use; hard is the deadline of all its reads and writes.
 func (c *conn) startUse(hard time.Time) error {
 	c.deadline, c.appliedDeadline, c.softDeadline, c.onSoftDeadline, c.receivedByte = hard, hard, time.Time{}, nil, false
 	c.uses++
--- a/internal/proxy/doc.go
+++ b/internal/proxy/doc.go
@@ -8,9 +8,10 @@
 // answer. They are connected by function calls in the goroutine of the caller's connection
 // rather than by queues: each queue would cost one goroutine wake-up per request, and CPU
 // time is the scarcest resource of these machines. The only queue is the bounded priority
-// queue in front of a service's targets (waiting). Everything else that is held is bounded
-// by counts: caller connections, buffered bytes, requests in flight per run. Only a hedged
-// attempt, made when the first target is silent, runs in a goroutine of its own.
+// queue in front of a service's targets (waitQueue). Everything else that is held is bounded
+// by counts: caller connections, buffered bytes, requests in flight per run. Two kinds of attempt
+// run in a goroutine of their own: a hedged attempt, made when the first target is silent, and an
+// attempt at a download whose answer may be streamed (attemptStreaming).
 //
 // Alternatives considered: stages with workers and queues as in internal/passage (five
 // wake-ups per request); the fasthttp server (its limits can't change while it runs, it reads
@@ -22,7 +23,7 @@
 // Routes and limits are an immutable snapshot that each update replaces. The runs of a
 // service are guarded by one lock, which is held for a scan of a few dozen entries and never
 // while waiting. A queue with an owner goroutine would add two wake-ups to each selection
-// (2.7 makes the same choice).
+// (design 2.7 makes the same choice).
 //
 // # At-most-once requests
 //
--- a/internal/proxy/downloads.go
+++ b/internal/proxy/downloads.go
@@ -12,9 +12,9 @@
 const (
 	// mbpsPerDownload is the link rate that each concurrent download should get.
 	mbpsPerDownload = 1.6
-	// pendingShare is the part of a planned stop's time that writing all pending bodies may take for
-	// another download to start. The rest is for the target's processing time, for bodies larger
-	// than the mean, and for callers that read slowly.
+	// pendingShare limits the pending bodies: another download starts only if all of them can be
+	// written within this part of a planned stop's time. The rest is for the target's processing
+	// time, for bodies larger than the mean, and for callers that read slowly.
 	pendingShare = 0.5
 	// finishMargin is the minimum time between the expected end of an answer and that of a planned stop.
 	finishMargin = 300 * time.Millisecond
@@ -25,7 +25,7 @@
 	// stalledWriteAge is the duration of a write after which the caller counts as not reading. Its pending
 	// bytes are then ignored, because they no longer use the paced rate.
 	stalledWriteAge = 500 * time.Millisecond
-	// queuePollInterval is how often queued downloads check for such callers.
+	// queuePollInterval is how often queued downloads check for stalled writes.
 	queuePollInterval = 100 * time.Millisecond
 )
 
@@ -111,8 +111,8 @@
 // little time. Under mu.
 func (d *downloadLimiter) admit() {
 	now := d.clock.Now()
-	owed := d.pendingBytes(now)
-	for len(d.queue) > 0 && d.canFinish(d.queue[0], 0, owed, now) && d.hasRoom(owed) {
+	pending := d.pendingBytes(now)
+	for len(d.queue) > 0 && d.canFinish(d.queue[0], 0, pending, now) && d.canStart(pending) {
 		d.queue[0].result <- true
 		d.queue = d.queue[1:]
 		d.active++
@@ -120,7 +120,7 @@
 	}
 	before := 0
 	d.queue = slices.DeleteFunc(d.queue, func(w *downloadWaiter) bool {
-		if d.canFinish(w, before, owed, now) {
+		if d.canFinish(w, before, pending, now) {
 			before++
 			return false
 		}
@@ -129,21 +129,21 @@
 	})
 }
 
-// hasRoom reports whether one more download may start.
-func (d *downloadLimiter) hasRoom(owed float64) bool {
+// canStart reports whether one more download may start with so many bytes pending.
+func (d *downloadLimiter) canStart(pending float64) bool {
 	if d.active >= d.maxActive {
 		return false
 	}
-	return owed == 0 && d.starting == 0 || owed+d.meanSize*float64(d.starting+1) <= d.maxPending
+	return pending == 0 && d.starting == 0 || pending+d.meanSize*float64(d.starting+1) <= d.maxPending
 }
 
-// canFinish reports whether a download that starts behind so many others will be answered before the
-// planned stop ends; true if none is under way.
-func (d *downloadLimiter) canFinish(w *downloadWaiter, before int, owed float64, now time.Time) bool {
+// canFinish reports whether a download that starts after the given number of others will be answered
+// before the planned stop ends; true if no stop is in progress.
+func (d *downloadLimiter) canFinish(w *downloadWaiter, before int, pending float64, now time.Time) bool {
 	if d.stopDeadline.IsZero() {
 		return true
 	}
-	bytes := owed + d.meanSize*float64(d.starting+before) + d.maxSize
+	bytes := pending + d.meanSize*float64(d.starting+before) + d.maxSize
 	needed := w.targetTime + time.Duration(bytes/d.bytesPerSecond*float64(time.Second)) + finishMargin
 	return !now.Add(needed).After(d.stopDeadline)
 }
@@ -189,7 +189,7 @@
 
 // startDelivery begins the delivery of an answer if it is large and was not begun before.
 func (d *downloadLimiter) startDelivery(a *answer) {
-	if d == nil || a.pending != nil || a.bodySize() < largeBodySize {
+	if d == nil || a.pendingDelivery != nil || a.bodySize() < largeBodySize {
 		return
 	}
 	d.mu.Lock()
@@ -200,8 +200,8 @@
 // addDelivery records a large body as pending. Under mu.
 func (d *downloadLimiter) addDelivery(a *answer) {
 	if size := a.bodySize(); size >= largeBodySize {
-		a.pending = &delivery{remaining: size}
-		d.deliveries = append(d.deliveries, a.pending)
+		a.pendingDelivery = &delivery{remaining: size}
+		d.deliveries = append(d.deliveries, a.pendingDelivery)
 	}
 }
 
@@ -229,12 +229,12 @@
 
 // endDelivery ends the delivery of an answer, complete or not.
 func (d *downloadLimiter) endDelivery(a *answer) {
-	if a.pending == nil {
+	if a.pendingDelivery == nil {
 		return
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.deliveries = slices.DeleteFunc(d.deliveries, func(x *delivery) bool { return x == a.pending })
+	d.deliveries = slices.DeleteFunc(d.deliveries, func(x *delivery) bool { return x == a.pendingDelivery })
 	d.admit()
 }
 
--- a/internal/proxy/downloads_test.go
+++ b/internal/proxy/downloads_test.go
@@ -66,7 +66,7 @@
 		}
 		pending := 0
 		for _, a := range all {
-			pending += a.pending.remaining
+			pending += a.pendingDelivery.remaining
 		}
 		// The last one may be larger than the mean with which it was admitted.
 		if most := int(d.maxPending); pending > most+120_000 || pending < most-120_000 {
@@ -80,7 +80,7 @@
 		if !d.acquire(time.Second, 0) || time.Since(began) != 150*time.Millisecond {
 			t.Errorf("not started after %v", time.Since(began))
 		}
-		d.writeBegins(all[1].pending, time.Now())
+		d.writeBegins(all[1].pendingDelivery, time.Now())
 		began = time.Now()
 		if !d.acquire(time.Second, 0) || time.Since(began) > stalledWriteAge+queuePollInterval {
 			t.Errorf("held up by a caller that does not read for %v", time.Since(began))
--- a/internal/proxy/endpoint.go
+++ b/internal/proxy/endpoint.go
@@ -90,8 +90,8 @@
 	return w
 }
 
-// activeSuspicion is the suspicion without passive health: backoff, the control plane's verdict
-// and the probes of this node.
+// activeSuspicion is the suspicion without passive health: by backoff, by the control plane and by
+// the probes of this node.
 func (e *endpoint) activeSuspicion(now time.Time) float64 {
 	if d := e.backoffUntil.Sub(now); d > 0 {
 		return 1 + d.Seconds()
@@ -106,7 +106,7 @@
 }
 
 // expectedLatency estimates how long an answer will take. The oldest request in flight raises
-// it: one that waits for longer than usual says more than past answers.
+// it: if it has waited for longer than usual, that is better evidence than past answers.
 func (e *endpoint) expectedLatency(now time.Time) time.Duration {
 	d := e.latency
 	if d == 0 {
@@ -123,15 +123,15 @@
 
 // silenceLimit is the time without an answer after which, by this endpoint's own latencies, a
 // normal answer has become unlikely.
-func (e *endpoint) silenceLimit(aim, left time.Duration) time.Duration {
+func (e *endpoint) silenceLimit(latencyTarget, left time.Duration) time.Duration {
 	d := e.latency
 	if d == 0 {
 		d = e.svc.typicalLatencyLocked()
 	}
-	if aim <= 0 {
-		aim = left
+	if latencyTarget <= 0 {
+		latencyTarget = left
 	}
-	return max(e.p99, 3*d, aim/4)
+	return max(e.p99, 3*d, latencyTarget/4)
 }
 
 // recordAnswer records an answer that took d, and ends a backoff.
--- a/internal/proxy/exchange.go
+++ b/internal/proxy/exchange.go
@@ -50,7 +50,7 @@
 	hedgeDone     chan struct{} // closed when the hedged attempt is over; nil if there is none
 }
 
-// hasTried reports whether the run was asked already.
+// hasTried reports whether there was an attempt at the run.
 func (x *exchange) hasTried(e *endpoint) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -58,9 +58,9 @@
 }
 
 // beginSend starts an attempt's use of a connection and is the final check before the first byte
-// is sent. It allows at most maxAttempts targets, each after the first only if the retry budget
-// permits, none once there is an answer, and for an at-most-once request none while it may have
-// run.
+// is sent. It allows at most maxAttempts sends, each after the first only if the retry budget
+// permits. It allows none once there is an answer, the caller has disconnected or a planned stop
+// has ended sending, and none of an at-most-once request that may have run.
 func (x *exchange) beginSend(c *conn) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -74,7 +74,8 @@
 	return true
 }
 
-// payBudget makes sure that one more send is charged to the retry budget.
+// payBudget charges the next send to the retry budget, unless it is the first or is charged
+// already, and reports whether it may be made. Under mu.
 func (x *exchange) payBudget() bool {
 	if x.sends > 0 && !x.budgetPaid {
 		if x.budgetPaid = x.svc.budget.TryExtraSend(); !x.budgetPaid {
@@ -154,7 +155,7 @@
 	return x.result
 }
 
-// markTried records that the run is asked.
+// markTried records an attempt at the run.
 func (x *exchange) markTried(e *endpoint) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
--- a/internal/proxy/failure_test.go
+++ b/internal/proxy/failure_test.go
@@ -28,9 +28,9 @@
 
 // failureMode is one way in which the first target that gets a request can fail.
 type failureMode struct {
-	name       string
-	fault      handler
-	once, idem int // the status that the caller gets
+	name                   string
+	fault                  handler
+	onceStatus, idemStatus int // the status that the caller gets
 	// onceRuns is how often a request that must run at most once is run.
 	onceRuns int
 }
@@ -42,48 +42,48 @@
 	}
 }
 
-func sendRaw(f string) handler {
+func answerRaw(f string) handler {
 	return func(_ *harness, c net.Conn, s *receivedRequest) bool {
 		return write(c, strings.ReplaceAll(strings.ReplaceAll(f, "\n", "\r\n"), "ID", s.id))
 	}
 }
 
-func sendRawThenClose(f string) handler {
-	return func(l *harness, c net.Conn, s *receivedRequest) bool { sendRaw(f)(l, c, s); return false }
+func answerRawThenClose(f string) handler {
+	return func(l *harness, c net.Conn, s *receivedRequest) bool { answerRaw(f)(l, c, s); return false }
 }
 
 var failureModes = []failureMode{
 	{"reset after reading", runThen(func(_ *harness, c net.Conn, _ *receivedRequest) bool { return resetConn(c) }), 502, 200, 1},
 	{"closed after reading", runThen(func(*harness, net.Conn, *receivedRequest) bool { return false }), 502, 200, 1},
-	{"half a body", runThen(sendRawThenClose("HTTP/1.1 200 OK\nX-Id: ID\nX-Seal: s\nContent-Length: 10\n\nhalf")), 502, 200, 1},
-	{"half a head", runThen(sendRawThenClose("HTTP/1.1 200 OK\nX-Id: ID\nX-Se")), 502, 200, 1},
-	{"no last chunk", runThen(sendRawThenClose("HTTP/1.1 200 OK\nX-Id: ID\nX-Seal: s\nTransfer-Encoding: chunked\n\n4\nhalf\n")), 502, 200, 1},
-	{"last chunk cut", runThen(sendRawThenClose("HTTP/1.1 200 OK\nX-Id: ID\nX-Seal: s\nTransfer-Encoding: chunked\n\n4\nhalf\n0\n")), 502, 200, 1},
-	{"broken chunk", runThen(sendRawThenClose("HTTP/1.1 200 OK\nX-Id: ID\nX-Seal: s\nTransfer-Encoding: chunked\n\n2\nhalf\n0\n\n")), 502, 200, 1},
-	{"another request's answer", runThen(sendRaw("HTTP/1.1 200 OK\nX-Id: other\nX-Seal: s\nContent-Length: 1\n\nx")), 502, 200, 1},
-	{"another request's word that it did not run", runThen(sendRaw("HTTP/1.1 503 Full\nX-Id: other\nX-Not-Run: 1\nContent-Length: 0\n\n")), 502, 200, 1},
-	{"two ids", runThen(sendRaw("HTTP/1.1 200 OK\nX-Id: ID\nX-Id: other\nX-Seal: s\nContent-Length: 1\n\nx")), 502, 200, 1},
-	{"no id", runThen(sendRaw("HTTP/1.1 200 OK\nX-Seal: s\nContent-Length: 1\n\nx")), 502, 200, 1},
-	{"no seal", runThen(sendRaw("HTTP/1.1 200 OK\nX-Id: ID\nContent-Length: 1\n\nx")), 502, 200, 1},
-	{"empty seal", runThen(sendRaw("HTTP/1.1 200 OK\nX-Id: ID\nX-Seal:\nContent-Length: 1\n\nx")), 502, 200, 1},
-	{"an encoding", runThen(sendRaw("HTTP/1.1 200 OK\nX-Id: ID\nX-Seal: s\nContent-Encoding: gzip\nContent-Length: 1\n\nx")), 502, 200, 1},
-	{"two lengths", runThen(sendRaw("HTTP/1.1 200 OK\nX-Id: ID\nX-Seal: s\nContent-Length: 4\nContent-Length: 1\n\nx123")), 502, 200, 1},
-	{"no end", runThen(sendRawThenClose("HTTP/1.1 200 OK\nX-Id: ID\nX-Seal: s\n\nall of it?")), 502, 200, 1},
-	{"no end, but as chunks", runThen(sendRawThenClose("HTTP/1.1 200 OK\nX-Id: ID\nX-Seal: s\n\n4\nbody\n0\n\n")), 502, 200, 1},
+	{"half a body", runThen(answerRawThenClose("HTTP/1.1 200 OK\nX-Id: ID\nX-Seal: s\nContent-Length: 10\n\nhalf")), 502, 200, 1},
+	{"half a head", runThen(answerRawThenClose("HTTP/1.1 200 OK\nX-Id: ID\nX-Se")), 502, 200, 1},
+	{"no last chunk", runThen(answerRawThenClose("HTTP/1.1 200 OK\nX-Id: ID\nX-Seal: s\nTransfer-Encoding: chunked\n\n4\nhalf\n")), 502, 200, 1},
+	{"last chunk cut", runThen(answerRawThenClose("HTTP/1.1 200 OK\nX-Id: ID\nX-Seal: s\nTransfer-Encoding: chunked\n\n4\nhalf\n0\n")), 502, 200, 1},
+	{"broken chunk", runThen(answerRawThenClose("HTTP/1.1 200 OK\nX-Id: ID\nX-Seal: s\nTransfer-Encoding: chunked\n\n2\nhalf\n0\n\n")), 502, 200, 1},
+	{"another request's answer", runThen(answerRaw("HTTP/1.1 200 OK\nX-Id: other\nX-Seal: s\nContent-Length: 1\n\nx")), 502, 200, 1},
+	{"another request's word that it did not run", runThen(answerRaw("HTTP/1.1 503 Full\nX-Id: other\nX-Not-Run: 1\nContent-Length: 0\n\n")), 502, 200, 1},
+	{"two ids", runThen(answerRaw("HTTP/1.1 200 OK\nX-Id: ID\nX-Id: other\nX-Seal: s\nContent-Length: 1\n\nx")), 502, 200, 1},
+	{"no id", runThen(answerRaw("HTTP/1.1 200 OK\nX-Seal: s\nContent-Length: 1\n\nx")), 502, 200, 1},
+	{"no seal", runThen(answerRaw("HTTP/1.1 200 OK\nX-Id: ID\nContent-Length: 1\n\nx")), 502, 200, 1},
+	{"empty seal", runThen(answerRaw("HTTP/1.1 200 OK\nX-Id: ID\nX-Seal:\nContent-Length: 1\n\nx")), 502, 200, 1},
+	{"an encoding", runThen(answerRaw("HTTP/1.1 200 OK\nX-Id: ID\nX-Seal: s\nContent-Encoding: gzip\nContent-Length: 1\n\nx")), 502, 200, 1},
+	{"two lengths", runThen(answerRaw("HTTP/1.1 200 OK\nX-Id: ID\nX-Seal: s\nContent-Length: 4\nContent-Length: 1\n\nx123")), 502, 200, 1},
+	{"no end", runThen(answerRawThenClose("HTTP/1.1 200 OK\nX-Id: ID\nX-Seal: s\n\nall of it?")), 502, 200, 1},
+	{"no end, but as chunks", runThen(answerRawThenClose("HTTP/1.1 200 OK\nX-Id: ID\nX-Seal: s\n\n4\nbody\n0\n\n")), 502, 200, 1},
 	{"a success that says it did not run", runThen(func(_ *harness, c net.Conn, s *receivedRequest) bool {
 		return writeAnswer(c, "200 OK", s.id, "X-Seal: s\r\nX-Not-Run: 1\r\n", answerBody(s.id))
 	}), 200, 200, 1},
-	{"no HTTP", runThen(sendRawThenClose("garble garble\n\n")), 502, 200, 1},
-	{"switching protocols", runThen(sendRaw("HTTP/1.1 101 Switching\nX-Id: ID\nX-Seal: s\n\n")), 502, 200, 1},
-	{"not run, full", sendRaw("HTTP/1.1 503 Full\nX-Id: ID\nX-Not-Run: 1\nContent-Length: 0\n\n"), 200, 200, 1},
-	{"not run, 429", sendRaw("HTTP/1.1 429 Full\nX-Id: ID\nX-Not-Run: 1\nContent-Length: 0\n\n"), 200, 200, 1},
+	{"no HTTP", runThen(answerRawThenClose("garble garble\n\n")), 502, 200, 1},
+	{"switching protocols", runThen(answerRaw("HTTP/1.1 101 Switching\nX-Id: ID\nX-Seal: s\n\n")), 502, 200, 1},
+	{"not run, full", answerRaw("HTTP/1.1 503 Full\nX-Id: ID\nX-Not-Run: 1\nContent-Length: 0\n\n"), 200, 200, 1},
+	{"not run, 429", answerRaw("HTTP/1.1 429 Full\nX-Id: ID\nX-Not-Run: 1\nContent-Length: 0\n\n"), 200, 200, 1},
 	{"misdirected", answerMisdirected, 200, 200, 1},
-	{"503 without a word", runThen(sendRaw("HTTP/1.1 503 Bad\nX-Id: ID\nContent-Length: 0\n\n")), 502, 200, 1},
-	{"429 without a word", runThen(sendRaw("HTTP/1.1 429 Bad\nX-Id: ID\nContent-Length: 0\n\n")), 502, 200, 1},
-	{"its own 500", runThen(sendRaw("HTTP/1.1 500 Bad\nX-Id: ID\nContent-Length: 3\n\nbad")), 500, 500, 1},
-	{"its own 504", runThen(sendRaw("HTTP/1.1 504 Late\nX-Id: ID\nContent-Length: 0\n\n")), 504, 504, 1},
+	{"503 without a word", runThen(answerRaw("HTTP/1.1 503 Bad\nX-Id: ID\nContent-Length: 0\n\n")), 502, 200, 1},
+	{"429 without a word", runThen(answerRaw("HTTP/1.1 429 Bad\nX-Id: ID\nContent-Length: 0\n\n")), 502, 200, 1},
+	{"its own 500", runThen(answerRaw("HTTP/1.1 500 Bad\nX-Id: ID\nContent-Length: 3\n\nbad")), 500, 500, 1},
+	{"its own 504", runThen(answerRaw("HTTP/1.1 504 Late\nX-Id: ID\nContent-Length: 0\n\n")), 504, 504, 1},
 	{"interim answers", runThen(func(l *harness, c net.Conn, s *receivedRequest) bool {
-		return sendRaw("HTTP/1.1 100 Continue\n\nHTTP/1.1 103 Hints\nX-Id: other\n\n")(l, c, s) &&
+		return answerRaw("HTTP/1.1 100 Continue\n\nHTTP/1.1 103 Hints\nX-Id: other\n\n")(l, c, s) &&
 			writeAnswer(c, "200 OK", s.id, "X-Seal: s\r\n", answerBody(s.id))
 	}), 200, 200, 1},
 	{"closing", runThen(func(_ *harness, c net.Conn, s *receivedRequest) bool {
@@ -104,9 +104,9 @@
 				l.routes(2)
 				l.startTarget("one", nil, failFirst(w.fault))
 				l.startTarget("two", nil, failFirst(w.fault))
-				want := w.idem
+				want := w.idemStatus
 				if kind == "once" {
-					want = w.once
+					want = w.onceStatus
 				}
 				g := l.request("/"+kind+"/x", "q1", 5*time.Second)
 				if g.status != want || want == 200 && !g.proper("q1") {
--- a/internal/proxy/forward.go
+++ b/internal/proxy/forward.go
@@ -14,8 +14,9 @@
 )
 
 // forward sends a request to a target and returns its final answer. It runs in the goroutine of
-// the caller's connection; only a hedged attempt has its own. On a narrow link, a download, and a
-// request of a kind that recently had large answers, first waits for a download slot.
+// the caller's connection; only hedged attempts and those that may stream have their own. On a
+// narrow link, downloads and requests of a kind that recently had large answers first wait for a
+// download slot.
 func (n *Node) forward(x *exchange) *answer {
 	if n.downloads == nil {
 		return n.tryTargets(x)
@@ -44,8 +45,8 @@
 
 // tryTargetsAfterWait re-evaluates the route after a wait, then sends the request.
 func (n *Node) tryTargetsAfterWait(x *exchange) *answer {
-	if w := n.reroute(x); w != nil {
-		return x.finish(n.localAnswer(x.id, w.status, w.retryAfter, w.reason))
+	if rejected := n.reroute(x); rejected != nil {
+		return x.finish(n.localAnswer(x.id, rejected.status, rejected.retryAfter, rejected.reason))
 	}
 	return n.tryTargets(x)
 }
@@ -87,9 +88,9 @@
 			}
 			return x.finish(n.refusal(x, retry, "no target has room"))
 		}
-		if w := n.reroute(x); w != nil {
+		if rejected := n.reroute(x); rejected != nil {
 			g.e.svc.release(g, outcomeNotSent, 0, 0)
-			return x.finish(n.localAnswer(x.id, w.status, w.retryAfter, w.reason))
+			return x.finish(n.localAnswer(x.id, rejected.status, rejected.retryAfter, rejected.reason))
 		}
 		if g.e.svc != x.svc {
 			g.e.svc.release(g, outcomeNotSent, 0, 0)
@@ -179,8 +180,8 @@
 	}
 }
 
-// refusal is the final answer when no target gave one in time. Only a request that has not run,
-// and never will, is told to retry.
+// refusal is the final answer when no target gave one in time. It asks the caller to retry only if
+// the request has not run and never will.
 func (n *Node) refusal(x *exchange, retry time.Duration, why string) *answer {
 	if x.mayHaveRun() {
 		n.stats.unknown.Add(1)
--- a/internal/proxy/fuzz_test.go
+++ b/internal/proxy/fuzz_test.go
@@ -94,9 +94,9 @@
 // earlyAnswers are the answers that a target may give before it has read the body; unless it closes
 // the connection, it reads the body later.
 var earlyAnswers = []struct {
-	ran   bool
-	stays bool
-	say   func(c net.Conn, s *receivedRequest)
+	ran     bool
+	stays   bool
+	respond func(c net.Conn, s *receivedRequest)
 }{
 	{false, true, func(c net.Conn, s *receivedRequest) { writeAnswer(c, "503 Full", s.id, "X-Not-Run: 1\r\n", "") }},
 	{true, true, func(c net.Conn, s *receivedRequest) {
@@ -148,11 +148,11 @@
 	}
 	f.Add([]byte{13, 7, 6, 20, 10, 3}, []byte{0, 9, 3, 12, 6, 1, 15, 4}, byte(120), byte(3))
 	f.Add([]byte{0, 14, 13}, []byte{6, 12, 18, 0, 3, 9, 12, 6}, byte(0), byte(2))
-	f.Fuzz(func(t *testing.T, hostilities, calls []byte, early, stopAt byte) {
-		if len(hostilities) == 0 || len(calls) > 24 {
+	f.Fuzz(func(t *testing.T, behaviors, calls []byte, early, stopAt byte) {
+		if len(behaviors) == 0 || len(calls) > 24 {
 			return
 		}
-		synctest.Test(t, func(t *testing.T) { runScript(t, script{hostilities, calls, early, stopAt}) })
+		synctest.Test(t, func(t *testing.T) { runScript(t, script{behaviors, calls, early, stopAt}) })
 	})
 }
 
@@ -211,7 +211,7 @@
 func newScriptedHarness(t *testing.T, s script) *harness {
 	l := newHarness(t, newPipes(), nil)
 	l.routes(2)
-	act := func(l *harness, c net.Conn, q *receivedRequest) bool {
+	handle := func(l *harness, c net.Conn, q *receivedRequest) bool {
 		h := targetBehaviors[int(s.behaviors[(q.index-1)%len(s.behaviors)])%len(targetBehaviors)]
 		if h.ran {
 			l.recordRun(q)
@@ -229,12 +229,12 @@
 		if e.ran {
 			l.recordRun(q)
 		}
-		go e.say(c, q)
+		go e.respond(c, q)
 		time.Sleep(time.Duration(n%400) * time.Millisecond)
 		return true, e.stays
 	}
 	for _, id := range []string{"one", "two"} {
-		l.startTarget(id, nil, act).early = early
+		l.startTarget(id, nil, handle).early = early
 	}
 	return l
 }
@@ -255,16 +255,16 @@
 			}
 			clients[slot] = &client{c, bufio.NewReader(c)}
 		}
-		c, send := clients[slot], bodyShapes[int(b/6)%len(bodyShapes)]
+		c, shape := clients[slot], bodyShapes[int(b/6)%len(bodyShapes)]
 		x := scriptedCall{id: fmt.Sprint("q", i), once: b%3 == 0}
-		x.body = requestBody(x.id, send.size)
+		x.body = requestBody(x.id, shape.size)
 		x.timeout = time.Second + time.Duration(b)*10*time.Millisecond
 		_ = c.c.SetDeadline(time.Now().Add(x.timeout + 3*time.Second))
 		if b >= 200 {
 			// The caller gives up while it waits.
 			_ = c.c.SetDeadline(time.Now().Add(time.Duration(b) * time.Millisecond))
 		}
-		g, err := c.exchange(kinds[b%3]+x.id, x, send.chunked)
+		g, err := c.exchange(kinds[b%3]+x.id, x, shape.chunked)
 		if err == nil {
 			x.status = g.status
 			checkAnswer(t, x.id, g)
@@ -299,10 +299,10 @@
 }
 
 // exchange sends a call with its body and reads the answer.
-func (c *client) exchange(path string, x scriptedCall, chunked bool) (got, error) {
-	more, body := "", x.body
+func (c *client) exchange(path string, x scriptedCall, chunked bool) (response, error) {
+	extraFields, body := "", x.body
 	if chunked {
-		more = "Transfer-Encoding: chunked\r\n"
+		extraFields = "Transfer-Encoding: chunked\r\n"
 		body = fmt.Sprintf("%x\r\n%s\r\n0\r\n\r\n", len(x.body), x.body)
 	}
 	method := "GET"
@@ -310,7 +310,7 @@
 		method = "POST"
 	}
 	sent := make(chan error, 1)
-	go func() { sent <- c.sendRaw(method, path, x.id, x.timeout, more, body, chunked) }()
+	go func() { sent <- c.sendRaw(method, path, x.id, x.timeout, extraFields, body, chunked) }()
 	g, err := c.read()
 	if err != nil {
 		return g, err
@@ -326,7 +326,7 @@
 }
 
 // checkAnswer checks that a success belongs to the request, is complete and sealed.
-func checkAnswer(t *testing.T, id string, g got) {
+func checkAnswer(t *testing.T, id string, g response) {
 	t.Helper()
 	if g.status < 300 && !g.proper(id) {
 		t.Errorf("%s: a success that is not its own: %+v", id, g)
--- a/internal/proxy/harness_test.go
+++ b/internal/proxy/harness_test.go
@@ -367,8 +367,8 @@
 	return writeAnswer(c, "200 OK", s.id, "X-Seal: s\r\n", answerBody(s.id))
 }
 
-func writeAnswer(c net.Conn, status, id, more, body string) bool {
-	_, err := fmt.Fprintf(c, "HTTP/1.1 %s\r\nX-Id: %s\r\n%sContent-Length: %d\r\n\r\n%s", status, id, more, len(body), body)
+func writeAnswer(c net.Conn, status, id, extraFields, body string) bool {
+	_, err := fmt.Fprintf(c, "HTTP/1.1 %s\r\nX-Id: %s\r\n%sContent-Length: %d\r\n\r\n%s", status, id, extraFields, len(body), body)
 	return err == nil
 }
 
@@ -396,7 +396,7 @@
 	r *bufio.Reader
 }
 
-type got struct {
+type response struct {
 	status int
 	header http.Header
 	body   string
@@ -411,13 +411,13 @@
 	return &client{c, bufio.NewReader(c)}
 }
 
-func (c *client) send(method, path, id string, left time.Duration, more, body string) error {
-	return c.sendRaw(method, path, id, left, more, body, false)
+func (c *client) send(method, path, id string, left time.Duration, extraFields, body string) error {
+	return c.sendRaw(method, path, id, left, extraFields, body, false)
 }
 
 // sendRaw sends a request; framed says that the body includes its framing.
-func (c *client) sendRaw(method, path, id string, left time.Duration, more, body string, framed bool) error {
-	b := fmt.Sprintf("%s %s HTTP/1.1\r\nHost: h\r\nX-Id: %s\r\nX-Left: %d\r\n%s", method, path, id, left.Milliseconds(), more)
+func (c *client) sendRaw(method, path, id string, left time.Duration, extraFields, body string, framed bool) error {
+	b := fmt.Sprintf("%s %s HTTP/1.1\r\nHost: h\r\nX-Id: %s\r\nX-Left: %d\r\n%s", method, path, id, left.Milliseconds(), extraFields)
 	if body != "" && !framed {
 		b += "Content-Length: " + strconv.Itoa(len(body)) + "\r\n"
 	}
@@ -425,24 +425,24 @@
 	return err
 }
 
-func (c *client) read() (got, error) {
+func (c *client) read() (response, error) {
 	p, err := http.ReadResponse(c.r, nil)
 	if err != nil {
-		return got{}, err
+		return response{}, err
 	}
 	b, err := io.ReadAll(p.Body)
-	return got{p.StatusCode, p.Header, string(b), p.Close}, err
+	return response{p.StatusCode, p.Header, string(b), p.Close}, err
 }
 
-func (c *client) call(method, path, id string, left time.Duration) (got, error) {
+func (c *client) call(method, path, id string, left time.Duration) (response, error) {
 	if err := c.send(method, path, id, left, "", ""); err != nil {
-		return got{}, err
+		return response{}, err
 	}
 	return c.read()
 }
 
 // request sends one request over its own connection.
-func (l *harness) request(path, id string, left time.Duration) got {
+func (l *harness) request(path, id string, left time.Duration) response {
 	l.t.Helper()
 	c := l.client()
 	defer c.c.Close()
@@ -454,7 +454,7 @@
 }
 
 // proper reports whether the response is the complete answer to the request.
-func (g got) proper(id string) bool {
+func (g response) proper(id string) bool {
 	return g.status == 200 && g.body == answerBody(id) && g.header.Get(dialect.Seal) != "" && g.header.Get(dialect.RequestID) == id
 }
 
--- a/internal/proxy/largeanswers_test.go
+++ b/internal/proxy/largeanswers_test.go
@@ -33,14 +33,14 @@
 		})
 		var wg sync.WaitGroup
 		var mu sync.Mutex
-		whole := 0
+		completed := 0
 		for i := range burst {
 			wg.Go(func() {
 				got, took, err := l.readSlowly(fmt.Sprint("id-", i), 20*time.Second, 64<<10, 20*time.Millisecond)
 				mu.Lock()
 				defer mu.Unlock()
 				if err == nil && got == size {
-					whole++
+					completed++
 				} else if err != nil {
 					t.Errorf("%d: %d bytes after %v: %v", i, got, took, err)
 				}
@@ -52,9 +52,9 @@
 		if most := int64(megabytes) << 20 * 3 / 5; peak > most {
 			t.Errorf("%d bytes held at once, want at most %d", peak, most)
 		}
-		if whole < burst/2 {
-			t.Errorf("%d of %d answers complete", whole, burst)
+		if completed < burst/2 {
+			t.Errorf("%d of %d answers complete", completed, burst)
 		}
-		t.Logf("%d of %d complete, %d bytes held at once", whole, burst, peak)
+		t.Logf("%d of %d complete, %d bytes held at once", completed, burst, peak)
 	})
 }
--- a/internal/proxy/limit.go
+++ b/internal/proxy/limit.go
@@ -10,7 +10,7 @@
 	// maxFullRatio is the tolerated fraction of requests that meet a full target: some do by chance.
 	maxFullRatio = 0.04
 	// maxSlowRatio is the tolerated fraction of requests that take longer at their target than
-	// their whole latency aim, as a moving average over about slowWindow requests. Beyond it, most
+	// their whole latency target, as a moving average over about slowWindow requests. Beyond it, most
 	// of what is in flight only waits at the targets. A few requests exceed it by chance, hence
 	// the slow average.
 	maxSlowRatio, slowWindow = 0.2, 16
@@ -22,9 +22,10 @@
 )
 
 // concurrencyLimit bounds the requests that a node may have in flight at a service. It decreases
-// while targets report that they are full or are slower than the latency aim, and slowly increases
+// while targets report that they are full or are slower than the latency target, and slowly increases
 // otherwise (additive increase, multiplicative decrease). All nodes see the same targets, so their
-// limits decrease together. Excess requests queue at this node by priority, or are told to retry.
+// limits decrease together. Excess requests queue at this node by priority, or are refused with a
+// delay for the retry.
 type concurrencyLimit struct {
 	max        float64 // 0 means no limit
 	share      float64 // this node's share of all slots: below it, this node fills no target
@@ -32,7 +33,7 @@
 	peak       int
 	completed  int
 	rejected   int
-	slowRatio  float64 // moving average of the requests slower than their latency aim
+	slowRatio  float64 // moving average of the requests slower than their latency target
 	adjustedAt time.Time
 }
 
@@ -44,7 +45,7 @@
 }
 
 // end records a completed request: full if its target had no capacity for it, slow if it took
-// longer than its latency aim there.
+// longer than its latency target there.
 func (l *concurrencyLimit) end(now time.Time, full, slow bool) {
 	l.inFlight--
 	l.completed++
--- a/internal/proxy/limit_test.go
+++ b/internal/proxy/limit_test.go
@@ -8,16 +8,16 @@
 // simulateLimit simulates a service that has room for a given number of this node's requests at
 // once, with as many requests as the limit allows. It returns the mean limit and the fraction of
 // requests that met full targets, both over the second half of the steps.
-func simulateLimit(l *concurrencyLimit, now time.Time, room int, steps int) (mean, full float64) {
+func simulateLimit(l *concurrencyLimit, now time.Time, capacity int, steps int) (mean, full float64) {
 	limitSamples, rejections, completed := 0, 0, 0
 	sum := 0.0
 	for i := range steps {
 		now = now.Add(20 * time.Millisecond)
-		for l.allows() && l.inFlight < 4*room {
+		for l.allows() && l.inFlight < 4*capacity {
 			l.begin()
 		}
 		for k := l.inFlight; k > 0; k-- {
-			rejected := k > room
+			rejected := k > capacity
 			l.end(now, rejected, false)
 			if i > steps/2 {
 				completed++
@@ -38,9 +38,9 @@
 // again; while no target is full there is no limit.
 func TestLimit(t *testing.T) {
 	l := &concurrencyLimit{}
-	for i, room := range []int{20, 60, 10} {
-		if mean, full := simulateLimit(l, time.Unix(int64(1+i*60), 0), room, 3000); mean < 0.7*float64(room) || mean > 1.4*float64(room) || full > 0.15 {
-			t.Errorf("room for %d: limit %.1f, %.2f met full targets", room, mean, full)
+	for i, capacity := range []int{20, 60, 10} {
+		if mean, full := simulateLimit(l, time.Unix(int64(1+i*60), 0), capacity, 3000); mean < 0.7*float64(capacity) || mean > 1.4*float64(capacity) || full > 0.15 {
+			t.Errorf("room for %d: limit %.1f, %.2f met full targets", capacity, mean, full)
 		}
 	}
 	unlimited := &concurrencyLimit{}
@@ -73,15 +73,15 @@
 // TestLimitOfSlowness: where the requests in flight make every answer slower than its latency aim,
 // the limit converges to what is answered in time; a few slow answers among many have no effect.
 func TestLimitOfSlowness(t *testing.T) {
-	const room = 10
+	const capacity = 10
 	l, now, slowCount, completed := &concurrencyLimit{}, time.Unix(1, 0), 0, 0
 	for i := range 3000 {
 		now = now.Add(20 * time.Millisecond)
-		for l.allows() && l.inFlight < 4*room {
+		for l.allows() && l.inFlight < 4*capacity {
 			l.begin()
 		}
 		for k := l.inFlight; k > 0; k-- {
-			slow := l.inFlight > room+k%3
+			slow := l.inFlight > capacity+k%3
 			l.end(now, false, slow)
 			if i > 1500 {
 				completed++
@@ -91,8 +91,8 @@
 			}
 		}
 	}
-	if l.max > 1.6*room || l.max < 0.6*room {
-		t.Errorf("limit %.1f where %d are answered in time", l.max, room)
+	if l.max > 1.6*capacity || l.max < 0.6*capacity {
+		t.Errorf("limit %.1f where %d are answered in time", l.max, capacity)
 	}
 	if part := float64(slowCount) / float64(completed); part > 0.5 {
 		t.Errorf("%.2f of all requests are slow", part)
--- a/internal/proxy/mix_test.go
+++ b/internal/proxy/mix_test.go
@@ -49,7 +49,7 @@
 	}
 	type result struct {
 		kind, id string
-		got
+		response
 	}
 	var mu sync.Mutex
 	var results []result
@@ -110,11 +110,11 @@
 		case impliesNotRun(e.status) && n > 0:
 			t.Errorf("%s was answered %d and ran", e.id, e.status)
 		case e.status == 200 && !e.proper(e.id):
-			t.Errorf("%s got %+v", e.id, e.got)
+			t.Errorf("%s got %+v", e.id, e.response)
 		case e.status == 200:
 			served++
 		case e.status != 500 && e.status != 502 && e.status != 503 && e.status != 504:
-			t.Errorf("%s got %+v", e.id, e.got)
+			t.Errorf("%s got %+v", e.id, e.response)
 		}
 		if e.header.Get(dialect.RequestID) != e.id {
 			t.Errorf("%s got an answer that names %q", e.id, e.header.Get(dialect.RequestID))
@@ -179,7 +179,7 @@
 			arrivals = append(arrivals, arrival{time.Now(), s.id})
 			mu.Unlock()
 			if rand.IntN(2) == 0 {
-				return sendRaw("HTTP/1.1 503 Full\nX-Id: ID\nX-Not-Run: 1\nContent-Length: 0\n\n")(l, c, s)
+				return answerRaw("HTTP/1.1 503 Full\nX-Id: ID\nX-Not-Run: 1\nContent-Length: 0\n\n")(l, c, s)
 			}
 			return false
 		}
--- a/internal/proxy/node.go
+++ b/internal/proxy/node.go
@@ -25,14 +25,15 @@
 	maxServices       = 4096
 	maxRuns           = 16384
 	endedRunRetention = 5 * time.Minute
-	// sameRegionDistance is the routing weight of other zones in the same region,
-	// otherRegionDistance that of all other zones.
+	// sameRegionDistance is the cost factor of other zones in the same region,
+	// otherRegionDistance that of all other zones; the own zone has 1.
 	sameRegionDistance  = 3
 	otherRegionDistance = 9
 	// defaultGateways is the assumed number of nodes sharing the targets until it is known.
 	defaultGateways = 16
-	// minNewsAgeLimit is an age that updates may reach on a slow link without any fault.
-	minNewsAgeLimit = time.Second
+	// minConfigAgeLimit is an age that the configuration may reach on a slow link without any fault:
+	// a lower NewsWithin counts as this.
+	minConfigAgeLimit = time.Second
 	// pauseCheckInterval is how often the node checks whether the process itself was paused.
 	pauseCheckInterval = 500 * time.Millisecond
 )
@@ -57,7 +58,7 @@
 	budget       *budget.Budget
 	dialContext  func(ctx context.Context, addr string) (net.Conn, error)
 	pauses       *liveness.PauseMonitor
-	rhythm       probePacer
+	probePacer   probePacer
 	inbound      bodyPacer        // large bodies from targets
 	outbound     bodyPacer        // large bodies to callers
 	downloads    *downloadLimiter // nil on a wide link
@@ -67,7 +68,7 @@
 	gatewaysNear    atomic.Int64
 	synced          atomic.Bool
 	asOf            atomic.Pointer[time.Time] // time up to which all changes are known
-	newsWatch       configAgeMonitor
+	configAge       configAgeMonitor
 	stopping        atomic.Bool
 	closingIdle     atomic.Bool   // idle caller connections are being closed
 	listenersClosed atomic.Bool   // closed on purpose
@@ -75,7 +76,7 @@
 	lastWarning     atomic.Int64
 	maxCallers      int64
 	// noAnswerEvidence and noFates disable an extension of the failure detector, for measurements.
-	noAnswerEvidence, noFates bool
+	noAnswerEvidence, noPassiveHealth bool
 
 	mu       sync.Mutex // guards items, services, runs
 	items    *item.Set
@@ -120,14 +121,14 @@
 	}
 	n.inbound, n.outbound = newBodyPacer(n, s.LinkMbps), newBodyPacer(n, s.LinkMbps)
 	n.downloads = newDownloadLimiter(n.clock, s.LinkMbps, s.stopTimeout())
-	n.rhythm.base, n.rhythm.freeRate = s.ProbeInterval, s.FreeProbes
-	n.rhythm.current.Store(int64(s.ProbeInterval))
+	n.probePacer.base, n.probePacer.freeRate = s.ProbeInterval, s.FreeProbes
+	n.probePacer.current.Store(int64(s.ProbeInterval))
 	n.gateways.Store(defaultGateways)
 	n.view.Store(&routingView{})
 	return n
 }
 
-// distanceTo returns the routing weight of a zone.
+// distanceTo returns the factor by which the distance to a zone raises the cost of its endpoints.
 func (n *Node) distanceTo(zone string) float64 {
 	switch own := n.settings.Zones[n.settings.Zone]; {
 	case zone == n.settings.Zone:
@@ -162,7 +163,7 @@
 	if len(changed) == 0 {
 		return
 	}
-	n.takeUpgrades(changed)
+	n.applyUpgrades(changed)
 	t := n.view.Load().table.With(changed...)
 	services := t.Services()
 	v := &routingView{table: t, limits: t.Limits(), services: make([]*service, len(services))}
@@ -226,8 +227,9 @@
 	}
 }
 
-// SetGateways sets how many nodes like this one there are, in total and in its zone. It must
-// be repeated now and then, because the budget stops trusting an old number.
+// SetGateways sets how many nodes like this one there are, in total and in its zone. It must be
+// called more often than four times per BudgetWindow, also if the numbers are unchanged, because
+// the retry budget ignores an older number.
 func (n *Node) SetGateways(all, near int) {
 	n.gateways.Store(int64(max(1, all)))
 	n.gatewaysNear.Store(int64(max(1, near)))
--- a/internal/proxy/order_test.go
+++ b/internal/proxy/order_test.go
@@ -54,14 +54,14 @@
 		l := newHarness(t, newPipes(), func(s *Settings) { s.NewsWithin, s.NewsLost = 2*time.Second, 3*time.Second })
 		l.startTarget("one", nil, serveOK)
 		l.routes(1)
-		told := time.Now()
-		l.node.SetAsOf(told)
+		asOf := time.Now()
+		l.node.SetAsOf(asOf)
 		for i, c := range []struct {
-			at             time.Duration
-			served, nowher int
+			at               time.Duration
+			served, unrouted int
 		}{{0, 200, 404}, {1990 * time.Millisecond, 200, 404}, {2010 * time.Millisecond, 503, 503}, {2990 * time.Millisecond, 503, 503}, {3010 * time.Millisecond, 200, 404}} {
-			time.Sleep(c.at - time.Since(told))
-			for path, want := range map[string]int{"/once/x": c.served, "/nowhere/x": c.nowher} {
+			time.Sleep(c.at - time.Since(asOf))
+			for path, want := range map[string]int{"/once/x": c.served, "/nowhere/x": c.unrouted} {
 				id := fmt.Sprint(path, i)
 				g := l.request(path, id, time.Second)
 				if g.status != want || (g.status == 503) != (g.header.Get(dialect.RetryAfter) != "") || (want == 200) != (l.runCount(id) == 1) {
@@ -168,7 +168,7 @@
 		l := newHarness(t, newPipes(), nil)
 		l.routes(1)
 		l.startTarget("one", func(r *target.Run) { r.Slots = 1 }, delayed(200*time.Millisecond, serveOK))
-		told := func(n int) (most time.Duration) {
+		longestRetryAfter := func(n int) (most time.Duration) {
 			var mu sync.Mutex
 			var wg sync.WaitGroup
 			for i := range n {
@@ -189,7 +189,7 @@
 			time.Sleep(10 * time.Second)
 			return most
 		}
-		few, many := told(4), told(100)
+		few, many := longestRetryAfter(4), longestRetryAfter(100)
 		if few == 0 || many <= few {
 			t.Errorf("told %v with few and %v with many", few, many)
 		}
--- a/internal/proxy/passive_health.go
+++ b/internal/proxy/passive_health.go
@@ -18,7 +18,8 @@
 	baselineMinBeta, baselineMaxBeta = 1, 4
 	// A failure adds ln 1/p to a gap, p being the fraction of the service's requests that fail:
 	// a moving average with weight failureRateWeight, and at least minFailureRate. A dead idle
-	// connection adds only staleConnWeight of that, for targets drop idle connections.
+	// connection adds only staleConnWeight of that, because targets also close idle connections
+	// without a fault.
 	minFailureRate, failureRateWeight, staleConnWeight = 0.03, 1.0 / 32, 0.3
 	// ejectSlowdown is the ratio of an endpoint's gaps to those of its peers from which it is
 	// ejected. At least minFailedGaps of its gaps must contain a failure.
--- a/internal/proxy/passive_health_test.go
+++ b/internal/proxy/passive_health_test.go
@@ -41,7 +41,7 @@
 // usableRuns returns the endpoints to which requests of a kind may be sent, and how many each.
 func usableRuns(n *Node, s *service, k route.RetryPolicy) map[string]int {
 	m := map[string]int{}
-	for _, id := range takeAll(n, s, k) {
+	for _, id := range acquireAll(n, s, k) {
 		m[id]++
 	}
 	for _, e := range s.endpoints {
@@ -63,7 +63,7 @@
 			if got := usableRuns(n, s, route.AtMostOnce); got["r0"] == 0 {
 				t.Fatalf("%v usable before any failure", got)
 			}
-			hold := initialEjection
+			ejection := initialEjection
 			s.baseline.failureRate = 0
 			for range 5 {
 				finishRequest(n, s, "r0", o, 50*time.Millisecond)
@@ -73,9 +73,9 @@
 				if got := usableRuns(n, s, route.Idempotent); got["r0"] != 0 {
 					t.Errorf("outcome %d: %v usable right after", o, got)
 				}
-				time.Sleep(hold - 2*time.Millisecond)
+				time.Sleep(ejection - 2*time.Millisecond)
 				if e.passiveSuspicion(n.clock.Now()) < suspicionThreshold {
-					t.Errorf("outcome %d: in use again after less than %v", o, hold)
+					t.Errorf("outcome %d: in use again after less than %v", o, ejection)
 				}
 				time.Sleep(4 * time.Millisecond)
 				if got := usableRuns(n, s, route.AtMostOnce); got["r0"] != 0 {
@@ -87,7 +87,7 @@
 					}
 					finishRequest(n, s, "r0", outcomeAnswered, 100*time.Millisecond)
 				}
-				hold = min(2*hold, maxEjection)
+				ejection = min(2*ejection, maxEjection)
 			}
 			finishRequest(n, s, "r0", outcomeAnswered, 100*time.Millisecond)
 			if got := usableRuns(n, s, route.AtMostOnce); got["r0"] < 4 {
--- a/internal/proxy/passive_scenarios_test.go
+++ b/internal/proxy/passive_scenarios_test.go
@@ -75,10 +75,10 @@
 }
 
 // scenarioResult counts the requests that came during the fault or just after it.
-type scenarioResult struct{ requests, served, withinAim, once, lost, probes, probesSaved, ejections, turnedAway int }
+type scenarioResult struct{ requests, served, withinTarget, once, lost, probes, probesSaved, ejections, turnedAway int }
 
 func (t *scenarioResult) add(o scenarioResult) {
-	t.requests, t.served, t.withinAim, t.once, t.lost = t.requests+o.requests, t.served+o.served, t.withinAim+o.withinAim, t.once+o.once, t.lost+o.lost
+	t.requests, t.served, t.withinTarget, t.once, t.lost = t.requests+o.requests, t.served+o.served, t.withinTarget+o.withinTarget, t.once+o.once, t.lost+o.lost
 	t.probes, t.probesSaved, t.ejections, t.turnedAway = t.probes+o.probes, t.probesSaved+o.probesSaved, t.ejections+o.ejections, t.turnedAway+o.turnedAway
 }
 
@@ -92,10 +92,10 @@
 
 // runScenario simulates 20 targets, of which by default a tenth are faulty from second 20 to 26, at
 // a given rate of requests per second, a quarter of which must run at most once.
-func runScenario(t *testing.T, scenario faultScenario, rate float64, noStandIn, noFates bool) (result scenarioResult) {
+func runScenario(t *testing.T, scenario faultScenario, rate float64, noAnswerEvidence, noPassiveHealth bool) (result scenarioResult) {
 	synctest.Test(t, func(t *testing.T) {
 		l := newHarness(t, newPipes(), func(s *Settings) { s.BudgetRatio, s.BudgetSlack = 0.2, 20 })
-		l.node.noAnswerEvidence, l.node.noFates = noStandIn, noFates
+		l.node.noAnswerEvidence, l.node.noPassiveHealth = noAnswerEvidence, noPassiveHealth
 		l.routes(2)
 		began := time.Now()
 		for i, nth := range rand.Perm(scenarioRuns) {
@@ -153,7 +153,7 @@
 				if ok {
 					result.served++
 					if time.Since(at) <= 400*time.Millisecond {
-						result.withinAim++
+						result.withinTarget++
 					}
 				}
 				if kind == "once" {
@@ -205,7 +205,7 @@
 					}
 					part := func(a, b int) float64 { return 100 * float64(a) / float64(max(1, b)) }
 					t.Logf("| %s | %g | %s | %.2f | %.2f | %.2f | %d | %d", scenario.name, rate, what, part(sum.served, sum.requests),
-						part(sum.withinAim, sum.requests), part(sum.lost, sum.once), sum.probes / *passiveSeeds, sum.ejections / *passiveSeeds)
+						part(sum.withinTarget, sum.requests), part(sum.lost, sum.once), sum.probes / *passiveSeeds, sum.ejections / *passiveSeeds)
 				}
 			})
 		}
--- a/internal/proxy/place.go
+++ b/internal/proxy/place.go
@@ -12,8 +12,8 @@
 		n.stats.behind.Add(1)
 		return &rejection{status: 503, reason: "this node's news is late", retryAfter: n.jitter(minRetryAfter), requestID: x.id, keepOpen: true}
 	}
-	if w := n.applyRoute(x); w != nil {
-		return w
+	if rejected := n.applyRoute(x); rejected != nil {
+		return rejected
 	}
 	x.svc.budget.RecordRequest()
 	return nil
--- a/internal/proxy/place_test.go
+++ b/internal/proxy/place_test.go
@@ -14,7 +14,7 @@
 // TestChangeWhileWaiting checks that a request that is queued when a change comes into force
 // follows the change: to the route's new service, or to a 404 if the route was deleted.
 func TestChangeWhileWaiting(t *testing.T) {
-	one := func(version uint64, service string) item.Item {
+	routeTo := func(version uint64, service string) item.Item {
 		return route.Route{Name: "one", Version: version, Host: "h", Prefix: "/one/", Repeat: route.AtMostOnce, AimMS: 2000, Priority: 1,
 			Shares: []route.Share{{Service: service, Weight: 1}}}.Item()
 	}
@@ -23,7 +23,7 @@
 		status int
 		runs   int // of the waiting request
 	}{
-		"moved":   {one(2, "svc2"), 200, 1},
+		"moved":   {routeTo(2, "svc2"), 200, 1},
 		"dropped": {item.Item{Key: item.Key{Kind: item.Route, Name: "one"}, Version: 2, Gone: true}, 404, 0},
 		"as it was": {route.Route{Name: "other", Version: 2, Host: "h", Prefix: "/other/", Repeat: route.AtMostOnce,
 			Shares: []route.Share{{Service: "svc2", Weight: 1}}}.Item(), 200, 1},
@@ -31,7 +31,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				l := newHarness(t, newPipes(), nil)
-				l.node.ApplyItems([]item.Item{route.Service{Name: "svc", Version: 1, MaxConns: 1}.Item(), route.Service{Name: "svc2", Version: 1}.Item(), one(1, "svc")})
+				l.node.ApplyItems([]item.Item{route.Service{Name: "svc", Version: 1, MaxConns: 1}.Item(), route.Service{Name: "svc2", Version: 1}.Item(), routeTo(1, "svc")})
 				l.node.SetSynced(true)
 				slow := func(l *harness, c net.Conn, s *receivedRequest) bool {
 					time.Sleep(200 * time.Millisecond)
--- a/internal/proxy/pool.go
+++ b/internal/proxy/pool.go
@@ -48,7 +48,7 @@
 	return !s.lastStaleConn.IsZero() && now.Sub(s.lastStaleConn) < distrustIdleFor
 }
 
-// hasIdleConn reports whether there is an idle connection for such a use.
+// hasIdleConn reports whether the most recently used idle connection is usable for such a request.
 func (e *endpoint) hasIdleConn(now time.Time, atMostOnce bool) bool {
 	if len(e.idle) == 0 || atMostOnce && e.svc.recentlyStale(now) {
 		return false
@@ -152,13 +152,13 @@
 	// An attempt at another run needs time, too.
 	limit = min(limit, max(50*time.Millisecond, deadline.Sub(now)/4))
 	n.stats.dials.Add(1)
-	begun := n.clock.Now()
+	began := n.clock.Now()
 	nc, err := n.dialAddr(run.Addr, limit)
 	if err != nil {
 		n.stats.dialsFailed.Add(1)
 		return nil, steperr.Wrap("connect", run.ID, err)
 	}
-	n.recordRoundTrip(n.clock.Now().Sub(begun))
+	n.recordRoundTrip(n.clock.Now().Sub(began))
 	c := newConn(nc)
 	if err := c.startUse(deadline); err != nil {
 		c.closeWithReset()
--- a/internal/proxy/probe.go
+++ b/internal/proxy/probe.go
@@ -10,10 +10,10 @@
 )
 
 // probeTick is the interval at which idle connections are swept and the probe interval and the
-// subsets are adjusted; the node looks for due probes at least as often.
+// subsets are adjusted; the node checks for due probes at least as often.
 const probeTick = 500 * time.Millisecond
 
-// minProbeWait is the least time between two looks for due probes: short enough that each probe
+// minProbeWait is the least time between two checks for due probes: short enough that each probe
 // is sent about when it is due, long enough that one wake-up serves many endpoints.
 const minProbeWait = 50 * time.Millisecond
 
@@ -68,7 +68,7 @@
 	}
 }
 
-// dueProbes returns the probes to send now, and when to look again.
+// dueProbes returns the probes to send now, and when to check again.
 func (s *service) dueProbes(now time.Time) (out []probeRequest, next time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -77,7 +77,7 @@
 	for _, e := range s.subset {
 		local = local || e.sameZone && e.available()
 	}
-	every := float64(s.node.rhythm.interval())
+	every := float64(s.node.probePacer.interval())
 	inUse := s.config.Health != "" && !s.lastUsed.IsZero() && now.Sub(s.lastUsed) < probeAfterUse
 	for _, e := range s.subset {
 		want := inUse && e.available() && (e.sameZone || !local)
@@ -146,7 +146,7 @@
 	e              *endpoint
 	seq            uint64
 	path, id, addr string
-	beatSeq        uint64
+	runSeq         uint64
 }
 
 // sendProbe sends one probe and evaluates its reply.
@@ -170,7 +170,7 @@
 	s.mu.Lock()
 	e.probeInFlight = false
 	if replaced && e.run.State == target.Ready && e.run.ID == p.id && e.run.Addr == p.addr {
-		e.replaced, e.replacedSeq = true, p.beatSeq
+		e.replaced, e.replacedSeq = true, p.runSeq
 		e.closeIdle()
 	}
 	s.mu.Unlock()
--- a/internal/proxy/probe_interval.go
+++ b/internal/proxy/probe_interval.go
@@ -58,7 +58,7 @@
 	for _, s := range all {
 		runs += s.probedCount()
 	}
-	if !n.rhythm.adjust(tick, n.stats.requests.Load(), runs) {
+	if !n.probePacer.adjust(tick, n.stats.requests.Load(), runs) {
 		return
 	}
 	for _, s := range all {
@@ -83,7 +83,7 @@
 func (s *service) restartDetectors(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	every := s.node.rhythm.interval()
+	every := s.node.probePacer.interval()
 	for _, e := range s.subset {
 		if !e.probed {
 			continue
@@ -100,7 +100,7 @@
 // interval. Most known endpoints are never probed and have none.
 func (e *endpoint) startDetector(now time.Time) {
 	n := e.svc.node
-	if every := n.rhythm.interval(); e.detector == nil || e.detectorInterval != every {
+	if every := n.probePacer.interval(); e.detector == nil || e.detectorInterval != every {
 		e.detector, e.detectorInterval = liveness.NewDetector(liveness.DefaultOptions(every), n.pauses, now), every
 		return
 	}
@@ -111,7 +111,7 @@
 // interval: it gets no requests whose answers could substitute, and its recovery is to be noticed
 // soon.
 func (e *endpoint) probeInterval(now time.Time) float64 {
-	r := &e.svc.node.rhythm
+	r := &e.svc.node.probePacer
 	if e.suspicion(now) >= suspicionThreshold {
 		return float64(r.base)
 	}
@@ -120,7 +120,7 @@
 
 // advanceProbe brings forward the next probe of an endpoint that has become suspected.
 func (e *endpoint) advanceProbe(now time.Time) {
-	if !e.probed || e.nextProbe.Sub(now) <= 2*e.svc.node.rhythm.base {
+	if !e.probed || e.nextProbe.Sub(now) <= 2*e.svc.node.probePacer.base {
 		return
 	}
 	if every := e.probeInterval(now); e.nextProbe.Sub(now) > time.Duration(1.2*every) {
--- a/internal/proxy/probe_interval_test.go
+++ b/internal/proxy/probe_interval_test.go
@@ -104,7 +104,7 @@
 		}
 		l.request("/idem/x", "q", time.Second)
 		advance(60 * time.Second)
-		if e := l.node.rhythm.interval(); e != 16*time.Second {
+		if e := l.node.probePacer.interval(); e != 16*time.Second {
 			t.Errorf("interval %v", e)
 		}
 		l.mu.Lock()
--- a/internal/proxy/report.go
+++ b/internal/proxy/report.go
@@ -53,7 +53,8 @@
 	Sends   int    `json:"sends_left"`
 }
 
-// countRuns adds the runs of a service. Unlike a selection, it pardons no run and changes no state.
+// countRuns adds the runs of a service to r, and reports whether the service was used lately. Unlike
+// ejections, it changes no state.
 func (s *service) countRuns(r *Runs, now time.Time) (used bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -72,19 +73,19 @@
 			r.Misdirected++
 		}
 	}
-	takes, doubted := 0, 0
+	usable, doubted := 0, 0
 	for _, e := range s.subset {
 		if !e.available() {
 			continue
 		}
-		takes++
+		usable++
 		if e.suspicion(now) >= suspicionThreshold {
 			doubted++
 		}
 	}
 	r.Worked += len(s.subset)
 	r.Doubted += doubted
-	r.PassedOver += min(doubted, takes/2)
+	r.PassedOver += min(doubted, usable/2)
 	return !s.lastUsed.IsZero() && now.Sub(s.lastUsed) < probeAfterUse
 }
 
@@ -93,7 +94,7 @@
 	now := n.clock.Now()
 	v := n.view.Load()
 	r := Report{Ready: n.Ready(), Synced: n.synced.Load(), Stopping: n.stopping.Load(), Routes: v.table.Len(), Services: len(v.services),
-		Gateways: n.gateways.Load(), GatewaysNear: n.gatewaysNear.Load(), ProbeMS: n.rhythm.interval().Milliseconds(), Budget: []BudgetLeft{}, UnderWay: n.inFlight(), Counters: n.Stats()}
+		Gateways: n.gateways.Load(), GatewaysNear: n.gatewaysNear.Load(), ProbeMS: n.probePacer.interval().Milliseconds(), Budget: []BudgetLeft{}, UnderWay: n.inFlight(), Counters: n.Stats()}
 	for _, s := range n.allServices() {
 		if s.countRuns(&r.Runs, now) {
 			r.Budget = append(r.Budget, BudgetLeft{s.name, s.budget.Remaining()})
--- a/internal/proxy/report_test.go
+++ b/internal/proxy/report_test.go
@@ -24,7 +24,7 @@
 		if got := n.Report().ProbeMS; got != 4000 {
 			t.Errorf("probes each %d ms", got)
 		}
-		n.rhythm.current.Store(int64(16 * time.Second))
+		n.probePacer.current.Store(int64(16 * time.Second))
 		if got := n.Report().ProbeMS; got != 16000 {
 			t.Errorf("probes each %d ms, want 16000", got)
 		}
--- a/internal/proxy/service.go
+++ b/internal/proxy/service.go
@@ -40,14 +40,14 @@
 	// canaryScratch is a buffer for pickCanary.
 	canaryScratch   []*endpoint
 	queue           waitQueue
-	pace            requestRates
+	rates           requestRates
 	limit           concurrencyLimit
 	baseline        serviceBaseline
-	subsetSize      int     // most endpoints in use, counted separately for the own and all other zones
-	recentPeak      float64 // decaying maximum of the requests in flight
-	latency         time.Duration
-	lastStaleConn   time.Time
-	lastUsed        time.Time
+	subsetSize      int                 // most endpoints in use, counted separately for the own and all other zones
+	recentPeak      float64             // decaying maximum of the requests in flight
+	latency         time.Duration       // moving average of valid answers; 0 means unknown
+	lastStaleConn   time.Time           // when a reused connection last failed during a request
+	lastUsed        time.Time           // when a request last needed a target
 	ejectionScratch []ejectionCandidate // buffer for ejections
 }
 
--- a/internal/proxy/slow_reader.go
+++ b/internal/proxy/slow_reader.go
@@ -7,18 +7,18 @@
 )
 
 const (
-	// rateWindow is the time over which a caller must read at the least rate.
+	// rateWindow is the time over which a caller must read at the minimum rate.
 	rateWindow = 10 * time.Second
 	// writeRetryInterval is how often a blocked write is retried: the operating system reports that a socket is writable
 	// only once much of its buffer is free, but accepts bytes earlier.
 	writeRetryInterval = time.Second
 )
 
-// errSlowReader reports that a caller read its answer below the least rate.
-var errSlowReader = errors.New("the caller read its answer below the least rate")
+// errSlowReader ends the writing of an answer.
+var errSlowReader = errors.New("the caller read its answer below the minimum rate")
 
 // answerWriter writes one answer to a caller that may read slowly: the write timeout is extended as long as the caller reads
-// at the least rate and its own deadline has not passed.
+// at the minimum rate and its own deadline has not passed.
 type answerWriter struct {
 	c             *callerConn
 	noWindowAfter time.Time // no rate window starts after this time
@@ -95,7 +95,7 @@
 		return nil
 	case float64(w.windowBytes) < float64(w.c.n.settings.MinReadRate)*elapsed.Seconds():
 		w.c.n.stats.tooSlow.Add(1)
-		w.c.n.warnLimited("an answer was cut off: its caller took less than the least rate", "step", "answer", "peer", w.c.nc.RemoteAddr().String(), "bytes", w.windowBytes, "in", elapsed.String())
+		w.c.n.warnLimited("an answer was cut off: its caller read below the minimum rate", "step", "answer", "peer", w.c.nc.RemoteAddr().String(), "bytes", w.windowBytes, "in", elapsed.String())
 		return errSlowReader
 	case !now.Before(w.noWindowAfter):
 		return err
--- a/internal/proxy/slow_reader_test.go
+++ b/internal/proxy/slow_reader_test.go
@@ -50,7 +50,7 @@
 		wait        time.Duration
 		step        int
 		pause       time.Duration
-		whole       bool
+		complete    bool
 		least, most time.Duration // until it is cut off
 		slow        uint64
 	}{
@@ -69,10 +69,10 @@
 					l.routes(2)
 					l.startTarget("t1", nil, answerWithSize(size, 10*time.Millisecond))
 					got, took, err := l.readSlowly("id-1", x.wait, x.step, x.pause)
-					if whole := err == nil && got == size; whole != x.whole {
+					if complete := err == nil && got == size; complete != x.complete {
 						t.Errorf("%d of %d bytes after %v: %v", got, size, took, err)
 					}
-					if !x.whole && (took < x.least || took > x.most) {
+					if !x.complete && (took < x.least || took > x.most) {
 						t.Errorf("cut off after %v, want %v to %v", took, x.least, x.most)
 					}
 					if s := l.node.Stats().TooSlow; s != x.slow {
--- a/internal/proxy/stats.go
+++ b/internal/proxy/stats.go
@@ -2,7 +2,15 @@
 
 import "sync/atomic"
 
-// Stats are counters since the start, for operators.
+// Stats are counters since the start, for operators. Callers, Inside and MemoryUsed are present
+// values: open caller connections, requests being read or answered, and bytes held.
+//
+// Of the attempts, TurnedAway counts those with outcomeRejected, Stale outcomeStaleConn, Spoilt
+// outcomeInvalid, Mute outcomeSilent, CutShort outcomeCanceled and Withheld outcomeNotSent.
+// Of the requests that may have run, Late counts those without an answer at the deadline, and
+// Unknown those given up before it. Waited counts requests that queued for capacity, OverBudget
+// sends that the retry budget did not allow, and Overfull callers' connections refused because
+// there were too many and requests refused because the memory budget was used up.
 type Stats struct {
 	Callers, Inside, MemoryUsed             int64
 	Requests, NoRoute, Refused, Late        uint64
--- a/internal/proxy/stop_test.go
+++ b/internal/proxy/stop_test.go
@@ -24,16 +24,16 @@
 
 // downloadResult is the result of a caller's download.
 type downloadResult struct {
-	id      string
-	sent    time.Duration // after the stop began; negative before it
-	notRead bool          // the connection failed, or the request was not read
-	got     got
-	err     error
-	refused bool // with Retry-After, so the request did not run
+	id       string
+	sent     time.Duration // after the stop began; negative before it
+	notRead  bool          // the connection failed, or the request was not read
+	response response
+	err      error
+	refused  bool // with Retry-After, so the request did not run
 }
 
 func (e downloadResult) proper(size int) bool {
-	return e.notRead || e.refused || e.err == nil && e.got.status == http.StatusOK && len(e.got.body) == size
+	return e.notRead || e.refused || e.err == nil && e.response.status == http.StatusOK && len(e.response.body) == size
 }
 
 // download sends one download over its own connection and reads the complete answer.
@@ -52,8 +52,8 @@
 		e.notRead = true // the node did not read it
 		return e
 	}
-	e.got, e.err = c.read()
-	e.refused = e.err == nil && e.got.status == http.StatusServiceUnavailable && e.got.header.Get(dialect.RetryAfter) != ""
+	e.response, e.err = c.read()
+	e.refused = e.err == nil && e.response.status == http.StatusServiceUnavailable && e.response.header.Get(dialect.RetryAfter) != ""
 	return e
 }
 
@@ -76,7 +76,7 @@
 						l.startTarget(id, nil, answerWithSize(size, 160*time.Millisecond))
 					}
 					var mu sync.Mutex
-					var ends []downloadResult
+					var results []downloadResult
 					var wg sync.WaitGroup
 					stop := time.Now().Add(before)
 					for i := 0; time.Now().Before(stop.Add(3 * time.Second)); i++ {
@@ -84,7 +84,7 @@
 							e := l.download(path, fmt.Sprint("q", i), stop, wait)
 							mu.Lock()
 							defer mu.Unlock()
-							ends = append(ends, e)
+							results = append(results, e)
 						})
 						if time.Until(stop) == 0 {
 							wg.Go(func() {
@@ -97,18 +97,18 @@
 						time.Sleep(every)
 					}
 					wg.Wait()
-					whole := 0
-					for _, e := range ends {
+					answered := 0
+					for _, e := range results {
 						if !e.proper(size) {
-							t.Errorf("%s, sent %v after the stop: %d, %d bytes, %v", e.id, e.sent, e.got.status, len(e.got.body), e.err)
+							t.Errorf("%s, sent %v after the stop: %d, %d bytes, %v", e.id, e.sent, e.response.status, len(e.response.body), e.err)
 						}
-						if e.got.status == http.StatusOK {
-							whole++
+						if e.response.status == http.StatusOK {
+							answered++
 						}
 					}
-					t.Logf("%d of %d answered", whole, len(ends))
-					if whole < 8 {
-						t.Errorf("%d of %d answered", whole, len(ends))
+					t.Logf("%d of %d answered", answered, len(results))
+					if answered < 8 {
+						t.Errorf("%d of %d answered", answered, len(results))
 					}
 					l.close()
 				})
--- a/internal/proxy/stream.go
+++ b/internal/proxy/stream.go
@@ -27,7 +27,8 @@
 	return &bodyStream{size: size, source: c, body: getBuffer(), changed: make(chan struct{}, 1), done: make(chan struct{})}
 }
 
-// fill reads the body; reserve is called before each growth, and pace before each piece is read.
+// fill reads the body. reserve is called before each growth of the buffer, and waitTurn before each
+// piece is read.
 func (p *bodyStream) fill(r io.Reader, reserve, waitTurn func(int)) error {
 	for at := 0; at < p.size; {
 		k := min(p.size-at, readStep)
--- a/internal/proxy/stream_test.go
+++ b/internal/proxy/stream_test.go
@@ -15,7 +15,7 @@
 
 // answerInParts answers in the given number of parts, each after a pause; with breaks it omits
 // the last part. took is called with the duration of the write.
-func answerInParts(parts int, each time.Duration, breaks bool, took func(time.Duration)) handler {
+func answerInParts(parts int, each time.Duration, truncated bool, took func(time.Duration)) handler {
 	return func(l *harness, c net.Conn, s *receivedRequest) bool {
 		l.recordRun(s)
 		began := time.Now()
@@ -27,7 +27,7 @@
 			if i > 0 {
 				time.Sleep(each)
 			}
-			if breaks && i == parts-1 {
+			if truncated && i == parts-1 {
 				return false
 			}
 			if _, err := io.WriteString(c, strings.Repeat(string(rune('a'+i)), streamSize/parts)); err != nil {
--- a/internal/proxy/upgrade.go
+++ b/internal/proxy/upgrade.go
@@ -37,8 +37,8 @@
 	slowBounds     map[string]slowBound     // by route
 }
 
-// takeUpgrades applies updates of upgrades to their services. The caller holds the node's lock.
-func (n *Node) takeUpgrades(items []item.Item) {
+// applyUpgrades applies updates of upgrades to their services. The caller holds the node's lock.
+func (n *Node) applyUpgrades(items []item.Item) {
 	for _, i := range items {
 		if i.Kind != item.Upgrade || i.Gone {
 			continue
@@ -49,12 +49,12 @@
 			continue
 		}
 		if s := n.service(i.Name); s != nil {
-			s.takeUpgrade(u)
+			s.applyUpgrade(u)
 		}
 	}
 }
 
-func (s *service) takeUpgrade(u upgrade.Upgrade) {
+func (s *service) applyUpgrade(u upgrade.Upgrade) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	previous := s.upgrade.versions.Upgrade()
@@ -95,16 +95,16 @@
 
 // canarySubset selects the targets of the new version that are tried. While the share is small these are few, and the same
 // at every gateway, so that each gets as much load as a target of the old version and shows how it behaves under it.
-func (m *upgradeState) canarySubset(trial []*endpoint) []*endpoint {
+func (m *upgradeState) canarySubset(canaries []*endpoint) []*endpoint {
 	u := m.versions.Upgrade()
 	if u.Phase != upgrade.Canary {
-		return trial
+		return canaries
 	}
 	zones := map[string][]*endpoint{}
-	for _, e := range trial {
+	for _, e := range canaries {
 		zones[e.run.Zone] = append(zones[e.run.Zone], e)
 	}
-	out := trial[:0]
+	out := canaries[:0]
 	for _, es := range zones {
 		slices.SortFunc(es, func(a, b *endpoint) int {
 			return cmp.Or(cmp.Compare(xxhash.Sum64String(a.run.ID), xxhash.Sum64String(b.run.ID)), cmp.Compare(a.run.ID, b.run.ID))
--- a/internal/proxy/upgrade_test.go
+++ b/internal/proxy/upgrade_test.go
@@ -21,9 +21,9 @@
 func serviceInUpgrade(t *testing.T, share int, runs ...target.Run) (*Node, *service) {
 	t.Helper()
 	n, s := testService(runs...)
-	u, verdict := upgrade.Order{Service: "svc", To: "v2", Term: time.Minute}.Apply(upgrade.Upgrade{}, "v1", time.Now())
-	if verdict != upgrade.Started {
-		t.Fatal(verdict)
+	u, result := upgrade.Order{Service: "svc", To: "v2", Term: time.Minute}.Apply(upgrade.Upgrade{}, "v1", time.Now())
+	if result != upgrade.Started {
+		t.Fatal(result)
 	}
 	if share != u.Share {
 		u = u.WithShare(share)
@@ -39,7 +39,7 @@
 		n, s := testService(versionedRun("a1", "v1"), versionedRun("a2", "v1"))
 		seen := time.Now()
 		n.ApplyRuns([]target.Run{versionedRun("a3", "v2")})
-		for _, id := range takeAll(n, s, route.Idempotent) {
+		for _, id := range acquireAll(n, s, route.Idempotent) {
 			if id == "a3" {
 				t.Fatal("a target of an unknown version got a request")
 			}
@@ -86,7 +86,7 @@
 		if r := n.UpgradeReports(); len(r) != 1 || r[0].OldUnderWay != 1 || r[0].Number != final.Number {
 			t.Errorf("with a request in flight: %+v", r)
 		}
-		for _, id := range takeAll(n, s, route.Idempotent) {
+		for _, id := range acquireAll(n, s, route.Idempotent) {
 			if id == "a1" {
 				t.Error("an old target got a request")
 			}
--- a/internal/proxy/write.go
+++ b/internal/proxy/write.go
@@ -95,14 +95,14 @@
 
 // writeLarge writes a large body; on a narrow link in small steps, so that other answers are interleaved.
 func (w *answerWriter) writeLarge(head []byte, a *answer) error {
-	if a.pending == nil {
+	if a.pendingDelivery == nil {
 		return w.writeBoth(head, a.body)
 	}
 	if _, err := w.write(head); err != nil {
 		return err
 	}
 	for remaining := a.body; len(remaining) > 0; {
-		k, err := w.writeStep(remaining, len(a.body), a.pending)
+		k, err := w.writeStep(remaining, len(a.body), a.pendingDelivery)
 		if err != nil {
 			return err
 		}
@@ -142,7 +142,7 @@
 			return err
 		}
 		w.excludePause(w.c.n.clock.Now().Sub(waitStart))
-		k, err := w.writeStep(b, p.size, a.pending)
+		k, err := w.writeStep(b, p.size, a.pendingDelivery)
 		if err != nil {
 			return err
 		}
--- a/internal/spread/spread.go
+++ b/internal/spread/spread.go
@@ -20,7 +20,7 @@
 func Rank(nodeID string, targetIDs []string) []int {
 	type ranked struct {
 		score uint64
-		at    int
+		index int
 	}
 	seed := xxhash.Sum64String(nodeID)
 	list := make([]ranked, len(targetIDs))
@@ -28,11 +28,11 @@
 		list[i] = ranked{mix(seed ^ mix(xxhash.Sum64String(id))), i}
 	}
 	slices.SortFunc(list, func(a, b ranked) int {
-		return cmp.Or(cmp.Compare(b.score, a.score), cmp.Compare(targetIDs[a.at], targetIDs[b.at]), cmp.Compare(a.at, b.at))
+		return cmp.Or(cmp.Compare(b.score, a.score), cmp.Compare(targetIDs[a.index], targetIDs[b.index]), cmp.Compare(a.index, b.index))
 	})
 	order := make([]int, len(list))
 	for i, r := range list {
-		order[i] = r.at
+		order[i] = r.index
 	}
 	return order
 }
