--- a/internal/budget/budget_test.go
+++ b/internal/budget/budget_test.go
@@ -30,7 +30,7 @@
 }
 
 // worstExcess is the number of sends over the guaranteed limit in the worst window, negative if no
-// window exceeds it. The limit here is without the third window that users were promised.
+// window exceeds it. Users were promised a limit that counts a third window; this one does not.
 func (w *sendRecorder) worstExcess(slack float64) float64 {
 	n := max(len(w.requests), len(w.extraSends))
 	sums := func(list []int) []int {
--- a/internal/liveness/detector_test.go
+++ b/internal/liveness/detector_test.go
@@ -59,7 +59,7 @@
 	p, _ := detectorAfter(unmodified, 150, 0.001)
 	late := last.Add(1050 * time.Millisecond)
 	if w := p.Suspicion(late); w < 0.99 {
-		t.Errorf("the plain detector was expected to suspect at 5%% late: %v", w)
+		t.Errorf("the unmodified detector was expected to suspect at 5%% late: %v", w)
 	}
 	if w := d.Suspicion(late); w > 0.9 {
 		t.Errorf("w %v at 5%% late", w)
@@ -75,12 +75,12 @@
 		t.Errorf("w %v half an interval after the start", w)
 	}
 	if w := d.Suspicion(sec(4)); w < 0.99 {
-		t.Errorf("w %v after four intervals without a beat", w)
+		t.Errorf("w %v after four intervals without an arrival", w)
 	}
 	o := DefaultOptions(time.Second)
 	o.NoExtensions = true
 	if w := NewDetector(o, nil, t0).Suspicion(sec(100)); w != 0 {
-		t.Errorf("the plain detector judges before its window is full: %v", w)
+		t.Errorf("the unmodified detector suspects before its window is full: %v", w)
 	}
 }
 
@@ -90,7 +90,7 @@
 	before, _ := d.LastFit()
 	o.NoLossFill = true
 	n, _ := detectorAfter(o, 120, 0.1)
-	// Three beats were lost: one gap of 4 s.
+	// Three arrivals were lost: one gap of 4 s.
 	d.RecordArrival(124, last.Add(4*time.Second))
 	n.RecordArrival(124, last.Add(4*time.Second))
 	after, _ := d.LastFit()
@@ -200,23 +200,23 @@
 			p := NewPauseMonitor(c)
 			go p.Run(ctx)
 			d := NewDetector(DefaultOptions(time.Second), p, c.Now())
-			beat := func(from, n int) {
+			arrive := func(from, n int) {
 				for j := range n {
 					time.Sleep(time.Second)
 					d.RecordArrival(uint64(from+j), c.Now())
 				}
 			}
-			beat(1, 30)
+			arrive(1, 30)
 			fit, _ := d.LastFit()
 			c.offset.Store(int64(jump))
 			if w := d.Suspicion(c.Now()); w > 0.5 {
 				t.Errorf("suspected at %v right after a jump of %s", w, jump)
 			}
-			beat(31, 1)
+			arrive(31, 1)
 			if f, _ := d.LastFit(); f != fit {
 				t.Errorf("a jump of %s was learnt as a gap: %v, was %v", jump, f, fit)
 			}
-			beat(32, 5)
+			arrive(32, 5)
 			time.Sleep(4 * time.Second)
 			if w := d.Suspicion(c.Now()); w < 0.99 {
 				t.Errorf("four intervals of silence after a jump of %s: %v", jump, w)
--- a/internal/liveness/quality_test.go
+++ b/internal/liveness/quality_test.go
@@ -76,7 +76,7 @@
 	},
 }
 
-// late draws a delay around a median in milliseconds.
+// randomDelay draws a log-normally distributed delay with a median in milliseconds.
 func randomDelay(r *rand.Rand, median, spread float64) time.Duration {
 	return time.Duration(median * math.Exp(spread*r.NormFloat64()) * float64(time.Millisecond))
 }
@@ -238,7 +238,7 @@
 		}
 	}
 	kinds := []string{"steady", "jittery", "lossy", "bursty", "slowing", "paused"}
-	t.Log("mistakes an hour / query accuracy / detection ms; ms until one that dies after three arrivals is suspected; mistakes of 300 fresh ones")
+	t.Log("mistakes per hour / query accuracy / detection ms; ms until a target that crashes after three arrivals is suspected; mistakes of 300 new detectors")
 	for _, name := range sorted(all) {
 		row := []string{fmt.Sprintf("| %-20s", name[2:])}
 		for _, k := range kinds {
@@ -255,7 +255,7 @@
 		}
 	}
 	if a, b := resultOf(full, "steady").mistakes, resultOf("b no clamp, no floor", "steady").mistakes; a > 0 || b < 100 {
-		t.Errorf("clamp and floor don't help: %.0f and %.0f mistakes", a, b)
+		t.Errorf("clamp and floor are not effective: %.0f and %.0f mistakes", a, b)
 	}
 	if a, b := resultOf(full, "paused").mistakes, resultOf("g pauses count", "paused").mistakes; a*5 > b {
 		t.Errorf("discounting pauses helps too little: %.0f and %.0f mistakes", a, b)
--- a/internal/proxy/bench_test.go
+++ b/internal/proxy/bench_test.go
@@ -17,7 +17,7 @@
 // BenchmarkRequest measures one request over loopback with kept-alive connections on both sides.
 // The figures include the fake target and the caller.
 func BenchmarkRequest(b *testing.B) {
-	n := New(Config{Settings: Settings{ID: "f", Zone: "a", Headers: dialect}, Clock: clock.Wall{}})
+	n := New(Config{Settings: Settings{ID: "f", Zone: "a", Headers: testHeaders}, Clock: clock.Wall{}})
 	n.ApplyItems([]item.Item{
 		route.Service{Name: "svc", Version: 1}.Item(),
 		route.Route{Name: "r", Version: 1, Host: "h", Prefix: "/a/", Repeat: route.Idempotent, Attempts: 2, AimMS: 400, Shares: []route.Share{{Service: "svc", Weight: 1}}}.Item(),
--- a/internal/proxy/bytes_test.go
+++ b/internal/proxy/bytes_test.go
@@ -38,7 +38,7 @@
 				t.Fatal(err)
 			}
 			g, err := c.read()
-			if err != nil || !g.proper(id) {
+			if err != nil || !g.validFor(id) {
 				t.Fatalf("%s %s: %+v, %v", m, p, g, err)
 			}
 			all := l.requests()
@@ -67,7 +67,7 @@
 		t.Fatal(err)
 	}
 	g, err := c.read()
-	if err != nil || !g.proper("q1") {
+	if err != nil || !g.validFor("q1") {
 		t.Fatalf("%+v, %v", g, err)
 	}
 	if len(g.header["X-Own"]) != 2 || len(g.header["Set-Cookie"]) != 2 || g.header.Get("Upgrade") != "" || strings.Contains(g.header.Get("Keep-Alive"), "9") && g.header.Get("Keep-Alive") == "timeout=9" {
@@ -75,13 +75,13 @@
 	}
 	s := l.requests()[0].header
 	if s.Get("X-Lower") != "1" || len(s["X-Twice"]) != 2 || s.Get("Cookie") != "k=v" || s.Get("User-Agent") != "u" {
-		t.Errorf("missing: %v", s)
+		t.Errorf("fields are missing: %v", s)
 	}
 	if s.Get("X-Hop") != "" || s.Get("Te") != "" || s.Get("Upgrade") != "" || s.Get("Connection") != "" || len(s["X-Run"]) != 1 || s.Get("X-Run") != "one" {
-		t.Errorf("too much: %v", s)
+		t.Errorf("fields were not removed or replaced: %v", s)
 	}
 	if left, ok := parseDigits([]byte(s.Get("X-Left"))); !ok || left <= 0 || left >= 5000 || len(s["X-Left"]) != 1 {
-		t.Errorf("left %v", s["X-Left"])
+		t.Errorf("remaining time %v", s["X-Left"])
 	}
 }
 
@@ -139,7 +139,7 @@
 		t.Fatal(err)
 	}
 	for _, id := range []string{"q1", "q2"} {
-		if g, err := c.read(); err != nil || !g.proper(id) {
+		if g, err := c.read(); err != nil || !g.validFor(id) {
 			t.Errorf("%+v, %v", g, err)
 		}
 	}
@@ -169,7 +169,7 @@
 	if _, err := io.WriteString(c.c, "abc"); err != nil {
 		t.Fatal(err)
 	}
-	if g, err := c.read(); err != nil || !g.proper("q1") || string(l.requests()[0].body) != "abc" {
+	if g, err := c.read(); err != nil || !g.validFor("q1") || string(l.requests()[0].body) != "abc" {
 		t.Errorf("%+v, %v", g, err)
 	}
 }
@@ -209,7 +209,7 @@
 	if err := slowCaller.send("POST", "/once/x", "slow", 10*time.Second, "Content-Length: 1000000\r\n", ""); err != nil {
 		t.Fatal(err)
 	}
-	if g := l.request("/once/x", "q1", 5*time.Second); !g.proper("q1") {
+	if g := l.request("/once/x", "q1", 5*time.Second); !g.validFor("q1") {
 		t.Errorf("beside a slow caller: %+v", g)
 	}
 	status, _ := sendRawText(t, l, "POST /once/x HTTP/1.1\r\nHost: h\r\nX-Id: q2\r\nContent-Length: 300000\r\n\r\n"+strings.Repeat("x", 300000))
--- a/internal/proxy/choice_test.go
+++ b/internal/proxy/choice_test.go
@@ -15,7 +15,7 @@
 
 // testService returns a node without a network and its one service, to test choices alone.
 func testService(runs ...target.Run) (*Node, *service) {
-	n := New(Config{Settings: Settings{ID: "gateway1", Zone: "a", Zones: map[string]string{"a": "r", "b": "r", "c": "far"}, Headers: dialect}, Clock: clock.Wall{}})
+	n := New(Config{Settings: Settings{ID: "gateway1", Zone: "a", Zones: map[string]string{"a": "r", "b": "r", "c": "far"}, Headers: testHeaders}, Clock: clock.Wall{}})
 	n.ApplyItems([]item.Item{route.Service{Name: "svc", Version: 1, MaxConns: 100, Health: "/health"}.Item()})
 	n.SetGateways(1, 1)
 	n.ApplyRuns(runs)
@@ -31,7 +31,8 @@
 	return &exchange{n: n, svc: s, kind: k, atMostOnce: !k.AllowsRetry(), maxAttempts: 3, receivedAt: now, deadline: now.Add(2 * time.Second), latencyTarget: 400 * time.Millisecond}
 }
 
-// takeAll takes targets for requests until none has capacity, and returns their IDs in order.
+// acquireAll acquires endpoints for requests until none has capacity, and returns their run IDs in
+// order.
 func acquireAll(n *Node, s *service, k route.RetryPolicy) (ids []string) {
 	for {
 		g := s.tryAcquire(testExchange(n, s, k))
@@ -103,7 +104,7 @@
 		}
 		time.Sleep(6 * time.Second)
 		if n.clock.Now().Before(s.endpoints["cold"].coldUntil) {
-			t.Error("still cold")
+			t.Error("the target still counts as cold after 6 s")
 		}
 	})
 }
@@ -112,7 +113,7 @@
 func TestNodesBeginApart(t *testing.T) {
 	firsts := map[string]bool{}
 	for i := range 20 {
-		n := New(Config{Settings: Settings{ID: fmt.Sprint("gateway", i), Zone: "a", Headers: dialect}, Clock: clock.Wall{}})
+		n := New(Config{Settings: Settings{ID: fmt.Sprint("gateway", i), Zone: "a", Headers: testHeaders}, Clock: clock.Wall{}})
 		for k := range 9 {
 			n.ApplyRuns([]target.Run{readyRun(fmt.Sprint("r", k), "a", 2)})
 		}
@@ -217,13 +218,13 @@
 		ready := readyRun("r0", "a", 2)
 		later := ready
 		later.Seq, later.Slots = 5, 4
-		drains := target.Run{ID: "r0", Service: "svc", State: target.Draining, Seq: 6}
+		draining := target.Run{ID: "r0", Service: "svc", State: target.Draining, Seq: 6}
 		ended := target.Run{ID: "r0", Service: "svc", State: target.Ended, Seq: 6}
-		news := []target.Run{ready, later, drains, ended}
+		updates := []target.Run{ready, later, draining, ended}
 		for _, order := range [][]int{{0, 1, 2, 3}, {3, 2, 1, 0}, {1, 0, 3, 2}, {2, 3, 0, 1}} {
 			n, s := testService()
 			for _, i := range order {
-				n.ApplyRuns([]target.Run{news[i]})
+				n.ApplyRuns([]target.Run{updates[i]})
 			}
 			if r := n.runs["r0"].run; r.State != target.Ended || r.Seq != 6 || s.endpoints["r0"] != nil {
 				t.Errorf("%v: %+v", order, r)
@@ -242,7 +243,8 @@
 }
 
 // TestLastRankMayWait: where the queue is so long that waiting seems pointless, a few requests of
-// each priority still wait, as the longest waiting gets a turn; others are refused at once.
+// each priority still wait, because every oldestEvery-th grant goes to the longest waiting one. Others
+// are refused at once.
 func TestLastRankMayWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n, s := testService(readyRun("a1", "a", 1))
--- a/internal/proxy/config_age_test.go
+++ b/internal/proxy/config_age_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// slowDialer is a network on which connecting takes a while.
+// dialDelay is a network on which each connect takes delay longer.
 type dialDelay struct {
 	*pipes
 	delay time.Duration
@@ -40,10 +40,10 @@
 				l.startTarget("t1", nil, serveOK)
 				l.node.SetAsOf(time.Now())
 				if g := l.request("/idem/1", "q1", 2*time.Second); g.status != 200 {
-					t.Fatalf("with fresh news: %d", g.status)
+					t.Fatalf("with a fresh configuration: %d", g.status)
 				}
 				l.node.SetAsOf(time.Now().Add(-x.age))
-				if g := l.request("/idem/2", "q2", 2*time.Second); g.status != x.status || g.status == 503 && (l.runCount("q2") > 0 || g.header.Get(dialect.RetryAfter) == "") {
+				if g := l.request("/idem/2", "q2", 2*time.Second); g.status != x.status || g.status == 503 && (l.runCount("q2") > 0 || g.header.Get(testHeaders.RetryAfter) == "") {
 					t.Errorf("%d, ran %d times, want %d", g.status, l.runCount("q2"), x.status)
 				}
 			})
@@ -70,7 +70,7 @@
 				l.startTarget("t1", nil, serveOK)
 				l.node.SetAsOf(time.Now().Add(-x.age))
 				l.node.SetControlRoundTrip(x.roundTrip)
-				if g := l.request("/once/1", "q1", 2*time.Second); g.status != x.status || g.status == 503 && (l.runCount("q1") > 0 || g.header.Get(dialect.RetryAfter) == "") {
+				if g := l.request("/once/1", "q1", 2*time.Second); g.status != x.status || g.status == 503 && (l.runCount("q1") > 0 || g.header.Get(testHeaders.RetryAfter) == "") {
 					t.Errorf("%d, ran %d times, want %d", g.status, l.runCount("q1"), x.status)
 				}
 			})
--- a/internal/proxy/disconnect_test.go
+++ b/internal/proxy/disconnect_test.go
@@ -105,7 +105,7 @@
 	default:
 	}
 	if s := l.node.Stats(); s.Answered != 1 || s.CallersGone != 0 {
-		t.Errorf("%d answered, %d ended", s.Answered, s.CallersGone)
+		t.Errorf("%d answered, %d canceled", s.Answered, s.CallersGone)
 	}
 }
 
--- a/internal/proxy/downloads_test.go
+++ b/internal/proxy/downloads_test.go
@@ -15,17 +15,17 @@
 func largeAnswer(size int) *answer { return &answer{status: 200, body: make([]byte, size)} }
 
 // TestDownloadPlaces checks that the number of concurrent downloads on a narrow link is bounded, and that a
-// download that gets no slot is told so in time.
+// download that gets no slot is refused in time.
 func TestDownloadPlaces(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := clock.Wall{}
 		if newDownloadLimiter(w, 0, stopTime) != nil || newDownloadLimiter(w, wideLinkMbps, stopTime) != nil || newDownloadLimiter(w, 1, stopTime).maxActive != 2 || newDownloadLimiter(w, 16, stopTime).maxActive != 10 {
-			t.Error("places")
+			t.Error("wrong number of slots")
 		}
 		d := newDownloadLimiter(w, 3.2, stopTime)
 		for range 2 {
 			if !d.acquire(0, 0) {
-				t.Fatal("no place")
+				t.Fatal("no slot")
 			}
 		}
 		began := time.Now()
@@ -37,7 +37,7 @@
 			d.release()
 		}()
 		if began = time.Now(); !d.acquire(300*time.Millisecond, 0) || time.Since(began) != 150*time.Millisecond {
-			t.Errorf("not handed on after %v", time.Since(began))
+			t.Errorf("a released slot was not assigned in time, waited %v", time.Since(began))
 		}
 		var wide *downloadLimiter
 		for range 100 {
@@ -61,7 +61,7 @@
 			d.release()
 			all = append(all, a)
 			if len(all) > 100 {
-				t.Fatal("no bound")
+				t.Fatal("more than 100 downloads started")
 			}
 		}
 		pending := 0
@@ -95,7 +95,7 @@
 		d := newDownloadLimiter(clock.Wall{}, 3.2, stopTime)
 		for range d.maxActive {
 			if !d.acquire(0, 0) {
-				t.Fatal("no place")
+				t.Fatal("no slot")
 			}
 		}
 		type decision struct {
--- a/internal/proxy/endpoint.go
+++ b/internal/proxy/endpoint.go
@@ -122,7 +122,8 @@
 }
 
 // silenceLimit is the time without an answer after which, by this endpoint's own latencies, a
-// normal answer has become unlikely.
+// normal answer has become unlikely: the 99th percentile, but at least three average latencies and
+// a quarter of the latency target. Without a latency target, the remaining time replaces it.
 func (e *endpoint) silenceLimit(latencyTarget, left time.Duration) time.Duration {
 	d := e.latency
 	if d == 0 {
--- a/internal/proxy/failure_test.go
+++ b/internal/proxy/failure_test.go
@@ -109,7 +109,7 @@
 					want = w.onceStatus
 				}
 				g := l.request("/"+kind+"/x", "q1", 5*time.Second)
-				if g.status != want || want == 200 && !g.proper("q1") {
+				if g.status != want || want == 200 && !g.validFor("q1") {
 					t.Errorf("caller got %+v, want %d", g, want)
 				}
 				if kind == "once" && l.runCount("q1") != w.onceRuns {
@@ -118,7 +118,7 @@
 				// The failure does not affect later requests.
 				for i := range 3 {
 					id := fmt.Sprint("later", i)
-					if g := l.request("/"+kind+"/x", id, 5*time.Second); !g.proper(id) {
+					if g := l.request("/"+kind+"/x", id, 5*time.Second); !g.validFor(id) {
 						t.Errorf("%s got %+v", id, g)
 					}
 				}
@@ -141,7 +141,7 @@
 		}
 		for i := range 4 {
 			id := fmt.Sprint(kind, i)
-			if g := l.request("/"+kind+"/x", id, 5*time.Second); !g.proper(id) || l.runCount(id) != 1 {
+			if g := l.request("/"+kind+"/x", id, 5*time.Second); !g.validFor(id) || l.runCount(id) != 1 {
 				t.Errorf("%s got %+v, ran %d times", id, g, l.runCount(id))
 			}
 		}
@@ -179,7 +179,7 @@
 			id := fmt.Sprint(kind, i)
 			g := l.request("/"+kind+"/x", id, 5*time.Second)
 			switch {
-			case g.proper(id) && l.runCount(id) == 1:
+			case g.validFor(id) && l.runCount(id) == 1:
 			case kind == "once" && g.status == 502 && l.runCount(id) == 0:
 			default:
 				t.Errorf("%s got %+v, ran %d times", id, g, l.runCount(id))
@@ -200,7 +200,7 @@
 		})
 		for i := range 5 {
 			id := fmt.Sprint("q", i)
-			if g := l.request("/"+kind+"/x", id, 5*time.Second); !g.proper(id) {
+			if g := l.request("/"+kind+"/x", id, 5*time.Second); !g.validFor(id) {
 				t.Errorf("got %+v", g)
 			}
 		}
@@ -221,7 +221,7 @@
 		s := l.startTarget("one", nil, serveOK)
 		for i := range 5 {
 			id := fmt.Sprint("q", i)
-			if g := l.request("/"+kind+"/x", id, 5*time.Second); !g.proper(id) || l.runCount(id) != 1 {
+			if g := l.request("/"+kind+"/x", id, 5*time.Second); !g.validFor(id) || l.runCount(id) != 1 {
 				t.Errorf("%s got %+v, ran %d times", id, g, l.runCount(id))
 			}
 			s.closeConns()
@@ -267,7 +267,7 @@
 	l.startTarget("one", nil, serveOK)
 	for i := range 10 {
 		id := fmt.Sprint("q", i)
-		if g := l.request("/once/x", id, 5*time.Second); !g.proper(id) {
+		if g := l.request("/once/x", id, 5*time.Second); !g.validFor(id) {
 			t.Errorf("got %+v", g)
 		}
 	}
@@ -295,7 +295,7 @@
 	}
 	for i := range 30 {
 		id := fmt.Sprint("q", i)
-		if g := l.request("/once/x", id, 5*time.Second); !g.proper(id) || l.runCount(id) != 1 {
+		if g := l.request("/once/x", id, 5*time.Second); !g.validFor(id) || l.runCount(id) != 1 {
 			t.Errorf("%s got %+v, ran %d times", id, g, l.runCount(id))
 		}
 	}
@@ -337,7 +337,7 @@
 			began := time.Now()
 			g := l.request("/"+kind+"/x", "q1", 2*time.Second)
 			took := time.Since(began)
-			if g.status != want || want == 200 && !g.proper("q1") {
+			if g.status != want || want == 200 && !g.validFor("q1") {
 				t.Errorf("%s got %+v", kind, g)
 			}
 			if kind == "once" {
@@ -370,7 +370,7 @@
 		l.startTarget("one", nil, do)
 		l.startTarget("two", nil, do)
 		began := time.Now()
-		if g := l.request("/idem/x", "q1", 4*time.Second); !g.proper("q1") || time.Since(began) != time.Second {
+		if g := l.request("/idem/x", "q1", 4*time.Second); !g.validFor("q1") || time.Since(began) != time.Second {
 			t.Errorf("got %+v after %v", g, time.Since(began))
 		}
 		s := l.node.Stats()
@@ -399,7 +399,7 @@
 		for i := range 4 {
 			id := fmt.Sprint("q", i)
 			began := time.Now()
-			if g := l.request("/once/x", id, 3*time.Second); !g.proper(id) || time.Since(began) > 2*time.Second {
+			if g := l.request("/once/x", id, 3*time.Second); !g.validFor(id) || time.Since(began) > 2*time.Second {
 				t.Errorf("got %+v after %v", g, time.Since(began))
 			}
 		}
@@ -419,7 +419,7 @@
 		})
 		for i := range 3 {
 			id := fmt.Sprint("q", i)
-			if g := l.request("/idem/x", id, 5*time.Second); !g.proper(id) {
+			if g := l.request("/idem/x", id, 5*time.Second); !g.validFor(id) {
 				t.Errorf("got %+v", g)
 			}
 		}
@@ -441,7 +441,7 @@
 			s := l.startTarget("one", nil, serveOK)
 			for i := range 5 {
 				id := fmt.Sprint("q", i)
-				if g := l.request("/"+kind+"/x", id, 5*time.Second); !g.proper(id) || l.runCount(id) != 1 {
+				if g := l.request("/"+kind+"/x", id, 5*time.Second); !g.validFor(id) || l.runCount(id) != 1 {
 					t.Errorf("%s got %+v, ran %d times", id, g, l.runCount(id))
 				}
 				s.closeConns()
@@ -472,7 +472,7 @@
 				}
 			}
 		}
-		if g := l.request("/once/x", "q1", time.Second); !g.proper("q1") {
+		if g := l.request("/once/x", "q1", time.Second); !g.validFor("q1") {
 			t.Errorf("got %+v", g)
 		}
 		if a := l.requests(); drained == "" || len(a) != 1 || a[0].targetID == drained {
@@ -528,7 +528,7 @@
 		})
 		for i := range 6 {
 			id := fmt.Sprint("q", i)
-			if g := l.request("/"+kind+"/x", id, 5*time.Second); !g.proper(id) || l.runCount(id) != 1 {
+			if g := l.request("/"+kind+"/x", id, 5*time.Second); !g.validFor(id) || l.runCount(id) != 1 {
 				t.Errorf("%s got %+v, ran %d times", id, g, l.runCount(id))
 			}
 		}
--- a/internal/proxy/fuzz_test.go
+++ b/internal/proxy/fuzz_test.go
@@ -328,14 +328,14 @@
 // checkAnswer checks that a success belongs to the request, is complete and sealed.
 func checkAnswer(t *testing.T, id string, g response) {
 	t.Helper()
-	if g.status < 300 && !g.proper(id) {
-		t.Errorf("%s: a success that is not its own: %+v", id, g)
+	if g.status < 300 && !g.validFor(id) {
+		t.Errorf("%s: a success that is not the complete answer to it: %+v", id, g)
 	}
-	if got := g.header.Get(dialect.RequestID); got != "" && got != id {
-		t.Errorf("%s: the answer of %s", id, got)
+	if got := g.header.Get(testHeaders.RequestID); got != "" && got != id {
+		t.Errorf("%s: got the answer to %s", id, got)
 	}
 	if strings.Contains(g.body, "body of other") {
-		t.Errorf("%s: another's body", id)
+		t.Errorf("%s: the body of another request", id)
 	}
 }
 
@@ -347,9 +347,9 @@
 	if !called || x.body != string(q.body) {
 		t.Errorf("a target read %q as the body of %s", q.body, q.id)
 	}
-	left, err := strconv.ParseFloat(q.header.Get(dialect.RemainingTime), 64)
+	left, err := strconv.ParseFloat(q.header.Get(testHeaders.RemainingTime), 64)
 	if err != nil || left > float64(x.timeout.Milliseconds()) {
-		t.Errorf("%s is handed %q ms, its caller waits %s", q.id, q.header.Get(dialect.RemainingTime), x.timeout)
+		t.Errorf("%s reached a target with %q ms left, its caller waits %s", q.id, q.header.Get(testHeaders.RemainingTime), x.timeout)
 	}
 }
 
--- a/internal/proxy/harness_test.go
+++ b/internal/proxy/harness_test.go
@@ -21,7 +21,7 @@
 	"walkrudder/internal/target"
 )
 
-var dialect = HeaderNames{RequestID: "X-Id", RemainingTime: "X-Left", Seal: "X-Seal", ExpectedRun: "X-Run",
+var testHeaders = HeaderNames{RequestID: "X-Id", RemainingTime: "X-Left", Seal: "X-Seal", ExpectedRun: "X-Run",
 	NotRun: "X-Not-Run", RetryAfter: "Retry-After", Instance: "X-Instance"}
 
 // network is the transport of a test: loopback, or pipes in a synctest bubble with virtual time.
@@ -165,7 +165,7 @@
 
 func newHarness(t *testing.T, nw network, configure func(*Settings)) *harness {
 	l := &harness{t: t, net: nw, runCounts: map[string]int{}, conns: map[string]int{}, targets: map[string]*fakeTarget{}}
-	s := Settings{ID: "gateway1", Zone: "a", Zones: map[string]string{"a": "r", "b": "r", "c": "far"}, Headers: dialect,
+	s := Settings{ID: "gateway1", Zone: "a", Zones: map[string]string{"a": "r", "b": "r", "c": "far"}, Headers: testHeaders,
 		BudgetRatio: 10, BudgetWindow: 10 * time.Second, BudgetSlack: 100, Grace: 6 * time.Second}
 	if configure != nil {
 		configure(&s)
@@ -282,13 +282,13 @@
 		if err != nil {
 			return
 		}
-		s := &receivedRequest{method: q.Method, uri: q.RequestURI, host: q.Host, id: q.Header.Get(dialect.RequestID), header: q.Header,
+		s := &receivedRequest{method: q.Method, uri: q.RequestURI, host: q.Host, id: q.Header.Get(testHeaders.RequestID), header: q.Header,
 			targetID: target.id, connIndex: index, connNumber: number}
 		if q.RequestURI == "/health" {
 			s.id = ""
 		}
 		answered, stays := false, false
-		if target.early != nil && s.id != "" && q.Header.Get(dialect.ExpectedRun) == target.id && q.ContentLength != 0 {
+		if target.early != nil && s.id != "" && q.Header.Get(testHeaders.ExpectedRun) == target.id && q.ContentLength != 0 {
 			answered, stays = target.early(l, c, s)
 		}
 		s.body, err = io.ReadAll(q.Body)
@@ -317,7 +317,7 @@
 			}
 			continue
 		}
-		if got := q.Header.Get(dialect.ExpectedRun); got != target.id {
+		if got := q.Header.Get(testHeaders.ExpectedRun); got != target.id {
 			if !answerMisdirected(l, c, s) {
 				return
 			}
@@ -330,7 +330,7 @@
 }
 
 func healthy(_ *harness, c net.Conn, s *receivedRequest) bool {
-	_, err := fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%s: %s\r\nContent-Length: 0\r\n\r\n", dialect.Instance, s.targetID)
+	_, err := fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%s: %s\r\nContent-Length: 0\r\n\r\n", testHeaders.Instance, s.targetID)
 	return err == nil
 }
 
@@ -453,9 +453,9 @@
 	return g
 }
 
-// proper reports whether the response is the complete answer to the request.
-func (g response) proper(id string) bool {
-	return g.status == 200 && g.body == answerBody(id) && g.header.Get(dialect.Seal) != "" && g.header.Get(dialect.RequestID) == id
+// validFor reports whether the response is the complete answer to the request.
+func (g response) validFor(id string) bool {
+	return g.status == 200 && g.body == answerBody(id) && g.header.Get(testHeaders.Seal) != "" && g.header.Get(testHeaders.RequestID) == id
 }
 
 func sendRawText(t *testing.T, l *harness, text string) (int, string) {
--- a/internal/proxy/limit_test.go
+++ b/internal/proxy/limit_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// simulateLimit simulates a service that has room for a given number of this node's requests at
-// once, with as many requests as the limit allows. It returns the mean limit and the fraction of
+// simulateLimit simulates a service with capacity for a given number of this node's requests at
+// once, and with as many requests as the limit allows. It returns the mean limit and the fraction of
 // requests that met full targets, both over the second half of the steps.
 func simulateLimit(l *concurrencyLimit, now time.Time, capacity int, steps int) (mean, full float64) {
 	limitSamples, rejections, completed := 0, 0, 0
@@ -40,7 +40,7 @@
 	l := &concurrencyLimit{}
 	for i, capacity := range []int{20, 60, 10} {
 		if mean, full := simulateLimit(l, time.Unix(int64(1+i*60), 0), capacity, 3000); mean < 0.7*float64(capacity) || mean > 1.4*float64(capacity) || full > 0.15 {
-			t.Errorf("room for %d: limit %.1f, %.2f met full targets", capacity, mean, full)
+			t.Errorf("capacity %d: limit %.1f, %.2f met full targets", capacity, mean, full)
 		}
 	}
 	unlimited := &concurrencyLimit{}
@@ -70,7 +70,7 @@
 	}
 }
 
-// TestLimitOfSlowness: where the requests in flight make every answer slower than its latency aim,
+// TestLimitOfSlowness: where the requests in flight make every answer slower than its latency target,
 // the limit converges to what is answered in time; a few slow answers among many have no effect.
 func TestLimitOfSlowness(t *testing.T) {
 	const capacity = 10
--- a/internal/proxy/mix_test.go
+++ b/internal/proxy/mix_test.go
@@ -109,15 +109,15 @@
 			t.Errorf("%s ran %d times", e.id, n)
 		case impliesNotRun(e.status) && n > 0:
 			t.Errorf("%s was answered %d and ran", e.id, e.status)
-		case e.status == 200 && !e.proper(e.id):
+		case e.status == 200 && !e.validFor(e.id):
 			t.Errorf("%s got %+v", e.id, e.response)
 		case e.status == 200:
 			served++
 		case e.status != 500 && e.status != 502 && e.status != 503 && e.status != 504:
 			t.Errorf("%s got %+v", e.id, e.response)
 		}
-		if e.header.Get(dialect.RequestID) != e.id {
-			t.Errorf("%s got an answer that names %q", e.id, e.header.Get(dialect.RequestID))
+		if e.header.Get(testHeaders.RequestID) != e.id {
+			t.Errorf("%s got an answer that names %q", e.id, e.header.Get(testHeaders.RequestID))
 		}
 	}
 	asked := map[string]map[string]int{}
--- a/internal/proxy/order_test.go
+++ b/internal/proxy/order_test.go
@@ -20,7 +20,7 @@
 func TestUnsynced(t *testing.T) {
 	l := newHarness(t, loopback{}, nil)
 	l.startTarget("one", nil, serveOK)
-	if g := l.request("/nowhere/x", "q1", time.Second); g.status != 503 || g.header.Get(dialect.RetryAfter) == "" || g.header.Get(dialect.RequestID) != "q1" {
+	if g := l.request("/nowhere/x", "q1", time.Second); g.status != 503 || g.header.Get(testHeaders.RetryAfter) == "" || g.header.Get(testHeaders.RequestID) != "q1" {
 		t.Errorf("unsynced: %+v", g)
 	}
 	if l.node.Ready() {
@@ -64,7 +64,7 @@
 			for path, want := range map[string]int{"/once/x": c.served, "/nowhere/x": c.unrouted} {
 				id := fmt.Sprint(path, i)
 				g := l.request(path, id, time.Second)
-				if g.status != want || (g.status == 503) != (g.header.Get(dialect.RetryAfter) != "") || (want == 200) != (l.runCount(id) == 1) {
+				if g.status != want || (g.status == 503) != (g.header.Get(testHeaders.RetryAfter) != "") || (want == 200) != (l.runCount(id) == 1) {
 					t.Errorf("%v old: %s: %+v, ran %d times", c.at, path, g, l.runCount(id))
 				}
 			}
@@ -78,7 +78,7 @@
 		}
 		l.node.SetAsOf(time.Now())
 		if g := l.request("/once/x", "new", time.Second); g.status != 200 {
-			t.Errorf("with news: %+v", g)
+			t.Errorf("with a fresh configuration: %+v", g)
 		}
 		l.close()
 	})
@@ -91,7 +91,7 @@
 		l.routes(1)
 		began := time.Now()
 		g := l.request("/once/x", "q1", 3*time.Second)
-		if g.status != 503 || g.header.Get(dialect.RetryAfter) == "" || time.Since(began) != 0 {
+		if g.status != 503 || g.header.Get(testHeaders.RetryAfter) == "" || time.Since(began) != 0 {
 			t.Errorf("%+v after %v", g, time.Since(began))
 		}
 		l.node.ApplyRuns([]target.Run{{ID: "x", Service: "svc", Addr: "pipe9", Zone: "a", Slots: 1, State: target.Draining, Seq: 1}})
@@ -140,9 +140,9 @@
 				defer mu.Unlock()
 				requested[kind]++
 				switch {
-				case g.proper(id):
+				case g.validFor(id):
 					served[kind]++
-				case g.status == 503 && g.header.Get(dialect.RetryAfter) != "" && l.runCount(id) == 0:
+				case g.status == 503 && g.header.Get(testHeaders.RetryAfter) != "" && l.runCount(id) == 0:
 					refusedAfter = max(refusedAfter, time.Since(began))
 				default:
 					t.Errorf("%s got %+v", id, g)
@@ -174,10 +174,10 @@
 			for i := range n {
 				wg.Go(func() {
 					g := l.request("/once/x", fmt.Sprint("n", n, "-", i), 3*time.Second)
-					if v := g.header.Get(dialect.RetryAfter); v != "" {
+					if v := g.header.Get(testHeaders.RetryAfter); v != "" {
 						d, err := time.ParseDuration(v + "s")
 						if err != nil || g.status != 503 || d < minRetryAfter || d > time.Second {
-							t.Errorf("told %q with %d", v, g.status)
+							t.Errorf("Retry-After %q with status %d", v, g.status)
 						}
 						mu.Lock()
 						most = max(most, d)
@@ -191,7 +191,7 @@
 		}
 		few, many := longestRetryAfter(4), longestRetryAfter(100)
 		if few == 0 || many <= few {
-			t.Errorf("told %v with few and %v with many", few, many)
+			t.Errorf("Retry-After %v with few requests and %v with many", few, many)
 		}
 		l.close()
 	})
@@ -212,7 +212,7 @@
 		for i := range 20 {
 			wg.Go(func() {
 				id := fmt.Sprint("q", i)
-				if g := l.request("/once/x", id, 10*time.Second); !g.proper(id) {
+				if g := l.request("/once/x", id, 10*time.Second); !g.validFor(id) {
 					t.Errorf("%s got %+v", id, g)
 				}
 			})
@@ -287,14 +287,14 @@
 		l.startTarget("one", nil, serveOK)
 		c := l.client()
 		id := fmt.Sprint("q", i)
-		if g, err := c.call("GET", "/once/x", "warm", 5*time.Second); err != nil || !g.proper("warm") {
+		if g, err := c.call("GET", "/once/x", "warm", 5*time.Second); err != nil || !g.validFor("warm") {
 			t.Fatal(g, err)
 		}
 		done := make(chan error)
 		go func() { done <- l.node.Stop(t.Context()) }()
 		g, err := c.call("GET", "/once/x", id, 5*time.Second)
 		switch {
-		case err == nil && g.proper(id):
+		case err == nil && g.validFor(id):
 		case err != nil && l.runCount(id) == 0:
 		default:
 			t.Errorf("got %+v, %v; ran %d times", g, err, l.runCount(id))
@@ -319,7 +319,7 @@
 			// A delayed update with an earlier heartbeat.
 			l.node.ApplyRuns([]target.Run{{ID: "one", Service: "svc", Addr: l.targets["one"].ln.Addr().String(), Zone: "a", Slots: 4, State: target.Ready, Seq: 3}})
 		}
-		if g := l.request("/once/x", id, 5*time.Second); !g.proper(id) {
+		if g := l.request("/once/x", id, 5*time.Second); !g.validFor(id) {
 			t.Errorf("%+v", g)
 		}
 	}
--- a/internal/proxy/passive_health.go
+++ b/internal/proxy/passive_health.go
@@ -136,7 +136,7 @@
 	return d.Seconds()
 }
 
-// recordOutcome records how a request that was sent at began ended.
+// recordOutcome records the outcome of a request that began at the given time and took so long.
 func (e *endpoint) recordOutcome(now, began time.Time, o outcome, took time.Duration) {
 	f, m := e.passive, &e.svc.baseline
 	gap := 0.0
--- a/internal/proxy/passive_health_test.go
+++ b/internal/proxy/passive_health_test.go
@@ -231,7 +231,7 @@
 // TestFatesAreSmall: a node may know thousands of endpoints and has little processor time.
 func TestFatesAreSmall(t *testing.T) {
 	if k := unsafe.Sizeof(passiveHealth{}); k > 160 {
-		t.Errorf("%d bytes a run", k)
+		t.Errorf("%d bytes per endpoint", k)
 	}
 	n, s := warmService(48)
 	x := testExchange(n, s, route.Idempotent)
@@ -242,7 +242,7 @@
 		e.recordOutcome(now, now, outcomeAnswered, 100*time.Millisecond)
 		e.recordOutcome(now, now, outcomeReset, 100*time.Millisecond)
 	}); k != 0 {
-		t.Errorf("%v allocations a request", k)
+		t.Errorf("%v allocations per request", k)
 	}
 }
 
--- a/internal/proxy/passive_scenarios_test.go
+++ b/internal/proxy/passive_scenarios_test.go
@@ -91,7 +91,8 @@
 )
 
 // runScenario simulates 20 targets, of which by default a tenth are faulty from second 20 to 26, at
-// a given rate of requests per second, a quarter of which must run at most once.
+// a given rate of requests per second, a quarter of which must run at most once. It can turn off
+// the substitution of answers for probes (noAnswerEvidence) and passive health.
 func runScenario(t *testing.T, scenario faultScenario, rate float64, noAnswerEvidence, noPassiveHealth bool) (result scenarioResult) {
 	synctest.Test(t, func(t *testing.T) {
 		l := newHarness(t, newPipes(), func(s *Settings) { s.BudgetRatio, s.BudgetSlack = 0.2, 20 })
@@ -112,7 +113,7 @@
 				case slots <- true:
 					defer func() { <-slots }()
 				case <-time.After(100 * time.Millisecond):
-					return writeAnswer(c, "503 Full", s.id, dialect.NotRun+": 1\r\n", "")
+					return writeAnswer(c, "503 Full", s.id, testHeaders.NotRun+": 1\r\n", "")
 				}
 				if faultActive() {
 					return scenario.fault(l, c, s)
@@ -149,7 +150,7 @@
 				mu.Lock()
 				defer mu.Unlock()
 				result.requests++
-				ok := err == nil && g.proper(id)
+				ok := err == nil && g.validFor(id)
 				if ok {
 					result.served++
 					if time.Since(at) <= 400*time.Millisecond {
@@ -180,8 +181,9 @@
 	return result
 }
 
-// TestFatesWorlds measures both mechanisms, each with and without: go test ./internal/proxy
-// -run TestFatesWorlds -v -fates.seeds 10. Without the flag it checks one scenario only.
+// TestFatesWorlds measures passive health and the substitution of answers for probes, each on and
+// off: go test ./internal/proxy -run TestFatesWorlds -v -fates.seeds 10. Without the flag it checks
+// one scenario only.
 func TestFatesWorlds(t *testing.T) {
 	if *passiveSeeds == 0 {
 		scenario := faultScenarios[2]
--- a/internal/proxy/pool.go
+++ b/internal/proxy/pool.go
@@ -85,10 +85,11 @@
 	return nil
 }
 
-// putIdle returns a connection to the pool for the duration d.
+// putIdle puts a connection into the pool, to be reused within d.
 func (e *endpoint) putIdle(c *conn, d time.Duration) { e.putConn(c, e.svc.node.clock.Now(), d) }
 
-// putUnused returns a connection to the pool over which nothing was sent.
+// putUnused puts a connection over which nothing was sent into the pool. A reused one keeps its
+// idle time.
 func (e *endpoint) putUnused(c *conn, now time.Time) {
 	if c.idleSince.IsZero() {
 		e.putConn(c, now, defaultIdleTimeout)
--- a/internal/proxy/probe.go
+++ b/internal/proxy/probe.go
@@ -55,7 +55,8 @@
 	}
 }
 
-// sweep closes idle connections and adapts the subset size.
+// sweep closes expired idle connections, adapts the subset size, and brings forward the probes of
+// suspected endpoints.
 func (s *service) sweep(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/proxy/probe_test.go
+++ b/internal/proxy/probe_test.go
@@ -44,7 +44,7 @@
 			}
 		})
 		defer quiet.Close()
-		if g := l.request("/idem/x", "q0", time.Second); !g.proper("q0") {
+		if g := l.request("/idem/x", "q0", time.Second); !g.validFor("q0") {
 			t.Errorf("%+v", g)
 		}
 		l.node.ApplyRuns([]target.Run{{ID: "quiet", Service: "svc", Addr: quiet.Addr().String(), Zone: "a", Slots: 4, State: target.Ready, Seq: 1}})
@@ -72,7 +72,7 @@
 		}
 		for i := range 40 {
 			id := fmt.Sprint("q", i+1)
-			if g := l.request("/once/x", id, time.Second); !g.proper(id) {
+			if g := l.request("/once/x", id, time.Second); !g.validFor(id) {
 				t.Errorf("%+v", g)
 			}
 		}
@@ -84,7 +84,7 @@
 			t.Errorf("%d probes of an unused service", now-before)
 		}
 		// An endpoint is not suspected for time in which it was not probed.
-		if g := l.request("/idem/x", "again", time.Second); !g.proper("again") {
+		if g := l.request("/idem/x", "again", time.Second); !g.validFor("again") {
 			t.Errorf("%+v", g)
 		}
 		time.Sleep(time.Second)
--- a/internal/proxy/report_test.go
+++ b/internal/proxy/report_test.go
@@ -40,7 +40,7 @@
 		}
 		for id, e := range s.endpoints {
 			if e.overEjectionCap {
-				t.Errorf("%s was pardoned by a report", id)
+				t.Errorf("a report set overEjectionCap of %s", id)
 			}
 		}
 		// A selection avoids the same number.
@@ -51,7 +51,7 @@
 		s.mu.Unlock()
 		time.Sleep(initialBackoff + time.Millisecond)
 		if got := n.Report().Runs; got.Doubted != 1 || got.PassedOver != 1 {
-			t.Errorf("after the penalty: %+v", got)
+			t.Errorf("after the backoff: %+v", got)
 		}
 	})
 }
--- a/internal/proxy/slow_reader_test.go
+++ b/internal/proxy/slow_reader_test.go
@@ -43,7 +43,7 @@
 }
 
 // Guards against cutting off callers that read slowly but steadily: on a wide link the whole answer had one timeout of 10 s.
-// Callers below the least rate are cut off and counted, and those still reading past their own deadline are cut off.
+// Callers below the minimum rate are cut off and counted, and those still reading past their own deadline are cut off.
 func TestSlowReadersGetTheirAnswers(t *testing.T) {
 	const size = 300_000
 	for name, x := range map[string]struct {
--- a/internal/proxy/stop_test.go
+++ b/internal/proxy/stop_test.go
@@ -32,7 +32,8 @@
 	refused  bool // with Retry-After, so the request did not run
 }
 
-func (e downloadResult) proper(size int) bool {
+// acceptable reports whether the download was answered completely, refused or not read.
+func (e downloadResult) acceptable(size int) bool {
 	return e.notRead || e.refused || e.err == nil && e.response.status == http.StatusOK && len(e.response.body) == size
 }
 
@@ -53,7 +54,7 @@
 		return e
 	}
 	e.response, e.err = c.read()
-	e.refused = e.err == nil && e.response.status == http.StatusServiceUnavailable && e.response.header.Get(dialect.RetryAfter) != ""
+	e.refused = e.err == nil && e.response.status == http.StatusServiceUnavailable && e.response.header.Get(testHeaders.RetryAfter) != ""
 	return e
 }
 
@@ -99,7 +100,7 @@
 					wg.Wait()
 					answered := 0
 					for _, e := range results {
-						if !e.proper(size) {
+						if !e.acceptable(size) {
 							t.Errorf("%s, sent %v after the stop: %d, %d bytes, %v", e.id, e.sent, e.response.status, len(e.response.body), e.err)
 						}
 						if e.response.status == http.StatusOK {
--- a/internal/proxy/stream_test.go
+++ b/internal/proxy/stream_test.go
@@ -13,8 +13,8 @@
 
 const streamSize = 64 << 10
 
-// answerInParts answers in the given number of parts, each after a pause; with breaks it omits
-// the last part. took is called with the duration of the write.
+// answerInParts answers in the given number of parts, with a pause before each but the first. If
+// truncated, it omits the last part. took is called with the duration of the write.
 func answerInParts(parts int, each time.Duration, truncated bool, took func(time.Duration)) handler {
 	return func(l *harness, c net.Conn, s *receivedRequest) bool {
 		l.recordRun(s)
@@ -108,7 +108,7 @@
 			t.Errorf("%+v, %d arrivals", s, len(l.requests()))
 		}
 		if e := l.node.allServices()[0].endpoints["one"]; e.failures != 1 {
-			t.Errorf("%d failures noted", e.failures)
+			t.Errorf("%d failures recorded", e.failures)
 		}
 		l.close()
 	})
@@ -135,7 +135,7 @@
 			t.Errorf("%+v", s)
 		}
 		if e := l.node.allServices()[0].endpoints["one"]; e.failures != 0 || len(e.inFlight) != 0 || e.conns != 0 {
-			t.Errorf("%d failures, %d under way, %d connections", e.failures, len(e.inFlight), e.conns)
+			t.Errorf("%d failures, %d in flight, %d connections", e.failures, len(e.inFlight), e.conns)
 		}
 		l.close()
 	})
@@ -156,7 +156,7 @@
 		time.Sleep(3 * time.Second)
 		synctest.Wait()
 		if took == 0 || took > time.Second || l.node.downloads.activeCount() != 0 || len(l.node.allServices()[0].endpoints["one"].inFlight) != 0 {
-			t.Errorf("the target was held for %v, %d places taken", took, l.node.downloads.activeCount())
+			t.Errorf("the target was held up for %v, %d slots in use", took, l.node.downloads.activeCount())
 		}
 		if _, _, size, err := c.timeAnswer(time.Now()); err != nil || size != streamSize {
 			t.Errorf("%d bytes, %v", size, err)
--- a/internal/proxy/upgrade.go
+++ b/internal/proxy/upgrade.go
@@ -220,7 +220,7 @@
 }
 
 // badAnswer reports whether an outcome counts against a version, and whether it counts at all. Connect failures, resets and
-// malformed answers are put down to the machine; a target that has just started is expected to be slow.
+// malformed answers are attributed to the machine; a target that has just started is expected to be slow.
 func badAnswer(o outcome, slow, cold bool) (bad, counts bool) {
 	switch o {
 	case outcomeServerError:
--- a/internal/proxy/wait_queue_test.go
+++ b/internal/proxy/wait_queue_test.go
@@ -64,7 +64,7 @@
 		t.Errorf("a rate of 100 is estimated as %v", r)
 	}
 	if c := p.overloadRatio(now); c < 1.9 || c > 2.1 {
-		t.Errorf("demand per place is estimated as %v, want 2", c)
+		t.Errorf("overload ratio %v, want 2", c)
 	}
 	if r := p.completionRate(now.Add(10 * time.Second)); r > 1 {
 		t.Errorf("a rate of %v after idle time", r)
@@ -84,7 +84,7 @@
 }
 
 func TestSettings(t *testing.T) {
-	valid := Settings{ID: "x", Zone: "a", Headers: dialect, BudgetWindow: time.Second, Grace: time.Second}
+	valid := Settings{ID: "x", Zone: "a", Headers: testHeaders, BudgetWindow: time.Second, Grace: time.Second}
 	if err := valid.Check(); err != nil {
 		t.Error(err)
 	}
--- a/internal/spread/spread_test.go
+++ b/internal/spread/spread_test.go
@@ -34,7 +34,7 @@
 			}
 		}
 		if len(order) != n {
-			t.Fatalf("%d of %d", len(order), n)
+			t.Fatalf("the order has %d of %d targets", len(order), n)
 		}
 	}
 }
