--- a/internal/budget/budget.go
+++ b/internal/budget/budget.go
@@ -69,9 +69,9 @@
 // value: of two that may fall into one window the later only admits sends that the earlier admits
 // as well. Nodes to which n is not reported draw no number, as they have no part. While some nodes
 // take n for larger than the slack and others do not, the bound is exact: if N nodes lived, none
-// had a smaller n reported, so if s x slack / N is at least one, each of the former gives up a part
-// of at least one for a random number that adds less than one; and if it is less than one, no node
-// was reported a number that gives it a part.
+// had a smaller n reported, so if s x slack / N is at least one, each node that takes n for larger
+// gives up a part of at least one for a random number that adds less than one; and if it is less
+// than one, no node was reported a number that gives it a part.
 //
 // Granularity. Time is divided into slots of W/40. A send counts as long as the window reaches
 // into its slot or the one after, a request only while its slot and the one before are
--- a/internal/liveness/detector.go
+++ b/internal/liveness/detector.go
@@ -42,8 +42,8 @@
 // priorBeta is the shape of the prior.
 const priorBeta = 3
 
-// Detector judges one run of one target. RecordArrival takes its lock; a request that
-// chooses a target reads an atomic snapshot (design 10.3).
+// Detector computes the suspicion of one run of one target. RecordArrival takes its lock; a request
+// that chooses a target reads an atomic snapshot (design 10.3).
 type Detector struct {
 	opts   Options
 	pauses *PauseMonitor
--- a/internal/liveness/detector_test.go
+++ b/internal/liveness/detector_test.go
@@ -50,7 +50,7 @@
 	}
 }
 
-// With nearly equal gaps the unmodified fit takes an arrival that is a few per cent late for a crash.
+// With nearly equal gaps the unmodified fit suspects a crash when an arrival is a few per cent late.
 func TestNearConstantGapsDoNotMakeATrigger(t *testing.T) {
 	o := DefaultOptions(time.Second)
 	d, last := detectorAfter(o, 150, 0.001)
--- a/internal/proxy/failure_test.go
+++ b/internal/proxy/failure_test.go
@@ -212,7 +212,7 @@
 	}
 }
 
-// TestForgottenIdle: a connection that its target closed while it was idle is found dead before a
+// TestForgottenIdle: a connection that its target closed while it was idle is detected before a
 // request is written to it.
 func TestForgottenIdle(t *testing.T) {
 	for _, kind := range []string{"once", "idem"} {
@@ -228,7 +228,7 @@
 			waitFor(t, func() bool { return !idleAlive(l.node) })
 		}
 		if n := l.node.Stats().Stale; n != 0 {
-			t.Errorf("%d connections died under a request", n)
+			t.Errorf("%d connections failed during a request", n)
 		}
 	}
 }
--- a/internal/proxy/fuzz_test.go
+++ b/internal/proxy/fuzz_test.go
@@ -138,7 +138,8 @@
 // FuzzExchange runs callers on persistent connections against targets that follow a script, while
 // the node may be stopped. In every case a success is the complete answer to the same
 // request and carries a seal, and no unsolicited bytes are sent; no target reads a body other than the one
-// sent; at-most-once requests run at most once, and not at all if the caller was told that they did not.
+// sent; at-most-once requests run at most once, and not at all if the caller's answer says that they did
+// not run.
 func FuzzExchange(f *testing.F) {
 	for i := range targetBehaviors {
 		f.Add([]byte{byte(i), 0, byte(i), 1}, []byte{0, 1, 2, 3, 4, 5, 21, 22, 12}, byte(0), byte(255))
@@ -354,7 +355,7 @@
 }
 
 // checkRuns checks that an at-most-once request ran at most once, and not at all if its caller
-// was told that it did not run.
+// got an answer that says that it did not run.
 func checkRuns(t *testing.T, l *harness, x scriptedCall) {
 	t.Helper()
 	n := l.runCount(x.id)
@@ -363,6 +364,6 @@
 	}
 	promised := x.status == 429 || x.status == 503 || x.status == 408 || x.status == 421
 	if x.once && promised && n > 0 {
-		t.Errorf("%s ran, and its caller was told %d", x.id, x.status)
+		t.Errorf("%s ran, and its caller got status %d", x.id, x.status)
 	}
 }
--- a/internal/proxy/order_test.go
+++ b/internal/proxy/order_test.go
@@ -162,7 +162,7 @@
 	})
 }
 
-// TestRetryGrows checks that callers are told to come back later under overload than at low load.
+// TestRetryGrows checks that Retry-After is longer under overload than at low load.
 func TestRetryGrows(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := newHarness(t, newPipes(), nil)
--- a/internal/proxy/service.go
+++ b/internal/proxy/service.go
@@ -16,7 +16,7 @@
 	// connFraction is the fraction of a target's connection limit that all nodes together use.
 	connFraction = 0.8
 	// distrustIdleFor is how long requests that must run at most once avoid idle connections of a
-	// service after one died under a request.
+	// service after one failed during a request.
 	distrustIdleFor = 10 * time.Second
 	// probeAfterUse is how long after its last request a service's endpoints are probed.
 	probeAfterUse = 30 * time.Second
