--- a/internal/proxy/bench_test.go
+++ b/internal/proxy/bench_test.go
@@ -17,18 +17,18 @@
 // BenchmarkRequest measures one request over loopback with kept-alive connections on both sides.
 // The figures include the fake target and the caller.
 func BenchmarkRequest(b *testing.B) {
-	n := New(Config{Settings: Settings{ID: "f", Zone: "a", Headers: dialect}, Clock: clock.Wall{}})
+	n := New(Config{Settings: Settings{ID: "f", Zone: "a", Headers: testHeaders}, Clock: clock.Wall{}})
 	n.ApplyItems([]item.Item{
 		route.Service{Name: "svc", Version: 1}.Item(),
 		route.Route{Name: "r", Version: 1, Host: "h", Prefix: "/a/", Repeat: route.Idempotent, Attempts: 2, AimMS: 400, Shares: []route.Share{{Service: "svc", Weight: 1}}}.Item(),
 	})
 	n.SetGateways(1, 1)
 	n.SetSynced(true)
-	to := loopback{}.listen()
-	defer to.Close()
+	targetListener := loopback{}.listen()
+	defer targetListener.Close()
 	go func() {
 		for {
-			c, err := to.Accept()
+			c, err := targetListener.Accept()
 			if err != nil {
 				return
 			}
@@ -49,7 +49,7 @@
 			}()
 		}
 	}()
-	n.ApplyRuns([]target.Run{{ID: "t", Service: "svc", Addr: to.Addr().String(), Zone: "a", Slots: 4, State: target.Ready, Seq: 1}})
+	n.ApplyRuns([]target.Run{{ID: "t", Service: "svc", Addr: targetListener.Addr().String(), Zone: "a", Slots: 4, State: target.Ready, Seq: 1}})
 	ln := loopback{}.listen()
 	go func() { _ = n.Serve(ln) }()
 	defer ln.Close()
--- a/internal/proxy/passive_health.go
+++ b/internal/proxy/passive_health.go
@@ -18,7 +18,8 @@
 	baselineMinBeta, baselineMaxBeta = 1, 4
 	// A failure adds ln 1/p to a gap, p being the fraction of the service's requests that fail:
 	// a moving average with weight failureRateWeight, and at least minFailureRate. A dead idle
-	// connection adds only staleConnWeight of that, for targets drop idle connections.
+	// connection adds only staleConnWeight of that, because targets also close idle connections
+	// without a fault.
 	minFailureRate, failureRateWeight, staleConnWeight = 0.03, 1.0 / 32, 0.3
 	// ejectSlowdown is the ratio of an endpoint's gaps to those of its peers from which it is
 	// ejected. At least minFailedGaps of its gaps must contain a failure.
@@ -135,7 +136,7 @@
 	return d.Seconds()
 }
 
-// recordOutcome records how a request that was sent at began ended.
+// recordOutcome records the outcome of a request that began at the given time and took so long.
 func (e *endpoint) recordOutcome(now, began time.Time, o outcome, took time.Duration) {
 	f, m := e.passive, &e.svc.baseline
 	gap := 0.0
--- a/internal/proxy/passive_scenarios_test.go
+++ b/internal/proxy/passive_scenarios_test.go
@@ -75,10 +75,10 @@
 }
 
 // scenarioResult counts the requests that came during the fault or just after it.
-type scenarioResult struct{ requests, served, withinAim, once, lost, probes, probesSaved, ejections, turnedAway int }
+type scenarioResult struct{ requests, served, withinTarget, once, lost, probes, probesSaved, ejections, turnedAway int }
 
 func (t *scenarioResult) add(o scenarioResult) {
-	t.requests, t.served, t.withinAim, t.once, t.lost = t.requests+o.requests, t.served+o.served, t.withinAim+o.withinAim, t.once+o.once, t.lost+o.lost
+	t.requests, t.served, t.withinTarget, t.once, t.lost = t.requests+o.requests, t.served+o.served, t.withinTarget+o.withinTarget, t.once+o.once, t.lost+o.lost
 	t.probes, t.probesSaved, t.ejections, t.turnedAway = t.probes+o.probes, t.probesSaved+o.probesSaved, t.ejections+o.ejections, t.turnedAway+o.turnedAway
 }
 
@@ -91,11 +91,12 @@
 )
 
 // runScenario simulates 20 targets, of which by default a tenth are faulty from second 20 to 26, at
-// a given rate of requests per second, a quarter of which must run at most once.
-func runScenario(t *testing.T, scenario faultScenario, rate float64, noStandIn, noFates bool) (result scenarioResult) {
+// a given rate of requests per second, a quarter of which must run at most once. It can turn off
+// the substitution of answers for probes (noAnswerEvidence) and passive health.
+func runScenario(t *testing.T, scenario faultScenario, rate float64, noAnswerEvidence, noPassiveHealth bool) (result scenarioResult) {
 	synctest.Test(t, func(t *testing.T) {
 		l := newHarness(t, newPipes(), func(s *Settings) { s.BudgetRatio, s.BudgetSlack = 0.2, 20 })
-		l.node.noAnswerEvidence, l.node.noFates = noStandIn, noFates
+		l.node.noAnswerEvidence, l.node.noPassiveHealth = noAnswerEvidence, noPassiveHealth
 		l.routes(2)
 		began := time.Now()
 		for i, nth := range rand.Perm(scenarioRuns) {
@@ -112,7 +113,7 @@
 				case slots <- true:
 					defer func() { <-slots }()
 				case <-time.After(100 * time.Millisecond):
-					return writeAnswer(c, "503 Full", s.id, dialect.NotRun+": 1\r\n", "")
+					return writeAnswer(c, "503 Full", s.id, testHeaders.NotRun+": 1\r\n", "")
 				}
 				if faultActive() {
 					return scenario.fault(l, c, s)
@@ -149,11 +150,11 @@
 				mu.Lock()
 				defer mu.Unlock()
 				result.requests++
-				ok := err == nil && g.proper(id)
+				ok := err == nil && g.validFor(id)
 				if ok {
 					result.served++
 					if time.Since(at) <= 400*time.Millisecond {
-						result.withinAim++
+						result.withinTarget++
 					}
 				}
 				if kind == "once" {
@@ -180,8 +181,9 @@
 	return result
 }
 
-// TestFatesWorlds measures both mechanisms, each with and without: go test ./internal/proxy
-// -run TestFatesWorlds -v -fates.seeds 10. Without the flag it checks one scenario only.
+// TestFatesWorlds measures passive health and the substitution of answers for probes, each on and
+// off: go test ./internal/proxy -run TestFatesWorlds -v -fates.seeds 10. Without the flag it checks
+// one scenario only.
 func TestFatesWorlds(t *testing.T) {
 	if *passiveSeeds == 0 {
 		scenario := faultScenarios[2]
@@ -205,7 +207,7 @@
 					}
 					part := func(a, b int) float64 { return 100 * float64(a) / float64(max(1, b)) }
 					t.Logf("| %s | %g | %s | %.2f | %.2f | %.2f | %d | %d", scenario.name, rate, what, part(sum.served, sum.requests),
-						part(sum.withinAim, sum.requests), part(sum.lost, sum.once), sum.probes / *passiveSeeds, sum.ejections / *passiveSeeds)
+						part(sum.withinTarget, sum.requests), part(sum.lost, sum.once), sum.probes / *passiveSeeds, sum.ejections / *passiveSeeds)
 				}
 			})
 		}
--- a/internal/proxy/service.go
+++ b/internal/proxy/service.go
@@ -16,7 +16,7 @@
 	// connFraction is the fraction of a target's connection limit that all nodes together use.
 	connFraction = 0.8
 	// distrustIdleFor is how long requests that must run at most once avoid idle connections of a
-	// service after one died under a request.
+	// service after one failed during a request.
 	distrustIdleFor = 10 * time.Second
 	// probeAfterUse is how long after its last request a service's endpoints are probed.
 	probeAfterUse = 30 * time.Second
@@ -40,14 +40,14 @@
 	// canaryScratch is a buffer for pickCanary.
 	canaryScratch   []*endpoint
 	queue           waitQueue
-	pace            requestRates
+	rates           requestRates
 	limit           concurrencyLimit
 	baseline        serviceBaseline
-	subsetSize      int     // most endpoints in use, counted separately for the own and all other zones
-	recentPeak      float64 // decaying maximum of the requests in flight
-	latency         time.Duration
-	lastStaleConn   time.Time
-	lastUsed        time.Time
+	subsetSize      int                 // most endpoints in use, counted separately for the own and all other zones
+	recentPeak      float64             // decaying maximum of the requests in flight
+	latency         time.Duration       // moving average of valid answers; 0 means unknown
+	lastStaleConn   time.Time           // when a reused connection last failed during a request
+	lastUsed        time.Time           // when a request last needed a target
 	ejectionScratch []ejectionCandidate // buffer for ejections
 }
 
--- a/internal/proxy/slow_reader_test.go
+++ b/internal/proxy/slow_reader_test.go
@@ -43,14 +43,14 @@
 }
 
 // Guards against cutting off callers that read slowly but steadily: on a wide link the whole answer had one timeout of 10 s.
-// Callers below the least rate are cut off and counted, and those still reading past their own deadline are cut off.
+// Callers below the minimum rate are cut off and counted, and those still reading past their own deadline are cut off.
 func TestSlowReadersGetTheirAnswers(t *testing.T) {
 	const size = 300_000
 	for name, x := range map[string]struct {
 		wait        time.Duration
 		step        int
 		pause       time.Duration
-		whole       bool
+		complete    bool
 		least, most time.Duration // until it is cut off
 		slow        uint64
 	}{
@@ -69,10 +69,10 @@
 					l.routes(2)
 					l.startTarget("t1", nil, answerWithSize(size, 10*time.Millisecond))
 					got, took, err := l.readSlowly("id-1", x.wait, x.step, x.pause)
-					if whole := err == nil && got == size; whole != x.whole {
+					if complete := err == nil && got == size; complete != x.complete {
 						t.Errorf("%d of %d bytes after %v: %v", got, size, took, err)
 					}
-					if !x.whole && (took < x.least || took > x.most) {
+					if !x.complete && (took < x.least || took > x.most) {
 						t.Errorf("cut off after %v, want %v to %v", took, x.least, x.most)
 					}
 					if s := l.node.Stats().TooSlow; s != x.slow {
