--- a/internal/fault/fault.go
+++ b/internal/fault/fault.go
@@ -12,16 +12,16 @@
 	AfterAccept       = 4  // voter: an accept is on disk, not yet answered
 	AfterDecided      = 5  // rollout: the change is decided, nothing is staged
 	AfterStaged       = 6  // rollout: every gateway with a lease has staged the change
-	AfterHeld         = 7  // rollout: every gateway with a lease holds
+	AfterHeld         = 7  // rollout: every gateway with a lease holds back new sends
 	AfterFlipped      = 8  // rollout: the flip is decided, no gateway is notified
 	BeforeAck         = 9  // rollout: in force at every gateway, not yet acknowledged to the operator
 	AfterLeaveDecided = 10 // drain: the leave is decided, no gateway is notified
 	BeforeLeaveAck    = 11 // drain: gateways have recorded the leave, not yet acknowledged to the target
-	BeforeSend        = 12 // passage: target elected, nothing written
-	AfterSend         = 13 // passage: request written, no answer read
+	BeforeSend        = 12 // passage: target selected, nothing written
+	AfterSend         = 13 // passage: request written, its outcome not yet processed
 	AfterSeal         = 14 // reconfiguration: former voters sealed, no items pulled
 	AfterPull         = 15 // reconfiguration: items pulled, not yet voting
-	AfterFlipNotified = 16 // rollout: gateways are notified of the flip, none of them shows it
+	AfterFlipNotified = 16 // rollout: a majority of the gateways knows of the flip, none uses the new sheet yet
 )
 
 // NumPoints is the number of fault points.
--- a/internal/item/set_test.go
+++ b/internal/item/set_test.go
@@ -23,8 +23,8 @@
 func TestMergeKeepsTheHighestVersion(t *testing.T) {
 	s := NewSet()
 	for _, c := range []struct {
-		in   Item
-		news bool
+		in    Item
+		isNew bool
 	}{
 		{route("a", 3, "x"), true},
 		{route("a", 3, "x"), false},
@@ -38,8 +38,8 @@
 		{route("a", 6, "z"), true},
 		{Item{Key: Key{Service, "a"}, Version: 1}, true},
 	} {
-		if got := s.Merge(c.in); got != c.news {
-			t.Fatalf("%v: Merge returned %v, want %v", c.in, got, c.news)
+		if got := s.Merge(c.in); got != c.isNew {
+			t.Fatalf("%v: Merge returned %v, want %v", c.in, got, c.isNew)
 		}
 	}
 	if got, ok := s.Get(Key{Route, "a"}); !ok || !equal(got, route("a", 6, "z")) {
@@ -119,8 +119,8 @@
 			t.Fatalf("more %v at %d of %d", more, upTo, s.Seq())
 		}
 		for _, it := range items {
-			if now, _ := s.Get(it.Key); !equal(now, it) {
-				t.Fatalf("Since returned %v, but the set holds %v", it, now)
+			if current, _ := s.Get(it.Key); !equal(current, it) {
+				t.Fatalf("Since returned %v, but the set holds %v", it, current)
 			}
 			if !follower.Merge(it) {
 				t.Fatalf("Since returned %v twice", it)
--- a/internal/link/link.go
+++ b/internal/link/link.go
@@ -27,6 +27,7 @@
 	handlers map[reflect.Type]func(context.Context, Identity, any) (any, error)
 }
 
+// NewMux returns a Mux without handlers.
 func NewMux() *Mux {
 	return &Mux{handlers: map[reflect.Type]func(context.Context, Identity, any) (any, error){}}
 }
@@ -48,7 +49,7 @@
 func (m *Mux) Dispatch(ctx context.Context, from Identity, request any) (any, error) {
 	handler, ok := m.handlers[reflect.TypeOf(request)]
 	if !ok {
-		return nil, steperr.New("answer", from.ID, "no answer here to %T", request)
+		return nil, steperr.New("answer", from.ID, "no handler for requests of type %T", request)
 	}
 	return handler(ctx, from, request)
 }
@@ -62,7 +63,7 @@
 	}
 	response, ok := v.(R)
 	if !ok {
-		return zero, steperr.Wrap("ask", addr, fmt.Errorf("answer of type %T, want %T", v, zero))
+		return zero, steperr.Wrap("ask", addr, fmt.Errorf("response of type %T, want %T", v, zero))
 	}
 	return response, nil
 }
--- a/internal/link/tcp.go
+++ b/internal/link/tcp.go
@@ -91,7 +91,8 @@
 	return n, err
 }
 
-// Call sends one request and waits for its response until ctx ends.
+// Call sends one request and waits for its response until ctx ends. If ctx has no deadline, the
+// peer gets 2 s to answer.
 func (t *TCP) Call(ctx context.Context, addr string, request any) (any, error) {
 	conn, err := t.connect(ctx, addr)
 	if err != nil {
@@ -101,7 +102,7 @@
 	conn.mu.Lock()
 	if conn.closed {
 		conn.mu.Unlock()
-		return nil, steperr.New("link", addr, "closed")
+		return nil, steperr.New("link", addr, "connection closed")
 	}
 	conn.lastID++
 	id := conn.lastID
@@ -132,7 +133,7 @@
 		return nil, steperr.Wrap("ask", addr, ctx.Err())
 	case e, ok := <-response:
 		if !ok {
-			return nil, steperr.New("ask", addr, "link closed before the answer")
+			return nil, steperr.New("ask", addr, "connection closed before the response")
 		}
 		if e.Err != "" {
 			return nil, steperr.Wrap("answer", addr, errors.New(e.Err))
@@ -219,7 +220,7 @@
 		return fmt.Errorf("greeting %q version %d, want %q version %d", g.Magic, g.Version, protocolMagic, protocolVersion)
 	}
 	if g.ID == "" || len(g.ID) > 64 || len(g.Kind) > 16 {
-		return errors.New("greeting without a proper name")
+		return errors.New("greeting without an ID, or with an ID or kind that is too long")
 	}
 	return nil
 }
@@ -245,6 +246,7 @@
 	}
 }
 
+// closeConn closes an outgoing connection and fails the calls that wait for its responses.
 func (t *TCP) closeConn(conn *tcpConn) {
 	t.mu.Lock()
 	if t.conns[conn.addr] == conn {
@@ -359,11 +361,11 @@
 	defer func() {
 		if value := recover(); value != nil {
 			logger.Error("panic in request handler", "step", "answer", "peer", from.ID, "panic", value, "stack", string(debug.Stack()))
-			response.Body, response.Err = nil, "internal defect"
+			response.Body, response.Err = nil, "internal error"
 		}
 	}()
 	if request.Body == nil {
-		response.Err = "empty question"
+		response.Err = "request without a body"
 		return response
 	}
 	timeout := time.Duration(request.Wait)
--- a/internal/membership/duty.go
+++ b/internal/membership/duty.go
@@ -8,13 +8,15 @@
 )
 
 const (
-	// concedeTimeout is how long after its requests a renewal counts the duties granted to it.
-	concedeTimeout = 2 * RenewInterval
-	// concessionTime is how long a node does not request a duty that it left to another: its
+	// dutyGrantTimeout bounds the wait for the answers to a renewal, after which the grants of duties
+	// are evaluated.
+	dutyGrantTimeout = 2 * RenewInterval
+	// yieldDuration is how long a node does not request a duty that it yielded to another: its
 	// own next renewal releases what was granted to it, and the other's next one finds it free.
-	concessionTime = 3 * RenewInterval
-	// maxPartialGrants is how many renewals in a row may be granted a duty by a minority of the
-	// lease servers before the node gives the duty up, though no node before it requests it.
+	yieldDuration = 3 * RenewInterval
+	// maxPartialGrants is the number of successive renewals to which only a minority of the lease
+	// servers granted a duty, after which the node yields the duty even if no node with a lower ID
+	// holds a part of it.
 	maxPartialGrants = 4
 	// maxBackoff bounds the random time for which the node then does not request the duty.
 	maxBackoff = 4 * RenewInterval
@@ -51,8 +53,7 @@
 	}
 }
 
-// HoldsDuty reports whether a majority granted this node the duty and the grant has not
-// expired.
+// HoldsDuty reports whether a majority granted this node the duty and the grant has not expired.
 func (c *LeaseClient) HoldsDuty(name string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -72,7 +73,7 @@
 	return out
 }
 
-// recordAnswer counts the answer of one lease server. A grant of a duty that was given up after
+// recordAnswer counts the answer of one lease server. A grant of a duty that was yielded after
 // the request was sent does not count: the next renewal releases it.
 func (d *dutyState) recordAnswer(r *dutyRenewal, told RenewTold) {
 	for _, name := range told.Duties {
@@ -93,28 +94,28 @@
 // mustYield reports whether other nodes hold parts of a duty, none of them a majority, and one of
 // them has a lower ID than this node.
 func (r *dutyRenewal) mustYield(name string) bool {
-	before := false
-	for h, courts := range r.heldByOthers {
+	lowerIDHolds := false
+	for h, servers := range r.heldByOthers {
 		if h.Duty != name {
 			continue
 		}
-		if courts >= r.quorum {
+		if servers >= r.quorum {
 			return false
 		}
-		before = before || h.By < r.self
+		lowerIDHolds = lowerIDHolds || h.By < r.self
 	}
-	return before
+	return lowerIDHolds
 }
 
-// concede waits until all servers answered a renewal, at most concedeTimeout, and then gives up
-// the duties that only a minority granted. Without that several nodes could each keep a part of a
+// yieldPartialDuties waits until all servers answered a renewal, at most dutyGrantTimeout, and then
+// yields duties that only a minority granted. Otherwise several nodes could each keep a part of a
 // duty, and none would ever hold it.
-func (c *LeaseClient) concede(ctx context.Context, r *dutyRenewal, answered <-chan struct{}) {
+func (c *LeaseClient) yieldPartialDuties(ctx context.Context, r *dutyRenewal, answered <-chan struct{}) {
 	waitCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	go func() {
 		defer cancel()
-		_ = c.Clock.Sleep(waitCtx, concedeTimeout)
+		_ = c.Clock.Sleep(waitCtx, dutyGrantTimeout)
 	}()
 	select {
 	case <-answered:
@@ -122,13 +123,13 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.duties.concede(r, c.Clock.Now())
+	c.duties.yieldPartialDuties(r, c.Clock.Now())
 }
 
-// concede gives up what only a minority granted: of the nodes that hold a part of a duty the one
-// with the lowest ID keeps its part, and the others stop requesting it. A node that still gets no
-// majority stops requesting the duty for a random time.
-func (d *dutyState) concede(r *dutyRenewal, now time.Time) {
+// yieldPartialDuties yields duties that only a minority granted. Of the nodes that hold a part of a
+// duty, the one with the lowest ID keeps its part, and the others stop requesting it for
+// yieldDuration. A node that still gets no majority stops requesting the duty for a random time.
+func (d *dutyState) yieldPartialDuties(r *dutyRenewal, now time.Time) {
 	if d.notBefore == nil {
 		d.notBefore, d.partialGrants = map[string]time.Time{}, map[string]int{}
 	}
@@ -139,7 +140,7 @@
 			continue
 		}
 		if r.mustYield(name) {
-			d.notBefore[name] = now.Add(concessionTime)
+			d.notBefore[name] = now.Add(yieldDuration)
 			continue
 		}
 		if grants == 0 {
--- a/internal/membership/duty_test.go
+++ b/internal/membership/duty_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// maxTakeover is how long after the expiry of a holder's lease another node has the duty, while a
-// majority of the lease servers answers.
+// maxTakeover bounds the time from the expiry of a holder's lease until another node holds the
+// duty, while a majority of the lease servers answers.
 const maxTakeover = 1500 * time.Millisecond
 
 // The holder of a duty and one lease server fail together. One of the other nodes must take the
@@ -16,8 +16,8 @@
 func TestADutyIsTakenOverThoughACourtIsSilent(t *testing.T) {
 	for trial := range 150 {
 		synctest.Test(t, func(t *testing.T) {
-			ctx, end := context.WithCancel(t.Context())
-			defer end()
+			ctx, cancel := context.WithCancel(t.Context())
+			defer cancel()
 			l := newCluster(ctx, t)
 			holder := l.leaseClient("w", &cluster{servers: l.servers, delay: map[string]time.Duration{}})
 			holder.RequestDuty("duty")
--- a/internal/membership/leaseclient.go
+++ b/internal/membership/leaseclient.go
@@ -19,7 +19,7 @@
 type LeaseClient struct {
 	Transport link.Transport
 	Clock     clock.Clock
-	// Proposer knows the voters of the core; it is told of newer cores.
+	// Proposer knows the voters of the core; it learns newer cores from the answers.
 	Proposer *quorum.Proposer
 	// Self describes this node; it is called for each renewal.
 	Self func() Member
@@ -37,10 +37,11 @@
 // together: the expiry of a later lease must never be combined with the start of an earlier one.
 type lease struct{ since, until time.Time }
 
+// table is the newest table that one lease server returned.
 type table struct {
 	version uint64
 	members []Member
-	asOf    time.Time
+	asOf    time.Time // when the request was sent
 }
 
 // Held reports whether this node's lease is in force. It reads the clock each time: after a
@@ -59,7 +60,7 @@
 	return l.since, true
 }
 
-// TablesKnown reports whether this node holds a lease and a majority showed their tables with
+// TablesKnown reports whether this node holds a lease and a majority returned their tables with
 // the last renewal. Only then can a change be brought into force.
 func (c *LeaseClient) TablesKnown() bool { return c.tablesKnown.Load() && c.Held() }
 
@@ -73,7 +74,8 @@
 	return l.until.Sub(c.Clock.Now())
 }
 
-// OverdueThreshold is the remaining time of a lease from which on a renewal counts as missed.
+// OverdueThreshold is the remaining time of a lease at or below which its next renewal is overdue:
+// it has failed, or is late by more than RenewInterval/5.
 const OverdueThreshold = LeaseDuration - leaseMargin - RenewInterval - RenewInterval/5
 
 // Members returns the last known members, sorted by ID.
@@ -120,9 +122,9 @@
 	c.mu.Unlock()
 	askCtx, cancel := context.WithTimeout(ctx, LeaseDuration-RenewInterval)
 	type answer struct {
-		s   quorum.Seat
-		r   RenewTold
-		err error
+		seat  quorum.Seat
+		reply RenewTold
+		err   error
 	}
 	answers := make(chan answer, len(core.Seats))
 	for _, s := range core.Seats {
@@ -134,33 +136,33 @@
 	granted, tablesShown := 0, 0
 	renewal := newDutyRenewal(self.ID, wanted, core.QuorumSize(), sent)
 	allAnswered := make(chan struct{})
-	record := func(b answer) {
-		if b.err != nil {
+	handleAnswer := func(a answer) {
+		if a.err != nil {
 			return
 		}
-		if !b.r.OK {
-			c.Proposer.Learn(b.r.Core)
+		if !a.reply.OK {
+			c.Proposer.Learn(a.reply.Core)
 			return
 		}
-		if granted++; !b.r.Warming {
+		if granted++; !a.reply.Warming {
 			tablesShown++
 		}
 		c.mu.Lock()
 		if c.tables == nil {
 			c.tables = map[string]table{}
 		}
-		x := c.tables[b.s.Disk]
-		if x.version != b.r.Version {
-			x.members = b.r.Members
+		x := c.tables[a.seat.Disk]
+		if x.version != a.reply.Version {
+			x.members = a.reply.Members
 		}
-		x.version, x.asOf = b.r.Version, sent
-		c.tables[b.s.Disk] = x
+		x.version, x.asOf = a.reply.Version, sent
+		c.tables[a.seat.Disk] = x
 		c.mu.Unlock()
 		if granted == core.QuorumSize() {
 			c.recordGrant(sent)
 		}
 		c.mu.Lock()
-		c.duties.recordAnswer(renewal, b.r)
+		c.duties.recordAnswer(renewal, a.reply)
 		c.mu.Unlock()
 	}
 	// A slow voter must not delay the next renewal at the others.
@@ -168,12 +170,12 @@
 		defer cancel()
 		defer close(allAnswered)
 		for range core.Seats {
-			record(<-answers)
+			handleAnswer(<-answers)
 		}
 		c.tablesKnown.Store(tablesShown >= core.QuorumSize())
 		c.mergeTables(core)
 	}()
-	go c.concede(ctx, renewal, allAnswered)
+	go c.yieldPartialDuties(ctx, renewal, allAnswered)
 	waitCtx, cancelWait := context.WithTimeout(ctx, RenewInterval)
 	defer cancelWait()
 	select {
@@ -182,21 +184,22 @@
 	}
 }
 
+// recordGrant extends the lease after a majority granted a renewal that was sent at the given time.
 func (c *LeaseClient) recordGrant(sent time.Time) {
-	n := lease{until: sent.Add(LeaseDuration - leaseMargin)}
+	renewed := lease{until: sent.Add(LeaseDuration - leaseMargin)}
 	for {
 		old, now := c.lease.Load(), c.Clock.Now()
 		// The lease is unbroken only if this answer came before the previous lease expired.
 		// Otherwise a voter may have dropped it and granted it anew.
 		switch {
 		case old == nil || !now.Before(old.until):
-			n.since = now
-		case n.until.Before(old.until):
+			renewed.since = now
+		case renewed.until.Before(old.until):
 			return
 		default:
-			n.since = old.since
+			renewed.since = old.since
 		}
-		if c.lease.CompareAndSwap(old, &n) {
+		if c.lease.CompareAndSwap(old, &renewed) {
 			return
 		}
 	}
@@ -206,7 +209,7 @@
 func (c *LeaseClient) mergeTables(core quorum.Core) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	by := map[string]Member{}
+	newest := map[string]Member{}
 	now := c.Clock.Now()
 	found := false
 	for _, s := range core.Seats {
@@ -216,15 +219,15 @@
 		}
 		found = true
 		for _, m := range x.members {
-			if o, ok := by[m.ID]; !ok || m.Inc > o.Inc || m.Inc == o.Inc && m.Spec > o.Spec {
-				by[m.ID] = m
+			if o, ok := newest[m.ID]; !ok || m.Inc > o.Inc || m.Inc == o.Inc && m.Spec > o.Spec {
+				newest[m.ID] = m
 			}
 		}
 	}
 	if !found {
 		return
 	}
-	out := lo.Values(by)
+	out := lo.Values(newest)
 	slices.SortFunc(out, byID)
 	c.members.Store(&out)
 }
@@ -270,7 +273,7 @@
 			ch <- &r
 		}()
 	}
-	by := map[string]Member{}
+	newest := map[string]Member{}
 	answered := 0
 	for range core.Seats {
 		r := <-ch
@@ -278,15 +281,15 @@
 			continue
 		}
 		for _, m := range r.Members {
-			if o, ok := by[m.ID]; !ok || m.Inc > o.Inc {
-				by[m.ID] = m
+			if o, ok := newest[m.ID]; !ok || m.Inc > o.Inc {
+				newest[m.ID] = m
 			}
 		}
 		if answered++; answered == core.QuorumSize() {
 			if c.Clock.Now().Sub(started) > tableReadTimeout {
 				break
 			}
-			out := lo.Values(by)
+			out := lo.Values(newest)
 			slices.SortFunc(out, byID)
 			return out, nil
 		}
--- a/internal/membership/leaseclient_test.go
+++ b/internal/membership/leaseclient_test.go
@@ -39,12 +39,12 @@
 
 func (l *cluster) Call(ctx context.Context, addr string, ask any) (any, error) {
 	l.mu.Lock()
-	mux, w := l.servers[addr], l.delay[addr]
+	mux, delay := l.servers[addr], l.delay[addr]
 	l.mu.Unlock()
-	if w < 0 {
+	if delay < 0 {
 		return nil, errUnreachable
 	}
-	if (clock.Wall{}).Sleep(ctx, time.Millisecond+w) != nil {
+	if (clock.Wall{}).Sleep(ctx, time.Millisecond+delay) != nil {
 		return nil, ctx.Err()
 	}
 	return mux.Dispatch(ctx, link.Identity{ID: "t"}, ask)
@@ -83,15 +83,15 @@
 	return l
 }
 
-func has(ms []Member, id string) bool {
+func hasMember(ms []Member, id string) bool {
 	return slices.ContainsFunc(ms, func(m Member) bool { return m.ID == id })
 }
 
 // nearestTo is the network of a node whose requests reach the i-th lease server first.
 func (l *cluster) nearestTo(i int) *cluster {
 	network := &cluster{servers: l.servers, delay: map[string]time.Duration{}}
-	for j, c := range []string{"a", "b", "c"} {
-		network.setDelay(c, time.Duration((j-i+3)%3)*5*time.Millisecond)
+	for j, id := range []string{"a", "b", "c"} {
+		network.setDelay(id, time.Duration((j-i+3)%3)*5*time.Millisecond)
 	}
 	return network
 }
@@ -107,8 +107,8 @@
 func TestTableNeverMissesALeaseThatMovesBetweenCourts(t *testing.T) {
 	for late := time.Duration(0); late < time.Second; late += 20 * time.Millisecond {
 		synctest.Test(t, func(t *testing.T) {
-			ctx, end := context.WithCancel(t.Context())
-			defer end()
+			ctx, cancel := context.WithCancel(t.Context())
+			defer cancel()
 			l := newCluster(ctx, t)
 			holderNetwork := &cluster{servers: l.servers, delay: map[string]time.Duration{"c": -1}}
 			holder, reader := l.leaseClient("f", holderNetwork), l.leaseClient("r", l)
@@ -124,10 +124,10 @@
 				holderNetwork.setDelay("c", 0)
 			})
 			ms, err := reader.ReadTable(ctx)
-			if err == nil && holder.Held() && !has(ms, "f") {
+			if err == nil && holder.Held() && !hasMember(ms, "f") {
 				t.Errorf("a's answer %s late: the table lacks a gateway whose lease is in force", late)
 			}
-			if late == 0 && (err != nil || !has(ms, "f")) {
+			if late == 0 && (err != nil || !hasMember(ms, "f")) {
 				t.Errorf("prompt answers: %v %v", ms, err)
 			}
 		})
@@ -136,8 +136,8 @@
 
 func TestHeldEndsBeforeTheCourtsForget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ctx, end := context.WithCancel(t.Context())
-		defer end()
+		ctx, cancel := context.WithCancel(t.Context())
+		defer cancel()
 		l := newCluster(ctx, t)
 		holderNetwork := &cluster{servers: l.servers, delay: map[string]time.Duration{}}
 		holder, reader := l.leaseClient("f", holderNetwork), l.leaseClient("r", l)
@@ -149,8 +149,8 @@
 		if !ok || !holder.HoldsDuty("duty") {
 			t.Fatal("no lease or duty after four seconds")
 		}
-		for _, c := range []string{"a", "b", "c"} {
-			holderNetwork.setDelay(c, -1)
+		for _, id := range []string{"a", "b", "c"} {
+			holderNetwork.setDelay(id, -1)
 		}
 		for range 300 {
 			time.Sleep(10 * time.Millisecond)
@@ -158,15 +158,15 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if holder.Held() && !has(ms, "f") {
+			if holder.Held() && !hasMember(ms, "f") {
 				t.Fatal("the lease servers dropped a lease that its holder still relies on")
 			}
 		}
 		if holder.Held() || holder.HoldsDuty("duty") {
 			t.Fatal("lease or duty still held after the lease servers went silent")
 		}
-		for _, c := range []string{"a", "b", "c"} {
-			holderNetwork.setDelay(c, 0)
+		for _, id := range []string{"a", "b", "c"} {
+			holderNetwork.setDelay(id, 0)
 		}
 		time.Sleep(time.Second)
 		if again, ok := holder.HeldSince(); !ok || !again.After(since) {
@@ -179,8 +179,8 @@
 // come to hold it, and never two.
 func TestOneOfManyComesToHoldADuty(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ctx, end := context.WithCancel(t.Context())
-		defer end()
+		ctx, cancel := context.WithCancel(t.Context())
+		defer cancel()
 		l := newCluster(ctx, t)
 		var all []*LeaseClient
 		for i, id := range []string{"x", "y", "z"} {
--- a/internal/membership/leaseserver.go
+++ b/internal/membership/leaseserver.go
@@ -42,8 +42,8 @@
 	ID    string
 	Inc   uint64 // incarnation: this run of the process
 	Kind  string // "gateway" or "controller"
-	Inner string
-	Door  string
+	Inner string // address for the other nodes
+	Door  string // address for HTTP
 	Zone  string
 	Disk  quorum.Seat // the seat of its disk, if it has one
 	Spec  uint64      // the version of the route sheet in force there
@@ -99,9 +99,9 @@
 	until  time.Time
 }
 
-// LeaseServer grants leases beside one voter. It keeps them in memory only: after a start,
-// or after its voter took a seat, it returns no table and grants neither duties nor new leases
-// of gateways until every lease granted before must have expired (design 7.1).
+// LeaseServer grants leases; one runs next to each voter. It keeps them in memory only: after a
+// start, or after its voter took a seat, it returns no table and grants neither duties nor new
+// leases of gateways until every lease granted before must have expired (design 7.1).
 type LeaseServer struct {
 	voter *quorum.Voter
 	clock clock.Clock
@@ -112,22 +112,24 @@
 	version uint64
 	epoch   uint64
 	voting  bool
-	// From these times on the table is shown and duties are granted.
+	// From these times on the table is returned and duties are granted.
 	tableFrom, dutiesFrom time.Time
 }
 
-// NewLeaseServer returns the lease server beside voter v.
+// NewLeaseServer returns the lease server of voter v. Its table versions start at the current
+// time, so that they differ from those of an earlier run.
 func NewLeaseServer(v *quorum.Voter, c clock.Clock) *LeaseServer {
 	return &LeaseServer{voter: v, clock: c, grants: map[string]grant{}, duties: map[string]dutyGrant{}, version: uint64(c.Now().UnixNano())}
 }
 
-// Serve registers the server's request handlers with d.
+// Serve registers the server's request handlers with mux.
 func (s *LeaseServer) Serve(mux *link.Mux) {
 	link.Handle(mux, s.renew)
 	link.Handle(mux, s.table)
 }
 
-// checkEpoch follows the core and reports whether this server may answer for epoch.
+// checkEpoch takes the epoch from the voter's core and reports whether this server may answer for
+// the given epoch.
 func (s *LeaseServer) checkEpoch(epoch uint64) bool {
 	core := s.voter.Core()
 	voting := s.voter.Voting()
@@ -153,7 +155,7 @@
 		return r, nil
 	}
 	now := s.clock.Now()
-	s.expire(now)
+	s.removeExpired(now)
 	if a.Gone {
 		if g, ok := s.grants[a.Member.ID]; ok && g.member.Inc == a.Member.Inc {
 			delete(s.grants, a.Member.ID)
@@ -219,12 +221,12 @@
 	if now.Before(s.tableFrom) {
 		return r, nil
 	}
-	s.expire(now)
+	s.removeExpired(now)
 	r.OK, r.Members = true, s.members()
 	return r, nil
 }
 
-func (s *LeaseServer) expire(now time.Time) {
+func (s *LeaseServer) removeExpired(now time.Time) {
 	for id, g := range s.grants {
 		if !now.Before(g.until) {
 			delete(s.grants, id)
@@ -249,7 +251,8 @@
 
 func byID(a, b Member) int { return cmp.Compare(a.ID, b.ID) }
 
-// ServeDrain registers with d the handler that starts and ends draining by an operator.
+// ServeDrain registers with mux the handler that starts and ends draining by an operator; on is set
+// while the node is drained.
 func ServeDrain(mux *link.Mux, on *atomic.Bool) {
 	link.Handle(mux, func(_ context.Context, _ link.Identity, a RestAsk) (RestTold, error) {
 		on.Store(a.On)
--- a/internal/quorum/bootstrapper.go
+++ b/internal/quorum/bootstrapper.go
@@ -58,11 +58,11 @@
 	// means math/rand.
 	RandIntN func(n int) int
 
-	mu         sync.Mutex
-	known      map[string]knownSeat
-	emptySince time.Time // when all seeds first answered that they know no core
-	ownConsent form      // this node's consent, if it has no disk
-	lastSeed   int       // index of the seed that was rechecked last; 0 before the first recheck
+	mu          sync.Mutex
+	known       map[string]knownSeat
+	noCoreSince time.Time // when all seeds first answered that they know no core
+	ownConsent  form      // this node's consent, if it has no disk
+	lastSeed    int       // index of the seed that was rechecked last; 0 before the first recheck
 }
 
 type knownSeat struct {
@@ -70,7 +70,7 @@
 	heardAt time.Time
 }
 
-// Serve registers the handlers for bootstrap requests with d.
+// Serve registers the handlers for bootstrap requests with mux.
 func (b *Bootstrapper) Serve(mux *link.Mux) {
 	link.Handle(mux, func(_ context.Context, _ link.Identity, a HelloAsk) (CoreTold, error) {
 		b.recordDisk(a.Seat, 0)
@@ -176,6 +176,8 @@
 	return b.ownConsent
 }
 
+// core returns the newest core that the proposer or the voter knows. If that is the
+// voter's, the proposer learns it.
 func (b *Bootstrapper) core() Core {
 	c := b.Proposer.Core()
 	if b.Voter != nil {
@@ -205,7 +207,7 @@
 // Step looks for the core once, or for a newer one if a core is known.
 func (b *Bootstrapper) Step(ctx context.Context) {
 	if b.core().Epoch > 0 {
-		b.recheckSeeds(ctx)
+		b.recheckSeed(ctx)
 		return
 	}
 	b.discoveryRound(ctx)
@@ -221,9 +223,9 @@
 	}
 }
 
-// recheckSeeds asks one seed for a newer core: the next in round-robin order that
+// recheckSeed asks one seed for a newer core: the next in round-robin order that
 // answers. If the seed's core is older, it is sent this node's core.
-func (b *Bootstrapper) recheckSeeds(ctx context.Context) {
+func (b *Bootstrapper) recheckSeed(ctx context.Context) {
 	b.adoptCore(ctx)
 	if b.lastSeed == 0 {
 		// Nodes that start together begin at different seeds.
@@ -275,7 +277,7 @@
 	}
 	var mu sync.Mutex
 	var wg sync.WaitGroup
-	answered, empty := 0, 0
+	answered, withoutCore := 0, 0
 	var consents []form
 	for _, addr := range b.Seeds {
 		wg.Go(func() {
@@ -293,17 +295,17 @@
 			defer mu.Unlock()
 			answered++
 			if answer.Empty {
-				empty++
+				withoutCore++
 				consents = append(consents, form{answer.By, answer.Form})
 			}
 		})
 	}
 	wg.Wait()
-	if b.core().Epoch > 0 || b.Voter == nil || b.SubsequentStart || answered < len(b.Seeds) || empty < answered {
+	if b.core().Epoch > 0 || b.Voter == nil || b.SubsequentStart || answered < len(b.Seeds) || withoutCore < answered {
 		return
 	}
-	if b.emptySince.IsZero() {
-		b.emptySince = b.Clock.Now()
+	if b.noCoreSince.IsZero() {
+		b.noCoreSince = b.Clock.Now()
 	}
 	proposeCtx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
--- a/internal/quorum/bootstrapper_test.go
+++ b/internal/quorum/bootstrapper_test.go
@@ -38,7 +38,7 @@
 }
 
 // startNode starts a node and its bootstrapper, with disk m if the node has one.
-func (g *formingCluster) startNode(p nodePlan, m *mem) {
+func (g *formingCluster) startNode(p nodePlan, m *memDisk) {
 	b := &Bootstrapper{Seeds: g.seeds, Self: p.id, Size: g.size, Tolerance: g.tolerance, SubsequentStart: p.subsequentStart, Transport: nodeTransport{g.cluster, p.id}, Clock: freezableClock{node: &node{}}}
 	ctx := g.ctx
 	var mux *link.Mux
@@ -52,7 +52,7 @@
 		mux = link.NewMux()
 	}
 	b.Serve(mux)
-	g.locked(func() {
+	g.withLock(func() {
 		g.muxes[p.id] = mux
 		g.bootstrappers[p.id] = b
 	})
@@ -71,14 +71,14 @@
 	g.t.Helper()
 	g.mu.Lock()
 	bootstrappers := map[string]*Bootstrapper{}
-	for id, f := range g.bootstrappers {
+	for id, b := range g.bootstrappers {
 		if g.muxes[id] != nil {
-			bootstrappers[id] = f
+			bootstrappers[id] = b
 		}
 	}
 	g.mu.Unlock()
-	for id, f := range bootstrappers {
-		for _, c := range []Core{f.Proposer.Core(), f.core()} {
+	for id, b := range bootstrappers {
+		for _, c := range []Core{b.Proposer.Core(), b.core()} {
 			if core.Epoch == 0 {
 				core = c
 			}
@@ -88,7 +88,7 @@
 		}
 	}
 	for _, s := range core.Seats {
-		if f := bootstrappers[s.ID]; f != nil && (f.Voter == nil || f.Voter.Core().Epoch != 1 || !f.Voter.Voting()) {
+		if b := bootstrappers[s.ID]; b != nil && (b.Voter == nil || b.Voter.Core().Epoch != 1 || !b.Voter.Voting()) {
 			g.t.Errorf("%s: %s has a seat and does not vote", when, s.ID)
 		}
 	}
@@ -103,26 +103,26 @@
 }
 
 func TestFirstCoreIsFormedSoon(t *testing.T) {
-	type try struct {
+	type layout struct {
 		size  int
 		seeds []string
 		ps    []nodePlan
 	}
-	bare := func(ids ...string) (ps []nodePlan) {
+	disklessNodes := func(ids ...string) (ps []nodePlan) {
 		for _, id := range ids {
 			ps = append(ps, nodePlan{id: id})
 		}
 		return ps
 	}
-	for name, x := range map[string]try{
-		"seeds are the seats":         {3, []string{"a", "b", "c"}, diskNodes("a", "b", "c")},
-		"some seeds have no disk":     {3, []string{"a", "m", "n"}, append(diskNodes("a", "b", "c"), bare("m", "n")...)},
-		"no seed has a disk":          {3, []string{"m", "n"}, append(diskNodes("a", "b", "c"), bare("m", "n")...)},
-		"more seats than seeds":       {5, []string{"c", "d", "e"}, diskNodes("a", "b", "c", "d", "e")},
-		"more disks than seats":       {3, []string{"f", "g", "m"}, append(diskNodes("a", "b", "c", "d", "e", "f", "g", "h"), bare("m")...)},
-		"one voter":                   {1, []string{"b"}, diskNodes("a", "b")},
-		"gateways look on":            {3, []string{"a", "b"}, append(diskNodes("a", "b", "c"), bare("f1", "f2", "f3")...)},
-		"seats, seeds, all different": {3, []string{"y", "z"}, append(diskNodes("a", "b", "c"), diskNodes("x", "y", "z")...)},
+	for name, x := range map[string]layout{
+		"seeds are the seats":     {3, []string{"a", "b", "c"}, diskNodes("a", "b", "c")},
+		"some seeds have no disk": {3, []string{"a", "m", "n"}, append(diskNodes("a", "b", "c"), disklessNodes("m", "n")...)},
+		"no seed has a disk":      {3, []string{"m", "n"}, append(diskNodes("a", "b", "c"), disklessNodes("m", "n")...)},
+		"more seats than seeds":   {5, []string{"c", "d", "e"}, diskNodes("a", "b", "c", "d", "e")},
+		"more disks than seats":   {3, []string{"f", "g", "m"}, append(diskNodes("a", "b", "c", "d", "e", "f", "g", "h"), disklessNodes("m")...)},
+		"one voter":               {1, []string{"b"}, diskNodes("a", "b")},
+		"gateways run too":        {3, []string{"a", "b"}, append(diskNodes("a", "b", "c"), disklessNodes("f1", "f2", "f3")...)},
+		"no seed gets a seat":     {3, []string{"y", "z"}, append(diskNodes("a", "b", "c"), diskNodes("x", "y", "z")...)},
 	} {
 		for i := range 20 {
 			for _, silent := range []bool{false, true} {
@@ -140,7 +140,7 @@
 					g.startAll(ps)
 					time.Sleep(2 * time.Second)
 					formed := 0
-					for _, n := range g.all() {
+					for _, n := range g.runningNodes() {
 						if n.voter.Voting() {
 							formed++
 						}
@@ -182,7 +182,7 @@
 			g := newFormingCluster(ctx, t, x.size, "a", "m")
 			g.startAll(append(diskNodes([]string{"a", "b", "c", "d"}[:x.disks]...), nodePlan{id: "m"}))
 			time.Sleep(2900 * time.Millisecond)
-			for id, n := range g.all() {
+			for id, n := range g.runningNodes() {
 				if n.voter.Core().Epoch > 0 {
 					t.Errorf("%d of %d: %s has a core before the formation timeout", x.disks, x.size, id)
 				}
@@ -200,13 +200,13 @@
 		g := newFormingCluster(ctx, t, 3, "a", "b", "m")
 		g.startAll(diskNodes("a", "b", "c", "d"))
 		time.Sleep(10 * time.Second)
-		for id, n := range g.all() {
+		for id, n := range g.runningNodes() {
 			if n.voter.Core().Epoch > 0 {
 				t.Errorf("%s has a core", id)
 			}
 		}
-		// A dead disk must not be taken for a live one, although the seeds keep telling
-		// each other of it.
+		// A dead disk must not count as alive, although the seeds keep reporting it to each
+		// other.
 		g.kill("c")
 		time.Sleep(6 * time.Second)
 		g.startNode(nodePlan{id: "e", hasDisk: true}, nil)
@@ -221,24 +221,24 @@
 // On a later start of the system no core is formed, whatever happened to the disks. It is
 // enough that one node knows that it is a later start.
 func TestLaterStartFormsNoCore(t *testing.T) {
-	for name, later := range map[string]string{"all": "abcm", "a seed with a disk": "a", "a seed without": "m"} {
+	for name, subsequentIDs := range map[string]string{"all": "abcm", "a seed with a disk": "a", "a seed without": "m"} {
 		runSynctest(t, func(ctx context.Context, t *testing.T) {
 			g := newFormingCluster(ctx, t, 3, "a", "m")
 			g.dropAsk = func(from, _ string, ask any) bool {
-				if _, form := ask.(FormAsk); form && strings.Contains(later, from) {
+				if _, form := ask.(FormAsk); form && strings.Contains(subsequentIDs, from) {
 					t.Errorf("later start at %s: %s proposed", name, from)
 				}
 				return false
 			}
 			for _, p := range append(diskNodes("a", "b", "c", "d"), nodePlan{id: "m"}) {
-				for _, l := range later {
+				for _, l := range subsequentIDs {
 					p.subsequentStart = p.subsequentStart || string(l) == p.id
 				}
 				g.startNode(p, nil)
 			}
 			time.Sleep(15 * time.Second)
-			for id, f := range g.bootstrappers {
-				if c := f.core(); c.Epoch > 0 {
+			for id, b := range g.bootstrappers {
+				if c := b.core(); c.Epoch > 0 {
 					t.Errorf("later start at %s: %s knows %+v", name, id, c)
 				}
 			}
@@ -265,7 +265,7 @@
 			runSynctest(t, func(ctx context.Context, t *testing.T) {
 				g := newFormingCluster(ctx, t, 3, "b", "m", "n")
 				n := 0
-				killed := make(chan *mem, 1)
+				killed := make(chan *memDisk, 1)
 				g.dropAsk = func(from, _ string, ask any) bool {
 					if _, form := ask.(FormAsk); !form || from != "a" {
 						return false
@@ -277,14 +277,14 @@
 				}
 				g.startAll(append(diskNodes("a", "b", "c", "d"), nodePlan{id: "m"}, nodePlan{id: "n"}))
 				time.Sleep(3 * time.Second)
-				var m *mem
+				var m *memDisk
 				if len(killed) > 0 {
 					m = <-killed
 				} else {
 					// The formation was complete before that many requests were sent.
 					m = g.kill("a")
 				}
-				g.locked(func() { g.dropAsk = nil })
+				g.withLock(func() { g.dropAsk = nil })
 				switch restart {
 				case "same":
 					g.startNode(nodePlan{id: "a", hasDisk: true}, m)
@@ -294,12 +294,12 @@
 				time.Sleep(15 * time.Second)
 				cores := map[string]bool{}
 				voting := 0
-				for _, f := range g.bootstrappers {
-					if c := f.core(); c.Epoch > 0 {
+				for _, b := range g.bootstrappers {
+					if c := b.core(); c.Epoch > 0 {
 						cores[fmt.Sprint(c.Seats)] = true
 					}
 				}
-				for _, n := range g.all() {
+				for _, n := range g.runningNodes() {
 					if n.voter.Voting() {
 						voting++
 					}
@@ -320,10 +320,10 @@
 			g := newFormingCluster(ctx, t, 3, "m", "n", "f")
 			// For a while the lower and the upper half of the nodes do not learn of each other.
 			until := time.Now().Add(time.Duration(r.IntN(800)) * time.Millisecond)
-			side := func(id string) bool { return id < "d" }
+			inLowerHalf := func(id string) bool { return id < "d" }
 			g.dropAsk = func(from, to string, ask any) bool {
 				a, hello := ask.(HelloAsk)
-				return hello && time.Now().Before(until) && a.Seat.ID != "" && side(a.Seat.ID) == (to == "m") && r.IntN(3) > 0
+				return hello && time.Now().Before(until) && a.Seat.ID != "" && inLowerHalf(a.Seat.ID) == (to == "m") && r.IntN(3) > 0
 			}
 			ps := append(diskNodes("a", "b", "c", "d", "e", "f"), nodePlan{id: "m"}, nodePlan{id: "n"})
 			for k := range ps {
@@ -346,9 +346,9 @@
 		g.startAll(append(diskNodes("a", "b", "c"), nodePlan{id: "m"}, nodePlan{id: "f"}))
 		time.Sleep(5 * time.Second)
 		core := g.checkOneCore("formed")
-		g.locked(func() { clear(g.askCounts) })
+		g.withLock(func() { clear(g.askCounts) })
 		time.Sleep(20 * time.Second)
-		g.locked(func() {
+		g.withLock(func() {
 			for id := range g.bootstrappers {
 				if g.askCounts[id] < 9 || g.askCounts[id] > 11 {
 					t.Errorf("%s asked %d times in 20 s", id, g.askCounts[id])
@@ -359,9 +359,9 @@
 		g.bootstrappers["f"].Proposer.Learn(next)
 		g.kill("a")
 		time.Sleep(12 * time.Second)
-		for id, f := range g.bootstrappers {
-			if id != "a" && f.Proposer.Core().Epoch != 2 {
-				t.Errorf("%s knows epoch %d", id, f.Proposer.Core().Epoch)
+		for id, b := range g.bootstrappers {
+			if id != "a" && b.Proposer.Core().Epoch != 2 {
+				t.Errorf("%s knows epoch %d", id, b.Proposer.Core().Epoch)
 			}
 		}
 	})
@@ -377,35 +377,35 @@
 				g.startNode(nodePlan{id: id}, nil)
 			}
 			groups := [][]string{{"a", "b", "c"}, {"d", "e", "f"}}
-			var fs []*Bootstrapper
+			var bootstrappers []*Bootstrapper
 			for _, ids := range groups {
 				var all []Seat
 				for _, id := range ids {
 					all = append(all, g.boot(id, "", nil).seat)
 				}
 				n := g.node(ids[0])
-				f := &Bootstrapper{Seeds: g.seeds, Self: ids[0], Size: 3, Transport: nodeTransport{g.cluster, ids[0]}, Clock: freezableClock{node: n}, Proposer: n.proposer, Voter: n.voter}
+				b := &Bootstrapper{Seeds: g.seeds, Self: ids[0], Size: 3, Transport: nodeTransport{g.cluster, ids[0]}, Clock: freezableClock{node: n}, Proposer: n.proposer, Voter: n.voter}
 				for _, s := range all {
-					f.recordDisk(s, 0)
+					b.recordDisk(s, 0)
 				}
-				f.emptySince = time.Now()
-				fs = append(fs, f)
+				b.noCoreSince = time.Now()
+				bootstrappers = append(bootstrappers, b)
 			}
 			if gap < 0 {
 				// Each proposer gets the consent of one of the seeds.
-				g.locked(func() {
+				g.withLock(func() {
 					g.dropAsk = func(from, to string, _ any) bool { return from == "a" && to == "m" || from == "d" && to == "n" }
 				})
-				for _, f := range fs {
-					cx, end := context.WithTimeout(ctx, 50*time.Millisecond)
-					defer end()
-					f.propose(cx, nil)
+				for _, b := range bootstrappers {
+					proposeCtx, cancel := context.WithTimeout(ctx, 50*time.Millisecond)
+					defer cancel()
+					b.propose(proposeCtx, nil)
 				}
-				g.locked(func() { g.dropAsk = nil })
+				g.withLock(func() { g.dropAsk = nil })
 			}
 			for range 3 {
 				for _, i := range []int{1, 0} {
-					go fs[i].propose(ctx, nil)
+					go bootstrappers[i].propose(ctx, nil)
 					time.Sleep(gap * time.Millisecond)
 				}
 				time.Sleep(500 * time.Millisecond)
@@ -434,7 +434,7 @@
 		n := g.boot("c", "", nil)
 		b := &Bootstrapper{Seeds: g.seeds, Self: "c", Size: 1, Clock: freezableClock{node: n}, Proposer: n.proposer, Voter: n.voter}
 		self, other := knownSeat{seat: n.seat}, knownSeat{seat: Seat{ID: "d", Addr: "d", Disk: "d"}}
-		of := func(id string) form { return form{id, Core{Epoch: 1, Seats: []Seat{{ID: id}}}} }
+		formBy := func(id string) form { return form{id, Core{Epoch: 1, Seats: []Seat{{ID: id}}}} }
 		for name, x := range map[string]struct {
 			all   []knownSeat
 			forms []form
@@ -442,12 +442,12 @@
 			isNew bool
 		}{
 			"none":                       {[]knownSeat{self, other}, []form{{}, {}}, "c", true},
-			"two are gone":               {[]knownSeat{self, other}, []form{of("x"), of("y"), of("b")}, "y", false},
-			"its own and one gone":       {[]knownSeat{self, other}, []form{of("c"), of("b")}, "c", false},
-			"one that is there":          {[]knownSeat{self, other}, []form{of("d")}, "", false},
-			"its own, another there":     {[]knownSeat{self, other}, []form{of("d"), of("c")}, "c", false},
-			"not the lowest":             {[]knownSeat{{seat: Seat{ID: "a"}}, self}, []form{of("x")}, "", false},
-			"not the lowest but its own": {[]knownSeat{{seat: Seat{ID: "a"}}, self}, []form{of("c")}, "c", false},
+			"two are gone":               {[]knownSeat{self, other}, []form{formBy("x"), formBy("y"), formBy("b")}, "y", false},
+			"its own and one gone":       {[]knownSeat{self, other}, []form{formBy("c"), formBy("b")}, "c", false},
+			"one that is there":          {[]knownSeat{self, other}, []form{formBy("d")}, "", false},
+			"its own, another there":     {[]knownSeat{self, other}, []form{formBy("d"), formBy("c")}, "c", false},
+			"not the lowest":             {[]knownSeat{{seat: Seat{ID: "a"}}, self}, []form{formBy("x")}, "", false},
+			"not the lowest but its own": {[]knownSeat{{seat: Seat{ID: "a"}}, self}, []form{formBy("c")}, "c", false},
 			"not the lowest, none":       {[]knownSeat{{seat: Seat{ID: "a"}}, self}, nil, "", false},
 			"nobody known":               {nil, nil, "", false},
 		} {
--- a/internal/quorum/cluster_test.go
+++ b/internal/quorum/cluster_test.go
@@ -21,7 +21,7 @@
 // processDisk is a disk as seen by one process: after the end of the process, writes
 // fail.
 type processDisk struct {
-	*mem
+	*memDisk
 	mu    sync.Mutex
 	ended bool
 }
@@ -32,7 +32,7 @@
 	if d.ended {
 		return errors.New("process ended")
 	}
-	return d.mem.Commit(ps)
+	return d.memDisk.Commit(ps)
 }
 
 func (d *processDisk) end() {
@@ -45,7 +45,7 @@
 type node struct {
 	cluster      *cluster
 	seat         Seat
-	mem          *mem
+	memDisk      *memDisk
 	disk         *processDisk
 	voter        *Voter
 	proposer     *Proposer
@@ -157,19 +157,19 @@
 
 // boot starts a node with disk m, an empty one if m is nil. Its reconfigurer does not
 // run yet.
-func (c *cluster) boot(id, zone string, m *mem) *node {
+func (c *cluster) boot(id, zone string, m *memDisk) *node {
 	c.t.Helper()
 	if m == nil {
 		m = newMemDisk()
 	}
 	c.mu.Lock()
 	c.starts++
-	fresh := fmt.Sprintf("%s#%d", id, c.starts)
+	incarnation := fmt.Sprintf("%s#%d", id, c.starts)
 	c.mu.Unlock()
-	n := &node{cluster: c, mem: m, disk: &processDisk{mem: m}, faults: &fault.Set{}, heard: map[string]knownSeat{}, merged: map[item.Key]item.Item{}}
+	n := &node{cluster: c, memDisk: m, disk: &processDisk{memDisk: m}, faults: &fault.Set{}, heard: map[string]knownSeat{}, merged: map[item.Key]item.Item{}}
 	n.ctx, n.stop = context.WithCancel(c.ctx)
 	addr := cmp.Or(c.addrs[id], id)
-	v, err := NewVoter(Seat{ID: id, Addr: addr, Zone: zone}, n.disk, fresh, nodeTransport{c, id}, n.faults, nil)
+	v, err := NewVoter(Seat{ID: id, Addr: addr, Zone: zone}, n.disk, incarnation, nodeTransport{c, id}, n.faults, nil)
 	if err != nil {
 		c.t.Fatal(err)
 	}
@@ -184,7 +184,7 @@
 			n.merged[it.Key] = it
 		}
 	}
-	n.proposer = NewProposer(fresh, nodeTransport{c, id}, freezableClock{node: n})
+	n.proposer = NewProposer(incarnation, nodeTransport{c, id}, freezableClock{node: n})
 	n.bootstrapper = &Bootstrapper{Seeds: []string{id}, Self: id, Transport: nodeTransport{c, id}, Clock: freezableClock{node: n}, Proposer: n.proposer, Voter: v}
 	n.reconfigurer = &Reconfigurer{Contacts: n.contacts, Tolerance: c.tolerance, Size: c.size, Proposer: n.proposer, Transport: nodeTransport{c, id}, Clock: freezableClock{node: n}, Faults: n.faults}
 	mux := link.NewMux()
@@ -233,7 +233,7 @@
 }
 
 // start boots a node and runs its reconfigurer.
-func (c *cluster) start(id, zone string, m *mem) *node {
+func (c *cluster) start(id, zone string, m *memDisk) *node {
 	c.t.Helper()
 	n := c.boot(id, zone, m)
 	go n.reconfigurer.Run(n.ctx)
@@ -241,7 +241,7 @@
 }
 
 // kill stops a node and returns its disk.
-func (c *cluster) kill(id string) *mem {
+func (c *cluster) kill(id string) *memDisk {
 	c.mu.Lock()
 	n := c.nodes[id]
 	if n == nil {
@@ -253,7 +253,7 @@
 	c.mu.Unlock()
 	n.disk.end()
 	n.stop()
-	return n.mem
+	return n.memDisk
 }
 
 // node returns the running node with the given ID.
@@ -263,13 +263,13 @@
 	return c.nodes[id]
 }
 
-func (c *cluster) all() map[string]*node {
+func (c *cluster) runningNodes() map[string]*node {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return maps.Clone(c.nodes)
 }
 
-func (c *cluster) locked(f func()) {
+func (c *cluster) withLock(f func()) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	f()
@@ -289,26 +289,26 @@
 			}
 		}
 	}
-	for _, n := range c.all() {
+	for _, n := range c.runningNodes() {
 		n.proposer.Learn(core)
 	}
 	return core
 }
 
 // core returns the newest core that any node knows.
-func (c *cluster) core() (top Core) {
+func (c *cluster) core() (newest Core) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, n := range c.nodes {
-		if k := n.bootstrapper.core(); k.Epoch > top.Epoch {
-			top = k
+		if k := n.bootstrapper.core(); k.Epoch > newest.Epoch {
+			newest = k
 		}
 	}
-	return top
+	return newest
 }
 
 // voting lists the nodes that vote in the newest core.
-func (c *cluster) voting() (ids []string) {
+func (c *cluster) votingIDs() (ids []string) {
 	core := c.core()
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -323,9 +323,9 @@
 
 // itemOnDisk returns the copy of a merge item on a node's disk.
 func (n *node) itemOnDisk(k item.Key) item.Item {
-	n.mem.mu.Lock()
-	defer n.mem.mu.Unlock()
-	b, ok := n.mem.values[mergeDiskKey(k)]
+	n.memDisk.mu.Lock()
+	defer n.memDisk.mu.Unlock()
+	b, ok := n.memDisk.values[mergeDiskKey(k)]
 	if !ok {
 		return item.Item{}
 	}
@@ -336,10 +336,10 @@
 	return it
 }
 
-// holders counts the voters of the newest core whose disks hold a copy of `it` that is
+// countHolders counts the voters of the newest core whose disks hold a copy of `it` that is
 // at least as new.
-func (c *cluster) holders(it item.Item) (n int) {
-	for _, id := range c.voting() {
+func (c *cluster) countHolders(it item.Item) (n int) {
+	for _, id := range c.votingIDs() {
 		if !supersedes(it, c.node(id).itemOnDisk(it.Key)) {
 			n++
 		}
@@ -347,24 +347,24 @@
 	return n
 }
 
-// checkKept checks that a majority of the newest core holds every item, and that what
-// OnMerge reported agrees with the disk at each node.
-func (c *cluster) checkKept(when string, items ...item.Item) {
+// checkItemsKept checks that all seats of the newest core vote, that a majority of them holds
+// every item, and that what OnMerge reported agrees with the disk at each node.
+func (c *cluster) checkItemsKept(when string, items ...item.Item) {
 	c.t.Helper()
 	core := c.core()
-	if v := c.voting(); len(v) < len(core.Seats) {
+	if v := c.votingIDs(); len(v) < len(core.Seats) {
 		c.t.Errorf("%s: only %v vote in %+v", when, v, core)
 	}
 	for _, it := range items {
-		if n := c.holders(it); n < core.QuorumSize() {
+		if n := c.countHolders(it); n < core.QuorumSize() {
 			c.t.Errorf("%s: %d of %d hold %v", when, n, len(core.Seats), it.Key)
 		}
 	}
-	for id, n := range c.all() {
+	for id, n := range c.runningNodes() {
 		n.mu.Lock()
-		news := maps.Clone(n.merged)
+		merged := maps.Clone(n.merged)
 		n.mu.Unlock()
-		for k, it := range news {
+		for k, it := range merged {
 			if h := n.itemOnDisk(k); supersedes(it, h) || supersedes(h, it) {
 				c.t.Errorf("%s: OnMerge at %s reported %v, its disk holds %v", when, id, it, h)
 			}
--- a/internal/quorum/decision.go
+++ b/internal/quorum/decision.go
@@ -38,9 +38,10 @@
 type offerOutcome uint8
 
 const (
-	// offerTaken means that the item becomes the newest.
-	offerTaken offerOutcome = iota
-	// offerRepeated means that the item is the newest or was so before.
+	// offerNewest means that the item becomes the newest.
+	offerNewest offerOutcome = iota
+	// offerRepeated means that the register knows this version with this content already, or that
+	// the version is older than all that it remembers.
 	offerRepeated
 	// offerSuperseded means that the item is older than the newest and its version was unknown.
 	// Only the digest of that version's content is added.
@@ -53,9 +54,9 @@
 func (d Decision) afterOffer(it item.Item, call string) (Decision, offerOutcome) {
 	switch c := cmp.Compare(it.Version, d.Item.Version); {
 	case !d.Decided():
-		return Decision{Item: it, Call: call}, offerTaken
+		return Decision{Item: it, Call: call}, offerNewest
 	case c > 0:
-		return Decision{Item: it, Call: call, Past: addPastVersion(d.Past, PastVersion{d.Item.Version, d.Item.Digest()})}, offerTaken
+		return Decision{Item: it, Call: call, Past: addPastVersion(d.Past, PastVersion{d.Item.Version, d.Item.Digest()})}, offerNewest
 	case c == 0 && it.Equal(d.Item):
 		return d, offerRepeated
 	case c == 0:
--- a/internal/quorum/domain_test.go
+++ b/internal/quorum/domain_test.go
@@ -58,7 +58,7 @@
 					c.checkEpoch(x.epoch, when)
 					time.Sleep(time.Minute)
 				}
-				c.checkKept("after all moves", its...)
+				c.checkItemsKept("after all moves", its...)
 			})
 		})
 	}
@@ -67,7 +67,7 @@
 // Guards against moving a seat to a zone whose loss would then cost the majority: the seat waits for a machine of its
 // own zone, and its own machine takes it back, with or without its disk.
 func TestASeatIsNotLentToWhereTheCoreBearsLess(t *testing.T) {
-	for name, keeps := range map[string]bool{"with its disk": true, "with an empty one": false} {
+	for name, keepsDisk := range map[string]bool{"with its disk": true, "with an empty one": false} {
 		t.Run(name, func(t *testing.T) {
 			runSynctest(t, func(ctx context.Context, t *testing.T) {
 				c := newZonedCluster(ctx, t, Tolerance{Zones: 1}, 3, "a1", "b1", "c1", "b2", "c2")
@@ -77,16 +77,16 @@
 				m := c.kill("a1")
 				time.Sleep(time.Minute)
 				c.checkEpoch(1, "while its zone is down")
-				if !keeps {
+				if !keepsDisk {
 					m = nil
 				}
 				c.start("a1", "a", m)
 				time.Sleep(settleTime)
-				c.checkEpoch(lo.Ternary[uint64](keeps, 1, 2), "once it is back")
+				c.checkEpoch(lo.Ternary[uint64](keepsDisk, 1, 2), "once it is back")
 				if got := c.seatIDs(); !slices.Equal(got, []string{"a1", "b1", "c1"}) {
 					t.Errorf("%v vote", got)
 				}
-				c.checkKept("once it is back", its...)
+				c.checkItemsKept("once it is back", its...)
 				// Another machine of the zone takes the seat of a machine that does not return.
 				c.start("a2", "a", nil)
 				time.Sleep(settleTime)
@@ -102,7 +102,7 @@
 
 // No seat is moved unless the other seats heard from are a majority: the machine that joins may fail.
 func TestNoSeatIsMovedWhileAnotherIsSilent(t *testing.T) {
-	v := func(silent string) view {
+	viewWithout := func(silent string) view {
 		v := view{core: Core{Epoch: 1}, now: time.Unix(100, 0), disks: map[string]DiskContact{}, nodes: map[string]DiskContact{}}
 		for _, id := range []string{"a1", "a2", "b1", "c1"} {
 			s := Seat{ID: id, Addr: id, Zone: id[:1], Disk: id}
@@ -122,11 +122,11 @@
 	}
 	rc := &Reconfigurer{Tolerance: Tolerance{Zones: 1}}
 	rebalance := func(v view) (m seatMove, ok bool) { return rc.rebalance(v, v.currentSeats(), v.spares()) }
-	if m, ok := rebalance(v("")); !ok || m.to.ID != "c1" || m.from.Zone != "a" {
+	if m, ok := rebalance(viewWithout("")); !ok || m.to.ID != "c1" || m.from.Zone != "a" {
 		t.Errorf("all seats healthy: %v, %v", m, ok)
 	}
-	if _, ok := rebalance(v("b1")); ok {
-		t.Error("a seat of a is moved while b is silent")
+	if _, ok := rebalance(viewWithout("b1")); ok {
+		t.Error("a seat of zone a was moved while b1 was silent")
 	}
 }
 
@@ -134,8 +134,8 @@
 // heard from before the third zone. After the formation timeout the core is formed with what there is.
 func TestAFirstCoreWaitsForTheDomainsThatItIsToBear(t *testing.T) {
 	for name, x := range map[string]struct {
-		third time.Duration
-		want  []string
+		thirdZoneDelay time.Duration
+		want           []string
 	}{
 		"the third zone comes in time": {time.Second, []string{"a1", "b1", "c1"}},
 		"the third zone comes late":    {time.Minute, []string{"a1", "a2", "b1"}},
@@ -147,7 +147,7 @@
 				for _, id := range []string{"a1", "a2", "b1", "c1"} {
 					p := nodePlan{id: id, zone: id[:1], hasDisk: true}
 					if id == "c1" {
-						p.startDelay = x.third
+						p.startDelay = x.thirdZoneDelay
 					}
 					g.startAll([]nodePlan{p})
 				}
@@ -196,13 +196,13 @@
 				epoch := c.core().Epoch
 				time.Sleep(time.Minute)
 				c.checkEpoch(epoch, "a minute later")
-				c.checkKept("after it has grown", its...)
+				c.checkItemsKept("after it has grown", its...)
 				// It survives the loss of any machine's disk.
 				for _, id := range x.want[:len(x.want)/2] {
 					c.kill(id)
 					c.start(id, id[:1], nil)
 					time.Sleep(2 * settleTime)
-					c.checkKept("after the loss of "+id, its...)
+					c.checkItemsKept("after the loss of "+id, its...)
 				}
 			})
 		})
--- a/internal/quorum/formation.go
+++ b/internal/quorum/formation.go
@@ -11,7 +11,7 @@
 // propose forms a first core if that is this node's task. consents are the formations
 // that the seeds consented to.
 func (b *Bootstrapper) propose(ctx context.Context, consents []form) {
-	timedOut := b.Clock.Now().Sub(b.emptySince) >= formationTimeout
+	timedOut := b.Clock.Now().Sub(b.noCoreSince) >= formationTimeout
 	formation, isNew, ok := b.selectFormation(b.liveDisks(), append(consents, b.consent()), timedOut)
 	if !ok {
 		return
@@ -21,7 +21,7 @@
 	if isNew {
 		// This node consents first, and its consent survives a restart: a formation
 		// that was proposed is proposed again unchanged.
-		if got, _ := b.sendForm(ctx, []string{self.Addr}, ask); len(got) == 0 {
+		if consenting, _ := b.sendForm(ctx, []string{self.Addr}, ask); len(consenting) == 0 {
 			return
 		}
 	}
@@ -32,7 +32,7 @@
 	seedsAndSeats := append(slices.Clone(b.Seeds), seats...)
 	slices.Sort(seedsAndSeats)
 	seedsAndSeats = slices.Compact(append(seedsAndSeats, self.Addr))
-	got, lower := b.sendForm(ctx, b.Seeds, ask)
+	consenting, lower := b.sendForm(ctx, b.Seeds, ask)
 	if lower {
 		// The formation with the lower ID takes precedence. A seed that consented to
 		// another formation shows that this one was never sealed, so it can be dropped.
@@ -40,13 +40,13 @@
 		b.sendForm(ctx, seedsAndSeats, ask)
 		return
 	}
-	if len(got) < len(b.Seeds) {
+	if len(consenting) < len(b.Seeds) {
 		return
 	}
-	got, _ = b.sendForm(ctx, seats, ask)
+	consenting, _ = b.sendForm(ctx, seats, ask)
 	granted := 0
 	for _, s := range formation.Core.Seats {
-		if slices.Contains(got, s.Disk) {
+		if slices.Contains(consenting, s.Disk) {
 			granted++
 		}
 	}
@@ -61,7 +61,7 @@
 // selectFormation returns the formation that this node has to carry out, if any: its own
 // unfinished one or one whose proposer is not alive, else a new one if this is the disk
 // node with the lowest ID. Of several unfinished ones the one with the highest proposer
-// ID is taken first: it either completes, or is found to block a lower one and is dropped.
+// ID is selected first: it either completes, or is found to block a lower one and is dropped.
 func (b *Bootstrapper) selectFormation(disks []knownSeat, consents []form, timedOut bool) (formation form, isNew, ok bool) {
 	self := b.Voter.Seat().ID
 	lowest := len(disks) > 0 && disks[0].seat.ID == self
@@ -100,7 +100,7 @@
 }
 
 // sendForm sends ask to all of addrs and returns the disks of those that granted it.
-// lower says that one of them has consented to a formation by a lower ID.
+// lower reports whether one of them has consented to a formation whose proposer has a lower ID.
 func (b *Bootstrapper) sendForm(ctx context.Context, addrs []string, ask FormAsk) (disks []string, lower bool) {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
--- a/internal/quorum/gather.go
+++ b/internal/quorum/gather.go
@@ -64,6 +64,7 @@
 	return replies
 }
 
+// atLeast returns a condition for gather that is satisfied by n valid replies.
 func atLeast[R any](n int) func([]voterReply[R]) bool {
 	return func(h []voterReply[R]) bool { return len(h) >= n }
 }
--- a/internal/quorum/handover.go
+++ b/internal/quorum/handover.go
@@ -16,14 +16,15 @@
 	"github.com/samber/lo"
 )
 
-// decodeCore decodes a core into newly allocated slices. Those of other copies are
-// shared with the proposer's core and between the nodes of one process.
+// decodeCore decodes a core from JSON, always into a new value. Decoding into an existing
+// Core would overwrite slices that are shared with the proposer's core and between the
+// nodes of one process.
 func decodeCore(b []byte) (c Core, err error) {
 	err = json.Unmarshal(b, &c)
 	return c, err
 }
 
-// chosenCore decodes a core from its register and sets the ballot that chose it.
+// chosenCore decodes the core that coreRegister holds and sets the ballot that chose it.
 func chosenCore(held Item) (Core, error) {
 	c, err := decodeCore(held.Value)
 	c.Decided = held.Accepted
--- a/internal/quorum/placement.go
+++ b/internal/quorum/placement.go
@@ -7,21 +7,21 @@
 	"github.com/samber/lo"
 )
 
-// placement scores a set of seats; a lower score is better. Exposure is compared first.
-type placement struct {
+// placementScore rates a set of seats; a lower score is better. Exposure is compared first.
+type placementScore struct {
 	exposure Exposure
-	// regions and zones are the sums of the squares of the seat counts per domain, lowest for an even
+	// The concentrations are the sums of the squares of the seat counts per domain, lowest for an even
 	// spread. They guide the search when no single move lowers the exposure.
-	regions, zones int
+	regionConcentration, zoneConcentration int
 }
 
-func (t Tolerance) evaluate(seats []Seat) placement {
-	p := placement{exposure: t.ExposureOf(seats)}
+func (t Tolerance) scorePlacement(seats []Seat) placementScore {
+	p := placementScore{exposure: t.ExposureOf(seats)}
 	if t.Regions > 0 {
-		p.regions = sumOfSquares(countBy(seats, regionOf))
+		p.regionConcentration = sumOfSquares(countBy(seats, regionOf))
 	}
 	if t.Zones > 0 {
-		p.zones = sumOfSquares(countBy(seats, zoneOf))
+		p.zoneConcentration = sumOfSquares(countBy(seats, zoneOf))
 	}
 	return p
 }
@@ -33,9 +33,9 @@
 	return sum
 }
 
-// compare orders placements, the better one first.
-func (p placement) compare(o placement) int {
-	return cmp.Or(cmp.Compare(p.exposure.Total(), o.exposure.Total()), cmp.Compare(p.regions+p.zones, o.regions+o.zones))
+// compare orders scores, the better one first.
+func (p placementScore) compare(o placementScore) int {
+	return cmp.Or(cmp.Compare(p.exposure.Total(), o.exposure.Total()), cmp.Compare(p.regionConcentration+p.zoneConcentration, o.regionConcentration+o.zoneConcentration))
 }
 
 // seatMove transfers a seat from one machine to another.
@@ -52,24 +52,25 @@
 	return next
 }
 
-// bestMove finds the move from a seat to a spare machine that yields the best placement, if one
-// improves on the present placement without raising the exposure to any kind of loss.
+// bestMove finds the move from a seat to a spare machine that yields the best score, if one
+// improves on the present score without raising the exposure to any kind of loss.
 func (t Tolerance) bestMove(seats, spare []Seat) (best seatMove, found bool) {
-	present := t.evaluate(seats)
-	bestPlacement := present
+	present := t.scorePlacement(seats)
+	bestScore := present
 	for _, out := range seats {
 		for _, in := range spare {
 			m := seatMove{out, in}
-			if p := t.evaluate(m.apply(seats)); p.compare(bestPlacement) < 0 && p.exposure.AtMost(present.exposure) {
-				best, bestPlacement, found = m, p, true
+			if p := t.scorePlacement(m.apply(seats)); p.compare(bestScore) < 0 && p.exposure.AtMost(present.exposure) {
+				best, bestScore, found = m, p, true
 			}
 		}
 	}
 	return best, found
 }
 
-// Replacement picks the spare machine that takes over the seat of out. The exposure must not rise above that with
-// out, whose disk may come back. Among equal candidates it prefers the domains with the fewest of the other seats.
+// Replacement picks the spare machine that takes over the seat of out. No exposure may exceed that of the present
+// seats, since the disk of out may come back. Among equal candidates it prefers the domains with the fewest of the
+// other seats.
 func (t Tolerance) Replacement(seats []Seat, out Seat, spares []Seat) (Seat, bool) {
 	present := t.ExposureOf(seats)
 	after := func(in Seat) Exposure { return t.ExposureOf(seatMove{out, in}.apply(seats)) }
@@ -95,7 +96,7 @@
 	for range n {
 		all := slices.Concat(seats, added)
 		best := slices.MinFunc(excluding(spares, added), func(a, b Seat) int {
-			return cmp.Or(t.evaluate(append(slices.Clone(all), a)).compare(t.evaluate(append(slices.Clone(all), b))), compareOccupancy(all, a, b, []func(Seat) string{zoneOf}))
+			return cmp.Or(t.scorePlacement(append(slices.Clone(all), a)).compare(t.scorePlacement(append(slices.Clone(all), b))), compareOccupancy(all, a, b, []func(Seat) string{zoneOf}))
 		})
 		added = append(added, best)
 	}
@@ -105,9 +106,9 @@
 // Choose picks n of all machines so that the core satisfies the tolerance, as far as
 // these machines allow.
 func (t Tolerance) Choose(all []Seat, n int) []Seat {
-	chosen := t.optimize(spread(all, n, zoneOf), all)
+	chosen := t.optimize(pickSpread(all, n, zoneOf), all)
 	if t.Regions > 0 {
-		if o := t.optimize(spread(all, n, regionOf, zoneOf), all); t.evaluate(o).compare(t.evaluate(chosen)) < 0 {
+		if o := t.optimize(pickSpread(all, n, regionOf, zoneOf), all); t.scorePlacement(o).compare(t.scorePlacement(chosen)) < 0 {
 			chosen = o
 		}
 	}
@@ -115,7 +116,7 @@
 	return chosen
 }
 
-// optimize moves seats as long as a move improves the placement.
+// optimize moves seats until the exposure is zero or no move improves the score.
 func (t Tolerance) optimize(seats, all []Seat) []Seat {
 	for t.ExposureOf(seats).Total() > 0 {
 		m, found := t.bestMove(seats, excluding(all, seats))
@@ -137,9 +138,9 @@
 	return remaining
 }
 
-// spread picks n machines one by one, each from the domain with the fewest machines picked so far, by the first
+// pickSpread picks n machines one by one, each from the domain with the fewest machines picked so far, by the first
 // label and then by the following ones.
-func spread(all []Seat, n int, labels ...func(Seat) string) (picked []Seat) {
+func pickSpread(all []Seat, n int, labels ...func(Seat) string) (picked []Seat) {
 	rest := slices.Clone(all)
 	for len(picked) < n && len(rest) > 0 {
 		best := slices.MinFunc(rest, func(a, b Seat) int { return compareOccupancy(picked, a, b, labels) })
@@ -170,14 +171,14 @@
 	return out
 }
 
-func updateDomains(s Seat, heard []DiskContact) Seat {
-	for _, h := range heard {
+func updateDomains(s Seat, contacts []DiskContact) Seat {
+	for _, h := range contacts {
 		if h.Seat.ID == s.ID {
 			s.Zone, s.Region = h.Seat.Zone, cmp.Or(h.Seat.Region, s.Region)
 			return s
 		}
 	}
-	for _, h := range heard {
+	for _, h := range contacts {
 		if s.Region == "" && h.Seat.Zone == s.Zone {
 			s.Region = h.Seat.Region
 		}
--- a/internal/quorum/placement_test.go
+++ b/internal/quorum/placement_test.go
@@ -21,13 +21,13 @@
 }
 
 // bestExposure returns the lowest exposure over all choices of n machines.
-func (t Tolerance) bestExposure(all, taken []Seat, n int) int {
+func (t Tolerance) bestExposure(all, chosen []Seat, n int) int {
 	if n == 0 {
-		return t.ExposureOf(taken).Total()
+		return t.ExposureOf(chosen).Total()
 	}
 	best := maxSeats * maxSeats
 	for i := 0; i+n <= len(all); i++ {
-		best = min(best, t.bestExposure(all[i+1:], append(taken, all[i]), n-1))
+		best = min(best, t.bestExposure(all[i+1:], append(chosen, all[i]), n-1))
 	}
 	return best
 }
@@ -58,7 +58,7 @@
 // From any seats, single moves lead to the lowest exposure that the machines allow; no move raises the exposure to any
 // kind of loss, and the moves come to an end.
 func TestSeatsAreMovedUntilTheCoreBearsWhatTheMachinesAllow(t *testing.T) {
-	most := 0
+	maxMoves := 0
 	for seed := range uint64(4000) {
 		r := rand.New(rand.NewPCG(seed, 35))
 		tolerance, all := randomLayout(r)
@@ -85,12 +85,12 @@
 				t.Fatalf("seed %d: %d moves of %d seats", seed, moves, n)
 			}
 		}
-		most = max(most, moves)
+		maxMoves = max(maxMoves, moves)
 		if e, want := tolerance.ExposureOf(seats).Total(), tolerance.bestExposure(all, nil, n); e != want {
 			t.Errorf("seed %d: %+v of %v: exposed by %d, the best choice by %d", seed, tolerance, all, e, want)
 		}
 	}
-	t.Logf("%d moves at most", most)
+	t.Logf("%d moves at most", maxMoves)
 }
 
 // The number of seats is the least that survives the required losses, and the minimum if no number does.
--- a/internal/quorum/proposer.go
+++ b/internal/quorum/proposer.go
@@ -20,8 +20,8 @@
 	ErrNoCore = errors.New("no core known yet")
 )
 
-// Proposer changes and reads items through a majority of the voters. Every controller
-// has one (design 4.1).
+// Proposer changes and reads keyed registers, and decides and merges items, through a majority
+// of the voters. Every controller has one (design 4.1).
 type Proposer struct {
 	ID        string
 	Transport link.Transport
@@ -29,7 +29,7 @@
 
 	mu         sync.Mutex
 	core       Core
-	lastBallot map[string]uint64 // highest ballot number seen or used, by key
+	lastBallot map[string]uint64 // number of the last ballot used, by key
 }
 
 // NewProposer returns a proposer; id must be unique across processes and restarts.
@@ -55,9 +55,13 @@
 	return false
 }
 
+// nextBallot returns a ballot for key above `above` and above all earlier ones of this proposer
+// that it remembers.
 func (p *Proposer) nextBallot(key string, above uint64) Ballot {
 	p.mu.Lock()
 	defer p.mu.Unlock()
+	// Bounds the memory. The voters refuse a ballot that is too low because its predecessor was
+	// forgotten, and the next attempt uses a higher one.
 	if len(p.lastBallot) > 20000 {
 		p.lastBallot = map[string]uint64{}
 	}
@@ -69,9 +73,9 @@
 // ErrSuperseded says that a newer core is known than the one an operation is bound to.
 var ErrSuperseded = errors.New("a newer core is known")
 
-// Change applies f to the item's chosen value and returns the newly chosen value.
-// f gets nil for an item that was never written. If f returns an error, nothing is
-// written, and Change returns that error with the value that f got. f may be called
+// Change applies f to the register's chosen value and returns the newly chosen value.
+// f gets nil for a register that was never written. If f returns an error, no new value
+// is written, and Change returns that error with the value that f got. f may be called
 // more than once.
 func (p *Proposer) Change(ctx context.Context, key string, f func([]byte) ([]byte, error)) ([]byte, error) {
 	it, err := p.change(ctx, key, f, func() (Core, error) { return p.Core(), nil })
@@ -118,7 +122,7 @@
 	}
 	b := p.nextBallot(key, *highest)
 	m := Mark{Epoch: core.Epoch}
-	yes := func(h []voterReply[PrepareTold]) int {
+	countPromises := func(h []voterReply[PrepareTold]) int {
 		n := 0
 		for _, x := range h {
 			if x.Reply.Yes {
@@ -129,7 +133,7 @@
 	}
 	promises := gather(ctx, p, core.Seats, func(Seat) any { return PrepareAsk{m, key, b} },
 		func(r PrepareTold) Told { return r.Told },
-		func(h []voterReply[PrepareTold]) bool { return yes(h) >= core.QuorumSize() })
+		func(h []voterReply[PrepareTold]) bool { return countPromises(h) >= core.QuorumSize() })
 	var best Item
 	n := 0
 	for _, h := range promises {
@@ -188,7 +192,7 @@
 	return Item{Promised: b, Accepted: b, Value: val}, false, nil
 }
 
-// Read returns the item's chosen value: at once if a majority holds the same accepted
+// Read returns the register's chosen value: at once if a majority holds the same accepted
 // ballot, else after a ballot of its own, which repairs outdated copies (design 4.3).
 func (p *Proposer) Read(ctx context.Context, key string) ([]byte, error) {
 	it, err := p.ReadIn(ctx, p.Core(), key)
@@ -227,8 +231,8 @@
 	return v, nil
 }
 
-// errNeverWritten stops the read of an item that was never written.
+// errNeverWritten ends the read of a register that was never written.
 var errNeverWritten = errors.New("never written")
 
-// IsNeverWritten reports whether err only says that an item was never written.
+// IsNeverWritten reports whether err only says that a register was never written.
 func IsNeverWritten(err error) bool { return errors.Is(err, errNeverWritten) }
--- a/internal/quorum/proposer_test.go
+++ b/internal/quorum/proposer_test.go
@@ -18,7 +18,7 @@
 		var mu sync.Mutex
 		var wg sync.WaitGroup
 		won := map[string]bool{}
-		told := map[string]bool{}
+		reported := map[string]bool{}
 		for i := range 8 {
 			wg.Go(func() {
 				me := fmt.Sprint("w", i)
@@ -34,19 +34,19 @@
 				case err == nil:
 					won[me] = true
 				case errors.Is(err, taken):
-					told[string(v)] = true
+					reported[string(v)] = true
 				default:
 					t.Error(err)
 				}
 			})
 		}
 		wg.Wait()
-		if len(won) != 1 || len(told) != 1 {
-			t.Fatalf("winners %v, losers were told %v", won, told)
+		if len(won) != 1 || len(reported) != 1 {
+			t.Fatalf("winners %v, the others got %v", won, reported)
 		}
 		for w := range won {
-			if !told[w] || l.mustGet(l.newProposer("r"), "k") != w {
-				t.Errorf("%s won, losers were told %v", w, told)
+			if !reported[w] || l.mustGet(l.newProposer("r"), "k") != w {
+				t.Errorf("%s won, the others got %v", w, reported)
 			}
 		}
 	})
@@ -79,10 +79,10 @@
 		n, err := p.RepairCopies(ctx)
 		time.Sleep(time.Second)
 		if err != nil || n != 6 || l.valueAt("c", "m4") != "3" || l.valueAt("a", "k") != "2" {
-			t.Errorf("the sweep repaired %d, %v; c holds %q", n, err, l.valueAt("c", "m4"))
+			t.Errorf("repaired %d registers, %v; c holds %q", n, err, l.valueAt("c", "m4"))
 		}
 		if n, err := p.RepairCopies(ctx); n != 0 || err != nil {
-			t.Errorf("a second sweep repaired %d, %v", n, err)
+			t.Errorf("a second repair changed %d registers, %v", n, err)
 		}
 	})
 }
--- a/internal/quorum/proposerdecide.go
+++ b/internal/quorum/proposerdecide.go
@@ -14,12 +14,12 @@
 )
 
 // ErrPartialConflict says that a call can neither be confirmed nor refused: other content is settled
-// for one of its versions, while another item from this very call may be in force. It takes two calls
-// with partly overlapping names, and a third call that completed a part of one of them.
-var ErrPartialConflict = errors.New("a part of the change is overtaken by a conflicting one, another part may be in force")
+// for one of its versions, while another item of the same call may be in force. This happens only
+// if two calls share some of their names and a third call completed a part of one of them.
+var ErrPartialConflict = errors.New("a part of the change was superseded by a conflicting one, another part may be in force")
 
 // ConflictError says that a version of an item has other content than the given one.
-// Nothing of the call has been or will be in force.
+// No item of the call has been or will be in force.
 type ConflictError struct {
 	Key     item.Key
 	Version uint64
@@ -36,8 +36,8 @@
 // Decide settles one content for each item's version and returns the items that are current
 // under those names afterwards: the given ones or newer ones. They are settled, but need not
 // be held by a majority as merge items yet. If other content of a version is settled, it
-// returns a ConflictError, once nothing of the call can come into force any more. It retries
-// until ctx ends; after any other error the fate of the items is unknown.
+// returns a ConflictError, once no item of the call can come into force any more. It retries
+// until ctx ends; after any other error it is unknown whether the items are settled.
 func (p *Proposer) Decide(ctx context.Context, items []item.Item) ([]item.Item, error) {
 	for _, it := range items {
 		if err := checkMergeItem(it); err != nil {
@@ -47,7 +47,7 @@
 	if len(items) > maxRequestKeys {
 		return nil, steperr.New("decide", "", "%d items, limit %d", len(items), maxRequestKeys)
 	}
-	r := decideRound{Proposer: p, items: items, call: callDigest(items)}
+	r := decideCall{Proposer: p, items: items, callDigest: callDigest(items)}
 	for _, it := range items {
 		r.keys = append(r.keys, it.Key)
 	}
@@ -56,7 +56,7 @@
 		core := p.Core()
 		if core.Epoch == 0 {
 			cause = ErrNoCore
-		} else if current, err, done := r.run(ctx, core); done {
+		} else if current, err, done := r.runBallot(ctx, core); done {
 			return current, err
 		}
 		if ctx.Err() == nil && p.Core().Epoch > core.Epoch && try < 3 {
@@ -69,18 +69,18 @@
 	}
 }
 
-// decideRound is the state of one call of Decide.
-type decideRound struct {
+// decideCall is the state of one call of Decide.
+type decideCall struct {
 	*Proposer
 	items         []item.Item
 	keys          []item.Key
-	call          string
+	callDigest    string
 	highestBallot uint64 // highest ballot number seen
 }
 
-// run executes one ballot: promises from a majority, then accepts from a majority. done says
-// that the outcome of the call is known.
-func (r *decideRound) run(ctx context.Context, core Core) (current []item.Item, err error, done bool) {
+// runBallot executes one ballot: promises from a majority, then accepts from a majority. done
+// reports whether the outcome of the call is known.
+func (r *decideCall) runBallot(ctx context.Context, core Core) (current []item.Item, err error, done bool) {
 	ballot := r.nextBallot(itemBallotKey, r.highestBallot)
 	held, ok := r.collectPromises(ctx, core, ballot)
 	if !ok {
@@ -90,11 +90,11 @@
 	var conflict error
 	settled, ownCurrent := true, false
 	for i, h := range held {
-		next, v := h.Decision.afterOffer(r.items[i], r.call)
+		next, outcome := h.Decision.afterOffer(r.items[i], r.callDigest)
 		decisions[i] = next
 		isCurrent := h.Decision.Decided() && h.Decision.Item.Equal(r.items[i])
-		settled, ownCurrent = settled && isCurrent && h.Settled, ownCurrent || isCurrent && h.Decision.Call == r.call
-		if v == offerConflicting && conflict == nil {
+		settled, ownCurrent = settled && isCurrent && h.Settled, ownCurrent || isCurrent && h.Decision.Call == r.callDigest
+		if outcome == offerConflicting && conflict == nil {
 			conflict = ConflictError{r.items[i].Key, r.items[i].Version}
 		}
 	}
@@ -117,7 +117,7 @@
 }
 
 // collectPromises asks for promises and merges, for each register, what a majority holds.
-func (r *decideRound) collectPromises(ctx context.Context, core Core, ballot Ballot) ([]HeldDecision, bool) {
+func (r *decideCall) collectPromises(ctx context.Context, core Core, ballot Ballot) ([]HeldDecision, bool) {
 	promises := gather(ctx, r.Proposer, core.Seats,
 		func(s Seat) any { return OfferAsk{Mark{Epoch: core.Epoch, Disk: s.Disk}, ballot, r.keys} },
 		func(t OfferTold) Told { return t.Told },
@@ -152,9 +152,9 @@
 	return merged, true
 }
 
-// acceptDecisions asks all seats to accept decisions, also those whose promise was not waited
-// for, and reports whether a majority did.
-func (r *decideRound) acceptDecisions(ctx context.Context, core Core, ballot Ballot, decisions []Decision) bool {
+// acceptDecisions asks all seats, including those whose promise was not waited for, to accept
+// decisions, and reports whether a majority did.
+func (r *decideCall) acceptDecisions(ctx context.Context, core Core, ballot Ballot, decisions []Decision) bool {
 	accepted := func(h []voterReply[DecideTold]) int {
 		return lo.CountBy(h, func(x voterReply[DecideTold]) bool { return x.Reply.Yes })
 	}
@@ -168,8 +168,8 @@
 	return accepted(replies) >= core.QuorumSize()
 }
 
-// Trace reports whether any voter of a majority has accepted an item of a call, or holds it.
-// It writes nothing.
+// Trace reports whether any voter of a majority holds one of items as the newest of its
+// register, be it accepted only or decided. It writes nothing.
 func (p *Proposer) Trace(ctx context.Context, items []item.Item) (found bool, err error) {
 	core := p.Core()
 	if core.Epoch == 0 {
--- a/internal/quorum/proposerlist.go
+++ b/internal/quorum/proposerlist.go
@@ -9,7 +9,8 @@
 	"walkrudder/internal/steperr"
 )
 
-// Last returns the last written key under prefix and its chosen value, "" if there is none.
+// Last returns the highest written key under prefix and its chosen value; the key is "" if there
+// is none.
 func (p *Proposer) Last(ctx context.Context, prefix string) (string, []byte, error) {
 	core := p.Core()
 	if core.Epoch == 0 {
@@ -20,27 +21,28 @@
 	if len(replies) < core.QuorumSize() {
 		return "", nil, steperr.Wrap("last "+prefix, "", ErrNoQuorum)
 	}
-	var newest Entry
+	var last Entry
 	n := 0
 	for _, h := range replies {
 		for _, e := range h.Reply.Entries {
-			if e.Key > newest.Key {
-				newest, n = e, 0
+			if e.Key > last.Key {
+				last, n = e, 0
 			}
-			if e.Key == newest.Key && e.Item.Accepted == newest.Item.Accepted {
+			if e.Key == last.Key && e.Item.Accepted == last.Item.Accepted {
 				n++
 			}
 		}
 	}
-	if newest.Key == "" || n >= core.QuorumSize() {
-		return newest.Key, newest.Item.Value, nil
+	if last.Key == "" || n >= core.QuorumSize() {
+		return last.Key, last.Item.Value, nil
 	}
-	v, err := p.Read(ctx, newest.Key)
-	return newest.Key, v, err
+	v, err := p.Read(ctx, last.Key)
+	return last.Key, v, err
 }
 
-// List yields all chosen items under prefix with keys after `after`, in order. The write of an
-// item that only a minority holds is completed first, which also repairs its copies.
+// List yields the keys and chosen values of all registers under prefix with keys after `after`, in
+// order. The write of a value that only a minority holds is completed first, which also repairs
+// its copies.
 func (p *Proposer) List(ctx context.Context, prefix, after string, yield func(key string, val []byte) error) error {
 	for {
 		core := p.Core()
@@ -55,8 +57,8 @@
 		}
 		upTo, more := completeUpTo(replies)
 		type held struct {
-			it Item
-			n  int
+			it     Item
+			copies int
 		}
 		newest := map[string]*held{}
 		var keys []string
@@ -73,16 +75,16 @@
 				}
 				switch c := e.Item.Accepted.Compare(x.it.Accepted); {
 				case c > 0:
-					x.it, x.n = e.Item, 1
+					x.it, x.copies = e.Item, 1
 				case c == 0:
-					x.n++
+					x.copies++
 				}
 			}
 		}
 		slices.Sort(keys)
 		for _, k := range keys {
 			v := newest[k].it.Value
-			if newest[k].n < core.QuorumSize() {
+			if newest[k].copies < core.QuorumSize() {
 				w, err := p.Read(ctx, k)
 				if IsNeverWritten(err) {
 					continue
@@ -103,7 +105,8 @@
 	}
 }
 
-// completeUpTo returns the key up to which every listing is complete.
+// completeUpTo returns the key up to which every listing is complete; more reports whether any of
+// them is truncated.
 func completeUpTo(replies []voterReply[ListTold]) (to string, more bool) {
 	for _, h := range replies {
 		if !h.Reply.More || len(h.Reply.Entries) == 0 {
@@ -116,7 +119,8 @@
 	return to, more
 }
 
-// DropBelow lets the voters drop the items under prefix that are below floor.
+// DropBelow makes the voters delete the registers under prefix whose keys are below floor. No
+// register can be written there any more.
 func (p *Proposer) DropBelow(ctx context.Context, prefix, floor string) error {
 	core := p.Core()
 	replies := gather(ctx, p, core.Seats, func(Seat) any { return LiftAsk{Mark{Epoch: core.Epoch}, prefix, floor} },
@@ -127,26 +131,26 @@
 	return nil
 }
 
-// RepairCopies compares all items at all voters that answer, runs a ballot for each item
-// of which some voter holds an outdated copy, and returns the number of such items.
+// RepairCopies compares all registers at all voters that answer, runs a ballot for each register
+// of which some voter holds an outdated copy, and returns the number of such registers.
 func (p *Proposer) RepairCopies(ctx context.Context) (int, error) {
 	core := p.Core()
 	if core.Epoch == 0 {
 		return 0, ErrNoCore
 	}
-	copies := map[string]map[string]Ballot{}
+	acceptedByDisk := map[string]map[string]Ballot{}
 	newest := map[string]Ballot{}
 	for _, s := range core.Seats {
-		at := map[string]Ballot{}
+		accepted := map[string]Ballot{}
 		after := ""
 		for {
 			t, err := link.Call[ListTold](ctx, p.Transport, s.Addr, ListAsk{Mark: Mark{Epoch: core.Epoch}, After: after})
 			if err != nil || !t.OK || t.Disk != s.Disk {
-				at = nil
+				accepted = nil
 				break
 			}
 			for _, e := range t.Entries {
-				at[e.Key], after = e.Item.Accepted, e.Key
+				accepted[e.Key], after = e.Item.Accepted, e.Key
 				if e.Item.Accepted.Compare(newest[e.Key]) > 0 {
 					newest[e.Key] = e.Item.Accepted
 				}
@@ -155,15 +159,15 @@
 				break
 			}
 		}
-		if at != nil {
-			copies[s.Disk] = at
+		if accepted != nil {
+			acceptedByDisk[s.Disk] = accepted
 		}
 	}
 	n := 0
 	for k, b := range newest {
 		outdated := false
-		for _, at := range copies {
-			outdated = outdated || at[k] != b
+		for _, accepted := range acceptedByDisk {
+			outdated = outdated || accepted[k] != b
 		}
 		if !outdated {
 			continue
--- a/internal/quorum/proposermerge_test.go
+++ b/internal/quorum/proposermerge_test.go
@@ -16,7 +16,7 @@
 	runSynctest(t, func(ctx context.Context, t *testing.T) {
 		c := newThreeVoters(ctx, t)
 		asks, largest := 0, 0
-		c.locked(func() {
+		c.withLock(func() {
 			c.dropAsk = func(_, to string, ask any) bool {
 				if a, ok := ask.(MergeAsk); ok && to == "b" {
 					n := 0
@@ -38,7 +38,7 @@
 		if asks < 5 || asks > 8 || largest > MaxValueBytes {
 			t.Errorf("%d asks, the largest of %d bytes", asks, largest)
 		}
-		c.checkKept("after all chunks", all...)
+		c.checkItemsKept("after all chunks", all...)
 		asks = 0
 		c.merge("a")
 		if asks > 0 {
@@ -70,8 +70,8 @@
 		if err := p.Merge(ctx, []item.Item{testItem("k", 1, "x")}); err != nil || time.Since(start) > 100*time.Millisecond {
 			t.Errorf("%v after %v", err, time.Since(start))
 		}
-		if p.Core().Epoch != 2 || c.holders(testItem("k", 1, "x")) < 2 {
-			t.Errorf("epoch %d, %d hold it", p.Core().Epoch, c.holders(testItem("k", 1, "x")))
+		if p.Core().Epoch != 2 || c.countHolders(testItem("k", 1, "x")) < 2 {
+			t.Errorf("epoch %d, %d hold it", p.Core().Epoch, c.countHolders(testItem("k", 1, "x")))
 		}
 	})
 }
--- a/internal/quorum/reconfigurer.go
+++ b/internal/quorum/reconfigurer.go
@@ -36,7 +36,8 @@
 	defaultMissingAfter = 1500 * time.Millisecond
 	// joinGrace is how long a seat that is heard from may fail to join before it counts
 	// as missing.
-	joinGrace     = 10 * time.Second
+	joinGrace = 10 * time.Second
+	// The steps of a reconfiguration are bounded separately; joinTimeout applies to each joining seat.
 	sealTimeout   = 700 * time.Millisecond
 	decideTimeout = 2 * time.Second
 	joinTimeout   = 5 * time.Second
@@ -97,8 +98,8 @@
 	}
 }
 
-// Step decides, only from what was heard, whether there is anything to do, and does it. Run calls
-// it every 300 ms.
+// Step determines from the contacts alone, without sending anything, whether there is anything to
+// do, and does it. Run calls it every 300 ms.
 func (rc *Reconfigurer) Step(ctx context.Context) {
 	v := rc.view()
 	// A reconfigurer that starts does not know what earlier ones left unfinished.
@@ -193,7 +194,7 @@
 		return steperr.Wrap("decide swap", joins, err)
 	}
 	if rc.Log != nil {
-		rc.Log.Info("seat passes on", "step", "swap", "peer", joins, "out", leaves, "epoch", next.Epoch, "seats", len(next.Seats))
+		rc.Log.Info("next core decided", "step", "swap", "peer", joins, "out", leaves, "epoch", next.Epoch, "seats", len(next.Seats))
 	}
 	return rc.applyCore(ctx, v, next)
 }
--- a/internal/quorum/reconfigurer_test.go
+++ b/internal/quorum/reconfigurer_test.go
@@ -36,9 +36,9 @@
 func TestCalmStewardsSendNothing(t *testing.T) {
 	runSynctest(t, func(ctx context.Context, t *testing.T) {
 		c := newRunningCluster(ctx, t, 3, "a", "b", "c", "d")
-		c.locked(func() { clear(c.askCounts) })
+		c.withLock(func() { clear(c.askCounts) })
 		time.Sleep(time.Minute)
-		c.locked(func() {
+		c.withLock(func() {
 			if len(c.askCounts) > 0 {
 				t.Errorf("requests were sent with all seats filled: %v", c.askCounts)
 			}
@@ -49,18 +49,18 @@
 		time.Sleep(5 * time.Second)
 		m := c.kill("c")
 		time.Sleep(5 * time.Second)
-		c.locked(func() { clear(c.askCounts) })
+		c.withLock(func() { clear(c.askCounts) })
 		time.Sleep(time.Minute)
-		c.locked(func() {
+		c.withLock(func() {
 			if len(c.askCounts) > 0 {
 				t.Errorf("requests were sent without a spare disk: %v", c.askCounts)
 			}
 		})
 		c.start("c", "", m)
 		time.Sleep(10 * time.Second)
-		c.locked(func() { clear(c.askCounts) })
+		c.withLock(func() { clear(c.askCounts) })
 		time.Sleep(time.Minute)
-		c.locked(func() {
+		c.withLock(func() {
 			if len(c.askCounts) > 0 {
 				t.Errorf("requests were sent after the seat returned: %v", c.askCounts)
 			}
@@ -74,8 +74,8 @@
 // loss of any other t disks.
 func TestAcknowledgedSurvivesTheLossOfAnyDisks(t *testing.T) {
 	for _, ids := range [][]string{{"a", "b", "c"}, {"a", "b", "c", "d", "e"}} {
-		lose := len(ids) / 2
-		all := subsets(ids, lose)
+		numLost := len(ids) / 2
+		all := subsets(ids, numLost)
 		for i, unreached := range all {
 			for j, lost := range all {
 				// The second loss goes through all choices.
@@ -86,18 +86,18 @@
 						c.start(id, "", nil)
 					}
 					c.formCore(ids...)
-					c.locked(func() {
+					c.withLock(func() {
 						c.dropAsk = func(_, to string, ask any) bool { _, m := ask.(MergeAsk); return m && slices.Contains(unreached, to) }
 					})
 					it := testItem("k", 1, strings.Join(append(unreached, lost...), ""))
 					c.merge(ids[j%len(ids)], it)
 					c.powerLoss(ids, lost)
-					c.locked(func() { c.dropAsk = nil })
+					c.withLock(func() { c.dropAsk = nil })
 					time.Sleep(8 * time.Second)
-					c.checkKept(fmt.Sprint("not merged at ", unreached, ", lost ", lost), it)
+					c.checkItemsKept(fmt.Sprint("not merged at ", unreached, ", lost ", lost), it)
 					c.powerLoss(ids, second)
 					time.Sleep(8 * time.Second)
-					c.checkKept(fmt.Sprint("not merged at ", unreached, ", lost ", lost, " then ", second), it)
+					c.checkItemsKept(fmt.Sprint("not merged at ", unreached, ", lost ", lost, " then ", second), it)
 				})
 			}
 		}
@@ -107,7 +107,7 @@
 // powerLoss stops all ids at once and starts them again, those in lost with empty
 // disks.
 func (c *cluster) powerLoss(ids, lost []string) {
-	ms := map[string]*mem{}
+	ms := map[string]*memDisk{}
 	for _, id := range ids {
 		ms[id] = c.kill(id)
 	}
@@ -131,11 +131,11 @@
 			next := string(rune('d' + i))
 			c.start(next, "", nil)
 			time.Sleep(4 * time.Second)
-			c.checkKept("after "+id, its...)
+			c.checkItemsKept("after "+id, its...)
 			more := testItem(fmt.Sprint("more", i), 1, id)
 			c.merge(next, more)
 			its = append(its, more)
-			c.checkKept("merged after "+id, its...)
+			c.checkItemsKept("merged after "+id, its...)
 		}
 		core := c.core()
 		for _, s := range core.Seats {
@@ -157,10 +157,10 @@
 			time.Sleep(500 * time.Millisecond)
 			c.start(id, "", nil)
 			time.Sleep(4 * time.Second)
-			if v := c.voting(); !slices.Contains(v, id) || len(v) != 3 {
+			if v := c.votingIDs(); !slices.Contains(v, id) || len(v) != 3 {
 				t.Errorf("4 s after %s came back %v vote", id, v)
 			}
-			c.checkKept("after "+id, its...)
+			c.checkItemsKept("after "+id, its...)
 		})
 	}
 }
@@ -174,10 +174,10 @@
 		time.Sleep(time.Second)
 		c.checkEpoch(1, "a second after the loss")
 		time.Sleep(3 * time.Second)
-		if v := c.voting(); !slices.Equal(v, []string{"b", "c", "x"}) {
+		if v := c.votingIDs(); !slices.Equal(v, []string{"b", "c", "x"}) {
 			t.Errorf("%v vote", v)
 		}
-		c.checkKept("after the loss", its...)
+		c.checkItemsKept("after the loss", its...)
 	})
 }
 
@@ -192,7 +192,7 @@
 			time.Sleep(5 * time.Second)
 			c.kill(lost)
 			time.Sleep(4 * time.Second)
-			if v := c.voting(); !slices.Contains(v, want) || len(v) != 3 {
+			if v := c.votingIDs(); !slices.Contains(v, want) || len(v) != 3 {
 				t.Errorf("%s was lost, %v vote, want %s among them", lost, v, want)
 			}
 		})
@@ -220,9 +220,9 @@
 			}
 			time.Sleep(5 * time.Second)
 			c.checkEpoch(2, "after two concurrent reconfigurations")
-			c.checkKept("after two concurrent reconfigurations", its...)
+			c.checkItemsKept("after two concurrent reconfigurations", its...)
 			seats := map[string]bool{}
-			for _, n := range c.all() {
+			for _, n := range c.runningNodes() {
 				if k := n.voter.Core(); k.Epoch == 2 {
 					seats[fmt.Sprint(k.Seats)] = true
 				}
@@ -235,27 +235,27 @@
 }
 
 func TestMinorityNeverSwaps(t *testing.T) {
-	for _, small := range []string{"a", "ax", "bx", "axy"} {
+	for _, minority := range []string{"a", "ax", "bx", "axy"} {
 		runSynctest(t, func(ctx context.Context, t *testing.T) {
 			c := newRunningCluster(ctx, t, 3, "a", "b", "c", "x", "y")
 			its := testItems(5)
 			c.merge("a", its...)
-			side := func(id string) bool { return strings.Contains(small, id) }
-			c.locked(func() { c.isCut = func(a, b string) bool { return side(a) != side(b) }; clear(c.askCounts) })
+			inMinority := func(id string) bool { return strings.Contains(minority, id) }
+			c.withLock(func() { c.isCut = func(a, b string) bool { return inMinority(a) != inMinority(b) }; clear(c.askCounts) })
 			time.Sleep(20 * time.Second)
-			for id, n := range c.all() {
-				if k := n.bootstrapper.core(); side(id) && k.Epoch != 1 {
-					t.Errorf("%s, cut off with %s, knows %+v", id, small, k)
+			for id, n := range c.runningNodes() {
+				if k := n.bootstrapper.core(); inMinority(id) && k.Epoch != 1 {
+					t.Errorf("%s, cut off with %s, knows %+v", id, minority, k)
 				}
-				c.locked(func() {
-					if side(id) && c.askCounts[id] > 0 {
-						t.Errorf("%s, cut off with %s, asked %d times", id, small, c.askCounts[id])
+				c.withLock(func() {
+					if inMinority(id) && c.askCounts[id] > 0 {
+						t.Errorf("%s, cut off with %s, asked %d times", id, minority, c.askCounts[id])
 					}
 				})
 			}
-			c.locked(func() { c.isCut = nil })
+			c.withLock(func() { c.isCut = nil })
 			time.Sleep(10 * time.Second)
-			c.checkKept("after the cut", its...)
+			c.checkItemsKept("after the cut", its...)
 		})
 	}
 }
@@ -269,7 +269,7 @@
 		time.Sleep(500 * time.Millisecond)
 		c.node("a").freeze(30 * time.Second)
 		time.Sleep(4 * time.Second)
-		if v := c.voting(); !slices.Equal(v, []string{"b", "c", "x"}) {
+		if v := c.votingIDs(); !slices.Equal(v, []string{"b", "c", "x"}) {
 			t.Errorf("%v vote", v)
 		}
 		// When it resumes it does not know of the reconfiguration: it must not act on what
@@ -288,7 +288,7 @@
 		n.freeze(10 * time.Second)
 		time.Sleep(20 * time.Second)
 		if got := c.core(); got.Epoch != 2 {
-			t.Fatalf("a's own seat should have gone to x: %+v", got)
+			t.Fatalf("the seat of a did not move to x: %+v", got)
 		}
 		for range 5 {
 			for _, id := range []string{"b", "c", "x"} {
@@ -307,14 +307,14 @@
 				c := newRunningCluster(ctx, t, 3, "a", "b", "c", "x")
 				its := testItems(5)
 				c.merge("a", its...)
-				lost := make(chan *mem, 3)
-				lose := func() { lost <- c.kill("x") }
+				lost := make(chan *memDisk, 3)
+				killJoiner := func() { lost <- c.kill("x") }
 				if point == fault.AfterSeal {
 					for _, id := range []string{"a", "b"} {
-						c.node(id).faults.Arm(point, lose)
+						c.node(id).faults.Arm(point, killJoiner)
 					}
 				} else {
-					c.node("x").faults.Arm(point, lose)
+					c.node("x").faults.Arm(point, killJoiner)
 				}
 				c.kill("c")
 				time.Sleep(6 * time.Second)
@@ -322,7 +322,7 @@
 					t.Fatalf("point %d was hit %d times", point, len(lost))
 				}
 				m := <-lost
-				if v := c.voting(); len(v) != 2 {
+				if v := c.votingIDs(); len(v) != 2 {
 					t.Errorf("%v vote while the joiner is down", v)
 				}
 				// The two remaining seats continue to work.
@@ -336,7 +336,7 @@
 					c.start("y", "", nil)
 				}
 				time.Sleep(6 * time.Second)
-				c.checkKept(fmt.Sprint("point ", point, ", the same again ", sameReturns), its...)
+				c.checkItemsKept(fmt.Sprint("point ", point, ", the same again ", sameReturns), its...)
 			})
 		}
 	}
@@ -348,15 +348,15 @@
 		c := newRunningCluster(ctx, t, 3, "a", "b", "c", "x", "y")
 		its := testItems(5)
 		c.merge("a", its...)
-		c.locked(func() {
+		c.withLock(func() {
 			c.dropAsk = func(_, to string, ask any) bool { _, j := ask.(JoinAsk); return j && to == "x" }
 		})
 		c.kill("c")
 		time.Sleep(30 * time.Second)
-		if v := c.voting(); !slices.Equal(v, []string{"a", "b", "y"}) {
+		if v := c.votingIDs(); !slices.Equal(v, []string{"a", "b", "y"}) {
 			t.Errorf("%v vote", v)
 		}
-		c.checkKept("without x", its...)
+		c.checkItemsKept("without x", its...)
 	})
 }
 
@@ -372,9 +372,9 @@
 		time.Sleep(time.Second)
 		it := testItem("k", 1, "v")
 		// Only b and c hold the item.
-		c.locked(func() { c.dropAsk = func(_, to string, ask any) bool { _, m := ask.(MergeAsk); return m && to == "a" } })
+		c.withLock(func() { c.dropAsk = func(_, to string, ask any) bool { _, m := ask.(MergeAsk); return m && to == "a" } })
 		c.merge("b", it)
-		c.locked(func() {
+		c.withLock(func() {
 			c.dropAsk = func(_, to string, ask any) bool {
 				_, s := ask.(SealAsk)
 				_, j := ask.(JoinAsk)
@@ -389,12 +389,12 @@
 			t.Fatalf("a is in epoch %d, b in %d", a, b)
 		}
 		c.kill("b")
-		c.locked(func() { c.dropAsk = nil })
+		c.withLock(func() { c.dropAsk = nil })
 		for _, id := range []string{"a", "c", "x", "y"} {
 			go c.node(id).reconfigurer.Run(c.node(id).ctx)
 		}
 		time.Sleep(12 * time.Second)
-		c.checkKept("after the actor was lost", it)
+		c.checkItemsKept("after the actor was lost", it)
 	})
 }
 
@@ -430,19 +430,19 @@
 			more := testItem("more", 1, "x")
 			c.merge("a", more)
 			if reachable {
-				c.checkKept("the decision carried out, then b replaced", append(its, more)...)
+				c.checkItemsKept("the decision carried out, then b replaced", append(its, more)...)
 				return
 			}
 			c.checkEpoch(3, "while neither x nor b is up")
-			if v := c.voting(); c.core().Succeeds(2) || !slices.Equal(v, []string{"a", "c", "y"}) {
+			if v := c.votingIDs(); c.core().Succeeds(2) || !slices.Equal(v, []string{"a", "c", "y"}) {
 				t.Errorf("the core after the abandoned one: %+v, %v vote", c.core(), v)
 			}
-			c.checkKept("the decision abandoned, b replaced", append(its, more)...)
+			c.checkItemsKept("the decision abandoned, b replaced", append(its, more)...)
 			c.start("x", "", nil)
 			c.start("b", "", nil)
 			time.Sleep(15 * time.Second)
 			c.checkEpoch(3, "x and b are back")
-			c.checkKept("x and b are back", append(its, more)...)
+			c.checkItemsKept("x and b are back", append(its, more)...)
 		})
 	}
 }
@@ -463,7 +463,7 @@
 		c.checkEpoch(4, "after three emptied disks")
 		c.start("e", "", m)
 		time.Sleep(5 * time.Second)
-		c.checkKept("after e came back", its...)
+		c.checkItemsKept("after e came back", its...)
 		c.checkEpoch(4, "after e came back")
 	})
 }
@@ -474,7 +474,7 @@
 		c := newRunningCluster(ctx, t, 3, "a", "b", "c", "x")
 		c.merge("a", testItems(3)...)
 		var first, last time.Time
-		c.locked(func() {
+		c.withLock(func() {
 			c.isCut = func(a, b string) bool { return a == "c" || b == "c" }
 			c.dropAsk = func(_, to string, ask any) bool {
 				if _, s := ask.(SealAsk); s && first.IsZero() {
@@ -487,7 +487,7 @@
 			}
 		})
 		time.Sleep(4 * time.Second)
-		c.locked(func() {
+		c.withLock(func() {
 			if d := last.Sub(first); first.IsZero() || d <= 0 || d > 100*time.Millisecond {
 				t.Errorf("sealed and pulled in %v", d)
 			}
@@ -503,7 +503,7 @@
 		its := testItems(3)
 		c.merge("a", its...)
 		until := time.Now().Add(20 * time.Second)
-		c.locked(func() {
+		c.withLock(func() {
 			c.dropAsk = func(_, _ string, ask any) bool {
 				_, pull := ask.(MergedAsk)
 				return pull && time.Now().Before(until)
@@ -511,11 +511,11 @@
 		})
 		c.kill("c")
 		time.Sleep(19 * time.Second)
-		if v := c.voting(); slices.Contains(v, "x") || len(v) != 2 {
+		if v := c.votingIDs(); slices.Contains(v, "x") || len(v) != 2 {
 			t.Errorf("%v vote before x could pull", v)
 		}
 		time.Sleep(10 * time.Second)
-		c.checkKept("after the retries", its...)
+		c.checkItemsKept("after the retries", its...)
 		c.checkEpoch(2, "after some tries")
 	})
 }
@@ -539,19 +539,19 @@
 		go c.node("b").reconfigurer.Run(ctx)
 		time.Sleep(5 * time.Second)
 		c.checkEpoch(2, "after a start")
-		c.checkKept("after a start")
+		c.checkItemsKept("after a start")
 	})
 	runSynctest(t, func(ctx context.Context, t *testing.T) {
 		c := newRunningCluster(ctx, t, 3, "a", "b", "c", "x")
 		decide(ctx, t, c, c.core())
 		time.Sleep(5 * time.Second)
 		c.checkEpoch(1, "nothing was silent")
-		c.locked(func() { c.isCut = func(a, b string) bool { return (a > "b") != (b > "b") } })
+		c.withLock(func() { c.isCut = func(a, b string) bool { return (a > "b") != (b > "b") } })
 		time.Sleep(3 * time.Second)
-		c.locked(func() { c.isCut = nil })
+		c.withLock(func() { c.isCut = nil })
 		time.Sleep(5 * time.Second)
 		c.checkEpoch(2, "c was silent")
-		c.checkKept("c was silent")
+		c.checkItemsKept("c was silent")
 	})
 }
 
@@ -570,7 +570,7 @@
 		if !ok || s.Addr != "elsewhere" {
 			t.Errorf("%+v", c.core())
 		}
-		c.checkKept("after the move", its...)
+		c.checkItemsKept("after the move", its...)
 	})
 }
 
@@ -588,12 +588,12 @@
 // state of others.
 func TestStewardActsOnlyWhenWell(t *testing.T) {
 	for name, x := range map[string]struct {
-		pause, alone time.Duration
-		acts         bool
+		pause, isolatedFor time.Duration
+		acts               bool
 	}{
 		"well":            {acts: true},
-		"stood still":     {pause: 800 * time.Millisecond},
-		"heard no others": {alone: 900 * time.Millisecond},
+		"paused":          {pause: 800 * time.Millisecond},
+		"heard no others": {isolatedFor: 900 * time.Millisecond},
 	} {
 		runSynctest(t, func(ctx context.Context, t *testing.T) {
 			c := newCluster(ctx, t)
@@ -609,23 +609,23 @@
 			rc.Clock = clock
 			rc.Contacts = func() []DiskContact {
 				at := time.Since(start)
-				hs := []DiskContact{{Seat: n.seat}}
+				contacts := []DiskContact{{Seat: n.seat}}
 				for _, id := range []string{"b", "c", "x"} {
 					ago := time.Millisecond
 					switch {
-					case id == "b" && at > begin && at < begin+x.alone:
+					case id == "b" && at > begin && at < begin+x.isolatedFor:
 						ago = 5 * time.Second
-					case id == "c" && at > begin && at < begin+x.alone+1200*time.Millisecond:
+					case id == "c" && at > begin && at < begin+x.isolatedFor+1200*time.Millisecond:
 						// Silent at first, then heard from again.
 						ago = 5 * time.Second
 					}
-					hs = append(hs, DiskContact{c.node(id).seat, ago})
+					contacts = append(contacts, DiskContact{c.node(id).seat, ago})
 				}
-				return hs
+				return contacts
 			}
 			go rc.Run(ctx)
 			time.Sleep(begin - time.Second)
-			c.locked(func() { clear(c.askCounts) })
+			c.withLock(func() { clear(c.askCounts) })
 			// The pause is long enough for the last reports to be outdated.
 			time.Sleep(500 * time.Millisecond)
 			clock.delay.Store(int64(x.pause))
@@ -648,28 +648,28 @@
 		next := Core{Epoch: 2, Before: before, Seats: append(slices.Clone(before[1:]), Seat{ID: "x", Disk: "x"})}
 		q := next.QuorumSize()
 		for mask := range 1 << n {
-			at := map[string]bool{}
-			own := 0
+			sealed := map[string]bool{}
+			ownSealed := 0
 			for i, s := range before {
 				if mask>>i&1 == 1 {
-					at[s.Disk] = true
-					own += min(i, 1)
+					sealed[s.Disk] = true
+					ownSealed += min(i, 1)
 				}
 			}
-			source, err := pullSources(next, at)
-			if ok := len(at) >= n-q+1 || own >= q; ok != (err == nil) {
-				t.Errorf("%d of %d before, %d of next: %v", len(at), n, own, err)
+			source, err := pullSources(next, sealed)
+			if ok := len(sealed) >= n-q+1 || ownSealed >= q; ok != (err == nil) {
+				t.Errorf("%d of %d before, %d of next: %v", len(sealed), n, ownSealed, err)
 			}
 			if err != nil {
 				continue
 			}
 			got := (&Reconfigurer{}).pickSources(source, Seat{ID: "x"})
 			if len(got) < n-q+1 {
-				t.Errorf("%d of %d: pulls from %v", len(at), n, got)
+				t.Errorf("%d of %d: pulls from %v", len(sealed), n, got)
 			}
 			for i, s := range got {
-				if !at[s.Disk] || slices.Contains(got[:i], s) {
-					t.Errorf("pulls from %v, sealed are %v", got, at)
+				if !sealed[s.Disk] || slices.Contains(got[:i], s) {
+					t.Errorf("pulls from %v, sealed are %v", got, sealed)
 				}
 			}
 		}
--- a/internal/quorum/reconfigurerview.go
+++ b/internal/quorum/reconfigurerview.go
@@ -81,8 +81,8 @@
 	return v.now.Sub(rc.trackedSince[s.Disk])
 }
 
-// chooseSeats returns the seats of the next core if they should differ from the present ones: a seat is replaced,
-// moved or added.
+// chooseSeats returns the seats of the next core if they should differ from the present ones: one seat is replaced or
+// moved, or seats are added.
 func (rc *Reconfigurer) chooseSeats(v view) (next []Seat, ok bool) {
 	// A node that comes back with an emptied disk or at another address owns its
 	// seat: no other node has its ID. It takes the seat over at once.
--- a/internal/quorum/tolerance.go
+++ b/internal/quorum/tolerance.go
@@ -7,9 +7,9 @@
 )
 
 const (
-	// maxSeats bounds the number of seats of a core.
+	// maxSeats bounds the number of seats of a core: 2n+1 for n = 16, the largest loss that a Tolerance permits.
 	maxSeats = 33
-	// extraSeatsFactor bounds the seats beyond the minimum for the tolerated loss to this multiple of it. The
+	// extraSeatsFactor bounds the number of seats beyond the minimum, as a multiple of MaxLoss. The
 	// extra seats are used where they let the core survive the loss of a domain.
 	extraSeatsFactor = 2
 )
--- a/internal/quorum/voter.go
+++ b/internal/quorum/voter.go
@@ -19,6 +19,7 @@
 )
 
 const (
+	// Keys and key prefixes on disk. floorPrefix is followed by the prefix that the floor applies to.
 	registerPrefix = "i/"
 	coreKey        = "core"
 	diskKey        = "disk"
@@ -241,7 +242,8 @@
 	return <-ch, nil
 }
 
-// checkMark compares the header of a request with this voter's seat and returns the response header.
+// checkMark compares the header of a request with this voter's epoch and disk and returns the
+// response header.
 func (v *Voter) checkMark(m Mark) Told {
 	ok := m.Epoch == v.core.Epoch && v.core.Epoch > 0 && v.hasSeatIn(v.core) &&
 		(m.Disk == "" || m.Disk == v.self.Disk)
@@ -252,7 +254,7 @@
 	return t
 }
 
-// Serve registers this voter's request handlers with d.
+// Serve registers this voter's request handlers with mux.
 func (v *Voter) Serve(mux *link.Mux) {
 	link.Handle(mux, v.prepare)
 	link.Handle(mux, v.accept)
@@ -271,8 +273,8 @@
 }
 
 type (
-	// LiftAsk raises the floor under Prefix: registers with keys below Floor have been folded
-	// into a register above it and may be deleted (design 6.5).
+	// LiftAsk raises the floor under Prefix: registers with keys below Floor are no longer needed,
+	// for example because a register above it contains their state, and are deleted (design 6.5).
 	LiftAsk struct {
 		Mark
 		Prefix string
--- a/internal/quorum/votercluster_test.go
+++ b/internal/quorum/votercluster_test.go
@@ -13,15 +13,15 @@
 )
 
 // mem is an in-memory disk whose commits can be made to fail.
-type mem struct {
+type memDisk struct {
 	mu      sync.Mutex
 	values  map[string][]byte
 	failing bool
 }
 
-func newMemDisk() *mem { return &mem{values: map[string][]byte{}} }
+func newMemDisk() *memDisk { return &memDisk{values: map[string][]byte{}} }
 
-func (d *mem) Load() (map[string][]byte, error) {
+func (d *memDisk) Load() (map[string][]byte, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	out := map[string][]byte{}
@@ -31,7 +31,7 @@
 	return out, nil
 }
 
-func (d *mem) Commit(ps []storage.Put) error {
+func (d *memDisk) Commit(ps []storage.Put) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.failing {
@@ -47,10 +47,10 @@
 	return nil
 }
 
-func (d *mem) Close() error { return nil }
+func (d *memDisk) Close() error { return nil }
 
 // setFailing makes all further commits fail, or succeed again.
-func (d *mem) setFailing(on bool) {
+func (d *memDisk) setFailing(on bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.failing = on
@@ -104,9 +104,9 @@
 	return v
 }
 
-func newVoterCluster(ctx context.Context, t *testing.T) (*voterCluster, map[string]*mem) {
+func newVoterCluster(ctx context.Context, t *testing.T) (*voterCluster, map[string]*memDisk) {
 	l := &voterCluster{t: t, ctx: ctx, muxes: map[string]*link.Mux{}, voters: map[string]*Voter{}, core: Core{Epoch: 1}}
-	memDisks := map[string]*mem{}
+	memDisks := map[string]*memDisk{}
 	for _, id := range []string{"a", "b", "c"} {
 		memDisks[id] = newMemDisk()
 		l.core.Seats = append(l.core.Seats, l.startVoter(id, memDisks[id], "disk-"+id).Seat())
--- a/internal/quorum/votermerge_test.go
+++ b/internal/quorum/votermerge_test.go
@@ -58,7 +58,7 @@
 				t.Errorf("%s ended at version %d, want 6", key.Name, a.Version)
 			}
 		}
-		c.checkKept("at the end")
+		c.checkItemsKept("at the end")
 	})
 }
 
@@ -70,20 +70,20 @@
 			x, y = y, x
 		}
 		p := c.node("a").proposer
-		if over, err := p.MergeReportingSuperseded(ctx, []item.Item{x}); err != nil || len(over) > 0 {
-			t.Fatal(over, err)
+		if superseded, err := p.MergeReportingSuperseded(ctx, []item.Item{x}); err != nil || len(superseded) > 0 {
+			t.Fatal(superseded, err)
 		}
-		if over, err := p.MergeReportingSuperseded(ctx, []item.Item{x}); err != nil || len(over) > 0 {
-			t.Error("merging the same item again:", over, err)
+		if superseded, err := p.MergeReportingSuperseded(ctx, []item.Item{x}); err != nil || len(superseded) > 0 {
+			t.Error("merging the same item again:", superseded, err)
 		}
-		if over, err := p.MergeReportingSuperseded(ctx, []item.Item{testItem("else", 1, ""), y}); err != nil || len(over) > 0 {
-			t.Error("merging the content that takes precedence:", over, err)
+		if superseded, err := p.MergeReportingSuperseded(ctx, []item.Item{testItem("else", 1, ""), y}); err != nil || len(superseded) > 0 {
+			t.Error("merging the content that takes precedence:", superseded, err)
 		}
-		if over, err := p.MergeReportingSuperseded(ctx, []item.Item{testItem("else", 1, ""), x}); err != nil || len(over) != 1 || over[0] != x.Key {
-			t.Error("merging the content that does not take precedence:", over, err)
+		if superseded, err := p.MergeReportingSuperseded(ctx, []item.Item{testItem("else", 1, ""), x}); err != nil || len(superseded) != 1 || superseded[0] != x.Key {
+			t.Error("merging the content that does not take precedence:", superseded, err)
 		}
 		time.Sleep(time.Second)
-		for id, n := range c.all() {
+		for id, n := range c.runningNodes() {
 			if h := n.itemOnDisk(x.Key); string(h.Body) != string(y.Body) {
 				t.Errorf("%s holds %s", id, h.Body)
 			}
@@ -96,17 +96,17 @@
 		c := newThreeVoters(ctx, t)
 		c.merge("a", testItem("k", 9, "new"), item.Item{Key: item.Key{Kind: item.Route, Name: "gone"}, Version: 9, Gone: true})
 		time.Sleep(time.Second)
-		for _, n := range c.all() {
+		for _, n := range c.runningNodes() {
 			n.mu.Lock()
 			clear(n.merged)
 			n.mu.Unlock()
 		}
-		over, err := c.node("b").proposer.MergeReportingSuperseded(ctx, []item.Item{testItem("k", 8, "old"), testItem("gone", 8, "old")})
-		if err != nil || len(over) != 2 {
-			t.Error(over, err)
+		superseded, err := c.node("b").proposer.MergeReportingSuperseded(ctx, []item.Item{testItem("k", 8, "old"), testItem("gone", 8, "old")})
+		if err != nil || len(superseded) != 2 {
+			t.Error(superseded, err)
 		}
 		time.Sleep(time.Second)
-		for id, n := range c.all() {
+		for id, n := range c.runningNodes() {
 			n.mu.Lock()
 			if len(n.merged) > 0 {
 				t.Errorf("OnMerge of %s was called with %v", id, n.merged)
@@ -150,20 +150,20 @@
 		if err := merge(testItem("k", 1, "x")); err != nil {
 			t.Fatal(err)
 		}
-		n.mem.setFailing(true)
+		n.memDisk.setFailing(true)
 		if err := merge(testItem("k", 2, "y")); !errors.Is(err, ErrDiskFailed) || notified != 1 {
 			t.Errorf("merge on a failed disk: %v; OnMerge was called with %d items", err, notified)
 		}
-		n.mem.setFailing(false)
+		n.memDisk.setFailing(false)
 		if err := merge(testItem("k", 3, "z")); !errors.Is(err, ErrDiskFailed) {
 			t.Errorf("merge after a failed sync: %v", err)
 		}
 		// The other two voters form a majority.
 		c.merge("b", testItem("k", 4, "w"))
-		c.node("c").mem.setFailing(true)
-		cx, end := context.WithTimeout(ctx, time.Second)
-		defer end()
-		if err := c.node("b").proposer.Merge(cx, []item.Item{testItem("k", 5, "v")}); !errors.Is(err, ErrNoQuorum) {
+		c.node("c").memDisk.setFailing(true)
+		mergeCtx, cancel := context.WithTimeout(ctx, time.Second)
+		defer cancel()
+		if err := c.node("b").proposer.Merge(mergeCtx, []item.Item{testItem("k", 5, "v")}); !errors.Is(err, ErrNoQuorum) {
 			t.Errorf("merge with one working disk of three: %v", err)
 		}
 	})
@@ -205,12 +205,12 @@
 			t.Error(keys, err)
 		}
 		// A merge item that one voter lacks is not a register to repair.
-		c.locked(func() { c.dropAsk = func(_, to string, ask any) bool { _, m := ask.(MergeAsk); return m && to == "c" } })
+		c.withLock(func() { c.dropAsk = func(_, to string, ask any) bool { _, m := ask.(MergeAsk); return m && to == "c" } })
 		c.merge("a", testItem("y", 1, "b"))
 		time.Sleep(2 * time.Second)
-		c.locked(func() { c.dropAsk = nil })
+		c.withLock(func() { c.dropAsk = nil })
 		if n, err := p.RepairCopies(ctx); n != 0 || err != nil {
-			t.Errorf("the repair sweep changed %d registers, %v", n, err)
+			t.Errorf("the repair changed %d registers, %v", n, err)
 		}
 		for _, id := range []string{"a", "b", "c"} {
 			m := c.kill(id)
@@ -301,7 +301,7 @@
 				}
 			}
 			pages := 0
-			c.locked(func() {
+			c.withLock(func() {
 				c.dropAsk = func(from, _ string, ask any) bool {
 					if _, ok := ask.(MergedAsk); ok {
 						pages++
@@ -324,7 +324,7 @@
 					t.Errorf("%s: d holds version %d", it.Name, h.Version)
 				}
 			}
-			c.checkKept("after the join", append(all, x2, y2)...)
+			c.checkItemsKept("after the join", append(all, x2, y2)...)
 		})
 	}
 }
--- a/internal/quorum/votertransfer_test.go
+++ b/internal/quorum/votertransfer_test.go
@@ -41,7 +41,7 @@
 			}
 		}
 		pages, pagesLeft := 0, 0
-		c.locked(func() {
+		c.withLock(func() {
 			c.dropAsk = func(from, _ string, ask any) bool {
 				switch ask.(type) {
 				case ListAsk, RecordsAsk, MergedAsk:
@@ -58,10 +58,10 @@
 		})
 		joined, attempts := false, 0
 		for ; !joined && attempts < 40; attempts++ {
-			c.locked(func() { pagesLeft = 2 })
-			cx, stop := context.WithTimeout(ctx, joinTimeout)
-			r, err := (nodeTransport{c, "t"}).Call(cx, "n3", JoinAsk{Next: next, From: core.Seats[:2]})
-			stop()
+			c.withLock(func() { pagesLeft = 2 })
+			joinCtx, cancelJoin := context.WithTimeout(ctx, joinTimeout)
+			r, err := (nodeTransport{c, "t"}).Call(joinCtx, "n3", JoinAsk{Next: next, From: core.Seats[:2]})
+			cancelJoin()
 			joined = err == nil && r.(JoinTold).OK
 		}
 		if !joined || attempts < 4 {
--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -95,11 +95,11 @@
 // decode parses the contents of a snapshot file.
 func decode(b []byte) (s Snapshot, err error) {
 	if len(b) < len(fileHeader)+sha256.Size || !bytes.HasPrefix(b, []byte(fileHeader)) {
-		return s, fmt.Errorf("%w: it does not begin as one, or is too short", ErrDamaged)
+		return s, fmt.Errorf("%w: unknown header, or too short", ErrDamaged)
 	}
 	body, storedSum := b[:len(b)-sha256.Size], b[len(b)-sha256.Size:]
 	if sum := sha256.Sum256(body); !bytes.Equal(sum[:], storedSum) {
-		return s, fmt.Errorf("%w: its checksum differs", ErrDamaged)
+		return s, fmt.Errorf("%w: checksum mismatch", ErrDamaged)
 	}
 	if err := gob.NewDecoder(bytes.NewReader(body[len(fileHeader):])).Decode(&s); err != nil {
 		return s, fmt.Errorf("%w: %w", ErrDamaged, err)
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -30,9 +30,9 @@
 }
 
 func TestJoinTakesTheNewestOfEachItem(t *testing.T) {
-	leaving := item.Item{Key: item.Key{Kind: item.Departure, Name: "i-1"}, Version: 2}
+	departure := item.Item{Key: item.Key{Kind: item.Departure, Name: "i-1"}, Version: 2}
 	s, err := Merge([]quorum.StoredState{
-		storedState("a", 4, route("r", 2, "two"), route("q", 7, "seven"), leaving),
+		storedState("a", 4, route("r", 2, "two"), route("q", 7, "seven"), departure),
 		storedState("b", 4, route("r", 3, "three"), tombstone("q", 9)),
 		storedState("c", 3, route("r", 1, "one"), route("old", 1, "old")),
 	}, time.Unix(5, 0))
--- a/internal/storage/bunt.go
+++ b/internal/storage/bunt.go
@@ -176,7 +176,7 @@
 	return values, steperr.Wrap("load", "", errors.Join(err, decodeErr))
 }
 
-// A write that fails for lack of disk space is retried every noSpaceRetryInterval, for up to noSpaceRetryLimit.
+// A write that fails for lack of disk space is retried every noSpaceRetryInterval, for at most noSpaceRetryLimit.
 const (
 	noSpaceRetryInterval = 100 * time.Millisecond
 	noSpaceRetryLimit    = 30 * time.Second
@@ -194,7 +194,7 @@
 }
 
 // errNoSpace reports that a transaction was rolled back because the disk was full.
-var errNoSpace = errors.New("no room on the disk")
+var errNoSpace = errors.New("no space on the disk")
 
 // tryCommit makes one attempt. retryNoSpace means that the caller retries if there is no space, so the disk has not failed.
 func (b *BuntDisk) tryCommit(puts []Put, retryNoSpace bool) error {
--- a/internal/storage/journal.go
+++ b/internal/storage/journal.go
@@ -40,7 +40,8 @@
 	file *os.File // nil before the first write
 }
 
-// OpenJournal returns a journal at the given path; the first Replace creates the file.
+// OpenJournal returns the journal with the given file name in the folder dir; the first Replace
+// creates the file.
 func OpenJournal(dir, name string) *FileJournal { return &FileJournal{path: filepath.Join(dir, name)} }
 
 // Path returns the path of the file.
@@ -91,7 +92,7 @@
 // Append adds records to the file that the last Replace created.
 func (j *FileJournal) Append(records [][]byte) error {
 	if j.file == nil {
-		return steperr.New("append journal", "", "not begun by a Replace")
+		return steperr.New("append journal", "", "Append before the first Replace")
 	}
 	_, err := j.file.Write(encodeRecords(records))
 	return steperr.Wrap("append journal", "", err)
--- a/internal/storage/nospace_test.go
+++ b/internal/storage/nospace_test.go
@@ -35,11 +35,11 @@
 	if err := b.Commit(onePut("a", "1")); err != nil {
 		t.Fatal(err)
 	}
-	size, err := os.Stat(b.Path())
+	info, err := os.Stat(b.Path())
 	if err != nil {
 		t.Fatal(err)
 	}
-	restore := limitFileSize(t, size.Size()+10)
+	restore := limitFileSize(t, info.Size()+10)
 	large := strings.Repeat("x", 500)
 	for range 3 {
 		if err := b.tryCommit(onePut("b", large), true); !errors.Is(err, errNoSpace) {
--- a/internal/storage/reset_test.go
+++ b/internal/storage/reset_test.go
@@ -18,7 +18,7 @@
 	for name, c := range map[string]struct {
 		raw   []byte
 		moved bool
-	}{"sound": {raw, false}, "torn": {raw[:len(raw)-3], false}, "damaged": {bad, true}, "none": {nil, false}} {
+	}{"intact": {raw, false}, "torn": {raw[:len(raw)-3], false}, "damaged": {bad, true}, "none": {nil, false}} {
 		dir := t.TempDir()
 		if c.raw != nil {
 			if err := os.WriteFile(filepath.Join(dir, "x.db"), c.raw, 0o600); err != nil {
