--- a/internal/quorum/domain_test.go
+++ b/internal/quorum/domain_test.go
@@ -121,7 +121,7 @@
 		return v
 	}
 	rc := &Reconfigurer{Tolerance: Tolerance{Zones: 1}}
-	rebalance := func(v view) (m seatMove, ok bool) { return rc.rebalance(v, v.currentSeats(), v.spares()) }
+	rebalance := func(v view) (m seatMove, ok bool) { return rc.rebalancingMove(v, v.currentSeats(), v.spares()) }
 	if m, ok := rebalance(viewWithout("")); !ok || m.to.ID != "c1" || m.from.Zone != "a" {
 		t.Errorf("all seats healthy: %v, %v", m, ok)
 	}
--- a/internal/quorum/formation.go
+++ b/internal/quorum/formation.go
@@ -32,8 +32,8 @@
 	seedsAndSeats := append(slices.Clone(b.Seeds), seats...)
 	slices.Sort(seedsAndSeats)
 	seedsAndSeats = slices.Compact(append(seedsAndSeats, self.Addr))
-	consenting, lower := b.sendForm(ctx, b.Seeds, ask)
-	if lower {
+	consenting, foundLowerID := b.sendForm(ctx, b.Seeds, ask)
+	if foundLowerID {
 		// The formation with the lower ID takes precedence. A seed that consented to
 		// another formation shows that this one was never sealed, so it can be dropped.
 		ask.Drop = true
@@ -65,7 +65,7 @@
 func (b *Bootstrapper) selectFormation(disks []knownSeat, consents []form, timedOut bool) (formation form, isNew, ok bool) {
 	self := b.Voter.Seat().ID
 	lowest := len(disks) > 0 && disks[0].seat.ID == self
-	othersUnderWay := false
+	othersInProgress := false
 	for _, consent := range consents {
 		proposerAlive := slices.ContainsFunc(disks, func(k knownSeat) bool { return k.seat.ID == consent.By })
 		switch {
@@ -75,10 +75,10 @@
 				formation, ok = consent, true
 			}
 		default:
-			othersUnderWay = true
+			othersInProgress = true
 		}
 	}
-	if ok || othersUnderWay || !lowest {
+	if ok || othersInProgress || !lowest {
 		return formation, false, ok
 	}
 	size := b.Size
@@ -100,8 +100,8 @@
 }
 
 // sendForm sends ask to all of addrs and returns the disks of those that granted it.
-// lower reports whether one of them has consented to a formation whose proposer has a lower ID.
-func (b *Bootstrapper) sendForm(ctx context.Context, addrs []string, ask FormAsk) (disks []string, lower bool) {
+// foundLowerID reports whether one of them has consented to a formation whose proposer has a lower ID.
+func (b *Bootstrapper) sendForm(ctx context.Context, addrs []string, ask FormAsk) (disks []string, foundLowerID bool) {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	for _, addr := range addrs {
@@ -116,10 +116,10 @@
 			if answer.OK {
 				disks = append(disks, answer.Disk)
 			} else if answer.Core.Epoch == 0 && answer.By != "" && answer.By < ask.By {
-				lower = true
+				foundLowerID = true
 			}
 		})
 	}
 	wg.Wait()
-	return disks, lower
+	return disks, foundLowerID
 }
--- a/internal/quorum/reconfigurerview.go
+++ b/internal/quorum/reconfigurerview.go
@@ -105,10 +105,10 @@
 	if rc.Tolerance.ExposureOf(seats).Total() == 0 {
 		return nil, false
 	}
-	if m, ok := rc.rebalance(v, seats, spares); ok {
+	if m, ok := rc.rebalancingMove(v, seats, spares); ok {
 		return m.apply(v.core.Seats), true
 	}
-	return rc.grow(v, seats, spares)
+	return rc.grownSeats(v, seats, spares)
 }
 
 // spares returns the machines with a disk and without a seat that were heard from recently, sorted by ID.
@@ -131,9 +131,9 @@
 	return UpdateDomains(v.core.Seats, contacts)
 }
 
-// rebalance moves the seat of a healthy machine if the core's exposure is higher than it needs to be.
-// The remaining seats must be a majority by themselves, since the joining one may fail.
-func (rc *Reconfigurer) rebalance(v view, seats, spares []Seat) (m seatMove, ok bool) {
+// rebalancingMove returns the move of a seat to a spare machine, even from a healthy one, if the core's exposure
+// is higher than it needs to be. The remaining seats must be a majority by themselves, since the joining one may fail.
+func (rc *Reconfigurer) rebalancingMove(v view, seats, spares []Seat) (m seatMove, ok bool) {
 	m, found := rc.Tolerance.bestMove(seats, spares)
 	if !found {
 		return m, false
@@ -145,9 +145,10 @@
 	return m, remaining >= v.core.QuorumSize()
 }
 
-// grow adds seats to a core that was formed with fewer than Size: as many as make the next odd number, since an
-// even number survives no more losses. All seats must be healthy, since the joining ones may fail.
-func (rc *Reconfigurer) grow(v view, seats, spares []Seat) (next []Seat, ok bool) {
+// grownSeats returns the seats with others added, for a core that was formed with fewer than Size: as many as make
+// the next odd number, since an even number survives no more losses. All seats must be healthy, since the joining
+// ones may fail.
+func (rc *Reconfigurer) grownSeats(v view, seats, spares []Seat) (next []Seat, ok bool) {
 	n := len(seats)
 	if v.heardSeats < n || n >= rc.Size {
 		return nil, false
