--- a/cmd/trial/main.go
+++ b/cmd/trial/main.go
@@ -39,15 +39,15 @@
 
 // report is the result of a trial.
 type report struct {
-	Plan       string        `json:"plan"`
-	Zone       string        `json:"zone"`
-	How        string        `json:"how"`
-	Nodes      int           `json:"nodes_out"`
-	Targets    int           `json:"targets_out"`
-	LateFails  int           `json:"failed_later_than_15s_after"`
-	RecoveryMS float64       `json:"last_failure_after_return_ms"`
-	Verdict    stand.Verdict `json:"verdict"`
-	Held       bool          `json:"held"`
+	Plan       string            `json:"plan"`
+	Zone       string            `json:"zone"`
+	How        string            `json:"how"`
+	Nodes      int               `json:"nodes_out"`
+	Targets    int               `json:"targets_out"`
+	LateFails  int               `json:"failed_later_than_15s_after"`
+	RecoveryMS float64           `json:"last_failure_after_return_ms"`
+	Verdict    stand.CheckResult `json:"verdict"`
+	Held       bool              `json:"held"`
 }
 
 // maxRecovery is the guaranteed time after machines come back by which requests are served again.
--- a/internal/sim/apart_test.go
+++ b/internal/sim/apart_test.go
@@ -130,11 +130,11 @@
 	} else if err != nil {
 		return err
 	}
-	acts := map[Defects]map[string]int{}
-	if err := gob.NewDecoder(bytes.NewReader(b)).Decode(&acts); err != nil {
+	counts := map[FailureKinds]map[string]int{}
+	if err := gob.NewDecoder(bytes.NewReader(b)).Decode(&counts); err != nil {
 		return err
 	}
-	for d, m := range acts {
+	for d, m := range counts {
 		y.add(d, m)
 	}
 	return nil
@@ -144,7 +144,7 @@
 // child can go wrong must fail the test that it ran for.
 func TestProcessesTellHowTheyEnd(t *testing.T) {
 	t.Parallel()
-	mark := Defects{Span: -1} // used by no suite
+	mark := FailureKinds{Span: -1} // used by no suite
 	for name, x := range map[string]struct {
 		do   func(t *testing.T)
 		want string // part of the output or error of a failure; "" for success
@@ -170,7 +170,7 @@
 			triggered.mu.Lock()
 			defer triggered.mu.Unlock()
 			if n := triggered.counts[mark]["mark"]; name == "passes" && n != 3 {
-				t.Errorf("%d of 3 acts of a child process were loaded", n)
+				t.Errorf("%d of 3 failures of a child process were loaded", n)
 			}
 		})
 	}
--- a/internal/sim/chaos.go
+++ b/internal/sim/chaos.go
@@ -17,8 +17,8 @@
 	"walkrudder/tools/stand"
 )
 
-// Defects selects the kinds of failures that a run brings about.
-type Defects struct {
+// FailureKinds selects the kinds of failures that a run injects.
+type FailureKinds struct {
 	Nodes   bool // kills, freezes, planned stops, many nodes at once, zone outages
 	Disks   bool // lost, failing and slow disks, replaced control machines
 	Net     bool // cuts, partitions, loss
@@ -26,12 +26,12 @@
 	Crowds  bool // bursts of calls and of changes
 	// Span is how long failures go on.
 	Span time.Duration
-	// Day brings about one failure at a time, as far apart as on a bad day, including
-	// outages of the core.
+	// Day injects one failure at a time, as far apart as on a bad day, including outages of
+	// the core.
 	Day bool
 }
 
-// failureFunc brings a failure about, and reports whether that was possible now.
+// failureFunc injects a failure and reports whether that was possible now.
 type failureFunc func() bool
 
 // failures maps the name of every failure to its function; the fleet of real processes in
@@ -46,17 +46,17 @@
 		"zone killed": w.killZone, "disk lost": w.loseDisk, "sync failed": w.failDisk, "disk slow": w.slowDisk, "control machine swapped": w.replaceMachine,
 		"disk lost at the last moment": w.loseDiskAfterAck,
 		"node cut off":                 w.isolateNode, "link cut": w.cutLink, "core cut apart": w.cutCoreApart, "zone cut off": w.isolateZone, "halves": w.partitionHalves, "messages lost": w.loseMessages,
-		"target crashed": w.crashTarget, "target misbehaved": w.misbehave, "target left": w.drainTarget, "address passed on": w.reassignAddress,
+		"target crashed": w.crashTarget, "target misbehaved": w.makeTargetMisbehave, "target left": w.drainTarget, "address passed on": w.reassignAddress,
 		"release": w.replaceTargets, "target removed": w.removeTarget, "target lost for good": w.loseTarget,
 		"crowd": w.callBurst, "storm of changes": w.changeStorm,
 	}
 }
 
-// finalFailures end a day; no suite brings them about earlier.
+// finalFailures are injected only at the end of a run.
 var finalFailures = []string{"disk lost at the last moment"}
 
 // failureNames returns the names of the selected failures.
-func (d Defects) failureNames() (out []string) {
+func (d FailureKinds) failureNames() (out []string) {
 	add := func(on bool, ns ...string) {
 		if on {
 			out = append(out, ns...)
@@ -73,26 +73,26 @@
 	return out
 }
 
-// Chaos brings failures about until ctx ends, then heals everything. It runs through all
-// failures in an order drawn from the seed before any of them is repeated.
-func (w *World) Chaos(ctx context.Context, d Defects) {
-	acts, names := w.failures(), d.failureNames()
-	var deck []string
+// InjectFailures injects failures until ctx ends, then ends them all. It goes through all
+// failures in an order drawn from the seed before it repeats any of them.
+func (w *World) InjectFailures(ctx context.Context, d FailureKinds) {
+	byName, names := w.failures(), d.failureNames()
+	var remaining []string
 	for ctx.Err() == nil {
 		if d.Day {
 			time.Sleep(w.failureDelay(6000, 9000))
 		}
 		time.Sleep(time.Duration(300+w.FailureRandN(1800)) * time.Millisecond)
 		for ctx.Err() == nil {
-			if len(deck) == 0 {
-				deck = slices.Clone(names)
-				for i := range deck {
+			if len(remaining) == 0 {
+				remaining = slices.Clone(names)
+				for i := range remaining {
 					j := w.FailureRandN(i + 1)
-					deck[i], deck[j] = deck[j], deck[i]
+					remaining[i], remaining[j] = remaining[j], remaining[i]
 				}
 			}
-			n := deck[0]
-			if deck = deck[1:]; acts[n]() {
+			n := remaining[0]
+			if remaining = remaining[1:]; byName[n]() {
 				w.Records.CountFailure(n)
 				break
 			}
@@ -222,10 +222,10 @@
 	b := bindingFor(callKinds[2], to)
 	callCtx, cancel := context.WithTimeout(w.ctx, 10*time.Second)
 	defer cancel()
-	left := w.liveTargets()[0]
+	leaving := w.liveTargets()[0]
 	done := make(chan bool, 1)
-	go func() { done <- left.Leave(callCtx) }()
-	r, ok := w.submitChange(callCtx, "last", stand.ChangeRequest{Edits: []spec.Edit{{Op: spec.PutBinding, Binding: &b}}}, nil)
+	go func() { done <- leaving.Leave(callCtx) }()
+	r, ok := w.submitUntilFinal(callCtx, "last", stand.ChangeRequest{Edits: []spec.Edit{{Op: spec.PutBinding, Binding: &b}}}, nil)
 	w.logf("the last change is acknowledged: %+v; %s loses its disk", r, n.ID)
 	n.Kill()
 	n.Disk.Wipe()
@@ -414,7 +414,7 @@
 }
 
 // partition cuts every connection between the two sides for a while.
-func (w *World) partition(what string, long time.Duration, side func(*Node) bool) {
+func (w *World) partition(what string, duration time.Duration, side func(*Node) bool) {
 	w.logf("partition: %s", what)
 	for _, a := range w.ActiveNodes() {
 		for _, b := range w.ActiveNodes() {
@@ -423,7 +423,7 @@
 			}
 		}
 	}
-	w.after(long, func() { w.Net.Restore("") })
+	w.after(duration, func() { w.Net.Restore("") })
 }
 
 // loseMessages makes 2 to 21 of 100 messages get lost for a while.
@@ -459,7 +459,7 @@
 			v := uint64(w.FailureRandN(10))
 			base = &v
 		}
-		w.Go(func(ctx context.Context) { w.submitChange(ctx, "storm", a, base) })
+		w.Go(func(ctx context.Context) { w.submitUntilFinal(ctx, "storm", a, base) })
 	}
 	return true
 }
@@ -489,11 +489,12 @@
 	}
 }
 
-func (w *World) misbehave() bool {
+// makeTargetMisbehave sets a random mode of misbehaviour at a target for a while.
+func (w *World) makeTargetMisbehave() bool {
 	live := w.liveTargets()
 	t := live[w.FailureRandN(len(live))]
 	m := []stand.Mode{stand.Slow, stand.Silent, stand.ClosingAfterRun, stand.BadStamp, stand.Truncating, stand.Refusing, stand.Swapping, stand.Unresponsive}[w.FailureRandN(8)]
-	w.logf("%s gets mode %d", t.ID, m)
+	w.logf("%s misbehaves: mode %d", t.ID, m)
 	t.SetMode(m)
 	w.after(w.failureDelay(500, 3000), func() { t.SetMode(stand.Healthy) })
 	return true
@@ -550,7 +551,7 @@
 	w.replacing = true
 	svc := []string{"orders", "records"}[w.FailureRandN(2)]
 	targets := lo.Filter(w.liveTargets(), func(t *Target, _ int) bool { return t.Service == svc && !t.addrReassigned })
-	w.logf("release of %s: %d targets", svc, len(targets))
+	w.logf("replace the targets of %s one by one: %d targets", svc, len(targets))
 	w.Go(func(ctx context.Context) {
 		for _, t := range targets {
 			if ctx.Err() == nil && t.Running() && w.drainAndStop(t, 1200*time.Millisecond) {
@@ -559,7 +560,7 @@
 				time.Sleep(500 * time.Millisecond)
 			}
 		}
-		w.logf("released %s", svc)
+		w.logf("the targets of %s are replaced", svc)
 		w.replacing = false
 	})
 	return len(targets) > 0
@@ -626,7 +627,7 @@
 		b := bindingFor(callKinds[k], svc)
 		return []spec.Edit{{Op: spec.PutBinding, Binding: &b}}
 	}
-	at, gone := "records", false
+	boundTo, unbound := "records", false
 	for ctx.Err() == nil {
 		time.Sleep(w.randomDelay("mover", 600, 3000))
 		a := stand.ChangeRequest{}
@@ -637,26 +638,26 @@
 		case 1, 2:
 			// The binding is put before it is dropped, since the other operator may have
 			// rolled it back meanwhile: dropping a binding that is not there is refused.
-			if gone = !gone; gone {
+			if unbound = !unbound; unbound {
 				a.Edits = append(put(4, "records"), spec.Edit{Op: spec.RemoveBinding, Name: "notice"})
 			} else {
 				a.Edits = put(4, "records")
 			}
 		default:
-			at = lo.Ternary(at == "records", "orders", "records")
-			a.Edits = put(2, at)
+			boundTo = lo.Ternary(boundTo == "records", "orders", "records")
+			a.Edits = put(2, boundTo)
 		}
-		w.submitChange(w.ctx, "mover", a, nil)
+		w.submitUntilFinal(w.ctx, "mover", a, nil)
 	}
 }
 
 // runSheetOperator replaces the whole sheet by an edited copy of the current one, and rolls back.
 func (w *World) runSheetOperator(ctx context.Context) {
-	var mine []uint64 // its own versions that came into force
+	var ownVersions []uint64 // its own versions that came into force
 	for i := 0; ctx.Err() == nil; i++ {
 		time.Sleep(w.randomDelay("keeper", 600, 3000))
-		if w.RandN("keeper", 4) == 0 && len(mine) > 0 {
-			w.submitChange(w.ctx, "keeper", stand.ChangeRequest{RollbackTo: mine[w.RandN("keeper", len(mine))]}, nil)
+		if w.RandN("keeper", 4) == 0 && len(ownVersions) > 0 {
+			w.submitUntilFinal(w.ctx, "keeper", stand.ChangeRequest{RollbackTo: ownVersions[w.RandN("keeper", len(ownVersions))]}, nil)
 			continue
 		}
 		n := w.randomController()
@@ -667,15 +668,15 @@
 		if !ok || p == nil {
 			continue
 		}
-		w.Records.RecordShown(*p)
+		w.Records.RecordShownState(*p)
 		s := p.Sheet.Sheet.Sorted()
 		for i := range s.Bindings {
 			if s.Bindings[i].Name == "draft" {
 				s.Bindings[i].Service = lo.Ternary(s.Bindings[i].Service == "records", "orders", "records")
 			}
 		}
-		if r, ok := w.submitChange(w.ctx, "keeper", stand.ChangeRequest{Edits: []spec.Edit{{Op: spec.Replace, Sheet: &s}}}, &p.Sheet.Version); ok && r.Outcome == commands.InForce {
-			mine = append(mine, r.Version)
+		if r, ok := w.submitUntilFinal(w.ctx, "keeper", stand.ChangeRequest{Edits: []spec.Edit{{Op: spec.Replace, Sheet: &s}}}, &p.Sheet.Version); ok && r.Outcome == commands.InForce {
+			ownVersions = append(ownVersions, r.Version)
 		}
 	}
 }
@@ -685,8 +686,8 @@
 	return controllers[w.RandN("keeper", len(controllers))]
 }
 
-// CheckPicture reads the whole picture through a controller and checks it against the records.
-func (w *World) CheckPicture(ctx context.Context, n *Node) []string {
+// CheckFullState reads the full state through a controller and checks it against the records.
+func (w *World) CheckFullState(ctx context.Context, n *Node) []string {
 	m := n.Controller()
 	if m == nil {
 		return []string{n.ID + " does not run"}
@@ -695,5 +696,5 @@
 	if err != nil {
 		return []string{n.ID + ": " + err.Error()}
 	}
-	return w.Records.CheckPicture(p)
+	return w.Records.CheckFullState(p)
 }
--- a/internal/sim/day/caller_conn.go
+++ b/internal/sim/day/caller_conn.go
@@ -36,8 +36,8 @@
 	if err != nil {
 		return nil, err
 	}
-	_, life := m.rotationState()
-	return &callerConn{conn: nc.(*simnet.Conn), reader: bufio.NewReader(nc), machine: m.ID, gatewayRun: life}, nil
+	_, run := m.rotationState()
+	return &callerConn{conn: nc.(*simnet.Conn), reader: bufio.NewReader(nc), machine: m.ID, gatewayRun: run}, nil
 }
 
 // exchange sends a request, reads its response and reports whether the connection stays open.
--- a/internal/sim/day/config.go
+++ b/internal/sim/day/config.go
@@ -110,16 +110,16 @@
 			}
 		}
 	}
-	type gatewayRun struct {
+	type routeInRun struct {
 		machine    string
 		gatewayRun int
 		route      string
 	}
-	type seen struct {
+	type observedVersion struct {
 		at      time.Duration
 		version uint64
 	}
-	effects := map[gatewayRun][]seen{}
+	effects := map[routeInRun][]observedVersion{}
 	for _, h := range handledRequests(r) {
 		q, versions := h.request, byRoute[h.request.Route]
 		report := func(f string, args ...any) {
@@ -149,7 +149,7 @@
 			report("version %d was acknowledged at %v", minVersion, acked)
 		}
 		// Within one run of a gateway no version reverts, whether it is in contact or not.
-		k := gatewayRun{q.Machine, q.GatewayRun, q.Route}
+		k := routeInRun{q.Machine, q.GatewayRun, q.Route}
 		seenVersion := minVersion
 		for _, s := range effects[k] {
 			if s.at+r.Bounds.OverlapTolerance < q.Sent && s.version > seenVersion {
@@ -164,7 +164,7 @@
 			return c.valid && c.version >= seenVersion && c.sentAt <= h.at && c.allows(h.service)
 		})
 		if i >= 0 && (seenVersion > 0 || !(h.service == "")) {
-			effects[k] = append(effects[k], seen{h.at, versions[i].version})
+			effects[k] = append(effects[k], observedVersion{h.at, versions[i].version})
 		}
 	}
 	return out
--- a/internal/sim/day/domain_test.go
+++ b/internal/sim/day/domain_test.go
@@ -20,7 +20,7 @@
 		"disks of a domain lost and all killed": {45 * sec, .4, Parallel(ApplyChanges(4, sec), StartAt(15*sec, FailAllMachines(DisksLostAllKilled, 3*sec)))},
 		"disks of a domain lost, all dark":      {45 * sec, .4, Parallel(ConflictingVersions(6), StartAt(15*sec, FailAllMachines(DisksLostAllLosePower, 3*sec)))},
 	}
-	for kind, shape := range map[string]Deployment{"zones": ZoneTolerantDeployment(), "regions": RegionTolerantDeployment()} {
+	for kind, deployment := range map[string]Deployment{"zones": ZoneTolerantDeployment(), "regions": RegionTolerantDeployment()} {
 		for i, name := range slices.Sorted(maps.Keys(domains)) {
 			if raceEnabled && i%3 != 0 {
 				continue
@@ -28,7 +28,7 @@
 			d := domains[name]
 			t.Run(kind+"/"+name, func(t *testing.T) {
 				t.Parallel()
-				runAndCheck(t, 1, shape, d.length, d.served, StartAt(3*sec, d.scenario))
+				runAndCheck(t, 1, deployment, d.length, d.served, StartAt(3*sec, d.scenario))
 			})
 		}
 	}
--- a/internal/sim/day/exposure.go
+++ b/internal/sim/day/exposure.go
@@ -54,15 +54,16 @@
 	}
 	slices.Sort(bad)
 	for _, a := range sent {
-		if at, many := contacts.badLimitReached(bad, a.ArrivedAt); many && a.ArrivedAt > at+r.Bounds.Rollback {
+		if at, reached := contacts.badLimitReached(bad, a.ArrivedAt); reached && a.ArrivedAt > at+r.Bounds.Rollback {
 			out = append(out, Violation{"EXPOSURE", a.ArrivedAt, fmt.Sprintf("%s sent %s to %s of %s, whose bad response number %d was at %v", a.Machine, a.ID, o.Version, o.Service, badResponseLimit, at)})
 		}
 	}
 	return out
 }
 
-// badLimitReached returns when badResponseLimit was reached, counting from the last time before a moment at which the core was unstable.
-func (t *contactHistory) badLimitReached(bad []time.Duration, before time.Duration) (at time.Duration, many bool) {
+// badLimitReached returns when the number of bad responses reached badResponseLimit. Only those since the core was last unstable before
+// the given time count.
+func (t *contactHistory) badLimitReached(bad []time.Duration, before time.Duration) (at time.Duration, reached bool) {
 	from := time.Duration(0)
 	for _, x := range t.unstableAt {
 		if x <= before {
--- a/internal/sim/day/operator.go
+++ b/internal/sim/day/operator.go
@@ -213,9 +213,9 @@
 	o := w.operator("reader")
 	defer o.proc.Kill()
 	w.updateRecord(func(r *Record) { r.FinalReadAt = w.now() })
-	turn := pickN(w, w.controllers(), len(w.controllers()))
+	shuffled := pickN(w, w.controllers(), len(w.controllers()))
 	for n, until := 0, w.now()+3*w.Deployment.Bounds.Contact; w.now() < until; n++ {
-		m := turn[n%len(turn)]
+		m := shuffled[n%len(shuffled)]
 		got, err := o.readConfiguration(m)
 		if err != nil {
 			if errors.Is(err, context.Canceled) {
@@ -227,9 +227,9 @@
 		w.updateRecord(func(r *Record) { r.FinalRead = got })
 		break
 	}
-	for _, m := range turn {
+	for _, m := range shuffled {
 		o.recordRead(m)
-		time.Sleep(w.Deployment.Bounds.Contact / time.Duration(len(turn)))
+		time.Sleep(w.Deployment.Bounds.Contact / time.Duration(len(shuffled)))
 	}
 }
 
--- a/internal/sim/day/scenario_operators.go
+++ b/internal/sim/day/scenario_operators.go
@@ -68,14 +68,14 @@
 
 // LoseAcks loses a share of the acknowledgements to operators, who then resend the same change to
 // any machine.
-func LoseAcks(part float64, d time.Duration) Scenario {
+func LoseAcks(share float64, d time.Duration) Scenario {
 	return During(d, func(w *World) func() {
-		set := func(part float64) {
+		set := func(share float64) {
 			w.mu.Lock()
 			defer w.mu.Unlock()
-			w.ackLossRate = part
+			w.ackLossRate = share
 		}
-		set(part)
+		set(share)
 		return func() { set(0) }
 	})
 }
--- a/internal/sim/day/scenario_targets.go
+++ b/internal/sim/day/scenario_targets.go
@@ -45,11 +45,11 @@
 
 // ReuseAddresses ends a share of a service's targets, with a drain or without; after a while targets of
 // another service get their addresses.
-func ReuseAddresses(service, other string, share float64, inOrder bool) Scenario {
+func ReuseAddresses(service, other string, share float64, drain bool) Scenario {
 	return func(w *World) {
 		inParallel(pickShare(w, w.targets.ready(service), share), func(t *Target) {
 			w.targets.start(t.Service, t.Zone, nil)
-			if inOrder {
+			if drain {
 				t.drainAndStop()
 			} else {
 				t.kill()
--- a/internal/sim/day/single_scenario_test.go
+++ b/internal/sim/day/single_scenario_test.go
@@ -12,9 +12,9 @@
 // singleScenarios are days with one scenario each, and the minimum share of calls that must be
 // served on that day.
 var singleScenarios = map[string]struct {
-	length time.Duration
-	served float64
-	what   Scenario
+	length   time.Duration
+	served   float64
+	scenario Scenario
 }{
 	"targets crash":                         {20 * sec, .9, CrashTargets("orders", .3, ProcessCrash, 6*sec)},
 	"targets are dark":                      {20 * sec, .85, CrashTargets("orders", .3, Unresponsive, 6*sec)},
@@ -110,7 +110,7 @@
 		d := singleScenarios[name]
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			runAndCheck(t, 1, SmallDeployment(), d.length, d.served, StartAt(3*sec, d.what))
+			runAndCheck(t, 1, SmallDeployment(), d.length, d.served, StartAt(3*sec, d.scenario))
 		})
 	}
 }
--- a/internal/sim/day/target.go
+++ b/internal/sim/day/target.go
@@ -47,11 +47,11 @@
 // kill ends the run immediately.
 func (t *Target) kill() {
 	t.mu.Lock()
-	dead := t.state == target.Ended
+	alreadyEnded := t.state == target.Ended
 	t.state = target.Ended
 	t.mu.Unlock()
 	t.proc.Kill()
-	if dead {
+	if alreadyEnded {
 		return
 	}
 	close(t.ended)
--- a/internal/sim/flip_test.go
+++ b/internal/sim/flip_test.go
@@ -8,7 +8,7 @@
 	"walkrudder/internal/fault"
 )
 
-// TestCoreLostInRollOut takes the whole core away for 5 s at each point of a rollout: the
+// TestCoreLostInRollOut kills or cuts off the whole core for 5 s at each point of a rollout: the
 // gateways must keep serving, under either sheet, and the change must come into force when the
 // core is back.
 func TestCoreLostInRollOut(t *testing.T) {
@@ -62,15 +62,15 @@
 	done := make(chan struct{})
 	stop := time.Now().Add(12 * time.Second)
 	go func() {
-		w.RunOperators(w.until(stop))
+		w.RunOperators(w.contextUntil(stop))
 		close(done)
 	}()
-	w.RunCallers(w.until(stop), 40)
+	w.RunCallers(w.contextUntil(stop), 40)
 	<-done
 	at := <-reached
 	if bad := w.Records.Check().Refusals; bad > 5 {
 		w.Logf = t.Logf
-		w.timeline()
+		w.logTimeline()
 		t.Errorf("%d calls refused: %v; the core was lost at %s", bad, w.Records.Check().RefusalReasons, at.Format("05.000"))
 	}
 	checkRecords(t, w)
--- a/internal/sim/history_test.go
+++ b/internal/sim/history_test.go
@@ -30,8 +30,8 @@
 	unknown bool
 }
 
-// register models an item that can be read and compared-and-set.
-var register = porcupine.Model{
+// registerModel models an item that can be read and compared-and-set.
+var registerModel = porcupine.Model{
 	Partition: func(h []porcupine.Operation) [][]porcupine.Operation {
 		by := map[string][]porcupine.Operation{}
 		for _, o := range h {
@@ -65,9 +65,9 @@
 
 var errMismatch = errors.New("the item has another value")
 
-// history runs operations on a few items through all controllers while voters fail, and
+// recordHistory runs operations on a few items through all controllers while voters fail, and
 // returns the operations with their results.
-func history(w *World, d Defects, span time.Duration) []porcupine.Operation {
+func recordHistory(w *World, d FailureKinds, span time.Duration) []porcupine.Operation {
 	var mu sync.Mutex
 	var out []porcupine.Operation
 	ctx, cancel := context.WithTimeout(w.ctx, span)
@@ -80,17 +80,17 @@
 			seen := map[string]string{}
 			for i := 0; ctx.Err() == nil; i++ {
 				n := w.NodesOfKind("controller")[rng.IntN(w.Shape.Controllers)]
-				m, up := n.Controller(), n.Host.runningProc()
-				if m == nil || up == nil {
+				ctl, procCtx := n.Controller(), n.Host.runningProc()
+				if ctl == nil || procCtx == nil {
 					time.Sleep(20 * time.Millisecond)
 					continue
 				}
 				o := operation{key: fmt.Sprintf("test/%d", rng.IntN(3)), cas: rng.IntN(3) > 0}
 				o.from, o.to = seen[o.key], fmt.Sprintf("%d-%d", c, i)
 				call := time.Since(start)
-				r := attempt(up, m.Proposer, o)
+				r := runOperation(procCtx, ctl.Proposer, o)
 				n.waitThawed()
-				if up.Err() != nil {
+				if procCtx.Err() != nil {
 					r = result{unknown: true}
 				}
 				ret := time.Since(start)
@@ -112,7 +112,7 @@
 	}
 	callCtx, stop := context.WithTimeout(ctx, span-6*time.Second)
 	defer stop()
-	w.Chaos(callCtx, d)
+	w.InjectFailures(callCtx, d)
 	wg.Wait()
 	// The checker allows a client one operation at a time. An unknown operation never
 	// returns and so needs a client of its own.
@@ -124,8 +124,8 @@
 	return out
 }
 
-// attempt runs o with a timeout of a second; the result is unknown if no answer came.
-func attempt(ctx context.Context, p *quorum.Proposer, o operation) result {
+// runOperation runs o with a timeout of a second; the result is unknown if no answer came.
+func runOperation(ctx context.Context, p *quorum.Proposer, o operation) result {
 	callCtx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
 	if !o.cas {
@@ -164,13 +164,13 @@
 		seed := *firstSeed + uint64(i)
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			inOwnProcess(t, func(t *testing.T) { histories(t, seed) })
+			inOwnProcess(t, func(t *testing.T) { checkHistory(t, seed) })
 		})
 	}
 }
 
-// histories runs one seed and checks its history.
-func histories(t *testing.T, seed uint64) {
+// checkHistory runs one seed and checks its history.
+func checkHistory(t *testing.T, seed uint64) {
 	var h []porcupine.Operation
 	synctest.Test(t, func(t *testing.T) {
 		s := shape()
@@ -185,10 +185,10 @@
 		defer w.End()
 		w.Start()
 		time.Sleep(5 * time.Second)
-		d := Defects{Nodes: true, Disks: true, Net: true}
-		h = history(w, d, *minSpan+10*time.Second)
+		d := FailureKinds{Nodes: true, Disks: true, Net: true}
+		h = recordHistory(w, d, *minSpan+10*time.Second)
 	})
-	r, _ := porcupine.CheckOperationsVerbose(register, h, 20*time.Second)
+	r, _ := porcupine.CheckOperationsVerbose(registerModel, h, 20*time.Second)
 	known := 0
 	for _, o := range h {
 		if !o.Output.(result).unknown {
--- a/internal/sim/keys_test.go
+++ b/internal/sim/keys_test.go
@@ -22,20 +22,20 @@
 func TestKeysOutliveTheCore(t *testing.T) {
 	t.Parallel()
 	withWorld(t, func(ctx context.Context, w *World) {
-		all := func(do func(*Node)) {
+		onDiskNodes := func(do func(*Node)) {
 			for _, n := range w.NodesWithDisk() {
 				do(n)
 			}
 		}
-		losing := func(m stand.Mode) {
+		setModes := func(m stand.Mode) {
 			for _, x := range w.Targets {
 				x.SetMode(m)
 			}
 		}
-		// lost sends orders through f1 until one was executed and its answer was lost.
-		lost := func(name string) string {
-			losing(stand.ClosingAfterRun)
-			defer losing(stand.Healthy)
+		// loseAnswer sends orders through f1 until one was executed and its answer was lost.
+		loseAnswer := func(name string) string {
+			setModes(stand.ClosingAfterRun)
+			defer setModes(stand.Healthy)
 			for i := range 20 {
 				o := name + string(rune('a'+i))
 				if r := w.callVia("f1", o); r.Code == httpapi.OutcomeUnknown && r.Forwarded {
@@ -45,7 +45,7 @@
 			t.Fatal("no order ended with a lost answer")
 			return ""
 		}
-		again := func(when, order string, gateways ...string) {
+		expectConflict := func(when, order string, gateways ...string) {
 			t.Helper()
 			for _, f := range gateways {
 				if r := w.callVia(f, order); r.Status != 409 {
@@ -53,26 +53,26 @@
 				}
 			}
 		}
-		before := lost("before")
-		all((*Node).Kill)
+		before := loseAnswer("before")
+		onDiskNodes((*Node).Kill)
 		time.Sleep(2 * time.Second)
-		again("the core is down", before, "f2")
-		away := lost("away")
-		again("the core is down", away, "f3")
+		expectConflict("the core is down", before, "f2")
+		duringOutage := loseAnswer("away")
+		expectConflict("the core is down", duringOutage, "f3")
 		if r := w.callVia("f4", "fresh"); r.Status != 200 {
 			t.Errorf("a new order while the core is down: %d %q %q", r.Status, r.Code, r.Reason)
 		}
 		w.Node("f1").Kill()
-		again("the core is down, the order's gateway killed", away, "f2")
-		again("the core is down, the order's gateway killed", before, "f4")
-		all((*Node).Start)
+		expectConflict("the core is down, the order's gateway killed", duringOutage, "f2")
+		expectConflict("the core is down, the order's gateway killed", before, "f4")
+		onDiskNodes((*Node).Start)
 		for range 100 {
 			time.Sleep(20 * time.Millisecond)
 			if f := w.Node("f2").Gateway(); f.Membership.Held() && f.Ready() {
 				break
 			}
 		}
-		again("the core is just back", away, "f2", "f4")
+		expectConflict("the core is just back", duringOutage, "f2", "f4")
 		time.Sleep(8 * time.Second)
 		// The claim is on the disks by now: the memory of every gateway may be lost.
 		for _, n := range w.NodesOfKind("gateway") {
@@ -83,8 +83,8 @@
 			n.Start()
 		}
 		time.Sleep(5 * time.Second)
-		again("all memory is lost", away, "f1", "f3")
-		again("all memory is lost", before, "f4")
+		expectConflict("all memory is lost", duringOutage, "f1", "f3")
+		expectConflict("all memory is lost", before, "f4")
 		if v := w.Records.Check(); len(v.Violations) > 0 {
 			t.Error(v.Violations)
 		}
--- a/internal/sim/model/actors.go
+++ b/internal/sim/model/actors.go
@@ -12,8 +12,8 @@
 	"walkrudder/internal/target"
 )
 
-// maxOrderAttempts is how many times an operator sends a change that got no conclusive answer.
-const maxOrderAttempts = 3
+// maxChangeAttempts is how many times an operator sends a change that got no conclusive answer.
+const maxChangeAttempts = 3
 
 var errConnRefused = errors.New("connection refused")
 
@@ -60,7 +60,7 @@
 		items := changeItems(c)
 		confirmed := false
 		actorCtx := w.actorCtx
-		for try := range maxOrderAttempts {
+		for try := range maxChangeAttempts {
 			ps, err := callNode(w, name, nodes[try%len(nodes)], func(ctx context.Context, n *control.Node) ([]route.Problem, error) { return n.Apply(ctx, c) })
 			switch {
 			case actorCtx.Err() != nil && err != nil:
--- a/internal/sim/model/domains.go
+++ b/internal/sim/model/domains.go
@@ -8,15 +8,15 @@
 	"walkrudder/internal/quorum"
 )
 
-// oneZone is the zone of all nodes in a scenario without zones.
-const oneZone = "z"
+// defaultZone is the zone of all nodes in a scenario without zones.
+const defaultZone = "z"
 
 // zone returns the zone of the i-th node.
 func (s Scenario) zone(i int) string {
 	if i < len(s.Zones) {
 		return s.Zones[i]
 	}
-	return oneZone
+	return defaultZone
 }
 
 // tolerance returns what may be lost at once.
@@ -39,15 +39,15 @@
 
 // tolerates reports whether all these nodes may lack their data at once: the tolerance allows either
 // that many machines or that many zones.
-func (w *World) tolerates(without []*node) bool {
-	zones := lo.Uniq(lo.Map(without, func(n *node, _ int) string { return n.zone }))
-	return len(without) <= w.tolerance().Machines || len(zones) <= w.tolerance().Zones
+func (w *World) tolerates(lacking []*node) bool {
+	zones := lo.Uniq(lo.Map(lacking, func(n *node, _ int) string { return n.zone }))
+	return len(lacking) <= w.tolerance().Machines || len(zones) <= w.tolerance().Zones
 }
 
 // degradedNodes lists the nodes that lack data they held. A lost disk counts, whether it has a seat or
 // not, until a reconfigurer has restored the core: the requirements allow for some seconds between the
 // return of a machine and the next loss.
-func (w *World) degradedNodes() (without []*node) {
+func (w *World) degradedNodes() (degraded []*node) {
 	core := w.core()
 	for _, n := range w.nodeList {
 		votes := true
@@ -55,10 +55,10 @@
 			_, votes = w.inspectSeat(core, s)
 		}
 		if !votes || n.diskLost.Load() {
-			without = append(without, n)
+			degraded = append(degraded, n)
 		}
 	}
-	return without
+	return degraded
 }
 
 // toleratesLoss reports whether these nodes may lose their disks now.
--- a/internal/sim/model/explore.go
+++ b/internal/sim/model/explore.go
@@ -9,8 +9,8 @@
 
 // Counterexample is a schedule that violated an invariant.
 type Counterexample struct {
-	Scenario string
-	Broken   string
+	Scenario  string
+	Violation string
 	// Deviations are the choices other than the default, by step: together with the scenario they
 	// reproduce the run.
 	Deviations map[int]int
@@ -20,7 +20,7 @@
 // String lists the steps.
 func (c Counterexample) String() string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "%s: %s\ndeviations:", c.Scenario, c.Broken)
+	fmt.Fprintf(&b, "%s: %s\ndeviations:", c.Scenario, c.Violation)
 	for _, i := range sortedPositions(c.Deviations) {
 		fmt.Fprintf(&b, " %d:%d", i, c.Deviations[i])
 	}
@@ -42,23 +42,23 @@
 type Result struct {
 	Schedules int
 	Steps     int
-	Found     *Counterexample
+	Found     *Counterexample // nil if no invariant was violated
 }
 
 // runSchedule runs one schedule in a bubble and records its choices.
-func runSchedule(bubble Bubble, s Scenario, chooser Chooser) (r *recorder, broken string, steps []string) {
+func runSchedule(bubble Bubble, s Scenario, chooser Chooser) (r *recorder, violation string, steps []string) {
 	r = &recorder{chooser: chooser}
-	bubble(func(ctx context.Context) { broken, steps = play(ctx, s, r) })
-	return r, broken, steps
+	bubble(func(ctx context.Context) { violation, steps = executeSchedule(ctx, s, r) })
+	return r, violation, steps
 }
 
 // Replay runs the schedule with these deviations. It returns nil if no invariant was violated.
 func Replay(bubble Bubble, s Scenario, at map[int]int) *Counterexample {
-	r, broken, steps := runSchedule(bubble, s, &Deviations{At: at})
-	if broken == "" {
+	r, violation, steps := runSchedule(bubble, s, &Deviations{At: at})
+	if violation == "" {
 		return nil
 	}
-	return &Counterexample{s.Name, broken, r.deviations(), steps}
+	return &Counterexample{s.Name, violation, r.deviations(), steps}
 }
 
 // maxShrinkRuns bounds the runs that are spent on shortening a counterexample.
@@ -66,10 +66,10 @@
 
 // shrink removes deviations that are not needed to violate an invariant.
 func shrink(bubble Bubble, s Scenario, c *Counterexample) *Counterexample {
-	for plays := 0; plays < maxShrinkRuns; {
+	for runs := 0; runs < maxShrinkRuns; {
 		shorter := false
 		for _, i := range sortedPositions(c.Deviations) {
-			plays++
+			runs++
 			at := maps.Clone(c.Deviations)
 			delete(at, i)
 			if got := Replay(bubble, s, at); got != nil {
@@ -89,11 +89,11 @@
 func Exhaust(bubble Bubble, s Scenario, depth, part, parts int) (res Result) {
 	var extend func(at map[int]int, from, left int)
 	extend = func(at map[int]int, from, left int) {
-		r, broken, steps := runSchedule(bubble, s, &Deviations{At: at})
+		r, violation, steps := runSchedule(bubble, s, &Deviations{At: at})
 		res.Schedules++
 		res.Steps += len(steps)
-		if broken != "" {
-			res.Found = shrink(bubble, s, &Counterexample{s.Name, broken, r.deviations(), steps})
+		if violation != "" {
+			res.Found = shrink(bubble, s, &Counterexample{s.Name, violation, r.deviations(), steps})
 			return
 		}
 		if left == 0 {
@@ -119,11 +119,11 @@
 // RandomWalks runs the random schedules of count seeds, beginning with first, until one violates an invariant.
 func RandomWalks(bubble Bubble, s Scenario, first uint64, count int) (res Result) {
 	for seed := first; seed < first+uint64(count); seed++ {
-		r, broken, steps := runSchedule(bubble, s, NewWalk(seed))
+		r, violation, steps := runSchedule(bubble, s, NewWalk(seed))
 		res.Schedules++
 		res.Steps += len(steps)
-		if broken != "" {
-			res.Found = shrink(bubble, s, &Counterexample{fmt.Sprintf("%s, walk %d", s.Name, seed), broken, r.deviations(), steps})
+		if violation != "" {
+			res.Found = shrink(bubble, s, &Counterexample{fmt.Sprintf("%s, walk %d", s.Name, seed), violation, r.deviations(), steps})
 			return res
 		}
 	}
--- a/internal/sim/model/faults.go
+++ b/internal/sim/model/faults.go
@@ -19,9 +19,9 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, o := range w.nodeList {
-		for _, way := range [][2]string{{n.id, o.id}, {o.id, n.id}} {
+		for _, direction := range [][2]string{{n.id, o.id}, {o.id, n.id}} {
 			if o != n {
-				w.cuts[way] = !w.cuts[way]
+				w.cuts[direction] = !w.cuts[direction]
 			}
 		}
 	}
@@ -32,8 +32,8 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, o := range w.nodeList {
-		if way := [2]string{n.id, o.id}; o != n {
-			w.cuts[way] = !w.cuts[way]
+		if direction := [2]string{n.id, o.id}; o != n {
+			w.cuts[direction] = !w.cuts[direction]
 		}
 	}
 }
--- a/internal/sim/model/invariants.go
+++ b/internal/sim/model/invariants.go
@@ -21,14 +21,14 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, k := range slices.SortedFunc(maps.Keys(h.newestConfirmed), func(a, b item.Key) int { return strings.Compare(a.Name, b.Name) }) {
-		newest, without := h.newestConfirmed[k], 0
+		newest, lacking := h.newestConfirmed[k], 0
 		for _, s := range core.Seats {
 			if v, votes := w.inspectSeat(core, s); votes && v.heldVersion(k) < newest {
-				without++
+				lacking++
 			}
 		}
-		if without >= core.BlockingSize() {
-			h.addViolationLocked("%d of %d seats of epoch %d vote without version %d of %s, which was confirmed", without, len(core.Seats), core.Epoch, newest, k.Name)
+		if lacking >= core.BlockingSize() {
+			h.addViolationLocked("%d of %d seats of epoch %d vote without version %d of %s, which was confirmed", lacking, len(core.Seats), core.Epoch, newest, k.Name)
 		}
 	}
 }
--- a/internal/sim/model/model_test.go
+++ b/internal/sim/model/model_test.go
@@ -12,9 +12,9 @@
 var (
 	walks = flag.Int("model.walks", defaultCount(60, 8), "random schedules of each scenario")
 	first = flag.Uint64("model.first", 1, "the seed of the first random schedule")
-	depth = flag.Int("model.depth", defaultCount(1, 0), "every schedule with up to so many deviations from the default is run")
-	parts = flag.Int("model.parts", 8, "explorations that share the schedules of a scenario")
-	only  = flag.String("model.only", "", "the scenario to explore; all where it is empty")
+	depth = flag.Int("model.depth", defaultCount(1, 0), "run every schedule with up to this many deviations from the default")
+	parts = flag.Int("model.parts", 8, "number of explorations that share the schedules of a scenario")
+	only  = flag.String("model.only", "", "the scenario to explore; all if empty")
 )
 
 // defaultCount returns the CI default of a count, which is smaller under the race detector.
--- a/internal/sim/model/planted_test.go
+++ b/internal/sim/model/planted_test.go
@@ -17,8 +17,8 @@
 	return quorum.Told{OK: true, Disk: seatOf(w, id).Disk}
 }
 
-// planted is a fault and the invariant that it must violate.
-type planted struct {
+// plantedFault is a fault and the invariant that it must violate.
+type plantedFault struct {
 	name      string
 	scenario  Scenario
 	inject    func(w *World)
@@ -29,16 +29,16 @@
 // requests for the first just before the second takes over. The core has four seats: two of them are
 // enough to be sealed, so two cores could take over side by side.
 func abandonedCoreWithLateSeals() Scenario {
-	const givenUp = 2 // epoch
-	sealsGivenUp := func(ask any) bool {
+	const abandonedEpoch = 2
+	isAbandonedSeal := func(ask any) bool {
 		a, ok := ask.(quorum.SealAsk)
-		return ok && a.Next.Epoch == givenUp
+		return ok && a.Next.Epoch == abandonedEpoch
 	}
 	return Scenario{Seats: 4, Spares: 2,
 		Hold: func(_, to string, ask any) bool {
 			switch a := ask.(type) {
 			case quorum.SealAsk:
-				return a.Next.Epoch == givenUp || a.Next.Epoch > givenUp && to == "n1"
+				return a.Next.Epoch == abandonedEpoch || a.Next.Epoch > abandonedEpoch && to == "n1"
 			case quorum.JoinAsk:
 				return to == "n1"
 			}
@@ -48,17 +48,17 @@
 			TogglePartition("n4"), Reconfigure("n1"), TogglePartition("n4"),
 			Partition("n1", "n3", "n4", "n6"), Reconfigure("n1"), Partition("n1", "n2", "n5"),
 			DeliverHeld("seals of the core given up", func(to string, ask any) bool {
-				return sealsGivenUp(ask) && (to == "n1" || to == "n2")
+				return isAbandonedSeal(ask) && (to == "n1" || to == "n2")
 			}),
 			Reconfigure("n2"), Reconfigure("n3"),
 			SubmitChange("a", RouteChange(2, "a", "r"), "n2"), SubmitChange("b", RouteChange(2, "b", "r"), "n3"))}}
 }
 
-func plantedFaults() []planted {
+func plantedFaults() []plantedFault {
 	ready := []target.Run{{ID: "i-1", Service: "s", Addr: "10.0.0.1:80", Zone: "z", Slots: 1, Seq: 5, State: target.Ready}}
-	race := []Actor{SubmitChange("a", RouteChange(2, "a", "r"), "n1", "n2"), SubmitChange("b", RouteChange(2, "b", "r"), "n2", "n3")}
+	conflicting := []Actor{SubmitChange("a", RouteChange(2, "a", "r"), "n1", "n2"), SubmitChange("b", RouteChange(2, "b", "r"), "n2", "n3")}
 	twoLosses := []Actor{Script("losses", SubmitChange("a", RouteChange(2, "a", "r"), "n1"), LoseDisk("n3"), Reconfigure("n1"), LoseDisk("n2"), Reconfigure("n1"), Read("n1"))}
-	return []planted{
+	return []plantedFault{
 		{"acknowledged before the sync", Scenario{Seats: 3, Budget: Budget{PowerLosses: 1}, Actors: []Actor{SubmitChange("a", RouteChange(2, "a", "r"), "n1")}},
 			func(w *World) {
 				for _, n := range w.nodeList {
@@ -127,7 +127,7 @@
 					n.keepsSeatAfterWipe = true
 				}
 			}, "vote without"},
-		{"the digest decides", Scenario{Seats: 3, Actors: race},
+		{"the digest decides", Scenario{Seats: 3, Actors: conflicting},
 			func(w *World) {
 				w.Tamper = func(_, to string, ask any) (any, any, bool) {
 					switch a := ask.(type) {
@@ -139,7 +139,7 @@
 					return ask, nil, false
 				}
 			}, "content"},
-		{"a promise is not kept", Scenario{Seats: 3, Budget: Budget{MessageLosses: 2}, Actors: race},
+		{"a promise is not kept", Scenario{Seats: 3, Budget: Budget{MessageLosses: 2}, Actors: conflicting},
 			func(w *World) {
 				w.Tamper = func(_, _ string, ask any) (any, any, bool) {
 					if a, ok := ask.(quorum.DecideAsk); ok {
@@ -184,23 +184,23 @@
 		t.Run(p.name, func(t *testing.T) {
 			t.Parallel()
 			p.scenario.Name = p.name
-			sound := p.scenario
+			withoutFault := p.scenario
 			p.scenario.Prepare = p.inject
 			got := RandomWalks(bubble(t), p.scenario, 1, maxWalks)
 			if got.Found == nil {
 				t.Fatalf("not found in %d schedules", got.Schedules)
 			}
-			t.Logf("found in %d schedules, %d deviations, %d steps: %s", got.Schedules, len(got.Found.Deviations), len(got.Found.Steps), got.Found.Broken)
-			if !strings.Contains(got.Found.Broken, p.violation) {
-				t.Errorf("it shows as %q", got.Found.Broken)
+			t.Logf("found in %d schedules, %d deviations, %d steps: %s", got.Schedules, len(got.Found.Deviations), len(got.Found.Steps), got.Found.Violation)
+			if !strings.Contains(got.Found.Violation, p.violation) {
+				t.Errorf("another violation is found: %q", got.Found.Violation)
 			}
-			if again := Replay(bubble(t), p.scenario, got.Found.Deviations); again == nil || again.Broken != got.Found.Broken {
-				t.Errorf("played again: %v", again)
+			if again := Replay(bubble(t), p.scenario, got.Found.Deviations); again == nil || again.Violation != got.Found.Violation {
+				t.Errorf("replayed: %v", again)
 			}
-			if c := RandomWalks(bubble(t), sound, 1, min(got.Schedules, 200)).Found; c != nil {
+			if c := RandomWalks(bubble(t), withoutFault, 1, min(got.Schedules, 200)).Found; c != nil {
 				t.Errorf("without the fault: %s", c)
 			}
-			if c := Replay(bubble(t), sound, got.Found.Deviations); c != nil {
+			if c := Replay(bubble(t), withoutFault, got.Found.Deviations); c != nil {
 				t.Errorf("the same schedule without the fault: %s", c)
 			}
 		})
--- a/internal/sim/model/world.go
+++ b/internal/sim/model/world.go
@@ -102,9 +102,9 @@
 	finishing    bool
 }
 
-// play runs one schedule; it must run in a testing/synctest bubble. It returns the violated
+// executeSchedule runs one schedule; it must run in a testing/synctest bubble. It returns the violated
 // invariant, if any, and the steps.
-func play(ctx context.Context, s Scenario, chooser Chooser) (broken string, steps []string) {
+func executeSchedule(ctx context.Context, s Scenario, chooser Chooser) (violation string, steps []string) {
 	ctx, end := context.WithCancel(ctx)
 	w := &World{scenario: s, ctx: ctx, nodes: map[string]*node{}, history: newHistory(), remaining: s.Budget, now: time.Unix(1e9, 0), cuts: map[[2]string]bool{}}
 	w.actorCtx, w.cancelActors = context.WithCancel(ctx)
--- a/internal/sim/net.go
+++ b/internal/sim/net.go
@@ -130,12 +130,12 @@
 func (h *Host) waitThawed() {
 	for {
 		h.mu.Lock()
-		ice := h.thawed
+		untilThaw := h.thawed
 		h.mu.Unlock()
-		if ice == nil {
+		if untilThaw == nil {
 			return
 		}
-		<-ice
+		<-untilThaw
 	}
 }
 
@@ -201,8 +201,8 @@
 		if h == nil || !n.delivers(l.host.ID, h.ID) {
 			return
 		}
-		up := h.runningProc()
-		if up == nil {
+		peerCtx := h.runningProc()
+		if peerCtx == nil {
 			time.Sleep(n.delay(h.ID, l.host.ID))
 			if n.delivers(h.ID, l.host.ID) {
 				results <- rpcResult{nil, errRefused}
@@ -210,7 +210,7 @@
 			return
 		}
 		h.waitThawed()
-		if up.Err() != nil {
+		if peerCtx.Err() != nil {
 			return
 		}
 		h.mu.Lock()
@@ -220,14 +220,14 @@
 		var callCtx context.Context
 		var cancel context.CancelFunc
 		if d, ok := ctx.Deadline(); ok {
-			callCtx, cancel = context.WithDeadline(up, d)
+			callCtx, cancel = context.WithDeadline(peerCtx, d)
 		} else {
-			callCtx, cancel = context.WithCancel(up)
+			callCtx, cancel = context.WithCancel(peerCtx)
 		}
 		v, err := handler.Dispatch(callCtx, link.Identity{ID: l.host.ID}, ask)
 		cancel()
 		h.waitThawed()
-		if up.Err() != nil {
+		if peerCtx.Err() != nil {
 			return
 		}
 		if err == nil {
@@ -239,8 +239,8 @@
 		}
 	}()
 	// A lost message must not block the caller for ever.
-	lost := time.NewTimer(5 * time.Second)
-	defer lost.Stop()
+	timeout := time.NewTimer(5 * time.Second)
+	defer timeout.Stop()
 	select {
 	case t := <-results:
 		l.host.waitThawed()
@@ -248,7 +248,7 @@
 	case <-ctx.Done():
 		l.host.waitThawed()
 		return nil, ctx.Err()
-	case <-lost.C:
+	case <-timeout.C:
 		l.host.waitThawed()
 		return nil, context.DeadlineExceeded
 	case <-l.procCtx.Done():
--- a/internal/sim/orders_test.go
+++ b/internal/sim/orders_test.go
@@ -53,7 +53,7 @@
 		results := make(chan commands.Result, 2)
 		for i, m := range []*Node{m1, m2} {
 			go func() {
-				r, _ := w.Order(ctx, m, commands.Order{Base: &one, Token: string('a' + rune(i)), Edits: putService("s" + string('a'+rune(i)))})
+				r, _ := w.SendChange(ctx, m, commands.Order{Base: &one, Token: string('a' + rune(i)), Edits: putService("s" + string('a'+rune(i)))})
 				results <- r
 			}()
 		}
@@ -67,29 +67,29 @@
 		// Without a base version both succeed, one after the other.
 		for i, m := range []*Node{m1, m2} {
 			go func() {
-				r, _ := w.Order(ctx, m, commands.Order{Edits: putService("t" + string('a'+rune(i)))})
+				r, _ := w.SendChange(ctx, m, commands.Order{Edits: putService("t" + string('a'+rune(i)))})
 				results <- r
 			}()
 		}
 		if x, y = <-results, <-results; x.Outcome != commands.InForce || y.Outcome != commands.InForce || x.Version+y.Version != 7 {
-			t.Errorf("%+v %+v", x, y)
+			t.Errorf("two changes without a base version: %+v %+v", x, y)
 		}
 		// The same change again, through a controller that has not seen it.
 		o := commands.Order{Token: "again", Edits: putService("u")}
-		first, _ := w.Order(ctx, m1, o)
-		again, _ := w.Order(ctx, m4, o)
+		first, _ := w.SendChange(ctx, m1, o)
+		again, _ := w.SendChange(ctx, m4, o)
 		if first.Version != 5 || again.Version != 5 || !again.Duplicate || first.Duplicate {
-			t.Errorf("%+v, then %+v", first, again)
+			t.Errorf("a change and its resend: %+v, then %+v", first, again)
 		}
 		// Invalid changes and dry runs have no effect.
-		bad, _ := w.Order(ctx, m2, commands.Order{Edits: append(putService("v"), spec.Edit{Op: spec.RemoveBinding, Name: "none"})})
-		dry, _ := w.Order(ctx, m2, commands.Order{DryRun: true, Edits: putService("v")})
+		bad, _ := w.SendChange(ctx, m2, commands.Order{Edits: append(putService("v"), spec.Edit{Op: spec.RemoveBinding, Name: "none"})})
+		dry, _ := w.SendChange(ctx, m2, commands.Order{DryRun: true, Edits: putService("v")})
 		if bad.Outcome != commands.Invalid || len(bad.Problems) != 1 || dry.Outcome != commands.Valid {
-			t.Errorf("%+v %+v", bad, dry)
+			t.Errorf("an invalid change: %+v; a dry run: %+v", bad, dry)
 		}
 		f, err := m4.Controller().Ledger.Refresh(ctx)
 		if err != nil || f.Version != 5 {
-			t.Errorf("version %d, %v", f.Version, err)
+			t.Errorf("the ledger is at version %d, %v", f.Version, err)
 		}
 		for _, s := range f.Sheet.Services {
 			if s.Name == "v" {
@@ -119,7 +119,7 @@
 		callCtx, cancel := context.WithTimeout(ctx, 4*time.Second)
 		defer cancel()
 		if r := m4.Changer.Apply(callCtx, commands.Order{Edits: putService("s")}); r.Outcome != commands.OutcomeUnknown || !strings.Contains(r.Reason, "waiting for f2") {
-			t.Errorf("%+v", r)
+			t.Errorf("a change while f2 does not answer: %+v", r)
 		}
 		callCtx, cancel = context.WithTimeout(ctx, 2*time.Second)
 		defer cancel()
@@ -135,8 +135,8 @@
 	withWorld(t, func(ctx context.Context, w *World) {
 		f := w.Node("f2")
 		f.Kill()
-		if r, _ := w.Order(ctx, w.Node("m1"), commands.Order{Edits: putService("late")}); r.Outcome != commands.InForce {
-			t.Fatalf("%+v", r)
+		if r, _ := w.SendChange(ctx, w.Node("m1"), commands.Order{Edits: putService("late")}); r.Outcome != commands.InForce {
+			t.Fatalf("a change while f2 is down: %+v", r)
 		}
 		f.Start()
 		for range 200 {
@@ -156,7 +156,7 @@
 		time.Sleep(3 * time.Second)
 		for _, n := range w.NodesOfKind("gateway") {
 			if !n.Gateway().Ready() || !n.Gateway().Sheets.ServesWithoutLease() {
-				t.Errorf("%s: ready %v, stranded %v without the core", n.ID, n.Gateway().Ready(), n.Gateway().Sheets.ServesWithoutLease())
+				t.Errorf("%s: ready %v, serves without a lease %v, while the core is down", n.ID, n.Gateway().Ready(), n.Gateway().Sheets.ServesWithoutLease())
 			}
 		}
 		for _, n := range w.NodesOfKind("gateway") {
@@ -180,10 +180,10 @@
 		t.Run(how, func(t *testing.T) {
 			withWorld(t, func(ctx context.Context, w *World) {
 				time.Sleep(2 * time.Second)
-				left := w.NodesOfKind("gateway")[:2]
+				remaining := w.NodesOfKind("gateway")[:2]
 				for _, n := range w.ActiveNodes() {
 					switch {
-					case n == left[0] || n == left[1]:
+					case n == remaining[0] || n == remaining[1]:
 					case how == "killed":
 						n.Kill()
 					default:
@@ -191,12 +191,12 @@
 					}
 				}
 				time.Sleep(2500 * time.Millisecond)
-				for _, n := range left {
+				for _, n := range remaining {
 					if got := n.Gateway().Ready(); got != ready {
 						t.Errorf("%s: ready %v", n.ID, got)
 					}
 				}
-				left[0].seenReady.Store(true)
+				remaining[0].seenReady.Store(true)
 				if o := w.call(callKinds[1], "read", ""); ready && o.Status != 200 {
 					t.Errorf("a read: %+v", o)
 				}
@@ -217,18 +217,18 @@
 		for i := 0; !o.Forwarded && i < 20; i++ {
 			o = w.callVia("f3", fmt.Sprint("lost", i))
 		}
-		say := func(s string) string {
+		execute := func(s string) string {
 			r, err := w.Node("m4").Controller().Statements.Execute(ctx, s)
 			b, _ := json.Marshal(r)
 			return fmt.Sprint(string(b), err)
 		}
 		for _, want := range []string{`"step":"claim"`, `"step":"send","mate":"orders/orders-`, `"step":"send failed"`, "outcome unknown: the target took the request and gave no answer"} {
-			if got := say("why call " + o.Call); !strings.Contains(got, want) {
+			if got := execute("why call " + o.Call); !strings.Contains(got, want) {
 				t.Errorf("%s is missing in %s", want, got)
 			}
 		}
 		for call, want := range map[string]string{"f3-1-zzz": "not among the calls", "f9-1-1": "no lease", "f3-7-1": "has ended", "f3": "no call"} {
-			if got := say("why call " + call); !strings.Contains(got, want) {
+			if got := execute("why call " + call); !strings.Contains(got, want) {
 				t.Errorf("why call %s: %s", call, got)
 			}
 		}
@@ -239,11 +239,11 @@
 func TestSwapAndDrainByHand(t *testing.T) {
 	t.Parallel()
 	withShape(t, Shape{Zones: 4, Disks: 4, Controllers: 4, Gateways: 3, Targets: map[string]int{"orders": 2, "records": 2}}, func(ctx context.Context, w *World) {
-		say := func(s string) error {
+		execute := func(s string) error {
 			_, err := w.Node("m2").Controller().Statements.Execute(ctx, s)
 			return err
 		}
-		seat := func(id string) bool {
+		hasSeat := func(id string) bool {
 			_, ok := w.Node("m2").Controller().Proposer.Core().Seat(id)
 			return ok
 		}
@@ -252,39 +252,39 @@
 			if n.ID == "m2" {
 				continue
 			}
-			if seat(n.ID) {
+			if hasSeat(n.ID) {
 				out = n.ID
 			} else {
 				in = n.ID
 			}
 		}
 		for _, bad := range []string{"swap disk " + in + " for " + out, "swap disk " + out + " for nobody", "drain node nobody"} {
-			if say(bad) == nil {
+			if execute(bad) == nil {
 				t.Errorf("%q was accepted", bad)
 			}
 		}
-		if err := say("swap disk " + out + " for " + in); err != nil {
+		if err := execute("swap disk " + out + " for " + in); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(8 * time.Second)
-		if seat(out) || !seat(in) {
+		if hasSeat(out) || !hasSeat(in) {
 			t.Errorf("%s still has its seat, or %s has none: %+v", out, in, w.Node("m2").Controller().Proposer.Core())
 		}
 		w.Node(out).Kill()
-		if r, _ := w.Order(ctx, w.Node("m2"), commands.Order{Edits: putService("after")}); r.Outcome != commands.InForce {
+		if r, _ := w.SendChange(ctx, w.Node("m2"), commands.Order{Edits: putService("after")}); r.Outcome != commands.InForce {
 			t.Errorf("a change without the machine that was swapped out: %+v", r)
 		}
-		// The machine comes back as a standby; the operator's wish must not be undone.
+		// The machine comes back as a standby; the operator's choice must not be undone.
 		w.Node(out).Start()
 		time.Sleep(5 * time.Second)
-		if seat(out) || !seat(in) {
-			t.Errorf("the seat went back: %+v", w.Node("m2").Controller().Proposer.Core())
+		if hasSeat(out) || !hasSeat(in) {
+			t.Errorf("the seat moved back: %+v", w.Node("m2").Controller().Proposer.Core())
 		}
 		f := w.Node("f2").Gateway()
-		if err := say("drain node f2"); err != nil || f.Ready() {
+		if err := execute("drain node f2"); err != nil || f.Ready() {
 			t.Errorf("drained: ready %v, %v", f.Ready(), err)
 		}
-		if err := say("resume node f2"); err != nil || !f.Ready() {
+		if err := execute("resume node f2"); err != nil || !f.Ready() {
 			t.Errorf("resumed: ready %v, %v", f.Ready(), err)
 		}
 	})
@@ -328,24 +328,24 @@
 }
 
 // Decisions older than the retention time must be removed; what is in force must stay, also
-// for controllers that fold the ledger from the start.
+// for controllers that read the ledger from its start.
 func TestOldDecisionsGo(t *testing.T) {
 	t.Parallel()
 	s := Tiny()
-	s.Keep = 20 * time.Second
+	s.Retention = 20 * time.Second
 	withShape(t, s, func(ctx context.Context, w *World) {
 		n := uint64(1)
-		order := func(k int) {
+		applyChanges := func(k int) {
 			for range k {
-				r, _ := w.Order(ctx, w.Node("m1"), commands.Order{Edits: putService(fmt.Sprint("s", n%5))})
+				r, _ := w.SendChange(ctx, w.Node("m1"), commands.Order{Edits: putService(fmt.Sprint("s", n%5))})
 				if n++; r.Outcome != commands.InForce || r.Version != n {
 					t.Fatalf("%+v, want version %d", r, n)
 				}
 			}
 		}
-		order(150)
+		applyChanges(150)
 		time.Sleep(30 * time.Second)
-		order(20)
+		applyChanges(20)
 		time.Sleep(30 * time.Second)
 		cs, err := w.Node("m2").Controller().Ledger.Changes(ctx)
 		if err != nil || len(cs) == 0 || cs[0].Version != 128 || cs[len(cs)-1].Version != n {
@@ -360,10 +360,10 @@
 			m.Start()
 		}
 		time.Sleep(3 * time.Second)
-		order(3)
+		applyChanges(3)
 		f, err := w.Node("m3").Controller().Ledger.Refresh(ctx)
 		if err != nil || f.Version != n || len(f.Sheet.Services) != 7 || len(f.Sheet.Bindings) != len(callKinds) {
-			t.Errorf("folded from the start: version %d with %d services, %v", f.Version, len(f.Sheet.Services), err)
+			t.Errorf("read from the start of the ledger: version %d with %d services, %v", f.Version, len(f.Sheet.Services), err)
 		}
 	})
 }
--- a/internal/sim/overload_test.go
+++ b/internal/sim/overload_test.go
@@ -20,39 +20,39 @@
 			withWorld(t, func(ctx context.Context, w *World) {
 				w.Go(w.PollReadiness)
 				time.Sleep(2 * time.Second)
-				can := float64(len(w.Targets)*capacity) / ((minWork + maxWork) / 2).Seconds()
+				capacityRate := float64(len(w.Targets)*capacity) / ((minWork + maxWork) / 2).Seconds()
 				const span = 6 * time.Second
 				callCtx, cancel := context.WithTimeout(ctx, span)
 				defer cancel()
-				w.overload(callCtx, times*can)
+				w.overload(callCtx, times*capacityRate)
 				v := w.Records.Check()
-				by, all := map[string]int{}, map[string]int{}
-				slow, retry := time.Duration(0), ""
+				served, sent := map[string]int{}, map[string]int{}
+				slowestRefusal, retryAfter := time.Duration(0), ""
 				for _, o := range w.Records.Outcomes {
-					all[o.Path]++
+					sent[o.Path]++
 					switch {
 					case o.Status < 300 && o.Err == "":
-						by[o.Path]++
+						served[o.Path]++
 					case o.Code == httpapi.BusyNotRun:
-						slow, retry = max(slow, o.Done.Sub(o.Sent)), max(retry, o.RetryAfter)
+						slowestRefusal, retryAfter = max(slowestRefusal, o.Done.Sub(o.Sent)), max(retryAfter, o.RetryAfter)
 					}
 				}
 				useful := float64(v.Successes) / span.Seconds()
 				t.Logf("%.0f a second with a capacity of %.0f: %.0f useful a second, %d refused within %s (retry after up to %s s), %d unknown, 99 of 100 within %s, %v of %v",
-					times*can, can, useful, v.Classes["refused: busy, not run"], slow, retry, v.Unknown, v.P99, by, all)
+					times*capacityRate, capacityRate, useful, v.Classes["refused: busy, not run"], slowestRefusal, retryAfter, v.Unknown, v.P99, served, sent)
 				if len(v.Violations) > 0 {
 					t.Error(v.Violations)
 				}
-				if useful < 0.6*can {
-					t.Errorf("%.0f useful answers a second with a capacity of %.0f", useful, can)
+				if useful < 0.6*capacityRate {
+					t.Errorf("%.0f useful answers a second with a capacity of %.0f", useful, capacityRate)
 				}
-				if orders := all["/orders"]; v.Unknown*50 > orders {
+				if orders := sent["/orders"]; v.Unknown*50 > orders {
 					t.Errorf("%d of %d orders ended with an unknown outcome", v.Unknown, orders)
 				}
 				share := float64(v.Successes) / float64(v.Calls)
-				for p, n := range all {
-					if float64(by[p]) < 0.3*share*float64(n) {
-						t.Errorf("%s starves: %d of %d served, where %d of %d are", p, by[p], n, v.Successes, v.Calls)
+				for p, n := range sent {
+					if float64(served[p]) < 0.3*share*float64(n) {
+						t.Errorf("%s starves: %d of %d served, where %d of %d are", p, served[p], n, v.Successes, v.Calls)
 					}
 				}
 			})
--- a/internal/sim/points_test.go
+++ b/internal/sim/points_test.go
@@ -69,11 +69,11 @@
 		d.Disk.Wipe()
 		w.after(500*time.Millisecond, d.Start)
 	}
-	left := w.Targets[0]
+	leaving := w.Targets[0]
 	w.Go(func(ctx context.Context) {
-		if left.Leave(ctx) {
+		if leaving.Leave(ctx) {
 			time.Sleep(3 * time.Second)
-			left.Crash()
+			leaving.Crash()
 		}
 	})
 	select {
@@ -88,8 +88,8 @@
 	checkRecords(t, w)
 }
 
-// checkRecords checks what the targets and callers recorded, and the picture.
-func checkRecords(t *testing.T, w *World) stand.Verdict {
+// checkRecords checks what the targets and callers recorded, and the full state.
+func checkRecords(t *testing.T, w *World) stand.CheckResult {
 	v := w.Records.Check()
 	for _, b := range v.Violations {
 		t.Error(b)
@@ -100,7 +100,7 @@
 	ctx, cancel := context.WithTimeout(w.ctx, 5*time.Second)
 	defer cancel()
 	for _, n := range w.NodesOfKind("controller") {
-		for _, b := range w.CheckPicture(ctx, n) {
+		for _, b := range w.CheckFullState(ctx, n) {
 			t.Error(b)
 		}
 	}
--- a/internal/sim/simnet/codecs.go
+++ b/internal/sim/simnet/codecs.go
@@ -7,6 +7,7 @@
 	"sync"
 )
 
+// parcel lets gob transfer a value of any registered type.
 type parcel struct{ V any }
 
 // codec holds both ends of one gob stream. Gob sends the description of a type only once
--- a/internal/sim/simnet/conn.go
+++ b/internal/sim/simnet/conn.go
@@ -125,7 +125,7 @@
 	c.proc.mu.Unlock()
 }
 
-// notify wakes whoever waits at this end. c.mu must be held.
+// notify wakes all goroutines that wait at this end. c.mu must be held.
 func (c *Conn) notify() {
 	close(c.wake)
 	c.wake = make(chan struct{})
@@ -237,14 +237,14 @@
 // are stopped by a cut or loss.
 func (c *Conn) deliverDue() {
 	n, from, to := c.proc.Host.net, c.proc.Host, c.peer.proc.Host
-	pass := n.delivers(from, to) && from.powered() && to.powered()
+	pathOpen := n.delivers(from, to) && from.powered() && to.powered()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
 	for len(c.inFlight) > 0 && !c.inFlight[0].due.After(now) {
-		if !pass {
+		if !pathOpen {
 			if c.peer.closed && c.closed {
-				c.inFlight = nil // both ends are closed, nobody would notice the delivery
+				c.inFlight = nil // both ends are closed, so the delivery would have no effect
 				return
 			}
 			c.inFlight[0].due = now.Add(retransmit)
--- a/internal/sim/simnet/conn_test.go
+++ b/internal/sim/simnet/conn_test.go
@@ -88,7 +88,7 @@
 		_, err := c.Read(make([]byte, 1))
 		var ne net.Error
 		if !errors.Is(err, os.ErrDeadlineExceeded) || !errors.As(err, &ne) || !ne.Timeout() || time.Since(at) != time.Second {
-			t.Errorf("%v after %v", err, time.Since(at))
+			t.Errorf("read ended with %v after %v", err, time.Since(at))
 		}
 		// A deadline that is set during a read takes effect at once.
 		go func() {
@@ -98,7 +98,7 @@
 		_ = c.SetReadDeadline(time.Time{})
 		at = time.Now()
 		if _, err := c.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) || time.Since(at) != time.Second {
-			t.Errorf("%v after %v", err, time.Since(at))
+			t.Errorf("read ended with %v after %v", err, time.Since(at))
 		}
 		// A write to a peer that does not read ends at its deadline, too.
 		_ = c.SetWriteDeadline(time.Now().Add(time.Second))
@@ -205,69 +205,69 @@
 func TestTheDescriptorShowsQuiet(t *testing.T) {
 	withPair(t, func(t *testing.T, _ *Net, a, _ *Proc, ln *Listener) {
 		c, d := dialPair(t, a, ln)
-		quiet := func() (q bool) {
+		isIdle := func() (idle bool) {
 			r, err := c.(syscall.Conn).SyscallConn()
 			if err != nil {
 				t.Fatal(err)
 			}
 			if err := r.Read(func(fd uintptr) bool {
 				_, _, e := syscall.Recvfrom(int(fd), make([]byte, 1), syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-				q = e == syscall.EAGAIN
+				idle = e == syscall.EAGAIN
 				return true
 			}); err != nil {
 				t.Fatal(err)
 			}
-			return q
+			return idle
 		}
-		if !quiet() {
-			t.Error("not quiet at first")
+		if !isIdle() {
+			t.Error("not idle at first")
 		}
 		writeText(t, d, "x")
 		time.Sleep(10 * time.Millisecond)
-		if quiet() {
-			t.Error("quiet with a byte to read")
+		if isIdle() {
+			t.Error("idle with a byte to read")
 		}
 		expectText(t, c, "x")
-		if !quiet() {
-			t.Error("not quiet again")
+		if !isIdle() {
+			t.Error("not idle after the byte was read")
 		}
 		_ = d.Close()
 		time.Sleep(10 * time.Millisecond)
-		if quiet() {
-			t.Error("quiet after the end")
+		if isIdle() {
+			t.Error("idle after the other end closed")
 		}
 	})
 }
 
 func TestAQuestionGoesThereAndBack(t *testing.T) {
 	withPair(t, func(t *testing.T, n *Net, a, b *Proc, _ *Listener) {
-		ask := func() (int, error) {
+		call := func() (int, error) {
 			callCtx, cancel := context.WithTimeout(t.Context(), time.Second)
 			defer cancel()
 			return RemoteCall(callCtx, a, "b:p", func(context.Context, *Proc) (int, error) { return 7, nil })
 		}
-		if v, err := ask(); v != 7 || err != nil {
-			t.Errorf("%d, %v", v, err)
+		if v, err := call(); v != 7 || err != nil {
+			t.Errorf("the call returned %d, %v", v, err)
 		}
 		for _, direction := range [][2]string{{"a", "b"}, {"b", "a"}} {
 			restore := n.Cut(direction[0], direction[1])
-			if _, err := ask(); !errors.Is(err, context.DeadlineExceeded) {
-				t.Errorf("through a cut: %v", err)
+			if _, err := call(); !errors.Is(err, context.DeadlineExceeded) {
+				t.Errorf("called through a cut: %v", err)
 			}
 			restore()
 		}
 		b.Host.Freeze()
-		if _, err := ask(); !errors.Is(err, context.DeadlineExceeded) {
+		if _, err := call(); !errors.Is(err, context.DeadlineExceeded) {
 			t.Errorf("answered while frozen: %v", err)
 		}
 		b.Host.Thaw()
 		a.Host.SetLossRate(1)
-		if _, err := ask(); !errors.Is(err, context.DeadlineExceeded) {
+		if _, err := call(); !errors.Is(err, context.DeadlineExceeded) {
 			t.Errorf("answered though all messages are lost: %v", err)
 		}
 		a.Host.SetLossRate(0)
 		b.Kill()
-		if _, err := ask(); !errors.Is(err, syscall.ECONNREFUSED) {
+		if _, err := call(); !errors.Is(err, syscall.ECONNREFUSED) {
 			t.Errorf("an ended process answered: %v", err)
 		}
 	})
--- a/internal/sim/simnet/disk_test.go
+++ b/internal/sim/simnet/disk_test.go
@@ -25,7 +25,7 @@
 		}
 		d.SetFailing(true)
 		if err := x.Commit([]storage.Put{{Key: "k", Value: []byte("w")}}); !errors.Is(err, errIO) {
-			t.Errorf("%v", err)
+			t.Errorf("commit on a failing disk: %v", err)
 		}
 		d.SetFailing(false)
 		// A process that is killed during a sync leaves a prefix of the puts.
--- a/internal/sim/simnet/net.go
+++ b/internal/sim/simnet/net.go
@@ -195,8 +195,8 @@
 		}
 	}()
 	// A lost message must not block the caller for ever.
-	lost := time.NewTimer(5 * time.Second)
-	defer lost.Stop()
+	timeout := time.NewTimer(5 * time.Second)
+	defer timeout.Stop()
 	select {
 	case t := <-results:
 		from.WaitThawed()
@@ -204,7 +204,7 @@
 	case <-ctx.Done():
 		from.WaitThawed()
 		return zero, ctx.Err()
-	case <-lost.C:
+	case <-timeout.C:
 		from.WaitThawed()
 		return zero, context.DeadlineExceeded
 	case <-localReset:
--- a/internal/sim/simnet/proc.go
+++ b/internal/sim/simnet/proc.go
@@ -87,13 +87,13 @@
 func (p *Proc) WaitThawed() {
 	for p.ctx.Err() == nil {
 		p.Host.mu.Lock()
-		ice := p.Host.thawed
+		untilThaw := p.Host.thawed
 		p.Host.mu.Unlock()
-		if ice == nil {
+		if untilThaw == nil {
 			return
 		}
 		select {
-		case <-ice:
+		case <-untilThaw:
 		case <-p.ctx.Done():
 		}
 	}
--- a/internal/sim/suspect_test.go
+++ b/internal/sim/suspect_test.go
@@ -14,8 +14,8 @@
 	"walkrudder/tools/stand"
 )
 
-// muteTarget cuts the direction from a target to the given nodes.
-func (w *World) muteTarget(x *Target, nodes ...*Node) {
+// cutFromTarget cuts the direction from a target to the given nodes.
+func (w *World) cutFromTarget(x *Target, nodes ...*Node) {
 	for _, n := range nodes {
 		w.Net.Cut(x.ID, n.ID)
 	}
@@ -35,12 +35,12 @@
 			})
 		}
 	}
-	t.Fatal("no picture")
+	t.Fatal("no controller returned the full state")
 	return 0
 }
 
-// wardenHolder returns the controller that holds the warden's duty, nil if none does.
-func (w *World) wardenHolder() *Node {
+// supervisor returns the controller that holds the supervisor's duty, nil if none does.
+func (w *World) supervisor() *Node {
 	for _, n := range w.NodesOfKind("controller") {
 		if m := n.Controller(); m != nil && m.Membership.HoldsDuty(commands.SupervisorDuty) {
 			return n
@@ -49,25 +49,25 @@
 	return nil
 }
 
-// A controller that takes over the warden's duty must start from the ledger: a target that is
-// suspected already is not noted again, and is noted as trusted once its heartbeats return.
+// A controller that takes over the supervisor's duty must start from the ledger: a target that
+// is suspected already is not noted again, and is noted as trusted once its heartbeats return.
 func TestWardenStartsFromTheLedger(t *testing.T) {
 	t.Parallel()
 	withWorld(t, func(ctx context.Context, w *World) {
 		time.Sleep(12 * time.Second)
 		x := w.Targets[1]
-		w.muteTarget(x, w.Nodes...)
+		w.cutFromTarget(x, w.Nodes...)
 		time.Sleep(8 * time.Second)
 		if n := w.countNotes(ctx, t, ledger.NoteSuspect, x); n != 1 {
 			t.Fatalf("noted as suspected %d times", n)
 		}
 		// The duty is lost twice, and each time taken over by any other controller.
 		for range 2 {
-			old := w.wardenHolder()
+			old := w.supervisor()
 			old.Kill()
 			time.Sleep(4 * time.Second)
-			if w.wardenHolder() == nil {
-				t.Fatal("nobody holds the duty")
+			if w.supervisor() == nil {
+				t.Fatal("no controller holds the supervisor's duty")
 			}
 			old.Start()
 			time.Sleep(time.Second)
@@ -78,14 +78,14 @@
 		w.Net.Restore(x.ID)
 		time.Sleep(5 * time.Second)
 		if n := w.countNotes(ctx, t, ledger.NoteTrust, x); n != 1 {
-			t.Errorf("beats again, and noted as trusted %d times", n)
+			t.Errorf("heartbeats returned, and noted as trusted %d times", n)
 		}
 	})
 }
 
 // A target that reaches only one controller, and a home controller that receives no heartbeats,
 // must not cause suspicions: the shortest silence that any controller has seen counts, and no
-// target is let go.
+// target is removed.
 func TestBeatsThatReachOnlySome(t *testing.T) {
 	t.Parallel()
 	withWorld(t, func(ctx context.Context, w *World) {
@@ -93,30 +93,30 @@
 		controllers := lo.Map(w.NodesOfKind("controller"), func(n *Node, _ int) membership.Member {
 			return membership.Member{ID: n.ID, Kind: "controller", Zone: n.Zone}
 		})
-		deaf := registry.Homes("orders", controllers)[0].ID
+		cutOffID := registry.Homes("orders", controllers)[0].ID
 		for _, n := range w.NodesOfKind("controller") {
-			if n.ID != deaf {
-				w.Net.Cut(n.ID, deaf)
+			if n.ID != cutOffID {
+				w.Net.Cut(n.ID, cutOffID)
 			}
 		}
 		for _, x := range w.Targets {
-			w.muteTarget(x, w.Node(deaf))
+			w.cutFromTarget(x, w.Node(cutOffID))
 		}
 		// A target repeats a heartbeat that no controller received, so this one still
-		// reaches one controller that hears.
-		others := lo.Filter(w.NodesOfKind("controller"), func(n *Node, _ int) bool { return n.ID != deaf })
-		w.muteTarget(w.Targets[0], others[1:]...)
+		// reaches one controller.
+		others := lo.Filter(w.NodesOfKind("controller"), func(n *Node, _ int) bool { return n.ID != cutOffID })
+		w.cutFromTarget(w.Targets[0], others[1:]...)
 		time.Sleep(60 * time.Second)
 		if n := w.countNotes(ctx, t, ledger.NoteSuspect, nil); n > 1 {
 			t.Errorf("%d suspicions", n)
 		}
 		if n := w.countNotes(ctx, t, ledger.NoteGone, nil); n != 0 {
-			t.Errorf("%d let go", n)
+			t.Errorf("%d targets removed", n)
 		}
 	})
 }
 
-// When the fault is the gateway's own, no target may be let go or suspected: a frozen
+// When the fault is the gateway's own, no target may be removed or suspected: a frozen
 // controller, a frozen gateway, all controllers frozen at once, a zone cut off.
 func TestOwnFaultsMakeNoSuspicion(t *testing.T) {
 	t.Parallel()
@@ -126,7 +126,7 @@
 		}
 	}
 	for name, x := range map[string]struct{ begin, end func(*World) }{
-		"frozen warden":      {func(w *World) { w.wardenHolder().Freeze() }, func(w *World) { all(w, (*Node).Thaw) }},
+		"frozen warden":      {func(w *World) { w.supervisor().Freeze() }, func(w *World) { all(w, (*Node).Thaw) }},
 		"frozen gateway":     {func(w *World) { w.Node("f1").Freeze() }, func(w *World) { w.Node("f1").Thaw() }},
 		"frozen controllers": {func(w *World) { all(w, (*Node).Freeze) }, func(w *World) { all(w, (*Node).Thaw) }},
 		"zone cut off":       {func(w *World) { w.partition("z1", 8*time.Second, func(n *Node) bool { return n.Zone == "z1" }) }, func(*World) {}},
@@ -149,9 +149,9 @@
 				wrong, gone := w.countNotes(ctx, t, ledger.NoteSuspect, nil), w.countNotes(ctx, t, ledger.NoteGone, nil)
 				<-done
 				v := w.Records.Check()
-				t.Logf("%d wrong suspicions, %d let go, %d calls, %v", wrong, gone, v.Calls, v.Classes)
+				t.Logf("%d wrong suspicions, %d targets removed, %d calls, %v", wrong, gone, v.Calls, v.Classes)
 				if gone > 0 || wrong > 0 || len(v.Violations) > 0 {
-					t.Errorf("%d wrong suspicions, %d let go, %v", wrong, gone, v.Violations)
+					t.Errorf("%d wrong suspicions, %d targets removed, %v", wrong, gone, v.Violations)
 				}
 			})
 		})
@@ -159,7 +159,7 @@
 }
 
 // Gateways must forget a target that left as announced, and one that is lost for good and was
-// let go; the picture must keep the reason.
+// removed; the full state must keep the reason.
 func TestRemovedAndLostForGood(t *testing.T) {
 	t.Parallel()
 	withWorld(t, func(ctx context.Context, w *World) {
@@ -174,7 +174,7 @@
 		w.drainAndStop(left, 2*time.Second)
 		<-done
 		if n := w.countNotes(ctx, t, ledger.NoteGone, lost); n != 1 {
-			t.Errorf("lost for good, and let go %d times", n)
+			t.Errorf("lost for good, and noted as removed %d times", n)
 		}
 		for _, n := range w.NodesOfKind("gateway") {
 			for _, s := range append(n.Gateway().Targets.Targets("orders"), n.Gateway().Targets.Targets("records")...) {
@@ -184,7 +184,7 @@
 			}
 		}
 		if v := w.Records.Check(); len(v.Violations) > 0 || v.Refusals > 0 || len(w.Records.Leaves) != 1 {
-			t.Errorf("%v %v", v.Violations, v.RefusalReasons)
+			t.Errorf("violations %v, refusals %v", v.Violations, v.RefusalReasons)
 		}
 		// Its address is given to a new machine, which must be served.
 		x := &Target{world: w, ID: "orders-new", Service: "orders", Zone: lost.Zone, Addr: lost.Addr, rng: lost.rng}
--- a/internal/sim/target.go
+++ b/internal/sim/target.go
@@ -32,14 +32,14 @@
 	seq         uint64
 	leaving     bool
 	extraWork   time.Duration // added to the work of every request
-	runContext  context.Context
+	runCtx      context.Context
 	cancel      context.CancelFunc
 	lastAnswer  *passage.Response
 	slots       chan struct{}
 }
 
 const (
-	beatInterval = time.Second
+	heartbeatInterval = time.Second
 	// capacity is how many requests a target runs at once. Further requests queue for a slot,
 	// even when their caller has given up.
 	capacity = 2
@@ -53,7 +53,7 @@
 func (t *Target) Start() {
 	ctx, cancel := context.WithCancel(t.world.ctx)
 	t.mu.Lock()
-	t.runContext, t.cancel, t.slots = ctx, cancel, make(chan struct{}, capacity)
+	t.runCtx, t.cancel, t.slots = ctx, cancel, make(chan struct{}, capacity)
 	t.incarnation = uint64(time.Now().UnixNano() / 1000)
 	t.seq, t.leaving, t.mode = 0, false, stand.Healthy
 	t.mu.Unlock()
@@ -62,9 +62,9 @@
 	t.world.Net.mu.Unlock()
 	t.world.wg.Go(func() {
 		for ctx.Err() == nil {
-			t.SendBeat(ctx)
+			t.SendHeartbeat(ctx)
 			t.mu.Lock()
-			d := beatInterval*9/10 + time.Duration(t.rng.Int64N(int64(beatInterval/5)))
+			d := heartbeatInterval*9/10 + time.Duration(t.rng.Int64N(int64(heartbeatInterval/5)))
 			t.mu.Unlock()
 			select {
 			case <-ctx.Done():
@@ -92,7 +92,7 @@
 func (t *Target) Running() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.runContext != nil && t.runContext.Err() == nil
+	return t.runCtx != nil && t.runCtx.Err() == nil
 }
 
 // SetExtraWork makes every request take d longer from now on.
@@ -109,62 +109,62 @@
 	return t.incarnation > 0
 }
 
-// SetMode sets the (mis)behaviour of the target.
+// SetMode sets how the target behaves from now on.
 func (t *Target) SetMode(m stand.Mode) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.mode = m
 }
 
-// beatTimeout is how long a target waits for the answer to a heartbeat before it tries
+// heartbeatTimeout is how long a target waits for the answer to a heartbeat before it tries
 // another controller. A leaving target waits longer, for leaveTimeout, because its answer
 // comes only after the gateways have confirmed.
 const (
-	beatTimeout  = 800 * time.Millisecond
-	leaveTimeout = 4500 * time.Millisecond
+	heartbeatTimeout = 800 * time.Millisecond
+	leaveTimeout     = 4500 * time.Millisecond
 )
 
-// SendBeat sends one heartbeat to a random controller and, if no answer comes, to one more.
-func (t *Target) SendBeat(ctx context.Context) (r registry.BeatTold, leaving, ok bool) {
+// SendHeartbeat sends one heartbeat to a random controller and, if no answer comes, to one more.
+func (t *Target) SendHeartbeat(ctx context.Context) (r registry.BeatTold, leaving, ok bool) {
 	t.mu.Lock()
 	t.seq++
-	b := httpapi.Beat{ID: t.ID, Service: t.Service, Zone: t.Zone, Addr: t.Addr, Capacity: capacity, Leaving: t.leaving, Seq: t.seq, Inc: t.incarnation, EveryMS: int(beatInterval.Milliseconds())}
+	b := httpapi.Beat{ID: t.ID, Service: t.Service, Zone: t.Zone, Addr: t.Addr, Capacity: capacity, Leaving: t.leaving, Seq: t.seq, Inc: t.incarnation, EveryMS: int(heartbeatInterval.Milliseconds())}
 	t.mu.Unlock()
 	for range 2 {
-		if r, ok = t.sendBeatOnce(ctx, b); ok {
+		if r, ok = t.sendHeartbeatOnce(ctx, b); ok {
 			break
 		}
 	}
 	return r, b.Leaving, ok
 }
 
-func (t *Target) sendBeatOnce(ctx context.Context, b httpapi.Beat) (r registry.BeatTold, ok bool) {
+func (t *Target) sendHeartbeatOnce(ctx context.Context, b httpapi.Beat) (r registry.BeatTold, ok bool) {
 	controllers := t.world.NodesOfKind("controller")
 	n := controllers[t.world.RandN("beat "+t.ID, len(controllers))]
-	m, up := n.Controller(), n.Host.runningProc()
-	if m == nil || up == nil {
+	ctl, procCtx := n.Controller(), n.Host.runningProc()
+	if ctl == nil || procCtx == nil {
 		return r, false
 	}
-	type beatReply struct {
+	type heartbeatReply struct {
 		r  registry.BeatTold
 		ok bool
 	}
-	ch := make(chan beatReply, 1)
+	ch := make(chan heartbeatReply, 1)
 	go func() {
 		time.Sleep(t.world.Net.delay(t.ID, n.ID))
 		if !t.world.Net.delivers(t.ID, n.ID) {
 			return
 		}
 		n.waitThawed()
-		callCtx, cancel := context.WithTimeout(up, 4*time.Second)
+		callCtx, cancel := context.WithTimeout(procCtx, 4*time.Second)
 		defer cancel()
-		x, err := m.Heartbeats.Receive(callCtx, b)
+		x, err := ctl.Heartbeats.Receive(callCtx, b)
 		n.waitThawed()
-		if up.Err() == nil && t.world.Net.delivers(n.ID, t.ID) {
-			ch <- beatReply{x, err == nil}
+		if procCtx.Err() == nil && t.world.Net.delivers(n.ID, t.ID) {
+			ch <- heartbeatReply{x, err == nil}
 		}
 	}()
-	wait := beatTimeout
+	wait := heartbeatTimeout
 	if b.Leaving {
 		wait = leaveTimeout
 	}
@@ -187,7 +187,7 @@
 	inc := t.incarnation
 	t.mu.Unlock()
 	for ctx.Err() == nil && t.Running() {
-		if _, l, ok := t.SendBeat(ctx); ok && l {
+		if _, l, ok := t.SendHeartbeat(ctx); ok && l {
 			t.world.Records.RecordLeave(stand.Leave{Target: t.ID, Inc: inc, AckedAt: time.Now()})
 			return true
 		}
@@ -198,18 +198,19 @@
 
 // targetTransport sends a gateway's requests to the simulated targets.
 type targetTransport struct {
-	world *World
-	host  *Host
-	run   context.Context
+	world   *World
+	host    *Host
+	procCtx context.Context
 }
 
 var errReset = errors.New("connection reset")
 
-// Carry sends s. It connects first, and only then asks Last whether to write the request.
+// Carry sends s. It connects first and then calls BeforeWrite, if that is set, which decides
+// whether the request is written.
 func (c *targetTransport) Carry(ctx context.Context, s *passage.SendRequest) (*passage.Response, bool, error) {
 	callCtx, cancel := context.WithDeadline(ctx, s.Expiry)
 	defer cancel()
-	stop := context.AfterFunc(c.run, cancel)
+	stop := context.AfterFunc(c.procCtx, cancel)
 	defer stop()
 	wait := func(d time.Duration) bool {
 		select {
@@ -236,8 +237,8 @@
 		return nil, false, passage.ErrStopped
 	}
 	c.host.waitThawed()
-	if c.run.Err() != nil {
-		return nil, false, c.run.Err()
+	if c.procCtx.Err() != nil {
+		return nil, false, c.procCtx.Err()
 	}
 	// From here on the request is in flight, even if this node fails.
 	if s.BeforeWrite != nil {
@@ -275,7 +276,7 @@
 // orderID returns the ID that the caller gave a request, "" if none.
 func orderID(r *passage.Request) string {
 	for _, f := range r.Header {
-		if f[0] == stand.OrderField {
+		if f[0] == stand.OrderHeader {
 			return f[1]
 		}
 	}
@@ -291,14 +292,14 @@
 func (t *Target) currentRun() context.Context {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.runContext
+	return t.runCtx
 }
 
 // serve executes one request; a nil answer means that the connection is reset.
 func (t *Target) serve(run context.Context, s *passage.SendRequest) *passage.Response {
 	t.mu.Lock()
 	mode, inc, work := t.mode, t.incarnation, minWork+time.Duration(t.rng.Int64N(int64(maxWork-minWork)))+t.extraWork
-	places := t.slots
+	runSlots := t.slots
 	if mode != stand.Healthy && mode != stand.Unresponsive && t.rng.IntN(2) == 0 {
 		mode = stand.Healthy
 	}
@@ -320,8 +321,8 @@
 		return &passage.Response{Status: 503, NotRun: true, Complete: true, Stamp: st.String()}
 	}
 	select {
-	case places <- struct{}{}:
-		defer func() { <-places }()
+	case runSlots <- struct{}{}:
+		defer func() { <-runSlots }()
 	case <-run.Done():
 		return nil
 	}
--- a/internal/sim/world.go
+++ b/internal/sim/world.go
@@ -34,9 +34,9 @@
 	// Spares is how many control machines stand by as replacements; the n-th may replace
 	// the n-th controller.
 	Spares int
-	// Keep is how long controllers keep decisions; 0 means their default.
-	Keep time.Duration
-	Log  io.Writer
+	// Retention is how long controllers keep decisions; 0 means their default.
+	Retention time.Duration
+	Log       io.Writer
 }
 
 // Small is a deployment that CI can afford to simulate.
@@ -73,7 +73,7 @@
 	cancel      context.CancelFunc
 	done        chan struct{}
 	incarnation uint64
-	disruption  stand.OutageTracker // guarded by mu
+	outage      stand.OutageTracker // guarded by mu
 	// seenReady is whether the gateway was ready when the platform last polled it.
 	seenReady atomic.Bool
 	// excluded is set while the machine is not part of the deployment: not yet, or no longer.
@@ -145,7 +145,7 @@
 		w.Nodes = append(w.Nodes, n)
 	}
 	for _, n := range w.Nodes {
-		n.disruption = stand.OutageTracker{Rec: w.Records, Node: n.ID}
+		n.outage = stand.OutageTracker{Rec: w.Records, Node: n.ID}
 	}
 	i := 0
 	for _, svc := range []string{"orders", "records"} {
@@ -260,13 +260,13 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	n.incarnation++
-	l := &linkClient{host: n.Host, procCtx: ctx}
+	transport := &linkClient{host: n.Host, procCtx: ctx}
 	s := startup.Node{ID: n.ID, Zone: n.Zone, Inner: n.Addr, Door: n.Addr + "d", Seeds: n.world.seedAddrs}
 	logger := n.world.log.With("node", n.ID)
 	var run func(context.Context)
 	if n.Kind == "controller" {
 		cfg := controller.Config{Startup: startup.Controller{Node: s, Core: min(3, n.world.Shape.Disks)}, Incarnation: n.incarnation, NewDiskID: fmt.Sprintf("%s-%d", n.ID, n.incarnation),
-			Retention: n.world.Shape.Keep, Transport: l, Clock: hostClock{n.Host}, Log: logger, Faults: n.Faults, WallMS: func() int64 { return time.Now().UnixMilli() },
+			Retention: n.world.Shape.Retention, Transport: transport, Clock: hostClock{n.Host}, Log: logger, Faults: n.Faults, WallMS: func() int64 { return time.Now().UnixMilli() },
 			OnDiskFailure: func(error) {
 				if ctx.Err() != nil {
 					return // the process was killed, and its disk handle with it
@@ -275,30 +275,30 @@
 				go n.Kill()
 				n.world.after(time.Second, n.Start)
 			}}
-		d := &diskHandle{disk: n.Disk, host: n.Host, client: l, skipDelay: true}
+		d := &diskHandle{disk: n.Disk, host: n.Host, client: transport, skipDelay: true}
 		if n.Disk != nil {
 			cfg.Disk = d
 		}
-		m, err := controller.New(cfg)
+		ctl, err := controller.New(cfg)
 		if err != nil {
 			panic(err)
 		}
 		d.skipDelay = false
-		n.controller, run = m, m.Run
+		n.controller, run = ctl, ctl.Run
 		n.Host.mu.Lock()
-		n.handler = m.Mux
+		n.handler = ctl.Mux
 		n.Host.mu.Unlock()
 	} else {
-		f := gateway.New(gateway.Config{Startup: startup.Gateway{Node: s}, Incarnation: n.incarnation, Transport: l, Clock: hostClock{n.Host}, Log: logger, Faults: n.Faults,
-			TargetClient: &targetTransport{world: n.world, host: n.Host, run: ctx}})
-		n.gateway, run = f, f.Run
+		gw := gateway.New(gateway.Config{Startup: startup.Gateway{Node: s}, Incarnation: n.incarnation, Transport: transport, Clock: hostClock{n.Host}, Log: logger, Faults: n.Faults,
+			TargetClient: &targetTransport{world: n.world, host: n.Host, procCtx: ctx}})
+		n.gateway, run = gw, gw.Run
 		n.Host.mu.Lock()
-		n.handler = f.Mux
+		n.handler = gw.Mux
 		n.Host.mu.Unlock()
 	}
 	done := make(chan struct{})
 	n.cancel, n.done = cancel, done
-	n.disruption.End()
+	n.outage.End()
 	n.Host.mu.Lock()
 	n.procCtx = ctx
 	n.Host.mu.Unlock()
@@ -313,7 +313,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.cancel != nil {
-		n.disruption.Begin("killed")
+		n.outage.Begin("killed")
 	}
 	n.stopLocked()
 }
@@ -331,7 +331,7 @@
 func (n *Node) Freeze() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.disruption.Begin("frozen")
+	n.outage.Begin("frozen")
 	n.Host.Freeze()
 }
 
@@ -341,7 +341,7 @@
 	defer n.mu.Unlock()
 	n.Host.Thaw()
 	if n.cancel != nil {
-		n.disruption.End()
+		n.outage.End()
 	}
 }
 
@@ -351,37 +351,37 @@
 	stopTimeout = shell.StopDeadline
 )
 
-// GracefulStop performs a planned stop; the platform kills the process 6 s after its warning.
-// The checker looks for requests that the stop cut off.
+// GracefulStop performs a planned stop; the platform kills the process 6 s after the stop
+// signal. The checker looks for requests that the stop cut off.
 func (n *Node) GracefulStop() {
-	f, m, up := n.Gateway(), n.Controller(), n.Host.runningProc()
-	if up == nil || n.Frozen() {
+	gw, ctl, procCtx := n.Gateway(), n.Controller(), n.Host.runningProc()
+	if procCtx == nil || n.Frozen() {
 		return
 	}
-	from, cold := time.Now(), n.freezeCount()
+	from, freezesBefore := time.Now(), n.freezeCount()
 	switch {
-	case f != nil:
-		f.Stop()
+	case gw != nil:
+		gw.Stop()
 		time.Sleep(drainLinger)
-		for f.Proxy.InFlight() > 0 && time.Since(from) < stopTimeout-200*time.Millisecond {
+		for gw.Proxy.InFlight() > 0 && time.Since(from) < stopTimeout-200*time.Millisecond {
 			time.Sleep(10 * time.Millisecond)
 		}
-		callCtx, cancel := context.WithTimeout(up, 300*time.Millisecond)
-		f.Deregister(callCtx)
+		callCtx, cancel := context.WithTimeout(procCtx, 300*time.Millisecond)
+		gw.Deregister(callCtx)
 		cancel()
-	case m != nil:
-		m.Stop()
+	case ctl != nil:
+		ctl.Stop()
 		time.Sleep(drainLinger / 2)
-		callCtx, cancel := context.WithTimeout(up, 150*time.Millisecond)
-		m.Membership.Release(callCtx)
+		callCtx, cancel := context.WithTimeout(procCtx, 150*time.Millisecond)
+		ctl.Membership.Release(callCtx)
 		cancel()
 	}
 	n.waitThawed()
 	// Another failure may have hit the node meanwhile.
-	if up.Err() == nil && n.freezeCount() == cold && f != nil {
+	if procCtx.Err() == nil && n.freezeCount() == freezesBefore && gw != nil {
 		n.world.Records.RecordStop(stand.Stop{Gateway: n.ID, From: from, End: time.Now()})
 	}
-	if up.Err() == nil {
+	if procCtx.Err() == nil {
 		n.mu.Lock()
 		defer n.mu.Unlock()
 		n.stopLocked()
@@ -418,16 +418,16 @@
 	return n.thawed != nil
 }
 
-// Order sends a change to a controller, as an operator would over HTTP; ok is false when no
-// answer came.
-func (w *World) Order(ctx context.Context, n *Node, o commands.Order) (commands.Result, bool) {
+// SendChange sends a change to a controller, as an operator would over HTTP; ok is false when
+// no answer came.
+func (w *World) SendChange(ctx context.Context, n *Node, o commands.Order) (commands.Result, bool) {
 	return callController(ctx, n, func(callCtx context.Context, m *controller.Controller) commands.Result {
 		return m.Changer.Apply(callCtx, o)
 	})
 }
 
-// submitChange sends a change to random controllers until it has a final result, and records it.
-func (w *World) submitChange(ctx context.Context, who string, a stand.ChangeRequest, base *uint64) (commands.Result, bool) {
+// submitUntilFinal sends a change to random controllers until it has a final result, and records it.
+func (w *World) submitUntilFinal(ctx context.Context, who string, a stand.ChangeRequest, base *uint64) (commands.Result, bool) {
 	w.randMu.Lock()
 	w.tokens++
 	a.Token, a.SubmittedAt = fmt.Sprintf("%s-%d", who, w.tokens), time.Now()
@@ -436,7 +436,7 @@
 		controllers := w.NodesOfKind("controller")
 		n := controllers[w.RandN(who, len(controllers))]
 		if a.RollbackTo == 0 {
-			return w.Order(ctx, n, commands.Order{Token: a.Token, Base: base, Edits: a.Edits})
+			return w.SendChange(ctx, n, commands.Order{Token: a.Token, Base: base, Edits: a.Edits})
 		}
 		return callController(ctx, n, func(callCtx context.Context, m *controller.Controller) commands.Result {
 			x, err := m.Statements.Execute(callCtx, fmt.Sprintf("roll back to %d token %s", a.RollbackTo, a.Token))
@@ -463,19 +463,19 @@
 // callController runs an operator's request at a controller; ok is false when no answer came.
 func callController[R any](ctx context.Context, n *Node, do func(context.Context, *controller.Controller) R) (r R, ok bool) {
 	w := n.world
-	m, up := n.Controller(), n.Host.runningProc()
-	if m == nil || up == nil {
+	ctl, procCtx := n.Controller(), n.Host.runningProc()
+	if ctl == nil || procCtx == nil {
 		return r, false
 	}
-	callCtx, cancel := context.WithTimeout(up, 10*time.Second)
+	callCtx, cancel := context.WithTimeout(procCtx, 10*time.Second)
 	defer cancel()
 	ch := make(chan R, 1)
 	go func() {
 		time.Sleep(w.Net.delay("op", n.ID))
 		n.waitThawed()
-		r := do(callCtx, m)
+		r := do(callCtx, ctl)
 		n.waitThawed()
-		if up.Err() == nil {
+		if procCtx.Err() == nil {
 			ch <- r
 		}
 	}()
@@ -515,7 +515,7 @@
 	ctx, cancel := context.WithTimeout(w.ctx, within)
 	defer cancel()
 	s := Sheet()
-	if r, ok := w.submitChange(ctx, "form", stand.ChangeRequest{Edits: []spec.Edit{{Op: spec.Replace, Sheet: &s}}}, nil); !ok {
+	if r, ok := w.submitUntilFinal(ctx, "form", stand.ChangeRequest{Edits: []spec.Edit{{Op: spec.Replace, Sheet: &s}}}, nil); !ok {
 		return fmt.Errorf("the first sheet did not come into force: %+v", r)
 	}
 	for !lo.EveryBy(w.NodesOfKind("gateway"), func(n *Node) bool { f := n.Gateway(); return f != nil && f.Ready() }) {
@@ -544,8 +544,8 @@
 	}
 }
 
-// call sends one call once. A call with a client name belongs to an abusive client, and its
-// outcome doesn't count as a proper call's.
+// call makes one call, without retries. A call with a client name belongs to an abusive client
+// and does not count as valid.
 func (w *World) call(k stand.CallKind, order, client string) (o stand.Outcome) {
 	var ready []*Node
 	for _, n := range w.NodesOfKind("gateway") {
@@ -561,8 +561,8 @@
 	}
 	n := ready[w.RandN("calls", len(ready))]
 	o.Gateway = n.ID
-	f, up := n.Gateway(), n.Host.runningProc()
-	if f == nil || up == nil {
+	gw, procCtx := n.Gateway(), n.Host.runningProc()
+	if gw == nil || procCtx == nil {
 		o.Err = "connection refused"
 		return o
 	}
@@ -574,35 +574,35 @@
 	go func() {
 		time.Sleep(w.Net.delay("op", n.ID))
 		n.waitThawed()
-		if up.Err() != nil {
+		if procCtx.Err() != nil {
 			return
 		}
-		t := f.Proxy.Handle(up, client, key, &passage.Request{Method: k.Method, URI: k.Path, Host: "x", Header: [][2]string{{stand.OrderField, order}}})
+		result := gw.Proxy.Handle(procCtx, client, key, &passage.Request{Method: k.Method, URI: k.Path, Host: "x", Header: [][2]string{{stand.OrderHeader, order}}})
 		n.waitThawed()
-		if up.Err() == nil {
-			ch <- t
+		if procCtx.Err() == nil {
+			ch <- result
 		}
 	}()
-	var t *passage.Call
+	var result *passage.Call
 	select {
-	case t = <-ch:
-	case <-up.Done():
+	case result = <-ch:
+	case <-procCtx.Done():
 		o.Err = "connection reset"
 		return o
 	case <-time.After(15 * time.Second):
 		o.Err = "Timeout"
 		return o
 	}
-	if t.Verdict != nil {
-		o.Call = t.ID
-		o.Status, o.Code, o.Reason, o.Forwarded = t.Verdict.Status, t.Verdict.Code, t.Verdict.Reason, t.Verdict.Sent
-		if t.Verdict.RetryDelay > 0 {
-			o.RetryAfter = t.Verdict.RetryAfter()
+	if result.Verdict != nil {
+		o.Call = result.ID
+		o.Status, o.Code, o.Reason, o.Forwarded = result.Verdict.Status, result.Verdict.Code, result.Verdict.Reason, result.Verdict.Sent
+		if result.Verdict.RetryDelay > 0 {
+			o.RetryAfter = result.Verdict.RetryAfter()
 		}
 		return o
 	}
-	o.Status, o.Stamp = t.Response.Status, t.Response.Stamp
-	o.BodyOrder, o.BodyComplete, o.Digest = string(t.Response.Body), t.Response.Complete, stand.Digest(t.Response.Body)
+	o.Status, o.Stamp = result.Response.Status, result.Response.Stamp
+	o.BodyOrder, o.BodyComplete, o.Digest = string(result.Response.Body), result.Response.Complete, stand.Digest(result.Response.Body)
 	if len(o.BodyOrder) > 0 && o.BodyOrder[len(o.BodyOrder)-1] == '.' {
 		o.BodyOrder = o.BodyOrder[:len(o.BodyOrder)-1]
 	} else {
@@ -611,8 +611,8 @@
 	return o
 }
 
-// timeline logs the results of the calls of each second.
-func (w *World) timeline() {
+// logTimeline logs the results of the calls of each second.
+func (w *World) logTimeline() {
 	by := map[int64]map[string]int{}
 	for _, o := range w.Records.Outcomes {
 		k := "ok"
@@ -697,8 +697,8 @@
 	wg.Wait()
 }
 
-// until returns a context that ends at t, or with the world.
-func (w *World) until(t time.Time) context.Context {
+// contextUntil returns a context that ends at t, or with the world.
+func (w *World) contextUntil(t time.Time) context.Context {
 	ctx, cancel := context.WithDeadline(w.ctx, t)
 	context.AfterFunc(ctx, cancel)
 	return ctx
--- a/internal/sim/world_test.go
+++ b/internal/sim/world_test.go
@@ -38,12 +38,13 @@
 	return s
 }
 
-// chaos runs one seed: start up, fail for a while, heal, recover, check.
-func chaos(t *testing.T, seed uint64, d Defects) {
-	inBubble(t, func(t *testing.T) { chaosRun(t, seed, d) })
+// runSeed runs one seed: it starts a deployment, injects failures for a while, ends them, and
+// checks the records once all has recovered.
+func runSeed(t *testing.T, seed uint64, d FailureKinds) {
+	inBubble(t, func(t *testing.T) { runSeedInBubble(t, seed, d) })
 }
 
-func chaosRun(t *testing.T, seed uint64, d Defects) {
+func runSeedInBubble(t *testing.T, seed uint64, d FailureKinds) {
 	s := shape()
 	var logs bytes.Buffer
 	if *dumpDir != "" {
@@ -79,12 +80,12 @@
 		w.Go(func(context.Context) { w.RunAbusiveClient(calls, "hammer") })
 	}
 	time.Sleep(2 * time.Second)
-	w.Chaos(callCtx, d)
+	w.InjectFailures(callCtx, d)
 	healed := time.Now()
 	<-done
 	<-ops
 	if len(w.Records.FailureCounts) == 0 {
-		t.Errorf("seed %d: no failure was brought about", seed)
+		t.Errorf("seed %d: no failure was injected", seed)
 	}
 	loseDiskAtEnd(t, w)
 	v := checkRecords(t, w)
@@ -95,16 +96,16 @@
 		t.Errorf("seed %d: %d calls failed later than 15 s after all had recovered, first %+v", seed, len(late), late[0])
 	}
 	if *verbose || *dumpDir != "" {
-		w.timeline()
+		w.logTimeline()
 	}
 	t.Logf("seed %d: %d calls, %d ok, %d refused, %d unknown, %v, %v, %d changes, %d extra, worst %.0f, slowest change %.0f ms, slip %.0f ms",
 		seed, v.Calls, v.Successes, v.Refusals, v.Unknown, v.RefusalReasons, v.Classes, w.Records.AckedChanges(), v.ExtraSends, v.WorstExtraOverLimit, v.SlowestChangeMS, v.WidestSlipMS)
 	triggered.add(d, v.FailureCounts)
 }
 
-// loseDiskAtEnd ends the day with a final failure: a change and a leaving target are
-// acknowledged, and at that instant the disk of one machine is lost. The picture is checked at
-// once through the remaining controllers, and later also through the wiped one.
+// loseDiskAtEnd ends a run with a final failure: a change and a leaving target are
+// acknowledged, and at that instant the disk of one machine is lost. The full state is checked
+// at once through the remaining controllers, and later also through the wiped one.
 func loseDiskAtEnd(t *testing.T, w *World) {
 	time.Sleep(13 * time.Second) // the core has recovered from the previous loss of a disk
 	if !w.loseDiskAfterAck() {
@@ -115,7 +116,7 @@
 	defer cancel()
 	for _, n := range w.NodesOfKind("controller") {
 		if n.Running() {
-			for _, b := range w.CheckPicture(ctx, n) {
+			for _, b := range w.CheckFullState(ctx, n) {
 				t.Error("right after the last loss:", b)
 			}
 		}
@@ -126,15 +127,15 @@
 	time.Sleep(5 * time.Second)
 }
 
-// failureTally counts the failures that the runs of a sweep brought about.
+// failureTally counts the failures that the runs of a sweep injected.
 type failureTally struct {
 	mu     sync.Mutex
-	counts map[Defects]map[string]int
+	counts map[FailureKinds]map[string]int
 }
 
-var triggered = failureTally{counts: map[Defects]map[string]int{}}
+var triggered = failureTally{counts: map[FailureKinds]map[string]int{}}
 
-func (y *failureTally) add(d Defects, acts map[string]int) {
+func (y *failureTally) add(d FailureKinds, added map[string]int) {
 	y.mu.Lock()
 	defer y.mu.Unlock()
 	m := y.counts[d]
@@ -142,31 +143,31 @@
 		m = map[string]int{}
 		y.counts[d] = m
 	}
-	for n, k := range acts {
+	for n, k := range added {
 		m[n] += k
 	}
 }
 
-// requireAll fails a sweep in which a failure of its suite never came about.
-func (y *failureTally) requireAll(t *testing.T, d Defects) {
+// requireAll fails a sweep in which a failure of its suite was never injected.
+func (y *failureTally) requireAll(t *testing.T, d FailureKinds) {
 	y.mu.Lock()
 	defer y.mu.Unlock()
 	for _, n := range append(d.failureNames(), finalFailures...) {
 		if y.counts[d][n] == 0 {
-			t.Errorf("not brought about in %d runs: %s", *seedCount, n)
+			t.Errorf("not injected in %d runs: %s", *seedCount, n)
 		}
 	}
-	t.Logf("brought about: %v", y.counts[d])
+	t.Logf("injected: %v", y.counts[d])
 }
 
-// The simulator must bring about every failure of the list that it shares with the fleet of
-// real processes.
+// The simulator must inject every failure of the list that it shares with the fleet of real
+// processes.
 func TestFailuresAreAllBroughtAbout(t *testing.T) {
 	have := (&World{}).failures()
-	all := append(Defects{Nodes: true, Disks: true, Net: true, Targets: true, Crowds: true}.failureNames(), finalFailures...)
+	all := append(FailureKinds{Nodes: true, Disks: true, Net: true, Targets: true, Crowds: true}.failureNames(), finalFailures...)
 	for _, n := range stand.Failures {
 		if have[n] == nil || !slices.Contains(all, n) {
-			t.Errorf("no suite brings about: %s", n)
+			t.Errorf("no suite injects: %s", n)
 		}
 	}
 	if len(have) != len(stand.Failures) || len(all) != len(stand.Failures) {
@@ -174,7 +175,7 @@
 	}
 }
 
-func sweep(t *testing.T, d Defects) {
+func sweep(t *testing.T, d FailureKinds) {
 	t.Parallel()
 	if d.Span == 0 {
 		d.Span = 20 * time.Second
@@ -185,19 +186,19 @@
 	for i := range *seedCount {
 		t.Run(fmt.Sprint(*firstSeed+uint64(i)), func(t *testing.T) {
 			t.Parallel()
-			chaos(t, *firstSeed+uint64(i), d)
+			runSeed(t, *firstSeed+uint64(i), d)
 		})
 	}
 }
 
-func TestCrowds(t *testing.T)  { sweep(t, Defects{Crowds: true, Span: 6 * time.Second}) }
-func TestTargets(t *testing.T) { sweep(t, Defects{Targets: true}) }
-func TestNodes(t *testing.T)   { sweep(t, Defects{Nodes: true}) }
-func TestDisks(t *testing.T)   { sweep(t, Defects{Disks: true, Nodes: true}) }
-func TestNet(t *testing.T)     { sweep(t, Defects{Net: true}) }
-func TestDay(t *testing.T)     { sweep(t, Defects{Day: true, Span: 30 * time.Second}) }
+func TestCrowds(t *testing.T)  { sweep(t, FailureKinds{Crowds: true, Span: 6 * time.Second}) }
+func TestTargets(t *testing.T) { sweep(t, FailureKinds{Targets: true}) }
+func TestNodes(t *testing.T)   { sweep(t, FailureKinds{Nodes: true}) }
+func TestDisks(t *testing.T)   { sweep(t, FailureKinds{Disks: true, Nodes: true}) }
+func TestNet(t *testing.T)     { sweep(t, FailureKinds{Net: true}) }
+func TestDay(t *testing.T)     { sweep(t, FailureKinds{Day: true, Span: 30 * time.Second}) }
 func TestAll(t *testing.T) {
-	sweep(t, Defects{Nodes: true, Disks: true, Net: true, Targets: true, Crowds: true})
+	sweep(t, FailureKinds{Nodes: true, Disks: true, Net: true, Targets: true, Crowds: true})
 }
 
 // TestFinds repeats seeds that found defects, each with its suite of that time. What happens
@@ -207,16 +208,16 @@
 	t.Parallel()
 	for name, x := range map[string]struct {
 		seed uint64
-		d    Defects
+		d    FailureKinds
 	}{
-		"a restarted gateway trusted an old word":         {3023, Defects{Nodes: true, Span: 20 * time.Second}},
-		"a lease table read across a freeze":              {3028, Defects{Nodes: true, Span: 20 * time.Second}},
-		"a core lost in a hold stopped every gateway":     {105, Defects{Day: true, Span: 45 * time.Second}},
-		"an address passed on while all was being healed": {302, Defects{Nodes: true, Disks: true, Net: true, Targets: true, Crowds: true, Span: 20 * time.Second}},
+		"a restarted gateway trusted an old word":         {3023, FailureKinds{Nodes: true, Span: 20 * time.Second}},
+		"a lease table read across a freeze":              {3028, FailureKinds{Nodes: true, Span: 20 * time.Second}},
+		"a core lost in a hold stopped every gateway":     {105, FailureKinds{Day: true, Span: 45 * time.Second}},
+		"an address passed on while all was being healed": {302, FailureKinds{Nodes: true, Disks: true, Net: true, Targets: true, Crowds: true, Span: 20 * time.Second}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			chaos(t, x.seed, x.d)
+			runSeed(t, x.seed, x.d)
 		})
 	}
 }
--- a/internal/sim/zone_test.go
+++ b/internal/sim/zone_test.go
@@ -44,13 +44,13 @@
 	go func() { w.RunCallers(callCtx, rate()); close(done) }()
 	go func() { w.RunOperators(callCtx); close(ops) }()
 	time.Sleep(14 * time.Second)
-	side := func(n *Node) bool { return n.Zone == zone }
+	inZone := func(n *Node) bool { return n.Zone == zone }
 	if how == "cut" {
-		w.partition(zone, 10*time.Second, side)
+		w.partition(zone, 10*time.Second, inZone)
 		// The zone's targets are cut off with their zone.
 		for _, x := range w.Targets {
 			for _, n := range w.ActiveNodes() {
-				if side(n) != (x.Zone == zone) {
+				if inZone(n) != (x.Zone == zone) {
 					w.Net.Cut(x.ID, n.ID)
 					w.Net.Cut(n.ID, x.ID)
 				}
--- a/tools/fleet/failures.go
+++ b/tools/fleet/failures.go
@@ -49,9 +49,9 @@
 		}
 	}
 	leaveAndStop := func(x *stand.Target, ms int) bool {
-		cx, end := context.WithTimeout(ctx, 15*time.Second)
-		defer end()
-		if _, err := x.Leave(cx); err != nil {
+		actionCtx, cancel := context.WithTimeout(ctx, 15*time.Second)
+		defer cancel()
+		if _, err := x.Leave(actionCtx); err != nil {
 			return false
 		}
 		sleep(ms, ms+500)
@@ -96,7 +96,7 @@
 		"disk lost": func() {
 			ds := disks()
 			n := ds[rnd.IntN(len(ds))]
-			logf("lose the disk of %s", n.ID)
+			logf("wipe the disk of %s", n.ID)
 			n.Kill()
 			_ = n.Wipe()
 			sleep(300, 2000)
@@ -171,7 +171,7 @@
 		},
 		"release": func() {
 			x := target()
-			logf("release of %s", x.Service)
+			logf("replace the targets of %s one by one", x.Service)
 			for _, y := range d.Targets {
 				if y.Service == x.Service && !lost[y] && ctx.Err() == nil && leaveAndStop(y, 1200) {
 					restart(y)
@@ -195,7 +195,7 @@
 		},
 		"crowd": func() {
 			k := d.Plan.CallKinds[rnd.IntN(len(d.Plan.CallKinds))]
-			logf("crowd at %s", k.Path)
+			logf("burst of calls to %s", k.Path)
 			for range 300 {
 				go d.Callers.Call(k, "", "")
 			}
@@ -203,21 +203,21 @@
 		},
 		"storm of changes": func() {
 			logf("storm of changes")
-			cx, end := context.WithTimeout(context.WithoutCancel(ctx), 30*time.Second)
+			actionCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), 30*time.Second)
 			var wg sync.WaitGroup
 			for i := range 12 {
 				a := stand.ChangeRequest{Token: fmt.Sprintf("storm-%d-%d", time.Now().UnixNano(), i), Edits: []spec.Edit{{Op: spec.PutService, Service: &spec.Service{Name: fmt.Sprintf("s%d", i%3)}}}}
 				if i%4 == 3 {
 					a.MustBeRefused, a.Edits = true, append(a.Edits, spec.Edit{Op: spec.RemoveBinding, Name: "none"})
 				}
-				wg.Go(func() { _, _ = d.SubmitUntilFinal(cx, a) })
+				wg.Go(func() { _, _ = d.SubmitUntilFinal(actionCtx, a) })
 			}
 			wg.Wait()
-			end()
+			cancel()
 		},
 	}
 	if d.Relays != nil {
-		mend := func() {
+		restoreLater := func() {
 			sleep(3000, 7000)
 			d.Relays.SetCut(nil)
 			sleep(1000, 2000)
@@ -227,19 +227,19 @@
 			z := zone()
 			logf("zone %s is cut off", z)
 			d.CutZones(z)
-			mend()
+			restoreLater()
 		}
 		actions["halves"] = func() {
 			a, b := zone(), zone()
 			logf("zones %s and %s are cut off from the rest", a, b)
 			d.CutZones(a, b)
-			mend()
+			restoreLater()
 		}
 		actions["node cut off"] = func() {
-			n, way := node().ID, rnd.IntN(3)
-			logf("%s is cut off, direction %d", n, way)
-			d.Relays.SetCut(func(from, to string) bool { return from == n && way != 1 || to == n && way != 0 })
-			mend()
+			n, direction := node().ID, rnd.IntN(3)
+			logf("%s is cut off, direction %d", n, direction)
+			d.Relays.SetCut(func(from, to string) bool { return from == n && direction != 1 || to == n && direction != 0 })
+			restoreLater()
 		}
 		actions["core cut apart"] = func() {
 			logf("the core nodes are cut off from each other and from the rest")
@@ -248,13 +248,13 @@
 				core[n.ID] = n.HasDisk
 			}
 			d.Relays.SetCut(func(from, to string) bool { return core[from] || core[to] })
-			mend()
+			restoreLater()
 		}
 		actions["link cut"] = func() {
 			a, b := node().ID, node().ID
 			logf("the path from %s to %s is cut", a, b)
 			d.Relays.SetCut(func(from, to string) bool { return from == a && to == b })
-			mend()
+			restoreLater()
 		}
 	}
 	return actions
--- a/tools/fleet/failures_test.go
+++ b/tools/fleet/failures_test.go
@@ -9,13 +9,13 @@
 	"walkrudder/tools/stand"
 )
 
-// The fleet can cause every failure of the list that it shares with the simulator, except those
+// The fleet can inject every failure of the list that it shares with the simulator, except those
 // that are marked as simulator-only.
 func TestFailuresAreAllBroughtAbout(t *testing.T) {
 	actions := failureActions(context.Background(), &stand.Deployment{Relays: stand.NewRelays()}, rand.New(rand.NewPCG(1, 1)))
 	for _, n := range stand.Failures {
 		if (actions[n] == nil) != slices.Contains(stand.SimulatorOnly, n) {
-			t.Errorf("%s: caused by the fleet %v, marked as simulator-only %v", n, actions[n] != nil, actions[n] == nil)
+			t.Errorf("%s: injected by the fleet %v, marked as simulator-only %v", n, actions[n] != nil, actions[n] == nil)
 		}
 	}
 	if len(actions)+len(stand.SimulatorOnly) != len(stand.Failures) {
--- a/tools/fleet/main.go
+++ b/tools/fleet/main.go
@@ -1,5 +1,5 @@
 // Command fleet runs a whole deployment as real processes on this machine with stand-in targets and
-// callers, and reports the checker's verdict.
+// callers, and prints what the checker found.
 package main
 
 import (
@@ -58,50 +58,50 @@
 	ctx, end := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer end()
 	defer d.Stop()
-	up, done := context.WithTimeout(ctx, 30*time.Second)
-	defer done()
+	startCtx, cancelStart := context.WithTimeout(ctx, 30*time.Second)
+	defer cancelStart()
 	began := time.Now()
-	if err := d.Start(up); err != nil {
+	if err := d.Start(startCtx); err != nil {
 		fmt.Fprintln(os.Stderr, "fleet:", err, "; logs in", a.Dir)
 		return 1
 	}
 	fmt.Printf("%s: %d processes, %d targets, serving after %.1f s; logs in %s\n", plan.Name, len(d.Fleet.Nodes), len(d.Targets), time.Since(began).Seconds(), a.Dir)
-	cx, stop := context.WithTimeout(ctx, a.For)
-	defer stop()
-	go d.Balancer.Run(cx)
-	ops := make(chan struct{})
+	runCtx, cancelRun := context.WithTimeout(ctx, a.For)
+	defer cancelRun()
+	go d.Balancer.Run(runCtx)
+	operatorDone := make(chan struct{})
 	go func() {
-		defer close(ops)
-		d.RunOperator(cx, func(n uint64) { fmt.Printf("version %d in force\n", n) })
+		defer close(operatorDone)
+		d.RunOperator(runCtx, func(n uint64) { fmt.Printf("version %d in force\n", n) })
 	}()
 	if a.Roll {
 		for _, x := range d.Targets {
 			x.MeanWork = 400 * time.Millisecond
 		}
-		go restartInTurn(cx, d)
+		go restartInTurn(runCtx, d)
 	}
 	if a.Fail {
 		// Failures end 20 s before the calls, so that the deployment can recover.
-		fx, fin := context.WithTimeout(cx, a.For-20*time.Second)
-		defer fin()
-		go injectFailures(fx, d, a.Seed)
+		failureCtx, cancelFailures := context.WithTimeout(runCtx, a.For-20*time.Second)
+		defer cancelFailures()
+		go injectFailures(failureCtx, d, a.Seed)
 	}
-	from := map[*stand.Node]stand.Usage{}
+	usageBefore := map[*stand.Node]stand.Usage{}
 	for _, n := range d.Fleet.Nodes {
-		from[n], _ = n.Usage()
+		usageBefore[n], _ = n.Usage()
 	}
 	began = time.Now()
-	d.Callers.Run(cx)
-	<-ops
-	printUsage(d, from, time.Since(began))
+	d.Callers.Run(runCtx)
+	<-operatorDone
+	printUsage(d, usageBefore, time.Since(began))
 	for _, l := range d.Rec.Timeline() {
 		fmt.Println(l)
 	}
-	jx, quit := context.WithTimeout(ctx, 20*time.Second)
-	defer quit()
-	v := d.Check(jx)
+	checkCtx, cancelCheck := context.WithTimeout(ctx, 20*time.Second)
+	defer cancelCheck()
+	v := d.Check(checkCtx)
 	if a.Fail && len(v.FailureCounts) == 0 {
-		v.Violations = append(v.Violations, "no failure was brought about")
+		v.Violations = append(v.Violations, "no failure was injected")
 	}
 	e := json.NewEncoder(os.Stdout)
 	e.SetIndent("", "  ")
@@ -114,12 +114,12 @@
 
 // printUsage prints the resource use of the processes and how long changes and leaves took to be
 // acknowledged.
-func printUsage(d *stand.Deployment, from map[*stand.Node]stand.Usage, elapsed time.Duration) {
+func printUsage(d *stand.Deployment, before map[*stand.Node]stand.Usage, elapsed time.Duration) {
 	for _, kind := range []string{"gateway", "controller"} {
 		var cpu, mem []float64
 		for _, n := range d.Fleet.NodesOf(kind) {
-			if u, ok := n.Usage(); ok && u.CPU >= from[n].CPU {
-				cpu = append(cpu, 100*float64(u.CPU-from[n].CPU)/float64(elapsed))
+			if u, ok := n.Usage(); ok && u.CPU >= before[n].CPU {
+				cpu = append(cpu, 100*float64(u.CPU-before[n].CPU)/float64(elapsed))
 				mem = append(mem, float64(u.RSS)/(1<<20))
 			}
 		}
@@ -127,10 +127,10 @@
 		fmt.Printf("each %s: %s %% of a core, %s MiB at most\n", kind, stand.SpreadOf(cpu, same), stand.SpreadOf(mem, same))
 	}
 	ms := func(elapsed time.Duration) float64 { return float64(elapsed.Microseconds()) / 1000 }
-	cx, end := context.WithTimeout(context.Background(), 5*time.Second)
-	defer end()
+	queryCtx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
+	defer cancel()
 	var p queries.FullState
-	if err := d.Query(cx, "show picture", &p); err != nil {
+	if err := d.Query(queryCtx, "show picture", &p); err != nil {
 		fmt.Println("suspicions not read:", err)
 	} else {
 		ns := stand.Suspicions(p)
--- a/tools/stand/caller.go
+++ b/tools/stand/caller.go
@@ -101,7 +101,7 @@
 	RunID     string // distinguishes the orders of different runs
 	lastOrder atomic.Uint64
 	wg        sync.WaitGroup
-	open      atomic.Int64
+	inFlight  atomic.Int64
 }
 
 var callClient = &http.Client{Timeout: 15 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 64, IdleConnTimeout: 10 * time.Second}}
@@ -125,12 +125,12 @@
 					return
 				case <-time.After(time.Until(next)):
 				}
-				if c.open.Load() >= maxOpenCalls {
+				if c.inFlight.Load() >= maxOpenCalls {
 					continue
 				}
-				c.open.Add(1)
+				c.inFlight.Add(1)
 				c.wg.Go(func() {
-					defer c.open.Add(-1)
+					defer c.inFlight.Add(-1)
 					c.CallWithRetries(k)
 				})
 			}
@@ -151,10 +151,12 @@
 }
 
 // Call makes one call and records its outcome; an empty order or address is replaced by a new one.
-func (c *Callers) Call(k CallKind, order, addr string) Outcome { return c.callAs(k, order, addr, "") }
+func (c *Callers) Call(k CallKind, order, addr string) Outcome {
+	return c.callAsClient(k, order, addr, "")
+}
 
-// callAs is Call with a client name. Calls of a named client do not count as valid.
-func (c *Callers) callAs(k CallKind, order, addr, client string) Outcome {
+// callAsClient is Call with a client name. Calls of a named client do not count as valid.
+func (c *Callers) callAsClient(k CallKind, order, addr, client string) Outcome {
 	if order == "" {
 		order = fmt.Sprintf("%s-%d", c.RunID, c.lastOrder.Add(1))
 	}
@@ -183,7 +185,7 @@
 	// The standard client retries by itself if a kept-alive connection turns out to be closed;
 	// a body without GetBody prevents that.
 	q.GetBody = nil
-	q.Header.Set(OrderField, order)
+	q.Header.Set(OrderHeader, order)
 	if client != "" {
 		q.Header.Set(httpapi.ClientHeader, client)
 	}
--- a/tools/stand/checker.go
+++ b/tools/stand/checker.go
@@ -18,8 +18,8 @@
 // NoNode is the error of a call that finds no ready node.
 const NoNode = "no ready node"
 
-// Verdict is the result of the checks.
-type Verdict struct {
+// CheckResult is the result of the checks of a run.
+type CheckResult struct {
 	Calls     int `json:"calls"`
 	Successes int `json:"successes"`
 	Refusals  int `json:"refusals"`
@@ -33,7 +33,9 @@
 	P50MS               float64        `json:"p50_ms"`
 	P99MS               float64        `json:"p99_ms"`
 	SlowestChangeMS     float64        `json:"slowest_change_ms"` // latest old behaviour after the acknowledgement
-	WidestSlipMS        float64        `json:"widest_slip_ms"`
+	// WidestSlipMS is the longest time for which the state before a change still showed after the
+	// change had first shown.
+	WidestSlipMS float64 `json:"widest_slip_ms"`
 	// ChangesShown counts the pairs of an acknowledged change and a gateway whose answers showed it.
 	ChangesShown int `json:"changes_shown_by_gateways"`
 	// RefusalReasons counts the refused calls by reason.
@@ -45,11 +47,16 @@
 	Violations    []string       `json:"broken,omitempty"`
 }
 
-// Limits of the promises, as the users set them.
+// Limits that the users set for what the system promises.
 const (
-	inForceWithin  = 2 * time.Second
-	slipWithin     = 250 * time.Millisecond
-	leaveWithin    = 2 * time.Second
+	// inForceWithin is how long after a change's acknowledgement the state before it may still show.
+	inForceWithin = 2 * time.Second
+	// slipWithin is how long the state before a change may still show after the change first showed.
+	slipWithin = 250 * time.Millisecond
+	// leaveWithin is how long after the acknowledgement of its leave a target may still get requests.
+	leaveWithin = 2 * time.Second
+	// In each extraWindow, a service may get extraAllowance extra sends, and extraRatio more for each
+	// send that is not extra.
 	extraWindow    = 10 * time.Second
 	extraRatio     = 0.2
 	extraAllowance = 70
@@ -58,16 +65,17 @@
 	readinessInterval = time.Second
 	// maxCallDuration is the longest that a call may take: the stand-ins bind no path with an expiry
 	// above 3 s, and neither a planned stop nor a pause extends it.
-	maxCallDuration  = 5 * time.Second
+	maxCallDuration = 5 * time.Second
+	// Of the valid calls of a run, refusalAllowance and a further share of refusalRatio may be refused.
 	refusalAllowance = 5
 	refusalRatio     = 1.0 / 500
 )
 
-// Check judges the run by the records of targets and callers only.
-func (r *Records) Check() Verdict {
+// Check checks the run against the records of targets, callers and operators only.
+func (r *Records) Check() CheckResult {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	v := Verdict{Calls: len(r.Outcomes), Executions: len(r.Execs), Classes: map[string]int{}, RefusalReasons: map[string]int{}, WorstExtraOverLimit: -extraAllowance, FailureCounts: maps.Clone(r.FailureCounts)}
+	v := CheckResult{Calls: len(r.Outcomes), Executions: len(r.Execs), Classes: map[string]int{}, RefusalReasons: map[string]int{}, WorstExtraOverLimit: -extraAllowance, FailureCounts: maps.Clone(r.FailureCounts)}
 	execs := lo.GroupBy(r.Execs, func(e Exec) string { return e.Order })
 	r.checkCalls(&v, execs)
 	r.checkAtMostOnce(&v, execs)
@@ -80,7 +88,7 @@
 	return v
 }
 
-func (v *Verdict) addViolation(format string, args ...any) {
+func (v *CheckResult) addViolation(format string, args ...any) {
 	if len(v.Violations) < 50 {
 		v.Violations = append(v.Violations, fmt.Sprintf(format, args...))
 	}
@@ -164,12 +172,12 @@
 	})
 }
 
-func (r *Records) checkCalls(v *Verdict, execs map[string][]Exec) {
+func (r *Records) checkCalls(v *CheckResult, execs map[string][]Exec) {
 	var took []time.Duration
-	proper := 0
+	valid := 0
 	for _, o := range r.Outcomes {
 		if o.Valid {
-			proper++
+			valid++
 		}
 		c := r.classify(o)
 		v.Classes[c]++
@@ -192,7 +200,7 @@
 			// The answer says that neither this call nor an earlier call for the same order ran. A
 			// later call may run, because the caller retries.
 			if n := lo.CountBy(execs[o.Order], func(e Exec) bool { return !e.At.After(o.Done) || strings.HasPrefix(e.SendID, o.Call+".") }); n > 0 && !o.Repeatable {
-				v.addViolation("call %s of order %s: told %q, but ran %d times", o.Call, o.Order, o.Code, n)
+				v.addViolation("call %s of order %s: answered %q, but ran %d times", o.Call, o.Order, o.Code, n)
 			}
 		case mayHaveRun:
 			v.Unknown++
@@ -205,7 +213,7 @@
 		v.P50, v.P99 = took[n/2], took[n*99/100]
 		v.P50MS, v.P99MS = ms(v.P50), ms(v.P99)
 	}
-	v.TooManyRefusals = float64(v.Refusals) > refusalAllowance+refusalRatio*float64(proper)
+	v.TooManyRefusals = float64(v.Refusals) > refusalAllowance+refusalRatio*float64(valid)
 }
 
 func ms(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
@@ -219,7 +227,7 @@
 	return e
 }
 
-func (r *Records) checkSuccess(v *Verdict, o Outcome, ex []Exec) {
+func (r *Records) checkSuccess(v *CheckResult, o Outcome, ex []Exec) {
 	st, err := httpapi.ParseStamp(o.Stamp)
 	switch {
 	case err != nil:
@@ -241,7 +249,7 @@
 	}
 }
 
-func (r *Records) checkAtMostOnce(v *Verdict, execs map[string][]Exec) {
+func (r *Records) checkAtMostOnce(v *CheckResult, execs map[string][]Exec) {
 	repeatable := map[string]bool{}
 	for _, o := range r.Outcomes {
 		repeatable[o.Order] = repeatable[o.Order] || o.Repeatable
@@ -256,19 +264,19 @@
 }
 
 // checkChangeResults finds contradictory results told to operators.
-func (r *Records) checkChangeResults(v *Verdict) {
-	at := map[uint64]string{}
+func (r *Records) checkChangeResults(v *CheckResult) {
+	tokenByVersion := map[uint64]string{}
 	for _, o := range r.Changes {
 		if o.AckedAt.IsZero() {
 			continue
 		}
 		if o.MustBeRefused {
-			v.addViolation("order %s was made to be refused, but is in force as version %d", o.Token, o.Version)
+			v.addViolation("change %s had to be refused, but is in force as version %d", o.Token, o.Version)
 		}
-		if t, dup := at[o.Version]; dup {
-			v.addViolation("orders %s and %s were both told that they are version %d", t, o.Token, o.Version)
+		if t, dup := tokenByVersion[o.Version]; dup {
+			v.addViolation("changes %s and %s were both acknowledged as version %d", t, o.Token, o.Version)
 		}
-		at[o.Version] = o.Token
+		tokenByVersion[o.Version] = o.Token
 	}
 }
 
@@ -304,13 +312,13 @@
 		}
 	}
 	for _, o := range effective {
-		sets := map[string]string{}
+		serviceByPath := map[string]string{}
 		replaceAll := func(s spec.Sheet) {
 			for _, p := range names {
-				sets[p] = ""
+				serviceByPath[p] = ""
 			}
 			for p, svc := range paths(s) {
-				sets[p] = svc
+				serviceByPath[p] = svc
 			}
 		}
 		if o.RollbackTo > 0 {
@@ -319,14 +327,14 @@
 		for _, e := range o.Edits {
 			switch e.Op {
 			case spec.PutBinding:
-				sets[e.Binding.Path] = e.Binding.Service
+				serviceByPath[e.Binding.Path] = e.Binding.Service
 			case spec.RemoveBinding:
-				sets[names[e.Name]] = ""
+				serviceByPath[names[e.Name]] = ""
 			case spec.Replace:
 				replaceAll(*e.Sheet)
 			}
 		}
-		for p, svc := range sets {
+		for p, svc := range serviceByPath {
 			out[p] = append(out[p], pathChange{o, svc})
 		}
 	}
@@ -356,7 +364,7 @@
 
 // checkServices finds requests that ran at a service to which no change submitted earlier bound the
 // path.
-func (r *Records) checkServices(v *Verdict) {
+func (r *Records) checkServices(v *CheckResult) {
 	pathChanges := r.pathChanges()
 	for _, e := range r.Execs {
 		changes := pathChanges[e.Path]
@@ -380,7 +388,7 @@
 
 // checkChanges determines, for each path and each acknowledged change of it, when the old state was
 // last observed and the new one first, at any gateway.
-func (r *Records) checkChanges(v *Verdict) {
+func (r *Records) checkChanges(v *CheckResult) {
 	gateways := map[string]string{}
 	observations := map[string][]observation{}
 	for _, o := range r.Outcomes {
@@ -405,9 +413,9 @@
 }
 
 // callID returns the call that a send belongs to.
-func callID(number string) string { return number[:max(strings.LastIndexByte(number, '.'), 0)] }
+func callID(sendID string) string { return sendID[:max(strings.LastIndexByte(sendID, '.'), 0)] }
 
-func (v *Verdict) checkChange(path string, c pathChange, all []pathChange, observations []observation) {
+func (v *CheckResult) checkChange(path string, c pathChange, all []pathChange, observations []observation) {
 	end, stateFrom := c.AckedAt.Add(time.Hour), c.SubmittedAt
 	for _, o := range all {
 		switch {
@@ -446,7 +454,7 @@
 			slip := s.from.Sub(first)
 			v.WidestSlipMS = max(v.WidestSlipMS, ms(slip))
 			if slip > slipWithin {
-				v.addViolation("version %d: %s showed %q at gateway %s %s after the change had shown (%s at %s, asked %s, acknowledged %s)", c.Version, path, s.service, s.gateway, slip,
+				v.addViolation("version %d: %s showed %q at gateway %s %s after the change had shown (%s at %s, submitted %s, acknowledged %s)", c.Version, path, s.service, s.gateway, slip,
 					s.source, s.from.Format("05.000"), c.SubmittedAt.Format("05.000"), c.AckedAt.Format("05.000"))
 			}
 		}
@@ -454,7 +462,7 @@
 	v.ChangesShown += len(shown)
 }
 
-func (r *Records) checkLeaves(v *Verdict) {
+func (r *Records) checkLeaves(v *CheckResult) {
 	for _, l := range r.Leaves {
 		for _, a := range r.Arrivals {
 			if a.Target == l.Target && a.Inc == l.Inc && a.At.Sub(l.AckedAt) > leaveWithin {
@@ -466,7 +474,7 @@
 
 // checkStops finds calls that a planned stop cut off. Calls that the platform sends until it polls the
 // readiness again count as well.
-func (r *Records) checkStops(v *Verdict) {
+func (r *Records) checkStops(v *CheckResult) {
 	for _, s := range r.Stops {
 		for _, o := range r.Outcomes {
 			if o.Gateway == s.Gateway && o.Err != "" && o.Done.After(s.From) && o.Sent.Before(s.From.Add(readinessInterval)) && !o.Done.After(s.End.Add(readinessInterval)) {
@@ -479,7 +487,7 @@
 // checkExtraSends slides a window over the requests that reached each service's targets, executed or
 // not. A send is extra if its call was sent before, or if its order has reached targets more often
 // than the caller made calls for it.
-func (r *Records) checkExtraSends(v *Verdict) {
+func (r *Records) checkExtraSends(v *CheckResult) {
 	type send struct {
 		at    time.Time
 		extra bool
--- a/tools/stand/checker_test.go
+++ b/tools/stand/checker_test.go
@@ -18,36 +18,36 @@
 
 func at(ms int) time.Time { return t0.Add(time.Duration(ms) * time.Millisecond) }
 
-// clean returns a short record in which every promise is kept.
-func clean() *Records {
+// cleanRecords returns short records without a violation.
+func cleanRecords() *Records {
 	r := NewRecords()
-	r.Changes = []ChangeRequest{order("one", 1, 0, service("old"), service("new"), put("/p", "old"), put("/q", "old")), order("two", 2, 1000, put("/p", "new"))}
+	r.Changes = []ChangeRequest{ackedChange("one", 1, 0, putService("old"), putService("new"), putBinding("/p", "old"), putBinding("/q", "old")), ackedChange("two", 2, 1000, putBinding("/p", "new"))}
 	for i := range 40 {
 		svc := "old"
 		if i > 10 {
 			svc = "new"
 		}
-		run(r, i, at(i*100), svc, "t-"+svc)
+		recordServedCall(r, i, at(i*100), svc, "t-"+svc)
 	}
 	r.RecordLeave(Leave{Target: "t-old", Inc: 1, AckedAt: at(1100)})
 	return r
 }
 
-// order is a change that was acknowledged 100 ms after it was submitted.
-func order(token string, n uint64, ms int, es ...spec.Edit) ChangeRequest {
+// ackedChange returns a change that was acknowledged 100 ms after it was submitted.
+func ackedChange(token string, n uint64, ms int, es ...spec.Edit) ChangeRequest {
 	return ChangeRequest{Token: token, Edits: es, SubmittedAt: at(ms), Outcome: commands.InForce, Version: n, AckedAt: at(ms + 100)}
 }
 
-func put(path, service string) spec.Edit {
+func putBinding(path, service string) spec.Edit {
 	return spec.Edit{Op: spec.PutBinding, Binding: &spec.Binding{Name: path[1:], Path: path, Service: service, Methods: []string{"GET"}, ExpiryMS: 100}}
 }
 
-func service(name string) spec.Edit {
+func putService(name string) spec.Edit {
 	return spec.Edit{Op: spec.PutService, Service: &spec.Service{Name: name}}
 }
 
-// run records a call that was executed once and succeeded.
-func run(r *Records, i int, t time.Time, svc, target string) {
+// recordServedCall records a call that was executed once and succeeded.
+func recordServedCall(r *Records, i int, t time.Time, svc, target string) {
 	o, n := fmt.Sprintf("o%d", i), fmt.Sprintf("n%d", i)
 	r.RecordArrival(Arrival{At: t, Target: target, Inc: 1, Service: svc, Order: o, SendID: n + ".1", Path: "/p"})
 	r.RecordExec(Exec{At: t, Target: target, Service: svc, Inc: 1, Order: o, SendID: n + ".1", Path: "/p", Digest: "d" + o})
@@ -65,7 +65,7 @@
 }
 
 func TestCheckerPassesACleanRecord(t *testing.T) {
-	if v := clean().Check(); len(v.Violations) > 0 || v.TooManyRefusals || v.Successes != 40 {
+	if v := cleanRecords().Check(); len(v.Violations) > 0 || v.TooManyRefusals || v.Successes != 40 {
 		t.Fatalf("%+v", v)
 	}
 }
@@ -87,31 +87,31 @@
 		"another body":               func(r *Records) { r.Outcomes[5].Digest = "other" },
 		"without the whole body":     func(r *Records) { r.Outcomes[5].BodyComplete = false },
 		"with the answer to":         func(r *Records) { r.Outcomes[5].BodyOrder = "o6" },
-		"no change allowed":          func(r *Records) { run(r, 90, at(500), "new", "t-new") },
+		"no change allowed":          func(r *Records) { recordServedCall(r, 90, at(500), "new", "t-new") },
 		"no change binds":            func(r *Records) { r.RecordExec(Exec{At: at(1), Service: "old", Order: "y", Path: "/r"}) },
-		"after the acknowledgement":  func(r *Records) { run(r, 91, at(3150), "old", "t-other") },
-		"after the change had shown": func(r *Records) { run(r, 92, at(1400), "old", "t-other") },
-		"after its leaving":          func(r *Records) { run(r, 93, at(3150), "old", "t-old") },
+		"after the acknowledgement":  func(r *Records) { recordServedCall(r, 91, at(3150), "old", "t-other") },
+		"after the change had shown": func(r *Records) { recordServedCall(r, 92, at(1400), "old", "t-other") },
+		"after its leaving":          func(r *Records) { recordServedCall(r, 93, at(3150), "old", "t-old") },
 		"valid, but answered 404": func(r *Records) {
 			r.RecordOutcome(Outcome{Order: "w", Path: "/p", Valid: true, Status: 404, Code: httpapi.NoBinding, Sent: at(500), Done: at(500)})
 		},
 		"version 3: /q still showed": func(r *Records) { // a removal that one gateway never applied
-			r.Changes = append(r.Changes, order("three", 3, 1500, spec.Edit{Op: spec.RemoveBinding, Name: "q"}))
+			r.Changes = append(r.Changes, ackedChange("three", 3, 1500, spec.Edit{Op: spec.RemoveBinding, Name: "q"}))
 			r.RecordArrival(Arrival{At: at(3700), Service: "old", Order: "u", SendID: "x.1", Path: "/q"})
 		},
 		`version 3: /q showed "old" at gateway f2 300ms after`: func(r *Records) { // one gateway falls behind another
-			r.Changes = append(r.Changes, order("three", 3, 1500, spec.Edit{Op: spec.Replace, Sheet: &spec.Sheet{}}))
+			r.Changes = append(r.Changes, ackedChange("three", 3, 1500, spec.Edit{Op: spec.Replace, Sheet: &spec.Sheet{}}))
 			r.RecordOutcome(Outcome{Order: "v", Call: "v", Gateway: "f1", Path: "/q", Status: 404, Code: httpapi.NoBinding, Sent: at(1550), Done: at(1550)})
 			r.RecordOutcome(Outcome{Order: "u", Call: "x", Gateway: "f2", Path: "/q", Status: 502, Code: httpapi.BadAnswer, Sent: at(1850), Done: at(1850)})
 			r.RecordArrival(Arrival{At: at(1850), Service: "old", Order: "u", SendID: "x.1", Path: "/q"})
 		},
 		`version 4: /q still showed ""`: func(r *Records) { // a rollback that one gateway never applied
-			r.Changes = append(r.Changes, order("three", 3, 1500, spec.Edit{Op: spec.RemoveBinding, Name: "q"}), order("four", 4, 2000))
+			r.Changes = append(r.Changes, ackedChange("three", 3, 1500, spec.Edit{Op: spec.RemoveBinding, Name: "q"}), ackedChange("four", 4, 2000))
 			r.Changes[3].RollbackTo = 2
 			r.RecordOutcome(Outcome{Order: "v", Call: "v", Gateway: "f1", Path: "/q", Status: 404, Code: httpapi.NoBinding, Sent: at(4200), Done: at(4200)})
 		},
-		"made to be refused": func(r *Records) { r.Changes[1].MustBeRefused = true },
-		"both told":          func(r *Records) { r.Changes = append(r.Changes, order("three", 2, 1500)) },
+		"had to be refused":              func(r *Records) { r.Changes[1].MustBeRefused = true },
+		"both acknowledged as version 2": func(r *Records) { r.Changes = append(r.Changes, ackedChange("three", 2, 1500)) },
 		"was held for 6s": func(r *Records) {
 			r.RecordOutcome(Outcome{Order: "h", Gateway: "f2", Sent: at(0), Done: at(6000), Err: "Timeout"})
 		},
@@ -133,7 +133,7 @@
 			r.RecordOutcome(Outcome{Order: "again", Call: "c", Sent: at(700)})
 		},
 	} {
-		r := clean()
+		r := cleanRecords()
 		plant(r)
 		v := r.Check()
 		if !strings.Contains(strings.Join(v.Violations, "\n"), want) {
@@ -151,7 +151,7 @@
 		earlierCall: {Status: 409, Code: httpapi.OutcomeUnknown},
 		mayHaveRun:  {Status: 502, Code: httpapi.OutcomeUnknown, Forwarded: true},
 	} {
-		r := clean()
+		r := cleanRecords()
 		r.Outages = []Outage{{Node: "f1", From: at(900), To: at(1100)}}
 		for i := range 6 {
 			o.Order, o.Path, o.Valid, o.Sent, o.Done = fmt.Sprint("b", i), "/p", true, at(1000), at(1000)
@@ -164,18 +164,18 @@
 }
 
 func TestTimelineTellsWhenCallsWereNotServed(t *testing.T) {
-	r := clean()
+	r := cleanRecords()
 	r.RecordOutcome(Outcome{Order: "b", Valid: true, Status: 503, Code: httpapi.BusyNotRun, RetryAfter: "1", Sent: at(2500), Done: at(2500)})
 	if l := r.Timeline(); len(l) != 1 || !strings.Contains(l[0], "of 11 calls map["+busy+":1]") {
 		t.Errorf("%q", l)
 	}
 }
 
-// A picture that lacks a decision, or contains a wrong one, is found and the fault is named.
+// A full state that lacks a decision, or contains a wrong one, is reported with the fault.
 func TestCheckerHoldsThePictureWhole(t *testing.T) {
 	leave := ledger.Note{Kind: ledger.NoteLeave, Target: &ledger.Target{ID: "t-old", Service: "old", Incarnation: 1}}
-	mk := func() (*Records, queries.FullState) {
-		r := clean()
+	cleanState := func() (*Records, queries.FullState) {
+		r := cleanRecords()
 		p := queries.FullState{Controller: "m", Decisions: []ledger.Note{leave, {Kind: ledger.NoteSuspect, Version: 7}}}
 		var s spec.Sheet
 		for i := range r.Changes {
@@ -186,29 +186,29 @@
 		p.Sheet = queries.SheetStatus{Version: 2, InForce: 2, Sheet: s}
 		return r, p
 	}
-	r, p := mk()
-	r.RecordShown(p)
-	if bad := r.CheckPicture(p); len(bad) > 0 || len(p.Sheet.Sheet.Bindings) != 2 {
-		t.Fatalf("a whole picture: %q", bad)
+	r, p := cleanState()
+	r.RecordShownState(p)
+	if bad := r.CheckFullState(p); len(bad) > 0 || len(p.Sheet.Sheet.Bindings) != 2 {
+		t.Fatalf("a complete full state: %q", bad)
 	}
 	for want, plant := range map[string]func(*Records, *queries.FullState){
-		"was shown and is missing":       func(_ *Records, p *queries.FullState) { p.Decisions = p.Decisions[:1] },
-		`told "leave" is missing`:        func(_ *Records, p *queries.FullState) { p.Decisions = p.Decisions[1:] },
-		`told "gone" is missing`:         func(r *Records, _ *queries.FullState) { r.RecordEviction(Leave{Target: "x", Inc: 3}) },
-		"version 2 of order two is miss": func(_ *Records, p *queries.FullState) { p.Changes = p.Changes[:1] },
-		"submitted by nobody":            func(_ *Records, p *queries.FullState) { p.Changes[1].Token = "who" },
-		"is version 1 and version 2":     func(r *Records, p *queries.FullState) { r.Changes[0].AckedAt, p.Changes[1].Token = time.Time{}, "one" },
-		"made to be refused":             func(r *Records, _ *queries.FullState) { r.Changes[1].MustBeRefused = true },
-		"in force is 1":                  func(_ *Records, p *queries.FullState) { p.Sheet.InForce = 1 },
-		"not the one that the orders give": func(_ *Records, p *queries.FullState) {
+		"was shown and is missing":                         func(_ *Records, p *queries.FullState) { p.Decisions = p.Decisions[:1] },
+		`informed of "leave", but the decision is missing`: func(_ *Records, p *queries.FullState) { p.Decisions = p.Decisions[1:] },
+		`informed of "gone", but the decision is missing`:  func(r *Records, _ *queries.FullState) { r.RecordEviction(Leave{Target: "x", Inc: 3}) },
+		"version 2 of change two is miss":                  func(_ *Records, p *queries.FullState) { p.Changes = p.Changes[:1] },
+		"submitted by nobody":                              func(_ *Records, p *queries.FullState) { p.Changes[1].Token = "who" },
+		"is both version 1 and version 2":                  func(r *Records, p *queries.FullState) { r.Changes[0].AckedAt, p.Changes[1].Token = time.Time{}, "one" },
+		"had to be refused":                                func(r *Records, _ *queries.FullState) { r.Changes[1].MustBeRefused = true },
+		"but version 1 is in force":                        func(_ *Records, p *queries.FullState) { p.Sheet.InForce = 1 },
+		"not the one that results from the changes": func(_ *Records, p *queries.FullState) {
 			p.Sheet.Sheet.Bindings = slices.Clone(p.Sheet.Sheet.Bindings)
 			p.Sheet.Sheet.Bindings[0].Service = "old"
 		},
 	} {
-		r, p := mk()
-		r.RecordShown(p)
+		r, p := cleanState()
+		r.RecordShownState(p)
 		plant(r, &p)
-		if got := strings.Join(r.CheckPicture(p), "\n"); !strings.Contains(got, want) {
+		if got := strings.Join(r.CheckFullState(p), "\n"); !strings.Contains(got, want) {
 			t.Errorf("planted %q, found %q", want, got)
 		}
 	}
--- a/tools/stand/deployment.go
+++ b/tools/stand/deployment.go
@@ -32,10 +32,10 @@
 	net      byte
 }
 
-// NewDeployment lays out a deployment; Start starts it. If wired, its connections can be cut.
-func NewDeployment(p Plan, dir, bin string, net byte, wired bool) (*Deployment, error) {
+// NewDeployment lays out a deployment; Start starts it. If withRelays is set, its connections can be cut.
+func NewDeployment(p Plan, dir, bin string, net byte, withRelays bool) (*Deployment, error) {
 	d := &Deployment{Plan: p, Rec: NewRecords(), net: net}
-	if wired {
+	if withRelays {
 		d.Relays = NewRelays()
 	}
 	f, err := NewFleet(p, dir, bin, net, d.Relays)
@@ -58,7 +58,7 @@
 				Addr: fmt.Sprintf("127.%d.2.%d:0", net, i), Capacity: 8, HeartbeatInterval: time.Second, MeanWork: 8 * time.Millisecond,
 				Rec: d.Rec}
 			x.Controllers = func() []string { return d.controllers(x.ID) }
-			if wired {
+			if withRelays {
 				if x.AnnouncedAddr, err = d.Relays.Listen(fmt.Sprintf("127.%d.4.%d:0", net, i), x.ID, func() string { return x.Addr }); err != nil {
 					return nil, err
 				}
@@ -235,7 +235,8 @@
 	return json.Unmarshal(v.Data, out)
 }
 
-// Suspicions lists the target runs that the ledger of a picture records as suspected.
+// Suspicions lists the target runs that a full state records as suspected, each with the time of the
+// suspicion.
 func Suspicions(p queries.FullState) (out []Crash) {
 	for _, n := range p.Decisions {
 		if n.Kind == ledger.NoteSuspect && n.Target != nil {
--- a/tools/stand/node.go
+++ b/tools/stand/node.go
@@ -113,7 +113,7 @@
 // NewFleet assigns loopback addresses in 127.net.0.0/16 to the nodes of a deployment, so that runs
 // with different values of net can share a machine. If relays are given, nodes reach each other
 // through them.
-func NewFleet(p Plan, dir, bin string, net byte, wires *Relays) (*Fleet, error) {
+func NewFleet(p Plan, dir, bin string, net byte, relays *Relays) (*Fleet, error) {
 	f := &Fleet{Dir: dir, Bin: bin, Core: min(3, p.Disks)}
 	for i := range p.Controllers + p.Gateways {
 		n := &Node{fleet: f}
@@ -131,10 +131,10 @@
 		if n.PublicAddr, err = FreeAddr(ip); err != nil {
 			return nil, err
 		}
-		if wires != nil {
-			wires.SetName(ip, n.ID)
+		if relays != nil {
+			relays.SetName(ip, n.ID)
 			n.ListenAddr = n.InternalAddr
-			if n.InternalAddr, err = wires.Listen(fmt.Sprintf("127.%d.3.%d:0", net, i+1), n.ID, func() string { return n.ListenAddr }); err != nil {
+			if n.InternalAddr, err = relays.Listen(fmt.Sprintf("127.%d.3.%d:0", net, i+1), n.ID, func() string { return n.ListenAddr }); err != nil {
 				return nil, err
 			}
 		}
@@ -204,6 +204,7 @@
 // Data returns the path of the node's data folder.
 func (n *Node) Data() string { return filepath.Join(n.fleet.Dir, n.ID+".data") }
 
+// Start starts the process. It fails if the process runs already.
 func (n *Node) Start() error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/tools/stand/outage.go
+++ b/tools/stand/outage.go
@@ -1,7 +1,7 @@
 package stand
 
-// OutageTracker records the outage of one node. It is not safe for concurrent use: its holder
-// guards it.
+// OutageTracker records the outage of one node. It is not safe for concurrent use: its owner
+// guards it by a lock.
 type OutageTracker struct {
 	Rec       *Records
 	Node      string
@@ -9,9 +9,9 @@
 }
 
 // Begin begins an outage unless one is in progress.
-func (s *OutageTracker) Begin(how string) {
+func (s *OutageTracker) Begin(cause string) {
 	if s.endOutage == nil {
-		s.endOutage = s.Rec.BeginOutage(s.Node, how)
+		s.endOutage = s.Rec.BeginOutage(s.Node, cause)
 	}
 }
 
--- a/tools/stand/picture.go
+++ b/tools/stand/picture.go
@@ -12,9 +12,9 @@
 	"walkrudder/internal/spec"
 )
 
-// RecordShown records a picture that an operator saw: all its decisions must be in every later
-// picture.
-func (r *Records) RecordShown(p queries.FullState) {
+// RecordShownState records a full state that an operator saw: all its decisions must be in every
+// later full state.
+func (r *Records) RecordShownState(p queries.FullState) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for k := range decisionSet(p) {
@@ -22,7 +22,7 @@
 	}
 }
 
-// decisionSet returns an identifying text for each decision of a picture.
+// decisionSet returns an identifying text for each decision of a full state.
 func decisionSet(p queries.FullState) map[string]bool {
 	m := map[string]bool{}
 	for _, c := range p.Changes {
@@ -35,10 +35,10 @@
 	return m
 }
 
-// CheckPicture compares a picture with what operators and targets were told: it must contain all that
-// was acknowledged or shown, nothing that nobody submitted, and the sheet that results from the
+// CheckFullState compares a full state with what operators and targets were told. It must contain all
+// that was acknowledged or shown, nothing that nobody submitted, and the sheet that results from the
 // operators' changes.
-func (r *Records) CheckPicture(p queries.FullState) (bad []string) {
+func (r *Records) CheckFullState(p queries.FullState) (bad []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	report := func(format string, args ...any) { bad = append(bad, p.Controller+": "+fmt.Sprintf(format, args...)) }
@@ -53,7 +53,7 @@
 		byToken[o.Token] = o
 	}
 	var s spec.Sheet
-	sheets, at := map[uint64]spec.Sheet{}, map[string]uint64{}
+	sheetByVersion, versionByToken := map[uint64]spec.Sheet{}, map[string]uint64{}
 	for _, c := range p.Changes {
 		o, ok := byToken[c.Token]
 		switch {
@@ -61,46 +61,46 @@
 			report("version %d was submitted by nobody (token %q)", c.Version, c.Token)
 			return bad
 		case o.MustBeRefused:
-			report("version %d is of order %s, which was made to be refused", c.Version, c.Token)
+			report("version %d is of change %s, which had to be refused", c.Version, c.Token)
 			return bad
 		case !o.AckedAt.IsZero() && o.Version != c.Version:
-			report("order %s was told version %d, and is version %d", c.Token, o.Version, c.Version)
-		case at[c.Token] > 0:
-			report("order %s is version %d and version %d", c.Token, at[c.Token], c.Version)
+			report("change %s was acknowledged as version %d, but is version %d", c.Token, o.Version, c.Version)
+		case versionByToken[c.Token] > 0:
+			report("change %s is both version %d and version %d", c.Token, versionByToken[c.Token], c.Version)
 		}
-		at[c.Token] = c.Version
+		versionByToken[c.Token] = c.Version
 		if o.RollbackTo > 0 {
-			s = sheets[o.RollbackTo]
+			s = sheetByVersion[o.RollbackTo]
 		} else {
-			var no []spec.Problem
-			if s, no = s.Apply(o.Edits); len(no) > 0 {
-				report("version %d of order %s does not apply to the version before: %v", c.Version, c.Token, no)
+			var problems []spec.Problem
+			if s, problems = s.Apply(o.Edits); len(problems) > 0 {
+				report("version %d of change %s does not apply to the version before: %v", c.Version, c.Token, problems)
 			}
 		}
-		sheets[c.Version] = s
+		sheetByVersion[c.Version] = s
 	}
 	for _, o := range r.Changes {
-		if !o.AckedAt.IsZero() && at[o.Token] == 0 {
-			report("acknowledged version %d of order %s is missing", o.Version, o.Token)
+		if !o.AckedAt.IsZero() && versionByToken[o.Token] == 0 {
+			report("acknowledged version %d of change %s is missing", o.Version, o.Token)
 		}
 		if o.Version > p.Sheet.InForce {
-			report("version %d was acknowledged, in force is %d", o.Version, p.Sheet.InForce)
+			report("version %d was acknowledged, but version %d is in force", o.Version, p.Sheet.InForce)
 		}
 	}
 	if x, y := s.Sorted(), p.Sheet.Sheet.Sorted(); len(p.Changes) > 0 && !sameSheet(x, y) {
-		report("the sheet is not the one that the orders give: %+v, and the orders give %+v", y, x)
+		report("the sheet is not the one that results from the changes: %+v, want %+v", y, x)
 	}
-	runs := func(kind string, ls []Leave) {
+	checkNotes := func(kind string, ls []Leave) {
 		for _, l := range ls {
 			if !lo.ContainsBy(p.Decisions, func(n ledger.Note) bool {
 				return n.Kind == kind && n.Target != nil && n.Target.ID == l.Target && n.Target.Incarnation == l.Inc
 			}) {
-				report("that %s/%d was told %q is missing", l.Target, l.Inc, kind)
+				report("%s/%d was informed of %q, but the decision is missing", l.Target, l.Inc, kind)
 			}
 		}
 	}
-	runs(ledger.NoteLeave, r.Leaves)
-	runs(ledger.NoteGone, r.Evictions)
+	checkNotes(ledger.NoteLeave, r.Leaves)
+	checkNotes(ledger.NoteGone, r.Evictions)
 	return bad
 }
 
--- a/tools/stand/records.go
+++ b/tools/stand/records.go
@@ -116,13 +116,14 @@
 	Stops     []Stop
 	Outages   []Outage
 	Crashes   []Crash
-	Evictions []Leave // target runs that were told of their removal
+	Evictions []Leave // target runs that were informed of their removal
 	// FailureCounts counts the failures that were caused, by name.
 	FailureCounts map[string]int
 	// shownDecisions holds every decision that an operator was ever shown.
 	shownDecisions map[string]bool
 }
 
+// NewRecords returns empty records.
 func NewRecords() *Records {
 	return &Records{FailureCounts: map[string]int{}, shownDecisions: map[string]bool{}}
 }
@@ -177,10 +178,10 @@
 }
 
 // BeginOutage records the begin of an outage; the returned function ends it.
-func (r *Records) BeginOutage(node, how string) func() {
+func (r *Records) BeginOutage(node, cause string) func() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.Outages = append(r.Outages, Outage{Node: node, Cause: how, From: time.Now()})
+	r.Outages = append(r.Outages, Outage{Node: node, Cause: cause, From: time.Now()})
 	i := len(r.Outages) - 1
 	return func() {
 		r.mu.Lock()
@@ -191,7 +192,7 @@
 	}
 }
 
-// RecordEviction records that a target run was told of its removal.
+// RecordEviction records that a target run was informed of its removal.
 func (r *Records) RecordEviction(l Leave) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -246,23 +247,23 @@
 	r.Crashes = append(r.Crashes, d)
 }
 
-// ClassifySuspicions counts the recorded suspicions of targets that had not crashed, and returns for
-// the others the time from the crash to the suspicion.
-func (r *Records) ClassifySuspicions(notes []Crash) (mistakes int, after []time.Duration) {
+// ClassifySuspicions counts the suspicions of targets that had not crashed. For each of the others it
+// returns the delay from the crash to the suspicion.
+func (r *Records) ClassifySuspicions(suspicions []Crash) (mistakes int, delays []time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, n := range notes {
-		right := false
+	for _, n := range suspicions {
+		crashed := false
 		for _, d := range r.Crashes {
 			if d.Target == n.Target && d.Inc == n.Inc && !n.At.Before(d.At) {
-				right = true
-				after = append(after, n.At.Sub(d.At))
+				crashed = true
+				delays = append(delays, n.At.Sub(d.At))
 				break
 			}
 		}
-		if !right {
+		if !crashed {
 			mistakes++
 		}
 	}
-	return mistakes, after
+	return mistakes, delays
 }
--- a/tools/stand/relays.go
+++ b/tools/stand/relays.go
@@ -145,7 +145,7 @@
 // holdBack waits while the path is cut and collects the data sent meanwhile. If the sender resets the
 // connection, the undelivered data is lost, as on a real network.
 func (w *Relays) holdBack(src net.Conn, buf []byte, from, to string) ([]byte, error) {
-	more := make([]byte, 32<<10)
+	chunk := make([]byte, 32<<10)
 	defer func() { _ = src.SetReadDeadline(time.Time{}) }()
 	var end error
 	for w.IsCut(from, to) {
@@ -154,8 +154,8 @@
 			continue
 		}
 		_ = src.SetReadDeadline(time.Now().Add(20 * time.Millisecond))
-		n, err := src.Read(more)
-		buf = append(buf, more[:n]...)
+		n, err := src.Read(chunk)
+		buf = append(buf, chunk[:n]...)
 		switch {
 		case err == nil || errors.Is(err, os.ErrDeadlineExceeded):
 		case err == io.EOF:
@@ -170,10 +170,10 @@
 // copyOneWay copies one direction of a connection. When one end closes, the other end learns of it
 // once the path is restored.
 func (w *Relays) copyOneWay(dst, src net.Conn, from, to string) {
-	room := make([]byte, 32<<10)
+	readBuf := make([]byte, 32<<10)
 	for {
-		n, err := src.Read(room)
-		buf := room[:n]
+		n, err := src.Read(readBuf)
+		buf := readBuf[:n]
 		if err == nil && w.IsCut(from, to) {
 			buf, err = w.holdBack(src, slices.Clone(buf), from, to)
 			n = len(buf)
--- a/tools/stand/relays_test.go
+++ b/tools/stand/relays_test.go
@@ -14,7 +14,7 @@
 		t.Fatal(err)
 	}
 	defer back.Close()
-	heard := make(chan string, 8)
+	received := make(chan string, 8)
 	go func() {
 		c, err := back.Accept()
 		if err != nil {
@@ -26,7 +26,7 @@
 			if err != nil {
 				return
 			}
-			heard <- s
+			received <- s
 			_, _ = fmt.Fprintf(c, "re %s", s)
 		}
 	}()
@@ -43,20 +43,20 @@
 	}
 	defer c.Close()
 	r := bufio.NewReader(c)
-	say := func(s string) { _, _ = fmt.Fprintln(c, s) }
-	hear := func() string { s, _ := r.ReadString('\n'); return s }
-	say("one")
-	if <-heard; hear() != "re one\n" {
+	send := func(s string) { _, _ = fmt.Fprintln(c, s) }
+	receive := func() string { s, _ := r.ReadString('\n'); return s }
+	send("one")
+	if <-received; receive() != "re one\n" {
 		t.Fatal("an uncut relay does not carry data")
 	}
 	// The path from b to a is cut: b receives, a does not.
 	w.SetCut(func(from, to string) bool { return from == "b" && to == "a" })
-	say("two")
-	if s := <-heard; s != "two\n" {
+	send("two")
+	if s := <-received; s != "two\n" {
 		t.Fatalf("the open direction carried %q", s)
 	}
 	got := make(chan string, 1)
-	go func() { got <- hear() }()
+	go func() { got <- receive() }()
 	if !w.IsCut("b", "a") || w.IsCut("a", "b") {
 		t.Error("the wrong direction is cut")
 	}
--- a/tools/stand/target.go
+++ b/tools/stand/target.go
@@ -116,11 +116,11 @@
 // the acknowledgement.
 func (t *Target) Leave(ctx context.Context) (time.Time, error) {
 	t.leaving.Store(true)
-	asked := time.Now()
+	requestedAt := time.Now()
 	for ctx.Err() == nil {
 		if a, err := t.sendHeartbeat(ctx); err == nil && a.Leaving {
 			at := time.Now()
-			t.Rec.RecordLeave(Leave{Target: t.ID, Inc: t.Inc(), RequestedAt: asked, AckedAt: at})
+			t.Rec.RecordLeave(Leave{Target: t.ID, Inc: t.Inc(), RequestedAt: requestedAt, AckedAt: at})
 			return at, nil
 		}
 		time.Sleep(50 * time.Millisecond)
@@ -148,16 +148,16 @@
 var heartbeatClient = &http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 4, IdleConnTimeout: 20 * time.Second}}
 
 func (t *Target) sendHeartbeat(ctx context.Context) (a httpapi.BeatResponse, err error) {
-	ms := t.Controllers()
+	addrs := t.Controllers()
 	b, _ := json.Marshal(httpapi.Beat{ID: t.ID, Service: t.Service, Zone: t.Zone, Addr: cmp.Or(t.AnnouncedAddr, t.Addr), Capacity: t.Capacity, Leaving: t.leaving.Load(),
 		Seq: t.seq.Add(1), Inc: t.Inc(), EveryMS: int(t.HeartbeatInterval.Milliseconds())})
 	err = errors.New("no controller")
-	for _, i := range rand.Perm(len(ms)) {
+	for _, i := range rand.Perm(len(addrs)) {
 		// The timeout is short so that another controller is tried soon. A leave takes longer, as it waits for gateways.
-		cx, end := context.WithTimeout(ctx, lo.Ternary(t.leaving.Load(), 5*time.Second, 800*time.Millisecond))
-		defer end()
+		callCtx, cancel := context.WithTimeout(ctx, lo.Ternary(t.leaving.Load(), 5*time.Second, 800*time.Millisecond))
+		defer cancel()
 		var q *http.Request
-		if q, err = http.NewRequestWithContext(cx, "POST", "http://"+ms[i]+httpapi.BeatPath, bytes.NewReader(b)); err != nil {
+		if q, err = http.NewRequestWithContext(callCtx, "POST", "http://"+addrs[i]+httpapi.BeatPath, bytes.NewReader(b)); err != nil {
 			return a, err
 		}
 		q.Header.Set("Content-Type", "application/json")
@@ -182,12 +182,12 @@
 	return hex.EncodeToString(h[:8])
 }
 
-// OrderField is the header that carries the caller's order to the target.
-const OrderField = "X-Order"
+// OrderHeader is the header that carries the caller's order to the target.
+const OrderHeader = "X-Order"
 
 func (t *Target) serve(w http.ResponseWriter, r *http.Request) {
 	m := Mode(t.mode.Load())
-	order := r.Header.Get(OrderField)
+	order := r.Header.Get(OrderHeader)
 	if r.URL.Path != httpapi.ProbePath {
 		t.Rec.RecordArrival(Arrival{At: time.Now(), Target: t.ID, Inc: t.Inc(), Service: t.Service, Order: order, SendID: r.Header.Get(httpapi.RequestHeader), Path: r.URL.Path})
 	}
--- a/tools/stand/usage.go
+++ b/tools/stand/usage.go
@@ -16,7 +16,7 @@
 	RSS int64 // peak, in bytes
 }
 
-// tickHZ is the unit of process times in /proc, which is fixed on Linux.
+// tickHZ is the number of ticks per second in which /proc counts process times. It is fixed on Linux.
 const tickHZ = 100
 
 // Usage reads the resource use of the node's process; ok is false if it does not run.
@@ -47,8 +47,8 @@
 
 // Spread holds the minimum, median and maximum of some figures.
 type Spread struct {
-	N                 int
-	Least, Mid, Worst float64
+	N                int
+	Min, Median, Max float64
 }
 
 // SpreadOf returns the spread of xs, converted by f.
@@ -62,5 +62,5 @@
 }
 
 func (s Spread) String() string {
-	return fmt.Sprintf("%.1f (%.1f to %.1f, %d)", s.Mid, s.Least, s.Worst, s.N)
+	return fmt.Sprintf("%.1f (%.1f to %.1f, %d)", s.Median, s.Min, s.Max, s.N)
 }
