--- a/internal/sim/chaos.go
+++ b/internal/sim/chaos.go
@@ -139,10 +139,12 @@
 	})
 }
 
+// failureDelay draws a delay of least to most milliseconds for the failures.
 func (w *World) failureDelay(least, most int) time.Duration {
 	return w.randomDelay("chaos", least, most)
 }
 
+// randomDelay draws a delay of least to most milliseconds for a purpose.
 func (w *World) randomDelay(name string, least, most int) time.Duration {
 	return time.Duration(least+w.RandN(name, most-least)) * time.Millisecond
 }
@@ -171,7 +173,7 @@
 
 // killTogether kills nodes at the same time; they restart one by one.
 func (w *World) killTogether(ns []*Node) bool {
-	w.logf("kill %d nodes at once", len(ns))
+	w.logf("kill %d nodes at the same time", len(ns))
 	for _, n := range ns {
 		n.Kill()
 		w.after(w.failureDelay(500, 3000), n.Start)
@@ -489,7 +491,7 @@
 	}
 }
 
-// makeTargetMisbehave sets a random mode of misbehaviour at a target for a while.
+// makeTargetMisbehave sets a random mode of misbehaviour on a target for a while.
 func (w *World) makeTargetMisbehave() bool {
 	live := w.liveTargets()
 	t := live[w.FailureRandN(len(live))]
--- a/internal/sim/day/caller.go
+++ b/internal/sim/day/caller.go
@@ -98,10 +98,10 @@
 
 // attempt sends one request over an idle connection or a new one. unsent reports that no byte of
 // it was accepted.
-func (cr *callerPool) attempt(q *Request, deadline time.Time, fresh bool) (unsent bool) {
+func (cr *callerPool) attempt(q *Request, deadline time.Time, newConn bool) (unsent bool) {
 	w := cr.world
 	var s *callerConn
-	if !fresh && w.randIntN(3) > 0 {
+	if !newConn && w.randIntN(3) > 0 {
 		s = cr.takeIdle()
 	}
 	if s == nil {
--- a/internal/sim/day/target.go
+++ b/internal/sim/day/target.go
@@ -32,9 +32,9 @@
 	mu             sync.Mutex
 	fault          TargetFault
 	state          target.State
-	active         int
+	usedSlots      int
 	queue          []chan struct{}
-	conns          int
+	connCount      int
 	seq            uint64
 	homeController string
 	reportedGone   bool          // it has reported that it is gone but keeps serving
@@ -82,7 +82,7 @@
 	}
 	time.Sleep(t.world.Deployment.Bounds.Drain + 1500*time.Millisecond)
 	for range 3 {
-		if t.report(true) {
+		if t.sendReport(true) {
 			break
 		}
 	}
@@ -100,7 +100,7 @@
 	t.reportedGone = true
 	t.mu.Unlock()
 	for range 6 {
-		if t.proc.Ended() || t.report(true) {
+		if t.proc.Ended() || t.sendReport(true) {
 			break
 		}
 		time.Sleep(200 * time.Millisecond)
@@ -140,7 +140,7 @@
 			return
 		}
 		draining = t.currentState() == target.Draining
-		ok := t.report(false)
+		ok := t.sendReport(false)
 		wait = heartbeatInterval*95/100 + t.world.randDuration(heartbeatInterval/10)
 		switch {
 		case draining && ok:
@@ -161,9 +161,9 @@
 	}
 }
 
-// report sends one heartbeat or end report to the home controller or, if that fails, to others in turn. It
+// sendReport sends one heartbeat or end report to the home controller or, if that fails, to others in turn. It
 // returns whether one was acknowledged.
-func (t *Target) report(ending bool) bool {
+func (t *Target) sendReport(ending bool) bool {
 	w := t.world
 	t.mu.Lock()
 	t.seq++
@@ -252,13 +252,13 @@
 		}
 		c := nc.(*simnet.Conn)
 		t.mu.Lock()
-		t.conns++
-		full := t.conns > t.world.Deployment.MaxConns
+		t.connCount++
+		full := t.connCount > t.world.Deployment.MaxConns
 		t.mu.Unlock()
 		t.world.targets.wg.Go(func() {
 			defer func() {
 				t.mu.Lock()
-				t.conns--
+				t.connCount--
 				t.mu.Unlock()
 			}()
 			if full {
--- a/internal/sim/day/target_request.go
+++ b/internal/sim/day/target_request.go
@@ -79,8 +79,8 @@
 		t.mu.Unlock()
 		return errFull
 	}
-	if t.active < t.world.Deployment.Slots {
-		t.active++
+	if t.usedSlots < t.world.Deployment.Slots {
+		t.usedSlots++
 		t.mu.Unlock()
 		return nil
 	}
@@ -128,7 +128,7 @@
 		t.queue = t.queue[1:]
 		return
 	}
-	t.active--
+	t.usedSlots--
 }
 
 // run performs the work and responds.
--- a/internal/sim/day/upgrade.go
+++ b/internal/sim/day/upgrade.go
@@ -40,7 +40,7 @@
 		return false, false
 	}
 	t.mu.Lock()
-	busy := t.active >= w.Deployment.Slots
+	busy := t.usedSlots >= w.Deployment.Slots
 	t.mu.Unlock()
 	if f.UnderLoad && !busy {
 		return false, false
@@ -99,7 +99,7 @@
 func (o *operator) orderUpgrade(x *UpgradeOrder) bool {
 	w := o.world
 	for until := w.now() + x.Term; !w.isFinished() && w.now() < until; time.Sleep(100 * time.Millisecond) {
-		_, err := o.upgradeCall(func(ctx context.Context, n *control.Node) (upgrade.Upgrade, error) {
+		_, err := o.callRandomController(func(ctx context.Context, n *control.Node) (upgrade.Upgrade, error) {
 			return upgrade.Upgrade{}, n.StartUpgrade(ctx, nil, upgrade.Order{Service: x.Service, To: x.Version, Term: x.Term})
 		})
 		if control.IsRefusedOrder(err) {
@@ -113,8 +113,8 @@
 	return false
 }
 
-// upgradeCall makes one call to a random controller.
-func (o *operator) upgradeCall(f func(context.Context, *control.Node) (upgrade.Upgrade, error)) (upgrade.Upgrade, error) {
+// callRandomController makes one call to a random controller.
+func (o *operator) callRandomController(f func(context.Context, *control.Node) (upgrade.Upgrade, error)) (upgrade.Upgrade, error) {
 	m := pickOne(o.world, o.world.controllers())
 	ctx, cancel := context.WithTimeout(o.world.ctx, 1500*time.Millisecond)
 	defer cancel()
@@ -135,7 +135,7 @@
 	w, ended := o.world, false
 	for !w.isFinished() {
 		from := w.now()
-		u, err := o.upgradeCall(func(ctx context.Context, n *control.Node) (upgrade.Upgrade, error) { return n.Upgrade(ctx, x.Service) })
+		u, err := o.callRandomController(func(ctx context.Context, n *control.Node) (upgrade.Upgrade, error) { return n.Upgrade(ctx, x.Service) })
 		if err == nil || errors.Is(err, control.ErrNoUpgrade) {
 			w.updateRecord(func(*Record) {
 				x.Reads = append(x.Reads, UpgradeRead{from, w.now(), u.To, u.Phase})
--- a/internal/sim/model/actors.go
+++ b/internal/sim/model/actors.go
@@ -43,7 +43,7 @@
 // waitTurnAndAdvance does the same; the waking step advances the model's time by d.
 func (w *World) waitTurnAndAdvance(who string, d time.Duration) {
 	woken := make(chan struct{})
-	w.enqueue(&event{kind: wakeEvent, owner: who, what: "actor", fire: func() {
+	w.enqueue(&event{kind: wakeEvent, owner: who, label: "actor", fire: func() {
 		w.advance(d)
 		close(woken)
 	}})
@@ -96,7 +96,7 @@
 func Inject(name string, f func(w *World)) Actor {
 	return Actor{name, func(w *World) {
 		done := make(chan struct{})
-		w.enqueue(&event{kind: wakeEvent, owner: "script", what: name, fire: func() { f(w); close(done) }})
+		w.enqueue(&event{kind: wakeEvent, owner: "script", label: name, fire: func() { f(w); close(done) }})
 		select {
 		case <-done:
 		case <-w.actorCtx.Done():
@@ -114,12 +114,12 @@
 
 // TogglePartition cuts a node off from all others, or reconnects it.
 func TogglePartition(id string) Actor {
-	return Inject(id+" is cut off, or joined again", func(w *World) { w.togglePartition(w.nodes[id]) })
+	return Inject(id+" is cut off, or reconnected", func(w *World) { w.togglePartition(w.nodes[id]) })
 }
 
 // Partition separates a group of nodes from all others and reconnects all paths within each side.
 func Partition(group ...string) Actor {
-	return Inject(fmt.Sprint(group, " are cut from the others"), func(w *World) { w.partition(group) })
+	return Inject(fmt.Sprint(group, " are cut off from the others"), func(w *World) { w.partition(group) })
 }
 
 // Read reads the configuration at a node.
--- a/internal/sim/model/choices.go
+++ b/internal/sim/model/choices.go
@@ -50,7 +50,7 @@
 		out = append(out, w.zoneLosses()...)
 	}
 	if w.remaining.Timeouts > 0 {
-		out = append(out, choice{"time-outs pass", func() { w.remaining.Timeouts--; time.Sleep(timeoutSpan) }})
+		out = append(out, choice{"pending waits time out", func() { w.remaining.Timeouts--; time.Sleep(timeoutSpan) }})
 	}
 	if w.remaining.PowerLosses > 0 {
 		out = append(out, choice{"power off everywhere", func() { w.remaining.PowerLosses--; w.powerOff(nil) }})
@@ -75,10 +75,10 @@
 		return []choice{{n.id + " starts", n.boot}}
 	}
 	if w.remaining.Freezes > 0 || n.frozen.Load() {
-		out = append(out, choice{n.id + " stands still, or wakes", func() { w.remaining.Freezes--; n.frozen.Store(!n.frozen.Load()) }})
+		out = append(out, choice{n.id + " is frozen, or resumed", func() { w.remaining.Freezes--; n.frozen.Store(!n.frozen.Load()) }})
 	}
 	if w.remaining.OneWayPartitions > 0 {
-		out = append(out, choice{n.id + " is not heard, or heard again", func() { w.remaining.OneWayPartitions--; w.toggleOutbound(n) }})
+		out = append(out, choice{n.id + " is cut off in the outgoing direction, or reconnected", func() { w.remaining.OneWayPartitions--; w.toggleOutbound(n) }})
 	}
 	if w.remaining.Crashes > 0 {
 		kept := []int{0}
@@ -96,7 +96,7 @@
 		out = append(out, choice{n.id + " loses its disk and starts", func() { w.remaining.DiskLosses--; n.loseDisk() }})
 	}
 	if w.remaining.Partitions > 0 {
-		out = append(out, choice{n.id + " is cut off, or joined again", func() { w.remaining.Partitions--; w.togglePartition(n) }})
+		out = append(out, choice{n.id + " is cut off, or reconnected", func() { w.remaining.Partitions--; w.togglePartition(n) }})
 	}
 	return out
 }
--- a/internal/sim/model/clock.go
+++ b/internal/sim/model/clock.go
@@ -24,7 +24,7 @@
 		return err
 	}
 	woken := make(chan struct{})
-	e := &event{kind: wakeEvent, owner: c.n.id, what: "sleeper", actor: actorFrom(ctx), fire: func() { close(woken) }}
+	e := &event{kind: wakeEvent, owner: c.n.id, label: "sleeper", actor: actorFrom(ctx), fire: func() { close(woken) }}
 	c.w.enqueue(e)
 	select {
 	case <-woken:
--- a/internal/sim/model/disk.go
+++ b/internal/sim/model/disk.go
@@ -119,7 +119,7 @@
 	h.pending = append(h.pending, puts...)
 	h.mu.Unlock()
 	done := make(chan struct{})
-	h.w.enqueue(&event{kind: syncEvent, owner: h.n.id, what: "disk", fire: func() {
+	h.w.enqueue(&event{kind: syncEvent, owner: h.n.id, label: "disk", fire: func() {
 		h.crash(len(h.pending))
 		close(done)
 	}})
--- a/internal/sim/model/event.go
+++ b/internal/sim/model/event.go
@@ -15,9 +15,9 @@
 	owner string // the node that the event belongs to
 	from  string
 	to    string
-	what  string
+	label string
 	actor string // the actor whose call caused the event
-	// request is the content of a request, and origin the request that a reply answers: they tell apart
+	// request is the content of a request, and origin the request that a reply answers. They distinguish
 	// events that are otherwise alike.
 	request   any
 	origin    origin
@@ -43,16 +43,16 @@
 
 func (e *event) String() string {
 	if e.from == "" {
-		return fmt.Sprintf("%s %s %s", kindNames[e.kind], e.owner, e.what)
+		return fmt.Sprintf("%s %s %s", kindNames[e.kind], e.owner, e.label)
 	}
-	return fmt.Sprintf("%s %s>%s %s", kindNames[e.kind], e.from, e.to, e.what)
+	return fmt.Sprintf("%s %s>%s %s", kindNames[e.kind], e.from, e.to, e.label)
 }
 
 // compareEvents orders the events that one step caused, so that a schedule means the same in every
 // run, independently of goroutine scheduling.
 func compareEvents(a, b *event) int {
 	c := cmp.Or(cmp.Compare(a.kind, b.kind), cmp.Compare(a.from, b.from), cmp.Compare(a.to, b.to),
-		cmp.Compare(a.owner, b.owner), cmp.Compare(a.what, b.what), cmp.Compare(a.actor, b.actor),
+		cmp.Compare(a.owner, b.owner), cmp.Compare(a.label, b.label), cmp.Compare(a.actor, b.actor),
 		cmp.Compare(a.origin.id, b.origin.id), cmp.Compare(a.origin.arrival, b.origin.arrival))
 	if c == 0 {
 		return compareRequests(a.request, b.request)
--- a/internal/sim/model/network.go
+++ b/internal/sim/model/network.go
@@ -32,10 +32,10 @@
 	results := make(chan result, 1)
 	var once sync.Once
 	deliver := func(r result) { once.Do(func() { results <- r }) }
-	what := reflect.TypeOf(ask).Name()
+	label := reflect.TypeOf(ask).Name()
 	lost := func() { deliver(result{err: errMessageLost}) }
 	actor := actorFrom(ctx)
-	request := &event{kind: requestEvent, owner: p.n.id, from: p.n.id, to: to, what: what, actor: actor, request: ask, lose: lost}
+	request := &event{kind: requestEvent, owner: p.n.id, from: p.n.id, to: to, label: label, actor: actor, request: ask, lose: lost}
 	arrivals := 0
 	arrive := func(deliver func(result)) {
 		m := message{p.n.id, to, actor, ask, origin{request.id, arrivals}}
@@ -87,8 +87,8 @@
 
 // reply sends the answer to a request.
 func (w *World) reply(m message, r result, deliver func(result)) {
-	what := reflect.TypeOf(m.ask).Name()
-	w.enqueue(&event{kind: replyEvent, owner: m.to, from: m.to, to: m.from, what: what, actor: m.actor, origin: m.origin, fire: func() {
+	label := reflect.TypeOf(m.ask).Name()
+	w.enqueue(&event{kind: replyEvent, owner: m.to, from: m.to, to: m.from, label: label, actor: m.actor, origin: m.origin, fire: func() {
 		if w.cut(m.to, m.from) {
 			r = result{err: errMessageLost}
 		}
--- a/tools/fleet/failures.go
+++ b/tools/fleet/failures.go
@@ -25,7 +25,7 @@
 		case <-time.After(time.Duration(least+rnd.IntN(most-least)) * time.Millisecond):
 		}
 	}
-	node := func() *stand.Node { return d.Fleet.Nodes[rnd.IntN(len(d.Fleet.Nodes))] }
+	randomNode := func() *stand.Node { return d.Fleet.Nodes[rnd.IntN(len(d.Fleet.Nodes))] }
 	start := func(ns ...*stand.Node) {
 		for _, n := range ns {
 			if !n.Running() {
@@ -35,10 +35,10 @@
 			}
 		}
 	}
-	lost := map[*stand.Target]bool{}
-	target := func() *stand.Target {
+	removed := map[*stand.Target]bool{}
+	randomTarget := func() *stand.Target {
 		for {
-			if x := d.Targets[rnd.IntN(len(d.Targets))]; !lost[x] {
+			if x := d.Targets[rnd.IntN(len(d.Targets))]; !removed[x] {
 				return x
 			}
 		}
@@ -66,35 +66,35 @@
 		sleep(500, 3000)
 		start(ns...)
 	}
-	disks := func() []*stand.Node {
+	diskNodes := func() []*stand.Node {
 		return lo.Filter(d.Fleet.NodesOf("controller"), func(n *stand.Node, _ int) bool { return n.HasDisk })
 	}
 	actions := map[string]func(){
 		"node killed": func() {
-			n := node()
+			n := randomNode()
 			logf("kill %s", n.ID)
 			n.Kill()
 			sleep(300, 2500)
 			start(n)
 		},
 		"node frozen": func() {
-			n := node()
+			n := randomNode()
 			logf("freeze %s", n.ID)
 			n.Freeze()
 			sleep(200, 4000)
 			n.Unfreeze()
 		},
 		"node stopped as planned": func() {
-			n := node()
+			n := randomNode()
 			logf("stop %s as planned", n.ID)
 			if !n.Terminate() {
 				logf("%s did not stop in time and was killed", n.ID)
 			}
 			start(n)
 		},
-		"core killed": func() { killTogether("the whole core", disks()) },
+		"core killed": func() { killTogether("the whole core", diskNodes()) },
 		"disk lost": func() {
-			ds := disks()
+			ds := diskNodes()
 			n := ds[rnd.IntN(len(ds))]
 			logf("wipe the disk of %s", n.ID)
 			n.Kill()
@@ -104,7 +104,7 @@
 			sleep(8000, 9000)
 		},
 		"target misbehaved": func() {
-			x := target()
+			x := randomTarget()
 			m := []stand.Mode{stand.Slow, stand.Silent, stand.ClosingAfterRun, stand.BadStamp, stand.Truncating, stand.Refusing, stand.Swapping, stand.Unresponsive}[rnd.IntN(8)]
 			logf("%s misbehaves: mode %d", x.ID, m)
 			x.SetMode(m, 50)
@@ -112,14 +112,14 @@
 			x.SetMode(stand.Healthy, 100)
 		},
 		"target crashed": func() {
-			x := target()
+			x := randomTarget()
 			logf("%s crashes", x.ID)
 			x.Crash()
 			sleep(2000, 4000)
 			restart(x)
 		},
 		"target left": func() {
-			x := target()
+			x := randomTarget()
 			logf("%s leaves", x.ID)
 			if leaveAndStop(x, 3000) {
 				sleep(2000, 2500)
@@ -129,7 +129,7 @@
 		"address passed on": func() {
 			// The address of a target passes to a target of another service 2 s after the
 			// first one disappeared.
-			x := target()
+			x := randomTarget()
 			svc := x.Service
 			for n := range d.Plan.Targets {
 				if n != x.Service {
@@ -170,26 +170,26 @@
 			}
 		},
 		"release": func() {
-			x := target()
+			x := randomTarget()
 			logf("replace the targets of %s one by one", x.Service)
 			for _, y := range d.Targets {
-				if y.Service == x.Service && !lost[y] && ctx.Err() == nil && leaveAndStop(y, 1200) {
+				if y.Service == x.Service && !removed[y] && ctx.Err() == nil && leaveAndStop(y, 1200) {
 					restart(y)
 					sleep(300, 600)
 				}
 			}
 		},
 		"target removed": func() {
-			if x := target(); len(lost) < 4 {
+			if x := randomTarget(); len(removed) < 4 {
 				logf("remove %s", x.ID)
-				lost[x] = true
+				removed[x] = true
 				leaveAndStop(x, 4000)
 			}
 		},
 		"target lost for good": func() {
-			if x := target(); len(lost) < 4 {
+			if x := randomTarget(); len(removed) < 4 {
 				logf("%s is lost permanently", x.ID)
-				lost[x] = true
+				removed[x] = true
 				x.Crash()
 			}
 		},
@@ -222,21 +222,21 @@
 			d.Relays.SetCut(nil)
 			sleep(1000, 2000)
 		}
-		zone := func() string { return fmt.Sprintf("z%d", 1+rnd.IntN(d.Plan.Zones)) }
+		randomZone := func() string { return fmt.Sprintf("z%d", 1+rnd.IntN(d.Plan.Zones)) }
 		actions["zone cut off"] = func() {
-			z := zone()
+			z := randomZone()
 			logf("zone %s is cut off", z)
 			d.CutZones(z)
 			restoreLater()
 		}
 		actions["halves"] = func() {
-			a, b := zone(), zone()
+			a, b := randomZone(), randomZone()
 			logf("zones %s and %s are cut off from the rest", a, b)
 			d.CutZones(a, b)
 			restoreLater()
 		}
 		actions["node cut off"] = func() {
-			n, direction := node().ID, rnd.IntN(3)
+			n, direction := randomNode().ID, rnd.IntN(3)
 			logf("%s is cut off, direction %d", n, direction)
 			d.Relays.SetCut(func(from, to string) bool { return from == n && direction != 1 || to == n && direction != 0 })
 			restoreLater()
@@ -251,7 +251,7 @@
 			restoreLater()
 		}
 		actions["link cut"] = func() {
-			a, b := node().ID, node().ID
+			a, b := randomNode().ID, randomNode().ID
 			logf("the path from %s to %s is cut", a, b)
 			d.Relays.SetCut(func(from, to string) bool { return from == a && to == b })
 			restoreLater()
--- a/tools/fleet/main.go
+++ b/tools/fleet/main.go
@@ -138,5 +138,5 @@
 		fmt.Printf("suspected by mistake: %d of %d; crashed targets suspected after %s ms\n", bad, len(ns), stand.SpreadOf(after, ms))
 	}
 	cs, ls := d.Rec.AckLatencies()
-	fmt.Printf("change in force after %s ms, leaving acknowledged after %s ms\n", stand.SpreadOf(cs, ms), stand.SpreadOf(ls, ms))
+	fmt.Printf("change in force after %s ms, leave acknowledged after %s ms\n", stand.SpreadOf(cs, ms), stand.SpreadOf(ls, ms))
 }
--- a/tools/stand/caller.go
+++ b/tools/stand/caller.go
@@ -106,8 +106,8 @@
 
 var callClient = &http.Client{Timeout: 15 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 64, IdleConnTimeout: 10 * time.Second}}
 
-// maxOpenCalls bounds the calls in flight.
-const maxOpenCalls = 2000
+// maxInFlight bounds the calls in flight.
+const maxInFlight = 2000
 
 // Run makes calls until ctx ends, then waits for the calls in flight.
 func (c *Callers) Run(ctx context.Context) {
@@ -125,7 +125,7 @@
 					return
 				case <-time.After(time.Until(next)):
 				}
-				if c.inFlight.Load() >= maxOpenCalls {
+				if c.inFlight.Load() >= maxInFlight {
 					continue
 				}
 				c.inFlight.Add(1)
--- a/tools/stand/checker.go
+++ b/tools/stand/checker.go
@@ -466,7 +466,7 @@
 	for _, l := range r.Leaves {
 		for _, a := range r.Arrivals {
 			if a.Target == l.Target && a.Inc == l.Inc && a.At.Sub(l.AckedAt) > leaveWithin {
-				v.addViolation("target %s got order %s %s after its leaving was acknowledged", l.Target, a.Order, a.At.Sub(l.AckedAt))
+				v.addViolation("target %s got order %s %s after its leave was acknowledged", l.Target, a.Order, a.At.Sub(l.AckedAt))
 			}
 		}
 	}
--- a/tools/stand/checker_test.go
+++ b/tools/stand/checker_test.go
@@ -91,7 +91,7 @@
 		"no change binds":            func(r *Records) { r.RecordExec(Exec{At: at(1), Service: "old", Order: "y", Path: "/r"}) },
 		"after the acknowledgement":  func(r *Records) { recordServedCall(r, 91, at(3150), "old", "t-other") },
 		"after the change had shown": func(r *Records) { recordServedCall(r, 92, at(1400), "old", "t-other") },
-		"after its leaving":          func(r *Records) { recordServedCall(r, 93, at(3150), "old", "t-old") },
+		"after its leave":            func(r *Records) { recordServedCall(r, 93, at(3150), "old", "t-old") },
 		"valid, but answered 404": func(r *Records) {
 			r.RecordOutcome(Outcome{Order: "w", Path: "/p", Valid: true, Status: 404, Code: httpapi.NoBinding, Sent: at(500), Done: at(500)})
 		},
--- a/tools/stand/deployment.go
+++ b/tools/stand/deployment.go
@@ -81,14 +81,14 @@
 
 // CutZones cuts the given zones off from the others, including their targets.
 func (d *Deployment) CutZones(zs ...string) {
-	side := map[string]bool{}
+	isolated := map[string]bool{}
 	for _, n := range d.Fleet.Nodes {
-		side[n.ID] = lo.Contains(zs, n.Zone)
+		isolated[n.ID] = lo.Contains(zs, n.Zone)
 	}
 	for _, x := range d.Targets {
-		side[x.ID] = lo.Contains(zs, x.Zone)
+		isolated[x.ID] = lo.Contains(zs, x.Zone)
 	}
-	d.Relays.SetCut(func(a, b string) bool { return a != "" && b != "" && side[a] != side[b] })
+	d.Relays.SetCut(func(a, b string) bool { return a != "" && b != "" && isolated[a] != isolated[b] })
 }
 
 // Sheet returns the deployment's initial route sheet.
--- a/tools/stand/node.go
+++ b/tools/stand/node.go
@@ -201,8 +201,8 @@
 	}
 }
 
-// Data returns the path of the node's data folder.
-func (n *Node) Data() string { return filepath.Join(n.fleet.Dir, n.ID+".data") }
+// DataDir returns the path of the node's data folder.
+func (n *Node) DataDir() string { return filepath.Join(n.fleet.Dir, n.ID+".data") }
 
 // Start starts the process. It fails if the process runs already.
 func (n *Node) Start() error {
@@ -221,10 +221,10 @@
 	if n.Kind == "controller" {
 		args = append(args, "--core", fmt.Sprint(n.fleet.Core))
 		if n.HasDisk {
-			if err := os.MkdirAll(n.Data(), 0o755); err != nil {
+			if err := os.MkdirAll(n.DataDir(), 0o755); err != nil {
 				return err
 			}
-			args = append(args, "--data", n.Data())
+			args = append(args, "--data", n.DataDir())
 		}
 	}
 	lf, err := os.OpenFile(filepath.Join(n.fleet.Dir, n.ID+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
@@ -336,7 +336,7 @@
 }
 
 // Wipe empties the data folder of a node that does not run.
-func (n *Node) Wipe() error { return os.RemoveAll(n.Data()) }
+func (n *Node) Wipe() error { return os.RemoveAll(n.DataDir()) }
 
 // WaitUntil polls ok until it returns true or ctx ends.
 func WaitUntil(ctx context.Context, ok func() bool) error {
--- a/tools/stand/relays.go
+++ b/tools/stand/relays.go
@@ -97,7 +97,7 @@
 	from := w.names[host]
 	w.mu.Unlock()
 	if w.IsCut(from, id) || w.IsCut(id, from) {
-		// No connection is established over a cut path; the dialler waits in vain.
+		// No connection is established over a cut path; the dialer gets no answer.
 		w.discard(a, from, id)
 		return
 	}
--- a/tools/stand/target.go
+++ b/tools/stand/target.go
@@ -205,8 +205,8 @@
 		m = Healthy
 	}
 	in, _ := io.ReadAll(io.LimitReader(r.Body, 32<<20))
-	inc, num := t.Inc(), r.Header.Get(httpapi.RequestHeader)
-	st := httpapi.Stamp{ID: t.ID, Service: t.Service, Inc: inc, Request: num}
+	inc, sendID := t.Inc(), r.Header.Get(httpapi.RequestHeader)
+	st := httpapi.Stamp{ID: t.ID, Service: t.Service, Inc: inc, Request: sendID}
 	if m == Refusing {
 		st.Length = 0
 		w.Header().Set(httpapi.StampHeader, st.String())
@@ -222,7 +222,7 @@
 	}
 	body, _ := json.Marshal(Body{Order: order, Service: t.Service, Target: t.ID, Got: len(in), Pad: strings.Repeat("x", size)})
 	st.Length = len(body)
-	t.Rec.RecordExec(Exec{At: time.Now(), Target: t.ID, Service: t.Service, Inc: inc, Order: order, SendID: num, Path: r.URL.Path, IntendedTarget: r.Header.Get(httpapi.TargetHeader), Digest: Digest(body)})
+	t.Rec.RecordExec(Exec{At: time.Now(), Target: t.ID, Service: t.Service, Inc: inc, Order: order, SendID: sendID, Path: r.URL.Path, IntendedTarget: r.Header.Get(httpapi.TargetHeader), Digest: Digest(body)})
 	d := time.Duration(float64(t.MeanWork) * (0.5 + rand.Float64()))
 	if m == Slow {
 		d *= 20
@@ -245,9 +245,9 @@
 		case 0:
 			stamp = ""
 		case 1:
-			stamp = httpapi.Stamp{ID: t.ID, Service: t.Service, Inc: inc + 1, Request: num, Length: len(body)}.String()
+			stamp = httpapi.Stamp{ID: t.ID, Service: t.Service, Inc: inc + 1, Request: sendID, Length: len(body)}.String()
 		case 2:
-			stamp = httpapi.Stamp{ID: t.ID, Service: t.Service, Inc: inc, Request: num + "x", Length: len(body)}.String()
+			stamp = httpapi.Stamp{ID: t.ID, Service: t.Service, Inc: inc, Request: sendID + "x", Length: len(body)}.String()
 		}
 	case Swapping:
 		t.mu.Lock()
