--- a/internal/sim/model/actors.go
+++ b/internal/sim/model/actors.go
@@ -18,7 +18,7 @@
 var errConnRefused = errors.New("connection refused")
 
 // callNode runs f against the current process of a node. The call is cancelled when the process
-// ends or when the actors are told to give up.
+// ends or when the actors' context ends.
 func callNode[T any](w *World, actor, id string, f func(ctx context.Context, c *control.Node) (T, error)) (T, error) {
 	var zero T
 	n := w.nodes[id]
--- a/tools/stand/failures.go
+++ b/tools/stand/failures.go
@@ -1,7 +1,7 @@
 package stand
 
-// Failures names every failure that the simulator and the fleet cause. A test of each compares its
-// own list with this one, so that neither lacks a failure of the other.
+// Failures names every failure that the simulator and the fleet inject. Both have a test that compares
+// their own list with this one, so that neither lacks a failure of the other.
 var Failures = []string{
 	"node killed", "node frozen", "node stopped as planned", "all nodes restarted in turn",
 	"gateways killed together", "core killed", "half of all killed", "zone killed",
