--- a/tools/stand/node.go
+++ b/tools/stand/node.go
@@ -113,7 +113,7 @@
 // NewFleet assigns loopback addresses in 127.net.0.0/16 to the nodes of a deployment, so that runs
 // with different values of net can share a machine. If relays are given, nodes reach each other
 // through them.
-func NewFleet(p Plan, dir, bin string, net byte, wires *Relays) (*Fleet, error) {
+func NewFleet(p Plan, dir, bin string, net byte, relays *Relays) (*Fleet, error) {
 	f := &Fleet{Dir: dir, Bin: bin, Core: min(3, p.Disks)}
 	for i := range p.Controllers + p.Gateways {
 		n := &Node{fleet: f}
@@ -131,10 +131,10 @@
 		if n.PublicAddr, err = FreeAddr(ip); err != nil {
 			return nil, err
 		}
-		if wires != nil {
-			wires.SetName(ip, n.ID)
+		if relays != nil {
+			relays.SetName(ip, n.ID)
 			n.ListenAddr = n.InternalAddr
-			if n.InternalAddr, err = wires.Listen(fmt.Sprintf("127.%d.3.%d:0", net, i+1), n.ID, func() string { return n.ListenAddr }); err != nil {
+			if n.InternalAddr, err = relays.Listen(fmt.Sprintf("127.%d.3.%d:0", net, i+1), n.ID, func() string { return n.ListenAddr }); err != nil {
 				return nil, err
 			}
 		}
@@ -201,9 +201,10 @@
 	}
 }
 
-// Data returns the path of the node's data folder.
-func (n *Node) Data() string { return filepath.Join(n.fleet.Dir, n.ID+".data") }
+// DataDir returns the path of the node's data folder.
+func (n *Node) DataDir() string { return filepath.Join(n.fleet.Dir, n.ID+".data") }
 
+// Start starts the process. It fails if the process runs already.
 func (n *Node) Start() error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -220,10 +221,10 @@
 	if n.Kind == "controller" {
 		args = append(args, "--core", fmt.Sprint(n.fleet.Core))
 		if n.HasDisk {
-			if err := os.MkdirAll(n.Data(), 0o755); err != nil {
+			if err := os.MkdirAll(n.DataDir(), 0o755); err != nil {
 				return err
 			}
-			args = append(args, "--data", n.Data())
+			args = append(args, "--data", n.DataDir())
 		}
 	}
 	lf, err := os.OpenFile(filepath.Join(n.fleet.Dir, n.ID+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
@@ -335,7 +336,7 @@
 }
 
 // Wipe empties the data folder of a node that does not run.
-func (n *Node) Wipe() error { return os.RemoveAll(n.Data()) }
+func (n *Node) Wipe() error { return os.RemoveAll(n.DataDir()) }
 
 // WaitUntil polls ok until it returns true or ctx ends.
 func WaitUntil(ctx context.Context, ok func() bool) error {
