--- a/internal/control/beat.go
+++ b/internal/control/beat.go
@@ -27,14 +27,14 @@
 	defer func() { n.calls.beats.record(false, err) }()
 	var r target.Run
 	known := false
-	n.Board.WithRuns(func(t *target.Table, now time.Time) (changed bool) {
+	n.Replica.WithRuns(func(t *target.Table, now time.Time) (changed bool) {
 		var moved bool
 		if r, changed, moved = t.ReceiveHeartbeat(b, n.addressReuseSilence(), now); moved || changed {
 			_, known = t.Get(b.ID, now)
 		} else {
 			known = true
 		}
-		n.runWatch.Observe(b.ID, b.Seq, moved, now)
+		n.runMonitor.Observe(b.ID, b.Seq, moved, now)
 		return changed
 	})
 	if !known {
@@ -54,39 +54,42 @@
 	}
 	defer func() { n.calls.departures.record(false, err) }()
 	var r target.Run
-	n.Board.WithRuns(func(t *target.Table, now time.Time) (changed bool) {
+	n.Replica.WithRuns(func(t *target.Table, now time.Time) (changed bool) {
 		r, changed = t.MarkEnded(id, now)
 		return changed
 	})
 	return n.persistDeparture(ctx, r)
 }
 
-// nearbyCacheTTL is how long the list of eligible controllers is reused for heartbeats:
-// hundreds of them arrive per second, and the list itself is only accurate to about a second.
-const nearbyCacheTTL = 100 * time.Millisecond
+// availableCacheTTL is how long the list of available controllers is reused. HomeMember reads the
+// list for each heartbeat, and hundreds of heartbeats arrive per second. The list itself is only
+// accurate to about a second.
+const availableCacheTTL = 100 * time.Millisecond
 
-// nearbyCache is the list of eligible controllers and the time at which it was read.
-type nearbyCache struct {
+// availableCache is the list of available controllers and the time at which it was read.
+type availableCache struct {
 	readAt      time.Time
 	controllers []watch.Member
 }
 
-// nearbyControllers returns the controllers that may be given work, at most nearbyCacheTTL old.
-func (n *Node) nearbyControllers() []watch.Member {
+// availableControllers returns the controllers that may be assigned work, from a list at most
+// availableCacheTTL old.
+func (n *Node) availableControllers() []watch.Member {
 	now := n.Clock.Now()
-	if cached := n.nearbyCache.Load(); cached != nil && now.Sub(cached.readAt) < nearbyCacheTTL {
+	if cached := n.availableCache.Load(); cached != nil && now.Sub(cached.readAt) < availableCacheTTL {
 		return cached.controllers
 	}
-	cached := &nearbyCache{now, n.Mesh.Available()}
-	n.nearbyCache.Store(cached)
+	cached := &availableCache{now, n.Mesh.Available()}
+	n.availableCache.Store(cached)
 	return cached.controllers
 }
 
 // HomeMember returns the controller to which later heartbeats of a service's targets in a zone
 // should go. It prefers controllers of the same zone and chooses among them by rendezvous
-// hashing, so that all nodes agree and few targets move when controllers come and go.
+// hashing, so that all nodes agree and few targets move when a controller is added or removed.
+// A stopping node does not choose itself if there is another controller.
 func (n *Node) HomeMember(service, zone string) (best watch.Member, ok bool) {
-	controllers := n.nearbyControllers()
+	controllers := n.availableControllers()
 	stopping := n.stopping.Load() && len(controllers) > 1
 	var bestScore uint64
 	for _, m := range controllers {
@@ -112,7 +115,7 @@
 	return d.Sum64()
 }
 
-// Home returns the inner address of HomeMember, or "" when there is none.
+// Home returns the inner address of the controller that HomeMember chooses, or "" if there is none.
 func (n *Node) Home(service, zone string) string {
 	m, _ := n.HomeMember(service, zone)
 	return m.Inner
--- a/internal/control/beat_test.go
+++ b/internal/control/beat_test.go
@@ -225,17 +225,17 @@
 
 func TestANewRunTakesAnAddressOver(t *testing.T) {
 	runCluster(t, 5, smallCluster, func(cl *cluster) {
-		stop := cl.startHeartbeats("i-old", "a", "z0", "10.0.0.1:80")
+		stopOld := cl.startHeartbeats("i-old", "a", "z0", "10.0.0.1:80")
 		time.Sleep(10 * time.Second)
-		stop()
+		stopOld()
 		time.Sleep(1100 * time.Millisecond)
-		again := cl.startHeartbeats("i-new", "b", "z0", "10.0.0.1:80")
+		stopNew := cl.startHeartbeats("i-new", "b", "z0", "10.0.0.1:80")
 		time.Sleep(5 * time.Second)
 		for _, x := range cl.gateways {
 			if o, n := x.run("i-old"), x.run("i-new"); o.State != target.Ended || n.State != target.Ready || n.Suspected() {
 				t.Errorf("%s: %+v and %+v", x.id, o, n)
 			}
 		}
-		again()
+		stopNew()
 	})
 }
--- a/internal/control/change.go
+++ b/internal/control/change.go
@@ -17,7 +17,7 @@
 	"walkrudder/internal/steperr"
 )
 
-// Drop deletes one item as of Version.
+// Drop deletes one item. Version is the version of the deletion, like that of an item that is set.
 type Drop struct {
 	Kind    item.Kind
 	Name    string
@@ -42,7 +42,7 @@
 // durableVersions records the item versions known to be held by a majority of synced disks.
 type durableVersions struct {
 	mu       sync.Mutex
-	versions map[item.Key]uint64 // version
+	versions map[item.Key]uint64
 }
 
 func (l *durableVersions) has(i item.Item) bool {
@@ -63,7 +63,7 @@
 	}
 }
 
-// items converts the change to items, and returns the problems of each item on its own.
+// items converts the change to items, and returns the problems that each item has by itself.
 func (c Change) items() (out []item.Item, problems []route.Problem) {
 	for _, s := range c.Services {
 		problems = append(problems, s.Check()...)
@@ -91,9 +91,9 @@
 // problems and no error are returned. If problems or a conflict (IsConflict) are returned,
 // nothing of the change is or will be in force. After any other error it may still take effect.
 //
-// Apply always fetches news from all voters first: validation needs everything that was
-// acknowledged before the call, so that a valid change is not refused, and an invalid one not
-// accepted, because of an outdated view. The change needs as many voters anyway.
+// Apply always fetches the latest changes from the voters first. Validation needs everything that
+// was acknowledged before the call: with an outdated view, a valid change could be refused or an
+// invalid one accepted. The change needs as many voters anyway.
 func (n *Node) Apply(ctx context.Context, c Change) (problems []route.Problem, err error) {
 	return n.ApplyFor(ctx, nil, c)
 }
@@ -104,8 +104,9 @@
 	Left() bool
 }
 
-// ErrStale reports that a change was not carried out because its caller may have given it up and sent it to another node.
-var ErrStale = errors.New("the caller may have sent this elsewhere: not carried out here")
+// ErrStale reports that a change was not carried out, because its caller may have given it up and
+// sent it to another node.
+var ErrStale = errors.New("not carried out: the caller may have sent this to another node")
 
 // ApplyFor is Apply for a caller that may disconnect. A nil caller never does.
 func (n *Node) ApplyFor(ctx context.Context, caller Caller, c Change) (problems []route.Problem, err error) {
@@ -144,12 +145,12 @@
 	return nil, n.ensureDurable(ctx, append(decided, check.dependencies...))
 }
 
-// staleAfterPause is how long changes are refused after a long pause of this process, because they may
-// have waited in its sockets meanwhile.
+// staleAfterPause is how long changes are refused after a long pause of this process, because they
+// may have been queued in its sockets during the pause.
 const staleAfterPause = time.Second
 
-// stale reports whether a change may be a copy that its caller has given up: another node may have refused
-// it meanwhile, and the cause of the refusal may have been fixed.
+// stale reports whether a change may be a copy that its caller has given up. Another node may have
+// refused the change since, and the cause of the refusal may have been fixed.
 func (n *Node) stale(caller Caller) bool {
 	return n.pauses.ResumedWithin(staleAfterPause) || caller != nil && caller.Left()
 }
@@ -174,7 +175,8 @@
 	return problems, nil
 }
 
-// ensureDurable has decided items stored by a majority of synced disks, and publishes them.
+// ensureDurable gets decided items stored by a majority of synced disks, and publishes them. It
+// skips the items that a majority is known to hold already.
 func (n *Node) ensureDurable(ctx context.Context, items []item.Item) error {
 	missing := lo.Filter(items, func(i item.Item, _ int) bool { return !n.durable.has(i) })
 	if len(missing) == 0 {
@@ -184,7 +186,7 @@
 		return err
 	}
 	n.durable.record(missing)
-	n.Board.MergeItems(missing)
+	n.Replica.MergeItems(missing)
 	return nil
 }
 
@@ -199,7 +201,7 @@
 
 // checkChange checks a change against the configuration in force.
 func (n *Node) checkChange(all []item.Item) (result changeCheck) {
-	n.Board.WithItems(func(s *item.Set) {
+	n.Replica.WithItems(func(s *item.Set) {
 		var newer []item.Item
 		result.inForce = true
 		for _, i := range all {
@@ -210,7 +212,7 @@
 				newer = append(newer, i)
 			}
 		}
-		if result.problems = n.book.Validate(newer); len(result.problems) > 0 {
+		if result.problems = n.routeValidator.Validate(newer); len(result.problems) > 0 {
 			return
 		}
 		included := lo.SliceToMap(newer, func(i item.Item) (item.Key, bool) { return i.Key, true })
@@ -239,7 +241,7 @@
 		return config, err
 	}
 	var all []item.Item
-	n.Board.WithItems(func(s *item.Set) { all = slices.Collect(s.All()) })
+	n.Replica.WithItems(func(s *item.Set) { all = slices.Collect(s.All()) })
 	// Every later read must show what this one shows, so a majority must hold it first.
 	if err := n.ensureDurable(ctx, all); err != nil {
 		return config, err
--- a/internal/control/change_test.go
+++ b/internal/control/change_test.go
@@ -24,8 +24,8 @@
 	}
 }
 
-// following returns the number of gateways that follow a controller.
-func (cl *cluster) following(m *controllerHost) int {
+// followerCount returns the number of gateways that follow a controller.
+func (cl *cluster) followerCount(m *controllerHost) int {
 	return lo.CountBy(cl.gateways, func(x *gatewayHost) bool { return x.subscriber().Following().ID == m.id })
 }
 
@@ -65,7 +65,8 @@
 		cl.mustApply(baseChange(5), cl.controllers)
 		cl.expectItems(itemsOf(baseChange(5)), cl.gateways)
 		v := uint64(1)
-		// change lets two operators concurrently change one route that they share and one of their own, at two nodes.
+		// change applies two changes concurrently at two nodes. Each changes one common route and one
+		// route of its own.
 		change := func(to []*controllerHost) {
 			done := make(chan []item.Item, 2)
 			for op := range 2 {
@@ -87,7 +88,7 @@
 		}
 		for range 3 {
 			what, m, heal := cl.injectFault()
-			cl.t.Logf("%s %s, followed by %d", m.id, what, cl.following(m))
+			cl.t.Logf("%s %s, followed by %d", m.id, what, cl.followerCount(m))
 			time.Sleep(3 * time.Second)
 			rest := lo.Without(cl.controllers, m)
 			for range 3 {
@@ -264,7 +265,7 @@
 			if m.disk != nil && m.disk.holds(marker) {
 				t.Errorf("%s stored an invalid change", m.id)
 			}
-			m.control().Board.WithItems(func(s *item.Set) {
+			m.control().Replica.WithItems(func(s *item.Set) {
 				if s.Len() != 6 {
 					t.Errorf("%s knows %d items", m.id, s.Len())
 				}
--- a/internal/control/cluster_test.go
+++ b/internal/control/cluster_test.go
@@ -327,17 +327,17 @@
 	}
 	callCtx, cancel := context.WithTimeout(cl.ctx, time.Second)
 	defer cancel()
-	type back struct {
+	type result struct {
 		ps  []route.Problem
 		err error
 	}
-	ch := make(chan back, 1)
+	ch := make(chan result, 1)
 	go func() {
 		m.waitWhileFrozen()
 		ps, err := m.control().Apply(callCtx, c)
 		m.waitWhileFrozen()
 		if run.Err() == nil {
-			ch <- back{ps, err}
+			ch <- result{ps, err}
 		}
 	}()
 	select {
@@ -378,24 +378,24 @@
 // expectAcknowledged reads the configuration from some controller that answers, and checks that it has everything acknowledged.
 func (cl *cluster) expectAcknowledged(to []*controllerHost) {
 	cl.t.Helper()
-	var st Configuration
+	var config Configuration
 	var err error
 	cl.await("answer to a read", 15*time.Second, func() bool {
 		m := pick(cl, to)
 		callCtx, cancel := context.WithTimeout(cl.ctx, time.Second)
 		defer cancel()
-		st, err = m.control().Current(callCtx)
+		config, err = m.control().Current(callCtx)
 		return err == nil
 	})
 	got := map[item.Key]item.Item{}
-	for _, r := range st.Routes {
+	for _, r := range config.Routes {
 		got[r.Item().Key] = r.Item()
 	}
-	for _, s := range st.Services {
+	for _, s := range config.Services {
 		got[s.Item().Key] = s.Item()
 	}
-	if st.Limits != nil {
-		got[st.Limits.Item().Key] = st.Limits.Item()
+	if config.Limits != nil {
+		got[config.Limits.Item().Key] = config.Limits.Item()
 	}
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
--- a/internal/control/conflict_test.go
+++ b/internal/control/conflict_test.go
@@ -12,14 +12,14 @@
 	"walkrudder/internal/route"
 )
 
-// confirmations are the contents that operators were told to be in force, by item and
-// version. It deliberately avoids the product's own comparison of copies, which is under test.
+// confirmations records the contents whose changes were acknowledged, by item and version. It
+// deliberately avoids the product's own comparison of copies, which is under test.
 type confirmations struct {
 	mu       sync.Mutex
 	contents map[item.Key]map[uint64]map[string]bool
 }
 
-func (c *confirmations) note(items []item.Item) {
+func (c *confirmations) record(items []item.Item) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.contents == nil {
@@ -81,7 +81,7 @@
 					// The answer is lost on the network: the same change is sent again.
 				case err == nil:
 					confirmed = true
-					c.note(itemsOf(change))
+					c.record(itemsOf(change))
 				}
 				if confirmed || refused {
 					break
--- a/internal/control/core.go
+++ b/internal/control/core.go
@@ -12,7 +12,7 @@
 const (
 	// coreCheckInterval is how often the core is checked for changes to report to operators.
 	coreCheckInterval = time.Second
-	// seatSilentAfter is the time without news from a seat after which it is reported as silent.
+	// seatSilentAfter is how long after its last contact a seat is reported as silent.
 	seatSilentAfter = 3 * time.Second
 )
 
@@ -29,7 +29,8 @@
 	return core, quorum.UpdateDomains(core.Seats, n.Mesh.DiskContacts())
 }
 
-// watchCore logs the core whenever its membership, or the set of losses it tolerates, changes.
+// watchCore logs the core whenever its epoch, the losses that it does not tolerate, or the contact
+// with a majority of its seats changes.
 func (n *Node) watchCore(ctx context.Context) {
 	previous := coreStatus{quorum: true}
 	clock.Every(ctx, n.Clock, coreCheckInterval, func() {
@@ -51,7 +52,7 @@
 		if current.exposure.Total() > 0 {
 			n.Log.Warn("the core does not bear every loss that it is to tolerate", attrs...)
 		} else {
-			n.Log.Info("the core", attrs...)
+			n.Log.Info("the core changed", attrs...)
 		}
 	}
 	switch {
@@ -62,7 +63,7 @@
 	}
 }
 
-// silentSeats returns the IDs of nodes whose seat's disk was not heard within seatSilentAfter.
+// silentSeats returns the IDs of the nodes that hold a seat whose disk was not heard within seatSilentAfter.
 func silentSeats(seats []quorum.Seat, heard []quorum.DiskContact) (silent []string) {
 	for _, s := range seats {
 		if !slices.ContainsFunc(heard, func(h quorum.DiskContact) bool { return h.Seat.Disk == s.Disk && h.Ago < seatSilentAfter }) {
@@ -72,7 +73,7 @@
 	return silent
 }
 
-// seatNames returns region/zone/node names of seats.
+// seatNames returns the names of seats in the form region/zone/node.
 func seatNames(seats []quorum.Seat) (names []string) {
 	for _, s := range seats {
 		names = append(names, s.Region+"/"+s.Zone+"/"+s.ID)
@@ -92,7 +93,8 @@
 	Epoch  uint64 `json:"epoch"`
 	// HeardMS is the time since the disk of the seat was last heard.
 	HeardMS Maybe `json:"heard_ago_ms"`
-	// RegionSeats and ZoneSeats are the number of seats in the region and zone of this seat: those lost along with it.
+	// RegionSeats and ZoneSeats are the numbers of seats in the region and in the zone of this seat,
+	// which are lost together with it.
 	RegionSeats int `json:"region_seats"`
 	ZoneSeats   int `json:"zone_seats"`
 }
--- a/internal/control/core_test.go
+++ b/internal/control/core_test.go
@@ -35,7 +35,7 @@
 			}
 		}
 		for name, want := range map[string]uint64{"core_epoch": 1, "core_seats": 3, "core_exposed_regions": 1, "core_exposed_zones": 0, "core_exposed_machines": 0} {
-			if got := counter(cl, transport, m, name); got != want {
+			if got := mustReadCounter(cl, transport, m, name); got != want {
 				t.Errorf("%s is %d, want %d", name, got, want)
 			}
 		}
--- a/internal/control/count.go
+++ b/internal/control/count.go
@@ -2,8 +2,7 @@
 
 import "sync/atomic"
 
-// callCounter counts the calls of one kind, how many of them were refused for their content, and
-// how many failed.
+// callCounter counts the calls of one kind, those refused for their content, and those that failed.
 type callCounter struct{ total, refused, failed atomic.Uint64 }
 
 func (c *callCounter) record(refused bool, err error) {
--- a/internal/control/departure.go
+++ b/internal/control/departure.go
@@ -25,7 +25,7 @@
 	departureExpiryInterval = time.Minute
 )
 
-// departureTracker records the departures known to this node: since when, and which of them a
+// departureTracker records since when this node has known each departure, and which of them a
 // majority is known to hold.
 type departureTracker struct {
 	mu    sync.Mutex
@@ -34,7 +34,7 @@
 
 type departure struct {
 	knownSince time.Time
-	heldState  target.State
+	heldState  target.State // highest state that a majority is known to hold; 0 if none
 }
 
 // departureItem encodes the departure of a run as an item.
@@ -63,7 +63,7 @@
 	return d.known[departureItem(r).Key].heldState >= r.State
 }
 
-// record notes that departures are known here. held reports that a majority holds them.
+// record records that departures are known here; held means that a majority holds them.
 func (d *departureTracker) record(runs []target.Run, held bool, now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -96,7 +96,7 @@
 	return old
 }
 
-// persistDeparture has the departure of a run stored by a majority of synced disks.
+// persistDeparture gets the departure of a run stored by a majority of synced disks.
 func (n *Node) persistDeparture(ctx context.Context, r target.Run) error {
 	if n.departures.isHeld(r) {
 		return nil
@@ -122,14 +122,14 @@
 		}
 		r, err := parseDeparture(i)
 		if err != nil {
-			n.Log.Error("cannot decode departure", "step", "take", "run", i.Name, "err", err)
+			n.Log.Error("cannot decode the departure of a run", "step", "take", "run", i.Name, "err", err)
 			continue
 		}
 		departedRuns = append(departedRuns, r)
 	}
 	n.departures.record(departedRuns, false, n.Clock.Now())
-	n.Board.MergeItems(configuration)
-	n.Board.MergeRuns(departedRuns)
+	n.Replica.MergeItems(configuration)
+	n.Replica.MergeRuns(departedRuns)
 }
 
 // expireDepartures deletes old departures from the local disk until ctx ends.
--- a/internal/control/domain_test.go
+++ b/internal/control/domain_test.go
@@ -63,7 +63,7 @@
 }
 
 // takeDown kills machines at the same moment, with their disks if disks is set, and returns a function that starts them again.
-func (cl *cluster) takeDown(lost []*controllerHost, disks bool) (back func()) {
+func (cl *cluster) takeDown(lost []*controllerHost, disks bool) (restart func()) {
 	for _, m := range lost {
 		m.kill()
 		if disks && m.disk != nil {
--- a/internal/control/home_test.go
+++ b/internal/control/home_test.go
@@ -18,14 +18,14 @@
 		t.Run(gap.String(), func(t *testing.T) {
 			runCluster(t, 8, clusterShape{zones: 3, disks: 3, gateways: 2, tolerance: quorum.Tolerance{Machines: 1}}, func(cl *cluster) {
 				cl.mustApply(baseChange(1), cl.controllers)
-				stop, over := map[int]bool{}, false
+				stopped, allStopped := map[int]bool{}, false
 				for i := range 100 {
 					cl.wg.Go(func() {
 						time.Sleep(time.Duration(cl.randN(int(gap))))
 						m := pick(cl, cl.controllers)
 						for seq := uint64(1); ; seq++ {
 							cl.mu.Lock()
-							end := over || stop[i]
+							end := allStopped || stopped[i]
 							cl.mu.Unlock()
 							if end {
 								return
@@ -43,7 +43,7 @@
 				// A suspicion ends as soon as the home hears of it, but Silent keeps a trace of it.
 				suspected := func() (out []string) {
 					for _, m := range cl.controllers {
-						m.control().Board.WithRuns(func(tb *target.Table, now time.Time) bool {
+						m.control().Replica.WithRuns(func(tb *target.Table, now time.Time) bool {
 							for r := range tb.All(now) {
 								if r.Silent > 0 {
 									out = append(out, r.ID)
@@ -61,7 +61,7 @@
 					}
 				}
 				cl.mu.Lock()
-				stop[17] = true
+				stopped[17] = true
 				cl.mu.Unlock()
 				cl.await("suspicion of the silent run", 4*gap, func() bool {
 					return cl.gateways[0].run("i-17").Suspected() && cl.gateways[1].run("i-17").Suspected()
@@ -70,15 +70,15 @@
 					t.Errorf("suspected: %v", s)
 				}
 				cl.mu.Lock()
-				over = true
+				allStopped = true
 				cl.mu.Unlock()
 			})
 		})
 	}
 }
 
-// Heartbeats are frequent, so the list of eligible controllers is cached for nearbyCacheTTL. A controller that
-// stops must name another one as home at once nevertheless.
+// Heartbeats are frequent, so the list of available controllers is cached for availableCacheTTL. A
+// stopping controller must nevertheless name another one as home at once.
 func TestHomesFollowWhoIsNear(t *testing.T) {
 	runCluster(t, 9, clusterShape{zones: 3, disks: 3, gateways: 1, tolerance: quorum.Tolerance{Machines: 1}}, func(cl *cluster) {
 		cl.mustApply(baseChange(1), cl.controllers)
@@ -96,7 +96,7 @@
 		if !ok || b.ID == m.ID {
 			t.Errorf("a stopping controller names itself")
 		}
-		time.Sleep(2 * nearbyCacheTTL)
+		time.Sleep(2 * availableCacheTTL)
 		for _, other := range cl.controllers[1:] {
 			if o, _ := other.control().HomeMember("a", m.Zone); o.ID == m.ID {
 				t.Errorf("%s still names the stopping controller", other.control().ID)
--- a/internal/control/latency_test.go
+++ b/internal/control/latency_test.go
@@ -15,26 +15,26 @@
 func TestAcknowledgementsTakeFewRoundTrips(t *testing.T) {
 	runCluster(t, 21, smallCluster, func(cl *cluster) {
 		cl.mustApply(baseChange(10), cl.controllers)
-		var changes, leavings []time.Duration
+		var changes, departures []time.Duration
 		for i := range 60 {
 			changes = append(changes, cl.mustApply(Change{Routes: []route.Route{routeTo("r0", uint64(10+i), "b")}}, shuffled(cl, cl.controllers)))
 			start := time.Now()
 			if err := pick(cl, cl.controllers).control().Leave(cl.ctx, fmt.Sprintf("i-%d", i)); err != nil {
 				t.Fatal(err)
 			}
-			leavings = append(leavings, time.Since(start))
+			departures = append(departures, time.Since(start))
 			time.Sleep(200 * time.Millisecond)
 		}
 		for _, x := range []struct {
 			what string
 			took []time.Duration
 			most time.Duration
-		}{{"change", changes, 40 * time.Millisecond}, {"leaving", leavings, 15 * time.Millisecond}} {
+		}{{"change", changes, 40 * time.Millisecond}, {"departure", departures, 15 * time.Millisecond}} {
 			slices.Sort(x.took)
-			middle, last := x.took[len(x.took)/2], x.took[len(x.took)-1]
-			t.Logf("%s: median latency %v, maximum %v", x.what, middle.Round(10*time.Microsecond), last.Round(10*time.Microsecond))
-			if last > x.most {
-				t.Errorf("%s: %v, bound %v", x.what, last, x.most)
+			median, maximum := x.took[len(x.took)/2], x.took[len(x.took)-1]
+			t.Logf("%s: median latency %v, maximum %v", x.what, median.Round(10*time.Microsecond), maximum.Round(10*time.Microsecond))
+			if maximum > x.most {
+				t.Errorf("%s: %v, bound %v", x.what, maximum, x.most)
 			}
 		}
 	})
--- a/internal/control/net_test.go
+++ b/internal/control/net_test.go
@@ -28,10 +28,10 @@
 }
 
 func (n *network) cut(from, to string, both bool) {
-	mend := n.CutGroups([]string{from}, []string{to}, both)
+	heal := n.CutGroups([]string{from}, []string{to}, both)
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.heals = append(n.heals, mend)
+	n.heals = append(n.heals, heal)
 }
 
 func (n *network) healAll() {
--- a/internal/control/node.go
+++ b/internal/control/node.go
@@ -26,11 +26,11 @@
 )
 
 const (
-	// judgeInterval is how often silent runs are looked for. Nothing depends on it being short,
-	// because gateways judge targets by their own probes too.
+	// judgeInterval is how often runs are checked for silence. It need not be short, because
+	// gateways also judge targets by their own probes.
 	judgeInterval = 250 * time.Millisecond
-	// tidyInterval is how often the table of runs is cleaned up.
-	tidyInterval = time.Second
+	// maintenanceInterval is how often the table of runs is cleaned up.
+	maintenanceInterval = time.Second
 	// pausePollInterval is how often the process checks whether it was paused.
 	pausePollInterval = 200 * time.Millisecond
 )
@@ -51,8 +51,8 @@
 	Tolerance quorum.Tolerance
 	// Zones maps each zone of the deployment to its region; empty if not known.
 	Zones map[string]string `validate:"max=256"`
-	// InitialStart reports that the whole system starts for the first time, so that a core may
-	// be formed.
+	// InitialStart means that the whole system starts for the first time, so that a core may be
+	// formed.
 	InitialStart bool
 	// HeartbeatInterval is the usual time between heartbeats of a run.
 	HeartbeatInterval time.Duration `validate:"min=1ms"`
@@ -62,7 +62,7 @@
 type Config struct {
 	Settings
 	Incarnation uint64 // of this process
-	// NewDiskID is the incarnation that is given to an empty disk.
+	// NewDiskID is the incarnation that an empty disk is given.
 	NewDiskID string
 	Transport link.Transport
 	Clock     clock.Clock
@@ -82,24 +82,24 @@
 	Mux      *link.Mux
 	Voter    *quorum.Voter // nil without a disk
 	Proposer *quorum.Proposer
-	Board    *watch.Replica
+	Replica  *watch.Replica
 	Mesh     *watch.Mesh
 
-	bootstrapper *quorum.Bootstrapper
-	reconfigurer *quorum.Reconfigurer // nil without a disk
-	teller       *watch.Publisher
-	pauses       *liveness.PauseMonitor
-	runWatch     *target.Monitor  // guarded by the board's lock on its table
-	book         *route.Validator // guarded by the board's lock on its items
-	durable      durableVersions
-	departures   departureTracker
-	upgrades     upgradeTracker
-	calls        callCounters
-	querySlots   chan struct{} // holds a token for each query that is answered
-	changeSlot   chan struct{} // holds a token while a change is under way
-	stopping     atomic.Bool
-	nearbyCache  atomic.Pointer[nearbyCache]
-	started      time.Time
+	bootstrapper   *quorum.Bootstrapper
+	reconfigurer   *quorum.Reconfigurer // nil without a disk
+	publisher      *watch.Publisher
+	pauses         *liveness.PauseMonitor
+	runMonitor     *target.Monitor  // guarded by the replica's lock
+	routeValidator *route.Validator // guarded by the replica's lock
+	durable        durableVersions
+	departures     departureTracker
+	upgrades       upgradeTracker
+	calls          callCounters
+	querySlots     chan struct{} // holds a token for each query that is answered
+	changeSlot     chan struct{} // holds a token while a change is under way
+	stopping       atomic.Bool
+	availableCache atomic.Pointer[availableCache]
+	started        time.Time
 
 	// Meters of the disk and the run journal; nil where there is none.
 	diskMeter, journalMeter *storage.Meter
@@ -116,8 +116,8 @@
 	if err := validate.Struct(cfg.Settings); err != nil {
 		return nil, steperr.Wrap("settings", "", err)
 	}
-	n := &Node{Config: cfg, Mux: link.NewMux(), Proposer: quorum.NewProposer(cfg.ID+"."+cfg.NewDiskID, cfg.Transport, cfg.Clock), Board: watch.NewReplica(cfg.Clock),
-		book: route.NewValidator(), pauses: liveness.NewPauseMonitorEvery(cfg.Clock, pausePollInterval), changeSlot: make(chan struct{}, 1),
+	n := &Node{Config: cfg, Mux: link.NewMux(), Proposer: quorum.NewProposer(cfg.ID+"."+cfg.NewDiskID, cfg.Transport, cfg.Clock), Replica: watch.NewReplica(cfg.Clock),
+		routeValidator: route.NewValidator(), pauses: liveness.NewPauseMonitorEvery(cfg.Clock, pausePollInterval), changeSlot: make(chan struct{}, 1),
 		querySlots: make(chan struct{}, maxConcurrentQueries), started: cfg.Clock.Now()}
 	if cfg.Disk != nil {
 		cfg.Disk, n.diskMeter = storage.MeterDisk(cfg.Disk, cfg.Clock)
@@ -126,11 +126,11 @@
 	if cfg.RunJournal != nil {
 		n.RunJournal, n.journalMeter = storage.MeterJournal(cfg.RunJournal, cfg.Clock)
 	}
-	n.runWatch = &target.Monitor{HeartbeatInterval: cfg.HeartbeatInterval, Pauses: n.pauses}
-	n.Board.OnItem = func(i item.Item) {
+	n.runMonitor = &target.Monitor{HeartbeatInterval: cfg.HeartbeatInterval, Pauses: n.pauses}
+	n.Replica.OnItem = func(i item.Item) {
 		n.recordUpgrade(i)
-		if err := n.book.Apply(i); err != nil {
-			cfg.Log.Error("item that can't be read", "step", "apply", "item", i.Name, "err", err)
+		if err := n.routeValidator.Apply(i); err != nil {
+			cfg.Log.Error("cannot decode item", "step", "apply", "item", i.Name, "err", err)
 		}
 	}
 	if cfg.Disk != nil {
@@ -149,15 +149,15 @@
 	size := cfg.Tolerance.MinSeats(cfg.Zones)
 	attainable := cfg.Tolerance.Attainable(cfg.Zones, size)
 	if attainable.Total() > 0 {
-		cfg.Log.Warn("no placement in the zones of this deployment bears what is to be tolerated", "step", "core", "tolerance", cfg.Tolerance, "exposed", attainable)
+		cfg.Log.Warn("no placement in the zones of this deployment tolerates every loss that it should", "step", "core", "tolerance", cfg.Tolerance, "exposed", attainable)
 	}
 	n.bootstrapper = &quorum.Bootstrapper{Seeds: cfg.Seeds, Self: cfg.InternalAddr, Size: size, Tolerance: cfg.Tolerance, Attainable: attainable, Transport: cfg.Transport, Clock: cfg.Clock, Proposer: n.Proposer, Voter: n.Voter, SubsequentStart: !cfg.InitialStart}
 	n.bootstrapper.Serve(n.Mux)
-	n.Mesh = &watch.Mesh{Me: n.selfMember, Transport: cfg.Transport, Clock: cfg.Clock, Replica: n.Board, Core: n.core, LearnCore: func(c quorum.Core) { n.Proposer.Learn(c) }, VotingEpoch: n.seatEpoch}
+	n.Mesh = &watch.Mesh{Me: n.selfMember, Transport: cfg.Transport, Clock: cfg.Clock, Replica: n.Replica, Core: n.core, LearnCore: func(c quorum.Core) { n.Proposer.Learn(c) }, VotingEpoch: n.seatEpoch}
 	n.SetSeeds(cfg.Seeds)
-	n.teller = &watch.Publisher{Me: n.selfMember, Replica: n.Board, Clock: cfg.Clock, Core: n.core, VotingEpoch: n.seatEpoch, Fresh: n.fresh, Stopping: n.stopping.Load,
+	n.publisher = &watch.Publisher{Me: n.selfMember, Replica: n.Replica, Clock: cfg.Clock, Core: n.core, VotingEpoch: n.seatEpoch, Fresh: n.fresh, Stopping: n.stopping.Load,
 		Others: n.Mesh.Others, OtherGateways: n.Mesh.Gateways, OnController: n.Mesh.OnController}
-	n.teller.Serve(n.Mux)
+	n.publisher.Serve(n.Mux)
 	n.serveQueries()
 	n.registerReportHandler()
 	if n.Voter != nil {
@@ -166,7 +166,7 @@
 	return n, nil
 }
 
-// selfMember describes this node to others.
+// selfMember returns the description of this node for other nodes.
 func (n *Node) selfMember() watch.Member {
 	m := watch.Member{ID: n.ID, Kind: watch.Controller, Inner: n.InternalAddr, Door: n.PublicAddr, Zone: n.Zone, Inc: n.Incarnation}
 	if n.Voter != nil {
@@ -215,18 +215,18 @@
 	wg.Wait()
 }
 
-// addressReuseSilence is how long a run must be silent before another run can take its address.
+// addressReuseSilence is how long a run must be silent before it is considered replaced by another run at its address.
 func (n *Node) addressReuseSilence() time.Duration { return max(2*n.HeartbeatInterval, time.Second) }
 
 // maintainRuns judges silent runs and cleans up the table of runs.
 func (n *Node) maintainRuns(ctx context.Context) {
-	var lastTidied time.Time
+	var lastMaintained time.Time
 	clock.Every(ctx, n.Clock, judgeInterval, func() {
 		n.endRecallWindow(n.Clock.Now())
-		n.Board.WithRuns(func(t *target.Table, now time.Time) bool {
-			changed := n.runWatch.Evaluate(t, now)
-			if now.Sub(lastTidied) >= tidyInterval {
-				lastTidied = now
+		n.Replica.WithRuns(func(t *target.Table, now time.Time) bool {
+			changed := n.runMonitor.Evaluate(t, now)
+			if now.Sub(lastMaintained) >= maintenanceInterval {
+				lastMaintained = now
 				changed = t.EndSuperseded(n.addressReuseSilence(), now) || changed
 				changed = t.Maintain(now) || changed
 			}
@@ -235,8 +235,8 @@
 	})
 }
 
-// runBootstrapper looks for the core using the current seeds. The bootstrapper is restarted to change its seeds,
-// because it reads them while it runs.
+// runBootstrapper looks for the core through the current seeds. SetSeeds restarts the bootstrapper,
+// because its seeds must not change while it reads them.
 func (n *Node) runBootstrapper(ctx context.Context) {
 	for ctx.Err() == nil {
 		runCtx, cancel := context.WithCancel(ctx)
@@ -248,6 +248,7 @@
 	}
 }
 
+// SetSeeds replaces the seeds at once, for the search for the core and for the mesh.
 func (n *Node) SetSeeds(seeds []string) {
 	n.mu.Lock()
 	n.seeds = slices.Clone(seeds)
@@ -258,15 +259,15 @@
 	n.Mesh.SetSeeds(seeds)
 }
 
-// Ready reports readiness to the platform: this node knows everything that was acknowledged until
-// just now, and can acknowledge more.
+// Ready reports readiness to the platform: this node is not stopping, knows everything that was
+// acknowledged until just now, and can acknowledge more.
 func (n *Node) Ready() bool {
 	_, fresh := n.fresh()
 	return fresh
 }
 
-// fresh reports whether this node knows everything that was acknowledged up to lag ago. A stopping
-// node reports false, so that its followers move to another node while it still answers.
+// fresh reports whether this node knows everything that was acknowledged up to lag ago. It returns
+// false on a stopping node, so that its followers switch to another node while it still answers.
 func (n *Node) fresh() (lag time.Duration, fresh bool) {
 	lag, fresh = n.Mesh.Fresh()
 	return lag, fresh && !n.stopping.Load()
@@ -276,5 +277,5 @@
 // It still answers all calls until its process ends.
 func (n *Node) Stop() {
 	n.stopping.Store(true)
-	n.Board.Wake()
+	n.Replica.Wake()
 }
--- a/internal/control/page.go
+++ b/internal/control/page.go
@@ -38,15 +38,17 @@
 	Next  string `json:"next,omitempty"`
 }
 
-// pageCollector collects the rows with the lowest keys after a given key, without keeping all rows.
+// pageCollector collects the limit rows with the lowest keys after a given key, and one more. It
+// does not keep the other rows, but counts them in total.
 type pageCollector[T any] struct {
 	after string
 	limit int
-	rows  []keyed[T]
+	rows  []keyedRow[T]
 	total int
 }
 
-type keyed[T any] struct {
+// keyedRow is the value of a row before its conversion, with the key by which it is ordered.
+type keyedRow[T any] struct {
 	key   string
 	value T
 }
@@ -56,19 +58,20 @@
 }
 
 // add adds a row; it replaces an earlier row with the same key.
-func (p *pageCollector[T]) add(key string, of T) {
+func (p *pageCollector[T]) add(key string, value T) {
 	p.total++
 	if key <= p.after {
 		return
 	}
-	if p.rows = append(p.rows, keyed[T]{key, of}); len(p.rows) > 4*(p.limit+1) {
+	if p.rows = append(p.rows, keyedRow[T]{key, value}); len(p.rows) > 4*(p.limit+1) {
 		p.trim()
 	}
 }
 
-// trim keeps the rows of the page, and one more that shows whether there is a next page.
+// trim removes all rows but those of the page and one more, which shows whether there is a next
+// page. Of several rows with one key it keeps the last.
 func (p *pageCollector[T]) trim() {
-	slices.SortStableFunc(p.rows, func(a, b keyed[T]) int { return cmp.Compare(a.key, b.key) })
+	slices.SortStableFunc(p.rows, func(a, b keyedRow[T]) int { return cmp.Compare(a.key, b.key) })
 	out := p.rows[:0]
 	for _, r := range p.rows {
 		if n := len(out); n > 0 && out[n-1].key == r.key {
@@ -82,9 +85,9 @@
 	p.rows = out[:min(len(out), p.limit+1)]
 }
 
-// buildAnswer converts the rows of the page, as far as they fit into maxAnswerBytes. The size that row
-// returns is the approximate size of the variable parts of a row.
-func buildAnswer[T, R any](a About, p *pageCollector[T], row func(key string, of T) (r R, size int)) Answer[R] {
+// buildAnswer converts the rows of the page, as far as they fit into maxAnswerBytes, but at least
+// one. The size that row returns is the approximate size of the variable parts of a row.
+func buildAnswer[T, R any](a About, p *pageCollector[T], row func(key string, value T) (r R, size int)) Answer[R] {
 	p.trim()
 	out := Answer[R]{About: a, Rows: []R{}, Total: p.total}
 	size := 0
--- a/internal/control/query.go
+++ b/internal/control/query.go
@@ -7,8 +7,8 @@
 	"walkrudder/internal/steperr"
 )
 
-// Queries let operators inspect a running node (design 25.7). Except for the two upgrade orders a query changes nothing,
-// costs nothing while unused, and holds a lock for a few hundred entries at most.
+// Queries let operators inspect a running node (design 25.7). They cost nothing while unused, and
+// hold a lock for a few hundred entries at most. Only the two upgrade orders change anything.
 const (
 	// scanChunk is the number of entries that are read at once under the lock of a table.
 	scanChunk = 256
--- a/internal/control/query_test.go
+++ b/internal/control/query_test.go
@@ -18,7 +18,7 @@
 	"walkrudder/internal/target"
 )
 
-// operatorLine returns a link from a host that queries nodes.
+// operatorTransport returns the transport of a host that queries nodes.
 func (cl *cluster) operatorTransport() simnet.LinkClient {
 	return simnet.LinkClient{Proc: cl.net.addHost("operator", nil).Start(cl.ctx, "")}
 }
@@ -35,7 +35,7 @@
 	return a
 }
 
-func counter(cl *cluster, transport link.Transport, m *controllerHost, name string) uint64 {
+func mustReadCounter(cl *cluster, transport link.Transport, m *controllerHost, name string) uint64 {
 	cl.t.Helper()
 	x, ok := lo.Find(mustAsk[CounterRow](cl, transport, m, CountersAsk{Prefix: name}).Rows, func(r CounterRow) bool { return r.Name == name })
 	if !ok {
@@ -49,7 +49,7 @@
 		cl.mustApply(baseChange(3), cl.controllers[:1])
 		time.Sleep(propagationLimit)
 		transport, m := cl.operatorTransport(), cl.controllers[0]
-		before := m.control().Board.Cursor()
+		before := m.control().Replica.Cursor()
 		bad := []any{
 			ItemsAsk{Page: Page{Most: -1}}, ItemsAsk{Page: Page{Most: 1001}}, ItemsAsk{Prefix: strings.Repeat("x", 2049)},
 			ItemsAsk{Page: Page{After: strings.Repeat("x", 2049)}}, RunsAsk{Service: strings.Repeat("x", 257)}, RunsAsk{Prefix: strings.Repeat("x", 257)},
@@ -64,10 +64,10 @@
 				t.Errorf("%.80s: %v, %v after %v", fmt.Sprintf("%+v", ask), r, err, time.Since(start))
 			}
 		}
-		if n := counter(cl, transport, m, "queries_refused"); n != uint64(len(bad)) {
+		if n := mustReadCounter(cl, transport, m, "queries_refused"); n != uint64(len(bad)) {
 			t.Errorf("%d refused, want %d", n, len(bad))
 		}
-		if end := m.control().Board.Cursor(); end != before || !m.control().Ready() {
+		if end := m.control().Replica.Cursor(); end != before || !m.control().Ready() {
 			t.Errorf("a query changed %+v to %+v", before, end)
 		}
 	})
@@ -119,7 +119,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		n := standaloneNode(t)
 		for i := range 3000 {
-			n.Board.MergeRuns([]target.Run{{ID: fmt.Sprintf("i-%05d", 2999-i), Service: strings.Repeat("s", 250), Addr: "10.0.0.1:80", Zone: "z", State: target.Ready, Seq: 1}})
+			n.Replica.MergeRuns([]target.Run{{ID: fmt.Sprintf("i-%05d", 2999-i), Service: strings.Repeat("s", 250), Addr: "10.0.0.1:80", Zone: "z", State: target.Ready, Seq: 1}})
 		}
 		a, err := n.listRuns(t.Context(), RunsAsk{Page: Page{Most: 5, After: "i-00100"}})
 		if err != nil || a.Total != 3000 || len(a.Rows) != 5 || a.Rows[0].ID != "i-00101" || a.Next != "i-00105" {
@@ -150,9 +150,9 @@
 	for i := range target.MaxRuns {
 		rs = append(rs, target.Run{ID: fmt.Sprintf("i-%05d", i), Service: fmt.Sprintf("s-%d", i%500), Addr: fmt.Sprintf("10.0.%d.%d:80", i/250, i%250), Zone: "z", State: target.Ready, Seq: 1})
 	}
-	n.Board.MergeRuns(rs)
+	n.Replica.MergeRuns(rs)
 	for i := range 6600 {
-		n.Board.MergeItems([]item.Item{routeTo(fmt.Sprintf("r%d", i), 1, "a").Item()})
+		n.Replica.MergeItems([]item.Item{routeTo(fmt.Sprintf("r%d", i), 1, "a").Item()})
 	}
 	b.Run("runs of one service of 16384", func(b *testing.B) {
 		b.ReportAllocs()
@@ -172,7 +172,7 @@
 	})
 	b.Run("one chunk under the lock", func(b *testing.B) {
 		for b.Loop() {
-			n.Board.WithRuns(func(t *target.Table, now time.Time) bool {
+			n.Replica.WithRuns(func(t *target.Table, now time.Time) bool {
 				t.Since(0, scanChunk, 0, now)
 				return false
 			})
--- a/internal/control/querycounters.go
+++ b/internal/control/querycounters.go
@@ -13,8 +13,8 @@
 	Prefix string `validate:"max=256"`
 }
 
-// CounterRow is one counter since the start of the process. Values about memory and about the known
-// state are current values.
+// CounterRow is one counter. It counts from the start of the process, except that memory and the
+// known state are given by their current values.
 type CounterRow struct {
 	Name  string `json:"name"`
 	Value uint64 `json:"value"`
@@ -38,8 +38,8 @@
 	add("core_exposed_machines", uint64(exposed.Machines))
 	add("core_exposed_zones", uint64(exposed.Zones))
 	add("core_exposed_regions", uint64(exposed.Regions))
-	end, u := n.Board.Cursor(), usage.Now()
-	add("asks", n.teller.PollCount())
+	end, u := n.Replica.Cursor(), usage.Now()
+	add("asks", n.publisher.PollCount())
 	add("item_merges", end.Items)
 	add("run_merges", end.Runs)
 	add("heap_bytes", u.Heap)
--- a/internal/control/querycounters_test.go
+++ b/internal/control/querycounters_test.go
@@ -24,12 +24,12 @@
 		_ = m.control().Leave(cl.ctx, "i-1")
 		for name, want := range map[string]uint64{"beats": 2, "beats_refused": 1, "beats_failed": 0, "changes": 2, "changes_refused": 1, "reads": 1, "leavings": 1,
 			"item_merges": 4, "run_merges": 2} {
-			if got := counter(cl, transport, m, name); got != want {
+			if got := mustReadCounter(cl, transport, m, name); got != want {
 				t.Errorf("%s is %d, want %d", name, got, want)
 			}
 		}
 		for _, name := range []string{"asks", "queries", "goroutines", "heap_bytes"} {
-			if counter(cl, transport, m, name) == 0 {
+			if mustReadCounter(cl, transport, m, name) == 0 {
 				t.Errorf("%s is 0", name)
 			}
 		}
--- a/internal/control/querydisk.go
+++ b/internal/control/querydisk.go
@@ -28,6 +28,7 @@
 	Error      string `json:"error"`
 }
 
+// ms returns a duration in milliseconds, to the microsecond.
 func ms(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
 
 // diskRows returns the files of this node; none if it has no disk.
--- a/internal/control/queryitems.go
+++ b/internal/control/queryitems.go
@@ -42,15 +42,15 @@
 	Services []string `json:"services"`
 	// Held reports that this node saw a majority of synced disks hold this version.
 	Held bool `json:"held"`
-	// Gateways is how many gateways asked this node for news within the last seconds, and Behind how
-	// many of them had not received this version by then; Late names the first of these. A gateway
-	// whose last request is old may have switched to another controller.
+	// Gateways is how many gateways polled this node within the last seconds. Behind is how many of
+	// them had not received this version by their last request, and Late names the first of these.
+	// A gateway whose last request is old may have switched to another controller.
 	Gateways int    `json:"gateways"`
 	Behind   int    `json:"behind"`
 	Late     []Late `json:"late"`
 }
 
-// Late is a gateway that had not received something when it last asked for news.
+// Late is a gateway that had not received a version of an item when it last polled this node.
 type Late struct {
 	Gateway string `json:"gateway"`
 	AskedMS int64  `json:"asked_ago_ms"`
@@ -69,7 +69,7 @@
 			return r, steperr.Wrap("items", n.ID, ctx.Err())
 		}
 		var got []item.Item
-		n.Board.WithItems(func(s *item.Set) { got, from, more = s.Since(from, scanChunk, 0) })
+		n.Replica.WithItems(func(s *item.Set) { got, from, more = s.Since(from, scanChunk, 0) })
 		for _, i := range got {
 			if strings.HasPrefix(i.Name, a.Prefix) || strings.HasPrefix(routePlace(i), a.Prefix) {
 				p.add(itemSortKey(i.Key), i)
@@ -78,7 +78,7 @@
 	}
 	p.trim()
 	seqs := make(map[item.Key]uint64, len(p.rows))
-	n.Board.WithItems(func(s *item.Set) {
+	n.Replica.WithItems(func(s *item.Set) {
 		for _, x := range p.rows {
 			seqs[x.value.Key] = s.SeqOf(x.value.Key)
 		}
@@ -108,7 +108,7 @@
 
 // attachedGateways returns the gateways that follow this node.
 func (n *Node) attachedGateways() (out []watch.Follower) {
-	for _, f := range n.teller.Followers() {
+	for _, f := range n.publisher.Followers() {
 		if f.Kind == watch.Gateway && !f.Gone() {
 			out = append(out, f)
 		}
--- a/internal/control/queryruns_test.go
+++ b/internal/control/queryruns_test.go
@@ -18,7 +18,7 @@
 			id := fmt.Sprintf("i-%d", i)
 			stops[id] = cl.startHeartbeats(id, "a", "z0", fmt.Sprintf("10.0.0.%d:80", i))
 		}
-		other := cl.startHeartbeats("x-0", "b", "z1", "10.0.1.0:80")
+		stopOther := cl.startHeartbeats("x-0", "b", "z1", "10.0.1.0:80")
 		time.Sleep(20 * time.Second)
 		transport := cl.operatorTransport()
 		addr := cl.controllers[0].control().Home("a", "z0")
@@ -83,7 +83,7 @@
 		if r := row(home, "i-3"); r.State != "ended" || r.Held || r.Home != "" {
 			t.Errorf("ended run, at a controller that did not receive the call: %+v", r)
 		}
-		other()
+		stopOther()
 		for _, stop := range stops {
 			stop()
 		}
--- a/internal/control/queryupgrades.go
+++ b/internal/control/queryupgrades.go
@@ -32,8 +32,9 @@
 	Reason    string    `json:"reason"`
 	// DecidedBy is the controller that decides the steps now, as far as this one knows.
 	DecidedBy string `json:"decided_by"`
-	// Reporting is how many gateways report to this controller, and Stopped how many of them have stopped by their own
-	// judgement. Waiting names some that do not apply this step yet, or have requests at old targets.
+	// Reporting is how many gateways report to this controller, and Stopped how many of them have
+	// stopped sending to the new version on their own. Waiting names some gateways that do not apply
+	// this step yet or have requests in progress at old targets.
 	Reporting int                     `json:"reporting"`
 	Stopped   int                     `json:"stopped"`
 	Waiting   []string                `json:"waiting"`
@@ -47,15 +48,15 @@
 	UpgradeRevertAsk struct {
 		Service string `validate:"required,max=256"`
 	}
-	// UpgradeTold is the upgrade's number after either order.
+	// UpgradeTold holds the number of the upgrade's newest step after either order.
 	UpgradeTold struct{ Number uint64 }
 )
 
 // listUpgrades answers an UpgradesAsk.
 func (n *Node) listUpgrades(_ context.Context, a UpgradesAsk) (Answer[UpgradeRow], error) {
 	p := newPageCollector[UpgradeRow](a.Page)
-	ids := lo.Map(n.nearbyControllers(), func(m watch.Member, _ int) string { return m.ID })
-	attached := n.teller.Attached()
+	ids := lo.Map(n.availableControllers(), func(m watch.Member, _ int) string { return m.ID })
+	attached := n.publisher.Attached()
 	for _, u := range n.Upgrades() {
 		if strings.HasPrefix(u.Service, a.Prefix) {
 			row := n.upgradeRow(u, attached)
--- a/internal/control/recall.go
+++ b/internal/control/recall.go
@@ -7,15 +7,16 @@
 	"walkrudder/internal/target"
 )
 
-// A controller writes the runs that it knows to a journal, so that gateways have targets
-// immediately after all processes were lost, and not only with the next heartbeats. The journal is
-// not synced, and may be outdated or torn. A run loaded from it is marked as recalled: it counts as
-// ready until heartbeats to this process had time to arrive, and is then suspected if none arrived.
-// A controller that was up before accepts no recalled run, and makes this one suspect them at once.
+// A controller writes the runs that it knows to a journal. After a loss of all processes, gateways
+// then have targets immediately and not only after the next heartbeats. The journal is not synced,
+// and may be outdated or torn. A run loaded from it is marked as recalled. It counts as ready for
+// the recall window, in which heartbeats have time to arrive, and is then suspected if none arrived.
+// A controller that knows every live run, as one that did not restart, accepts no recalled run, and
+// its answers make this one suspect them at once.
 //
 // Why outdated records break no rule, whichever processes, machines or disks are lost:
 //   - A departure that is missing in the journal is on the synced disks of a majority (departure.go):
-//     a fresh node has received it, whichever processes died.
+//     a fresh node has received it, whichever processes were lost.
 //   - An address that belongs to another run by now never serves a request by mistake: each request
 //     names the intended run, and any other run rejects it. The first heartbeat of the other run
 //     makes the older one suspected.
@@ -29,21 +30,21 @@
 	journalRetryDelay = 10 * time.Second
 	// maxExtraRecords is how many superseded records are kept in addition to as many as there are runs.
 	maxExtraRecords = 256
-	// confirmHeartbeats and confirmSlack are the time in which recalled runs must send a heartbeat.
+	// Recalled runs must send a heartbeat within confirmHeartbeats intervals plus confirmSlack.
 	confirmHeartbeats = 2.5
 	confirmSlack      = time.Second
 )
 
-// recallWindow is the time after the start within which a recalled run must have sent a heartbeat.
+// recallWindow is the time after the start within which a recalled run must send a heartbeat.
 func (n *Node) recallWindow() time.Duration {
 	return time.Duration(confirmHeartbeats*float64(n.HeartbeatInterval)) + confirmSlack
 }
 
-// loadJournal adds the runs recorded by earlier processes to the board.
+// loadJournal adds the runs recorded by earlier processes to the replica.
 func (n *Node) loadJournal() {
 	records, err := n.RunJournal.Load()
 	if err != nil {
-		n.Log.Warn("notes of targets can't be read", "step", "recall", "err", err)
+		n.Log.Warn("cannot read the run journal", "step", "recall", "err", err)
 	}
 	runs, bad := make([]target.Run, 0, len(records)), 0
 	for _, b := range records {
@@ -54,26 +55,27 @@
 		}
 		runs = append(runs, r)
 	}
-	n.Board.MergeRuns(runs)
+	n.Replica.MergeRuns(runs)
 	if len(records) > 0 {
-		n.Log.Info("targets recalled", "step", "recall", "records", len(records), "bad", bad)
+		n.Log.Info("loaded runs from the journal", "step", "recall", "records", len(records), "bad", bad)
 	}
 }
 
-// endRecallWindow stops counting unconfirmed recalled runs as ready, once the time for heartbeats has passed and this
-// node knows everything that another node has received.
+// endRecallWindow stops counting unconfirmed recalled runs as ready, once the recall window has
+// passed, not counting pauses of this process, and the mesh is fresh, so that heartbeats received by
+// other nodes are known here.
 func (n *Node) endRecallWindow(now time.Time) {
-	if n.Board.RunsComplete() || now.Sub(n.started) < n.recallWindow()+n.pauses.TotalAt(now) {
+	if n.Replica.RunsComplete() || now.Sub(n.started) < n.recallWindow()+n.pauses.TotalAt(now) {
 		return
 	}
 	if _, fresh := n.Mesh.Fresh(); fresh {
-		n.Board.MarkRunsComplete()
+		n.Replica.MarkRunsComplete()
 	}
 }
 
-// journalState describes the content of the journal.
+// journalState is what the journal contains, as far as updateJournal needs it.
 type journalState struct {
-	seq         uint64            // of the last change of the table that was read
+	seq         uint64            // of the last change of the table that is in the journal
 	sums        map[string]uint64 // checksums of the written records, by run
 	appended    int               // records since the journal was last replaced
 	snapshotLen int               // records written when it was last replaced
@@ -84,10 +86,10 @@
 func (n *Node) maintainJournal(ctx context.Context) {
 	var s journalState
 	for ctx.Err() == nil {
-		changed := n.Board.Changed()
+		changed := n.Replica.Changed()
 		pause := journalInterval
 		if err := n.updateJournal(&s); err != nil {
-			n.Log.Warn("notes of targets can't be written", "step", "note", "err", err)
+			n.Log.Warn("cannot write the run journal", "step", "note", "err", err)
 			s.appendable, pause = false, journalRetryDelay
 		}
 		if n.Clock.Sleep(ctx, pause) != nil {
@@ -103,19 +105,20 @@
 	}
 }
 
-// updateJournal appends what changed to the journal, or replaces the journal when it is not appendable or the
-// records appended since it was last replaced exceed those written then by more than maxExtraRecords.
+// updateJournal appends what changed to the journal. It replaces the journal if it is not appendable,
+// or if the records appended since the last replacement outnumber those written then by more than
+// maxExtraRecords.
 func (n *Node) updateJournal(s *journalState) error {
-	whole := !s.appendable || s.appended > s.snapshotLen+maxExtraRecords
+	rewrite := !s.appendable || s.appended > s.snapshotLen+maxExtraRecords
 	var runs []target.Run
-	n.Board.WithRuns(func(t *target.Table, now time.Time) bool {
-		if whole {
+	n.Replica.WithRuns(func(t *target.Table, now time.Time) bool {
+		if rewrite {
 			s.seq = 0
 		}
 		runs, s.seq, _ = t.Since(s.seq, 0, 0, now)
 		return false
 	})
-	if whole {
+	if rewrite {
 		s.sums = make(map[string]uint64, len(runs))
 	}
 	var records [][]byte
@@ -126,7 +129,7 @@
 		}
 	}
 	switch {
-	case whole:
+	case rewrite:
 		if err := n.RunJournal.Replace(records); err != nil {
 			return err
 		}
--- a/internal/control/recall_test.go
+++ b/internal/control/recall_test.go
@@ -65,32 +65,32 @@
 }
 
 func (cl *cluster) newTargetGroup(n int) *targetGroup {
-	h := &targetGroup{cluster: cl, silent: map[string]bool{}, draining: map[string]bool{}}
+	g := &targetGroup{cluster: cl, silent: map[string]bool{}, draining: map[string]bool{}}
 	for i := range n {
-		h.runs = append(h.runs, fmt.Sprintf("i-%d", i))
+		g.runs = append(g.runs, fmt.Sprintf("i-%d", i))
 	}
-	return h
+	return g
 }
 
 // sendHeartbeats sends one heartbeat of each target that is not silent.
-func (h *targetGroup) sendHeartbeats() {
-	h.cluster.t.Helper()
-	h.seq++
-	for i, id := range h.runs {
-		if h.silent[id] {
+func (g *targetGroup) sendHeartbeats() {
+	g.cluster.t.Helper()
+	g.seq++
+	for i, id := range g.runs {
+		if g.silent[id] {
 			continue
 		}
-		b := target.Heartbeat{ID: id, Service: "a", Addr: fmt.Sprintf("10.0.0.%d:80", i), Zone: fmt.Sprintf("z%d", i%3), Slots: 2, Seq: h.seq, Draining: h.draining[id]}
-		h.cluster.await("answer to a beat", 3*time.Second, func() bool { return h.cluster.sendHeartbeat(pick(h.cluster, h.cluster.controllers), b) == nil })
+		b := target.Heartbeat{ID: id, Service: "a", Addr: fmt.Sprintf("10.0.0.%d:80", i), Zone: fmt.Sprintf("z%d", i%3), Slots: 2, Seq: g.seq, Draining: g.draining[id]}
+		g.cluster.await("answer to a beat", 3*time.Second, func() bool { return g.cluster.sendHeartbeat(pick(g.cluster, g.cluster.controllers), b) == nil })
 	}
 }
 
 // runFor sends heartbeats for d, and calls look repeatedly.
-func (h *targetGroup) runFor(d time.Duration, look func()) {
+func (g *targetGroup) runFor(d time.Duration, check func()) {
 	for end := time.Now().Add(d); time.Now().Before(end); {
-		h.sendHeartbeats()
+		g.sendHeartbeats()
 		for next := time.Now().Add(900 * time.Millisecond); time.Now().Before(next); time.Sleep(100 * time.Millisecond) {
-			look()
+			check()
 		}
 	}
 }
@@ -122,17 +122,17 @@
 func TestTargetsAreKnownAtOnceAfterAllWereKilled(t *testing.T) {
 	eachSeed(t, func(cl *cluster) {
 		cl.mustApply(baseChange(1), cl.controllers)
-		h := cl.newTargetGroup(12)
-		h.runFor(6*time.Second, func() {})
+		targets := cl.newTargetGroup(12)
+		targets.runFor(6*time.Second, func() {})
 		for range 2 {
 			cl.restartAll(func() {})
 			// No heartbeat arrives meanwhile.
 			cl.await("knowledge of all targets", 500*time.Millisecond, func() bool {
-				return lo.EveryBy(cl.gateways, func(x *gatewayHost) bool { return lo.EveryBy(h.runs, x.canUse) })
+				return lo.EveryBy(cl.gateways, func(x *gatewayHost) bool { return lo.EveryBy(targets.runs, x.canUse) })
 			})
-			h.runFor(8*time.Second, func() {
+			targets.runFor(8*time.Second, func() {
 				for _, x := range cl.gateways {
-					for _, id := range h.runs {
+					for _, id := range targets.runs {
 						if !x.canUse(id) {
 							t.Errorf("%s: a run that sends heartbeats is %+v", x.id, x.run(id))
 						}
@@ -141,11 +141,11 @@
 			})
 		}
 		// One target does not return.
-		h.silent["i-3"] = true
+		targets.silent["i-3"] = true
 		cl.restartAll(func() {})
 		at := time.Now()
 		n := cl.controllers[0].control()
-		h.runFor(n.recallWindow()+1500*time.Millisecond, func() {
+		targets.runFor(n.recallWindow()+1500*time.Millisecond, func() {
 			for _, x := range cl.gateways {
 				if r := x.run("i-3"); r.Suspected() && time.Since(at) < n.recallWindow()-200*time.Millisecond {
 					t.Errorf("%s: suspected after %v: %+v", x.id, time.Since(at), r)
@@ -153,7 +153,7 @@
 			}
 		})
 		for _, x := range cl.gateways {
-			for _, id := range h.runs {
+			for _, id := range targets.runs {
 				if x.canUse(id) != (id != "i-3") {
 					t.Errorf("%s: %+v", x.id, x.run(id))
 				}
@@ -208,17 +208,17 @@
 		t.Run(kind, func(t *testing.T) {
 			eachSeed(t, func(cl *cluster) {
 				cl.mustApply(baseChange(1), cl.controllers)
-				h := cl.newTargetGroup(6)
-				h.runFor(5*time.Second, func() {})
+				targets := cl.newTargetGroup(6)
+				targets.runFor(5*time.Second, func() {})
 				f(cl, func() {
-					h.draining["i-0"], h.silent["i-1"] = true, true
-					h.sendHeartbeats()
+					targets.draining["i-0"], targets.silent["i-1"] = true, true
+					targets.sendHeartbeats()
 					if err := pick(cl, cl.controllers).control().Leave(cl.ctx, "i-1"); err != nil {
 						t.Fatal(err)
 					}
 				})
 				// Never again, not even before the next heartbeats: i-1 may still accept requests, but announces nothing.
-				h.runFor(8*time.Second, func() {
+				targets.runFor(8*time.Second, func() {
 					for _, x := range cl.gateways {
 						if x.canUse("i-0") {
 							t.Errorf("%s: the draining run is %+v", x.id, x.run("i-0"))
@@ -229,7 +229,7 @@
 					}
 				})
 				for _, x := range cl.gateways {
-					for _, id := range h.runs[2:] {
+					for _, id := range targets.runs[2:] {
 						if !x.canUse(id) {
 							t.Errorf("%s: %+v", x.id, x.run(id))
 						}
@@ -245,17 +245,17 @@
 func TestARunThatEndedWhileAControllerWasDownStaysAway(t *testing.T) {
 	runCluster(t, 6, smallCluster, func(cl *cluster) {
 		cl.mustApply(baseChange(1), cl.controllers)
-		h := cl.newTargetGroup(4)
-		h.runFor(5*time.Second, func() {})
+		targets := cl.newTargetGroup(4)
+		targets.runFor(5*time.Second, func() {})
 		m := withDisk(cl.controllers)[1]
 		m.kill()
-		h.silent["i-0"], h.silent["i-1"] = true, true
+		targets.silent["i-0"], targets.silent["i-1"] = true, true
 		if err := cl.controllers[0].control().Leave(cl.ctx, "i-0"); err != nil {
 			t.Fatal(err)
 		}
-		h.runFor(5*time.Minute+30*time.Second, func() {})
+		targets.runFor(5*time.Minute+30*time.Second, func() {})
 		holds := func(n *Node, id string) (ok bool) {
-			n.Board.WithRuns(func(tb *target.Table, now time.Time) bool {
+			n.Replica.WithRuns(func(tb *target.Table, now time.Time) bool {
 				_, ok = tb.Get(id, now)
 				return false
 			})
@@ -282,7 +282,7 @@
 		cl.await("sync of the gateways", time.Second, func() bool {
 			return lo.EveryBy(cl.gateways, func(x *gatewayHost) bool { return x.subscriber().Synced() })
 		})
-		h.runFor(15*time.Second, func() {
+		targets.runFor(15*time.Second, func() {
 			for _, x := range cl.gateways {
 				if x.canUse("i-0") || x.canUse("i-1") {
 					t.Errorf("%s: %+v, %+v", x.id, x.run("i-0"), x.run("i-1"))
@@ -306,19 +306,19 @@
 // than the table.
 func TestNotesStaySmall(t *testing.T) {
 	runCluster(t, 7, clusterShape{zones: 1, disks: 1, gateways: 1}, func(cl *cluster) {
-		h := cl.newTargetGroup(10)
-		h.runFor(5*time.Second, func() {})
+		targets := cl.newTargetGroup(10)
+		targets.runFor(5*time.Second, func() {})
 		d := cl.controllers[0].disk
 		n := len(d.journalCopy())
 		if n < 10 || n > 40 {
 			t.Errorf("%d records of 10 runs", n)
 		}
-		h.runFor(70*time.Second, func() {})
+		targets.runFor(70*time.Second, func() {})
 		if got := len(d.journalCopy()); got != n {
 			t.Errorf("%d records after 70 s of heartbeats, %d before", got, n)
 		}
 		for slots := range maxExtraRecords + 50 {
-			cl.controllers[0].control().Board.WithRuns(func(tb *target.Table, now time.Time) bool {
+			cl.controllers[0].control().Replica.WithRuns(func(tb *target.Table, now time.Time) bool {
 				r, _ := tb.Get("i-0", now)
 				r.Seq, r.Slots = r.Seq+1, slots+1
 				return tb.Merge(r, now)
@@ -347,8 +347,8 @@
 func TestAGatewayDoubtsWhatAFirmControllerDoesNotKnow(t *testing.T) {
 	runCluster(t, 11, smallCluster, func(cl *cluster) {
 		cl.mustApply(baseChange(1), cl.controllers)
-		h := cl.newTargetGroup(2)
-		h.runFor(5*time.Second, func() {})
+		targets := cl.newTargetGroup(2)
+		targets.runFor(5*time.Second, func() {})
 		m, x := withDisk(cl.controllers)[1], cl.gateways[0]
 		m.kill()
 		x.kill()
@@ -374,7 +374,7 @@
 			t.Errorf("%+v", r)
 		}
 		cl.net.healAll()
-		h.runFor(10*time.Second, func() {
+		targets.runFor(10*time.Second, func() {
 			for _, x := range cl.gateways {
 				if x.canUse("i-old") || !x.canUse("i-0") || !x.canUse("i-1") {
 					t.Errorf("%s: %+v, %+v, %+v", x.id, x.run("i-old"), x.run("i-0"), x.run("i-1"))
--- a/internal/control/report.go
+++ b/internal/control/report.go
@@ -29,11 +29,11 @@
 	c := n.core()
 	r := Report{About: n.about(), Epoch: c.Epoch, Seats: len(c.Seats), Votes: n.seatEpoch(), Controllers: len(n.Mesh.Others()), Runs: map[string]int{},
 		Files: n.diskRows(), Counters: map[string]uint64{}}
-	r.Gateways, _ = n.teller.Gateways()
-	n.Board.WithItems(func(s *item.Set) { r.Items = s.Len() })
+	r.Gateways, _ = n.publisher.Gateways()
+	n.Replica.WithItems(func(s *item.Set) { r.Items = s.Len() })
 	for from, more := uint64(0), true; more; {
 		var got []target.Run
-		n.Board.WithRuns(func(t *target.Table, now time.Time) bool {
+		n.Replica.WithRuns(func(t *target.Table, now time.Time) bool {
 			got, from, more = t.Since(from, scanChunk, 0, now)
 			return false
 		})
--- a/internal/control/stale_test.go
+++ b/internal/control/stale_test.go
@@ -10,10 +10,10 @@
 	"walkrudder/internal/route"
 )
 
-// staleCopies are the ways in which a copy of an order reaches a node after the order was refused elsewhere.
+// staleCopies are the ways in which a copy of a change reaches a node after another node refused the change.
 var staleCopies = map[string]struct {
-	hold   func(m *controllerHost) // before the copy arrives
-	let    func(m *controllerHost)
+	freeze func(m *controllerHost) // before the copy arrives
+	thaw   func(m *controllerHost)
 	caller Caller
 }{
 	"in the socket of a node that stands still": {func(m *controllerHost) { m.freeze() }, func(m *controllerHost) { m.thaw() }, nil},
@@ -25,8 +25,9 @@
 
 func (departedCaller) Left() bool { return true }
 
-// Guards against a refused order coming into force later through another copy of it: the operator sent it to a node that
-// was paused, a second node refused it, and the operator fixed the cause before the first node resumed.
+// Guards against a refused change coming into force later through another copy of it. The operator sent
+// it to a node that was paused, a second node refused it, and the operator fixed the cause before the
+// first node resumed.
 func TestARefusedOrderStaysRefused(t *testing.T) {
 	for name, x := range staleCopies {
 		t.Run(name, func(t *testing.T) {
@@ -36,7 +37,7 @@
 					first, second := cl.controllers[5], cl.controllers[1]
 					time.Sleep(recoveryTime)
 					bad := Change{Routes: []route.Route{routeTo("new", 20, "beta")}}
-					x.hold(first)
+					x.freeze(first)
 					copied := make(chan error, 1)
 					release := make(chan struct{})
 					go func() {
@@ -52,7 +53,7 @@
 					}
 					cl.mustApply(Change{Services: []route.Service{testService("beta", 30)}}, cl.controllers[:3])
 					time.Sleep(3 * time.Second)
-					x.let(first)
+					x.thaw(first)
 					close(release)
 					if err := <-copied; !errors.Is(err, ErrStale) {
 						t.Errorf("the copy: %v", err)
@@ -63,7 +64,7 @@
 							t.Errorf("%s has the refused route in force", g.id)
 						}
 					}
-					// The same order, sent again, is accepted by another node, and soon after by the same one.
+					// The same change, sent again, is accepted by another node, and soon after by the same one.
 					cl.mustApply(bad, []*controllerHost{second})
 					time.Sleep(2 * time.Second)
 					cl.mustApply(Change{Routes: []route.Route{routeTo("new", 21, "beta")}}, []*controllerHost{first})
--- a/internal/control/stop_test.go
+++ b/internal/control/stop_test.go
@@ -17,7 +17,7 @@
 		cl.mustApply(baseChange(1), cl.controllers)
 		time.Sleep(6 * time.Second) // gateways are at the controllers of their zones by now
 		for range 3 {
-			m := pick(cl, lo.Filter(cl.controllers, func(m *controllerHost, _ int) bool { return cl.following(m) > 0 }))
+			m := pick(cl, lo.Filter(cl.controllers, func(m *controllerHost, _ int) bool { return cl.followerCount(m) > 0 }))
 			others := lo.Without(cl.controllers, m)
 			if !lo.EveryBy(cl.controllers, func(m *controllerHost) bool { return m.control().Ready() }) {
 				t.Fatal("not all are ready")
--- a/internal/control/upgrade.go
+++ b/internal/control/upgrade.go
@@ -25,7 +25,7 @@
 	ErrUpgradeInProgress = errors.New("another upgrade of the service is under way")
 	// ErrNoUpgrade reports that the service was never upgraded.
 	ErrNoUpgrade = errors.New("no upgrade of the service")
-	// errSuperseded reports that another step was decided instead of the given one.
+	// errSuperseded reports that another step was decided in place of the given one.
 	errSuperseded = errors.New("another step was decided")
 )
 
@@ -57,11 +57,11 @@
 		if err != nil {
 			return err
 		}
-		next, verdict := o.Apply(previous, n.mostCommonVersion(o.Service, o.To), time.Now())
+		next, outcome := o.Apply(previous, n.mostCommonVersion(o.Service, o.To), time.Now())
 		switch {
-		case verdict == upgrade.Conflicting:
+		case outcome == upgrade.Conflicting:
 			return steperr.Wrap("order", o.Service, ErrUpgradeInProgress)
-		case verdict == upgrade.Repeated:
+		case outcome == upgrade.Repeated:
 			return n.ensureDurable(ctx, []item.Item{previous.Item()})
 		case n.stale(caller):
 			return steperr.Wrap("order", o.Service, ErrStale)
@@ -95,8 +95,8 @@
 	return u, n.ensureDurable(ctx, []item.Item{u.Item()})
 }
 
-// decideUpgrade has a step decided and stored by a majority. It returns errSuperseded if another step took its place;
-// that step is known here by then.
+// decideUpgrade gets a step decided and stored by a majority. It returns errSuperseded if another
+// step was decided in its place; that step is then known here.
 func (n *Node) decideUpgrade(ctx context.Context, u upgrade.Upgrade) error {
 	step := u.Item()
 	decided, err := n.Proposer.Decide(ctx, []item.Item{step})
@@ -122,7 +122,7 @@
 
 // newestUpgrade returns the newest upgrade of a service known here; its phase is 0 if there is none.
 func (n *Node) newestUpgrade(service string) (u upgrade.Upgrade, err error) {
-	n.Board.WithItems(func(s *item.Set) {
+	n.Replica.WithItems(func(s *item.Set) {
 		if i, ok := s.Get(upgrade.Key(service)); ok && !i.Gone {
 			u, err = upgrade.FromItem(i)
 		}
@@ -131,7 +131,7 @@
 }
 
 func (n *Node) hasService(name string) (has bool) {
-	n.Board.WithItems(func(s *item.Set) {
+	n.Replica.WithItems(func(s *item.Set) {
 		i, ok := s.Get(item.Key{Kind: item.Service, Name: name})
 		has = ok && !i.Gone
 	})
@@ -153,7 +153,7 @@
 
 // forEachReadyRun calls f for each target of a service that is ready and not suspected.
 func (n *Node) forEachReadyRun(service string, f func(target.Run)) {
-	n.Board.WithRuns(func(t *target.Table, now time.Time) bool {
+	n.Replica.WithRuns(func(t *target.Table, now time.Time) bool {
 		for r := range t.All(now) {
 			if r.Service == service && r.State == target.Ready && !r.Suspected() {
 				f(r)
--- a/internal/control/upgradesteps.go
+++ b/internal/control/upgradesteps.go
@@ -20,7 +20,8 @@
 const (
 	// upgradePollInterval is how often upgrades under way are checked.
 	upgradePollInterval = 100 * time.Millisecond
-	// takeoverDelay is how long a step must be due, for each rank below the first, before a standby controller takes it.
+	// takeoverDelay is how long a step must be due before a standby controller decides it, for each
+	// rank below the first.
 	takeoverDelay = 600 * time.Millisecond
 	// stepTimeout bounds the decision of one step.
 	stepTimeout = 2 * time.Second
@@ -53,14 +54,14 @@
 	targetTallies          map[string]upgrade.Tally
 }
 
-// recordUpgrade records a step of an upgrade. It runs under the lock of the board.
+// recordUpgrade records a step of an upgrade. It runs under the lock of the replica.
 func (n *Node) recordUpgrade(i item.Item) {
 	if i.Kind != item.Upgrade || i.Gone {
 		return
 	}
 	u, err := upgrade.FromItem(i)
 	if err != nil {
-		n.Log.Error("cannot decode upgrade", "step", "apply", "service", i.Name, "err", err)
+		n.Log.Error("cannot decode the upgrade of a service", "step", "apply", "service", i.Name, "err", err)
 		return
 	}
 	n.upgrades.mu.Lock()
@@ -108,25 +109,25 @@
 	h.Report, h.receivedAt = r, now
 	// The old version's answers come first, because those of the new version are judged against them.
 	for _, c := range r.Routes {
-		d.analyzer.AddOld(c.Route, unjudged(h.oldTallies, c.Route, c.Old))
+		d.analyzer.AddOld(c.Route, unjudgedDelta(h.oldTallies, c.Route, c.Old))
 	}
 	for _, c := range r.Targets {
-		d.analyzer.AddTarget(c.Target, unjudged(h.targetTallies, c.Target, c.Tally))
+		d.analyzer.AddTarget(c.Target, unjudgedDelta(h.targetTallies, c.Target, c.Tally))
 	}
 	for _, c := range r.Routes {
-		since := unjudged(h.newTallies, c.Route, c.New)
-		if since.Answers > 0 && d.firstNewAnswer.IsZero() {
+		delta := unjudgedDelta(h.newTallies, c.Route, c.New)
+		if delta.Answers > 0 && d.firstNewAnswer.IsZero() {
 			d.firstNewAnswer = now
 		}
-		d.analyzer.AddNew(c.Route, since)
+		d.analyzer.AddNew(c.Route, delta)
 	}
 }
 
-// unjudged returns the part of a count that was not judged yet, and marks the whole count as judged.
-func unjudged(judged map[string]upgrade.Tally, name string, count upgrade.Tally) upgrade.Tally {
-	since := count.Sub(judged[name])
+// unjudgedDelta returns the part of a count that was not judged yet, and marks the whole count as judged.
+func unjudgedDelta(judged map[string]upgrade.Tally, name string, count upgrade.Tally) upgrade.Tally {
+	delta := count.Sub(judged[name])
 	judged[name] = count
-	return since
+	return delta
 }
 
 // hasSwitched reports whether a gateway applies a step and has no requests under way at old targets.
@@ -152,7 +153,7 @@
 	if _, fresh := n.fresh(); !fresh {
 		return 0, false
 	}
-	ids := lo.Map(n.nearbyControllers(), func(m watch.Member, _ int) string { return m.ID })
+	ids := lo.Map(n.availableControllers(), func(m watch.Member, _ int) string { return m.ID })
 	rank = slices.Index(upgrade.RankControllers(service, ids), n.ID)
 	return rank, rank >= 0 && rank < upgrade.CoordinatorsPerService
 }
@@ -188,7 +189,7 @@
 	return now.Sub(d.dueSince) >= wait
 }
 
-// upgradeEvidence collects what is known of an upgrade under way.
+// upgradeEvidence collects the evidence for the next step of an upgrade under way.
 func (n *Node) upgradeEvidence(u upgrade.Upgrade) upgrade.Evidence {
 	now := n.Clock.Now()
 	e := upgrade.Evidence{Elapsed: time.Since(u.Ordered)}
@@ -206,7 +207,7 @@
 		}
 	})
 	slices.Sort(e.OldVersions)
-	attached := n.teller.Attached()
+	attached := n.publisher.Attached()
 	n.upgrades.mu.Lock()
 	defer n.upgrades.mu.Unlock()
 	d := n.upgrades.byService[u.Service]
--- a/internal/control/view.go
+++ b/internal/control/view.go
@@ -15,12 +15,12 @@
 type View struct {
 	Me    watch.Member
 	Fresh bool
-	// Lag is the age of the knowledge: everything acknowledged until Lag ago is known here.
+	// Lag is how old the known state may be: everything acknowledged until Lag ago is known here.
 	Lag         time.Duration
 	Core        quorum.Core
 	Votes       uint64         // the epoch of the core in which the local disk votes; 0 means none
-	Controllers []watch.Member // that answer this node
-	Askers      []watch.Member // that ask this node for news
+	Controllers []watch.Member // other controllers that answered recently
+	Followers   []watch.Member // nodes that polled this one recently
 	Gateways    int
 	Zones       map[string]int // gateways by zone
 	Items       int            // including dropped ones
@@ -30,21 +30,22 @@
 // RunView is a run as seen by this node.
 type RunView struct {
 	target.Run
-	// Suspicion is the current w_d of a run whose heartbeats arrive here; HasSuspicion reports whether they do.
+	// Suspicion is the current suspicion level w_d of a run whose heartbeats arrive here;
+	// HasSuspicion reports whether they do.
 	Suspicion    float64
 	HasSuspicion bool
 }
 
 // View returns the state of this node.
 func (n *Node) View() View {
-	v := View{Me: n.selfMember(), Core: n.core(), Votes: n.seatEpoch(), Controllers: n.Mesh.Others(), Askers: n.teller.Clients()}
+	v := View{Me: n.selfMember(), Core: n.core(), Votes: n.seatEpoch(), Controllers: n.Mesh.Others(), Followers: n.publisher.FollowerMembers()}
 	v.Lag, v.Fresh = n.fresh()
-	v.Gateways, v.Zones = n.teller.Gateways()
-	n.Board.WithItems(func(s *item.Set) { v.Items = s.Len() })
-	n.Board.WithRuns(func(t *target.Table, now time.Time) bool {
+	v.Gateways, v.Zones = n.publisher.Gateways()
+	n.Replica.WithItems(func(s *item.Set) { v.Items = s.Len() })
+	n.Replica.WithRuns(func(t *target.Table, now time.Time) bool {
 		for r := range t.All(now) {
 			x := RunView{Run: r}
-			x.Suspicion, x.HasSuspicion = n.runWatch.Suspicion(r.ID, now)
+			x.Suspicion, x.HasSuspicion = n.runMonitor.Suspicion(r.ID, now)
 			v.Runs = append(v.Runs, x)
 		}
 		return false
@@ -54,10 +55,11 @@
 	return v
 }
 
-// Members returns the nodes known to be up: the controllers that answer this node, and all nodes that ask it.
+// Members returns the nodes known to be up: the available controllers, and all nodes that polled
+// this one recently.
 func (n *Node) Members() []watch.Member {
 	out := n.Mesh.Available()
-	for _, a := range n.teller.Clients() {
+	for _, a := range n.publisher.FollowerMembers() {
 		if !slices.ContainsFunc(out, func(m watch.Member) bool { return m.ID == a.ID }) {
 			out = append(out, a)
 		}
--- a/internal/registry/gatewaytable.go
+++ b/internal/registry/gatewaytable.go
@@ -38,7 +38,8 @@
 	inSubset    atomic.Bool
 	lastBeat    httpapi.Beat // accessed by the table's owner only
 	subsetSince time.Time    // accessed by the table's owner only
-	lastListed  atomic.Int64
+	// lastListed is when a home last listed the target, in nanoseconds since the table's epoch.
+	lastListed atomic.Int64
 }
 
 // Key returns the service and ID of the target.
@@ -74,7 +75,7 @@
 	Self        string
 	Zone        string
 	Controllers func() []membership.Member
-	// ProbeInterval is the interval of probes.
+	// ProbeInterval is the time between two probes of a target.
 	ProbeInterval time.Duration
 	// OnNewTarget is called for each new target, to start probing it. ctx ends when the table
 	// drops the target.
@@ -169,7 +170,7 @@
 	return now.Sub(g.epoch.Add(time.Duration(p)))
 }
 
-// RunWithoutHomes executes the table's commands until ctx ends, and follows no home.
+// RunWithoutHomes executes the table's commands until ctx ends, without following any home.
 func (g *GatewayTable) RunWithoutHomes(ctx context.Context) {
 	g.ctx = ctx
 	g.owner.Run(ctx)
@@ -184,9 +185,9 @@
 		followed := *g.followed.Load()
 		for n := range followed {
 			if subscriptions[n] == nil {
-				cx, end := context.WithCancel(ctx)
+				followCtx, end := context.WithCancel(ctx)
 				subscriptions[n] = end
-				go g.follow(cx, n)
+				go g.follow(followCtx, n)
 			}
 		}
 		for n, end := range subscriptions {
--- a/internal/registry/hometable.go
+++ b/internal/registry/hometable.go
@@ -44,7 +44,8 @@
 	return out
 }
 
-// rendezvousScore hashes two names. The low bits of FNV mix poorly and are mixed once more.
+// rendezvousScore is the rendezvous hash of two names. FNV mixes the low bits poorly, so the hash is
+// mixed once more, with the first half of the finalizer of MurmurHash3.
 func rendezvousScore(a, b string) uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(a + "\x00" + b))
@@ -192,7 +193,7 @@
 // Seen is one target run as a controller sees it.
 type Seen struct {
 	Entry
-	Quiet time.Duration
+	Quiet time.Duration // time since the last beat, without pauses of the controller's process
 	Fit   liveness.Fit
 }
 
@@ -289,7 +290,7 @@
 	})
 }
 
-// Serve registers the table's request handlers with d.
+// Serve registers the table's request handlers.
 func (h *HomeTable) Serve(mux *link.Mux) {
 	link.Handle(mux, func(ctx context.Context, _ link.Identity, a BeatAsk) (BeatTold, error) {
 		return h.MergeBeat(ctx, a.Beat)
--- a/internal/registry/subset_test.go
+++ b/internal/registry/subset_test.go
@@ -16,9 +16,9 @@
 // newTableOf returns a gateway's table with n targets in three zones.
 func newTableOf(ctx context.Context, t *testing.T, me string, n int) *GatewayTable {
 	t.Helper()
-	pz := liveness.NewPauseMonitor(clock.Wall{})
-	go pz.Run(ctx)
-	r := &GatewayTable{Self: me, Zone: "z1", Clock: clock.Wall{}, Pauses: pz, ProbeInterval: 400 * time.Millisecond}
+	pauses := liveness.NewPauseMonitor(clock.Wall{})
+	go pauses.Run(ctx)
+	r := &GatewayTable{Self: me, Zone: "z1", Clock: clock.Wall{}, Pauses: pauses, ProbeInterval: 400 * time.Millisecond}
 	r.Init()
 	go r.RunWithoutHomes(ctx)
 	var es []Entry
@@ -39,12 +39,12 @@
 			t.Errorf("of %d targets %d are in the subset", subsetSize, n)
 		}
 		// Each target is in the subsets of some gateways, and none in those of all.
-		by := map[string]int{}
+		subsetCount := map[string]int{}
 		for i := range 32 {
 			r := newTableOf(ctx, t, fmt.Sprint("f", i), 64)
 			own := 0
 			for _, s := range r.Targets("s") {
-				by[s.ID]++
+				subsetCount[s.ID]++
 				if s.Zone == "z1" {
 					own++
 				}
@@ -54,7 +54,7 @@
 			}
 		}
 		for i := range 64 {
-			if n := by[fmt.Sprint("t", i)]; n < 3 || n > 30 {
+			if n := subsetCount[fmt.Sprint("t", i)]; n < 3 || n > 30 {
 				t.Errorf("t%d is in the subsets of %d of 32 gateways", i, n)
 			}
 		}
--- a/internal/registry/tables_test.go
+++ b/internal/registry/tables_test.go
@@ -24,9 +24,9 @@
 
 func (l *network) Call(ctx context.Context, addr string, ask any) (any, error) {
 	l.mu.Lock()
-	mux, shut := l.homes[addr], l.unreachable[addr]
+	mux, unreachable := l.homes[addr], l.unreachable[addr]
 	l.mu.Unlock()
-	if mux == nil || shut {
+	if mux == nil || unreachable {
 		return nil, errors.New("unreachable")
 	}
 	if err := (clock.Wall{}).Sleep(ctx, time.Millisecond); err != nil {
@@ -41,10 +41,10 @@
 	return v, err
 }
 
-func (l *network) setUnreachable(addr string, shut bool) {
+func (l *network) setUnreachable(addr string, unreachable bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.unreachable[addr] = shut
+	l.unreachable[addr] = unreachable
 }
 
 func beat(id string, seq, inc uint64, leaving bool) httpapi.Beat {
--- a/internal/registry/types.go
+++ b/internal/registry/types.go
@@ -7,9 +7,9 @@
 // Entry is the known state of a target run.
 type Entry struct {
 	Beat    httpapi.Beat
-	Gone    bool // removed by a decision of the core
-	Suspect bool // suspected by the home's detector
-	W       float64
+	Gone    bool    // removed by a decision of the core
+	Suspect bool    // suspected by the home's detector
+	W       float64 // suspicion level by the home's detector; set by List
 }
 
 // View is one target run as a gateway's own probes see it.
@@ -17,7 +17,7 @@
 	Service string
 	ID      string
 	Inc     uint64
-	W       float64
+	W       float64 // suspicion level by the gateway's detector
 	// Proved says that the target recently answered a probe with its own identity.
 	Proved bool
 }
@@ -89,7 +89,7 @@
 	JudgeTold struct {
 		Known bool
 		Seq   uint64
-		W     float64
-		Quiet int64 // nanoseconds since the last beat
+		W     float64 // suspicion level
+		Quiet int64   // nanoseconds since the last beat, without pauses of the controller's process
 	}
 )
--- a/internal/route/check.go
+++ b/internal/route/check.go
@@ -20,7 +20,7 @@
 
 func (p Problem) String() string { return p.Path + ": " + p.Reason }
 
-// problemList collects the problems of the value at path.
+// problemList collects problems; path is the value that is being checked.
 type problemList struct {
 	path string
 	list []Problem
--- a/internal/route/codec.go
+++ b/internal/route/codec.go
@@ -48,7 +48,8 @@
 	r.rest = nil
 }
 
-func (r *bodyReader) take(n int) []byte {
+// next returns the next n bytes, without a copy.
+func (r *bodyReader) next(n int) []byte {
 	if n > len(r.rest) {
 		r.fail("too short")
 		return nil
@@ -92,24 +93,24 @@
 }
 
 func (r *bodyReader) byte() byte {
-	if b := r.take(1); b != nil {
+	if b := r.next(1); b != nil {
 		return b[0]
 	}
 	return 0
 }
 
-func (r *bodyReader) text() string { return string(r.take(r.count(1))) }
+func (r *bodyReader) text() string { return string(r.next(r.count(1))) }
 
 // bytes returns a slice of the body, without a copy; an empty field is nil.
 func (r *bodyReader) bytes() []byte {
 	if n := r.count(1); n > 0 {
-		return r.take(n)
+		return r.next(n)
 	}
 	return nil
 }
 
 func (r *bodyReader) float() float64 {
-	b := r.take(8)
+	b := r.next(8)
 	if b == nil {
 		return 0
 	}
@@ -122,8 +123,8 @@
 	return f
 }
 
-// decodeBody decodes the body of an item of the given kind by means of fields. On any error it
-// returns the zero value.
+// decodeBody decodes the body of an item of the wanted kind; fields reads the fields after the format
+// byte. On any error it returns the zero value.
 func decodeBody[T any](it item.Item, want item.Kind, fields func(*bodyReader) T) (T, error) {
 	var zero T
 	d := &bodyReader{rest: it.Body}
--- a/internal/route/entry.go
+++ b/internal/route/entry.go
@@ -9,14 +9,14 @@
 	Route
 	// Services are the indices of the services of Shares, in their order.
 	Services []int
-	// bounds holds for each share the largest number that selects it; a share with weight 0
-	// has none. It is empty where one service gets all requests.
+	// bounds holds, for each share with a weight above 0, the largest number that selects it. It is
+	// empty if one service gets all requests.
 	bounds []shareBound
 }
 
 type shareBound struct {
-	last    uint64
-	service int
+	last    uint64 // largest number that selects the service
+	service int    // index of the service
 }
 
 // newEntry compiles a route; index returns the index of a service.
--- a/internal/route/entry_test.go
+++ b/internal/route/entry_test.go
@@ -26,15 +26,15 @@
 		for range draws {
 			count[e.Pick(rng.Uint64())-10]++
 		}
-		top, sum := 0.0, 0.0
+		maxWeight, sum := 0.0, 0.0
 		for _, w := range weights {
-			top = max(top, w)
+			maxWeight = max(maxWeight, w)
 		}
 		for _, w := range weights {
-			sum += w / top
+			sum += w / maxWeight
 		}
 		for i, w := range weights {
-			p := w / top / sum
+			p := w / maxWeight / sum
 			if len(weights) == 1 {
 				p = 1
 			}
--- a/internal/route/table.go
+++ b/internal/route/table.go
@@ -177,7 +177,7 @@
 	return i, ok
 }
 
-// Limits returns the declared limits; before any are declared nothing is limited.
+// Limits returns the declared limits; before any are declared, all of them are 0.
 func (t *Table) Limits() Limits {
 	if t == nil {
 		return Limits{}
@@ -213,9 +213,9 @@
 // tableBuilder is a table under construction.
 type tableBuilder struct {
 	*Table
-	ownHosts, ownNames [shardCount]bool
-	ownServices        bool
-	hostChanges        map[string]*hostChange
+	clonedHosts, clonedNames [shardCount]bool
+	servicesCloned           bool
+	hostChanges              map[string]*hostChange
 }
 
 // hostChange is the difference of one host's routes.
@@ -242,10 +242,10 @@
 	return e
 }
 
-// ownShard clones a shard before the first write to it.
-func ownShard[V any](shard *map[string]V, owned *bool) map[string]V {
-	if !*owned {
-		*owned = true
+// writableShard returns a shard of a table under construction, and clones it before the first write.
+func writableShard[V any](shard *map[string]V, cloned *bool) map[string]V {
+	if !*cloned {
+		*cloned = true
 		if *shard = maps.Clone(*shard); *shard == nil {
 			*shard = map[string]V{}
 		}
@@ -300,7 +300,7 @@
 	if old == nil && e == nil {
 		return nil
 	}
-	names := ownShard(&b.names[shard], &b.ownNames[shard])
+	names := writableShard(&b.names[shard], &b.clonedNames[shard])
 	if old != nil {
 		b.routes--
 		b.changeOf(old.Host).removed[old] = true
@@ -330,9 +330,9 @@
 	return nil
 }
 
-func (b *tableBuilder) ownServiceList() {
-	if !b.ownServices {
-		b.ownServices = true
+func (b *tableBuilder) cloneServices() {
+	if !b.servicesCloned {
+		b.servicesCloned = true
 		b.services = serviceList{slices.Clone(b.services.list), maps.Clone(b.services.index)}
 		if b.services.index == nil {
 			b.services.index = map[string]int{}
@@ -341,7 +341,7 @@
 }
 
 func (b *tableBuilder) setService(i int, k TableService) {
-	b.ownServiceList()
+	b.cloneServices()
 	b.services.list[i] = k
 }
 
@@ -350,7 +350,7 @@
 	if i, ok := b.services.index[name]; ok {
 		return i
 	}
-	b.ownServiceList()
+	b.cloneServices()
 	i := len(b.services.list)
 	b.services.list = append(b.services.list, TableService{Service: Service{Name: name}})
 	b.services.index[name] = i
@@ -360,7 +360,7 @@
 func (b *tableBuilder) build() *Table {
 	for key, change := range b.hostChanges {
 		shard := shardOf(key)
-		hosts := ownShard(&b.hosts[shard], &b.ownHosts[shard])
+		hosts := writableShard(&b.hosts[shard], &b.clonedHosts[shard])
 		if h := hosts[key].merge(change); h != nil {
 			hosts[key] = h
 		} else {
@@ -378,23 +378,23 @@
 	if h != nil {
 		old = h.entries
 	}
-	cells := make([]prefixEntry, 0, max(0, len(old)+len(added)-len(change.removed)))
+	merged := make([]prefixEntry, 0, max(0, len(old)+len(added)-len(change.removed)))
 	for _, c := range old {
 		if change.removed[c.Entry] {
 			continue
 		}
 		for len(added) > 0 && compareEntries(added[0], c.Entry) < 0 {
-			cells, added = append(cells, prefixEntry{Entry: added[0]}), added[1:]
+			merged, added = append(merged, prefixEntry{Entry: added[0]}), added[1:]
 		}
-		cells = append(cells, c)
+		merged = append(merged, c)
 	}
 	for _, e := range added {
-		cells = append(cells, prefixEntry{Entry: e})
+		merged = append(merged, prefixEntry{Entry: e})
 	}
-	if len(cells) == 0 {
+	if len(merged) == 0 {
 		return nil
 	}
-	next := &hostRoutes{entries: cells}
+	next := &hostRoutes{entries: merged}
 	next.linkParents()
 	return next
 }
--- a/internal/route/types.go
+++ b/internal/route/types.go
@@ -2,7 +2,7 @@
 // validation, and the compiled table that the request path reads (design 21).
 package route
 
-// RetryPolicy says whether a request may be sent again.
+// RetryPolicy determines whether a request may be sent again after it may have run.
 type RetryPolicy uint8
 
 // The retry policies of routes.
@@ -34,7 +34,8 @@
 	// HoldMS is the longest time for which a request may wait, in milliseconds; 0 means
 	// that the route sets no limit.
 	HoldMS int
-	// AimMS is the target response time in milliseconds, within which an answer has its full value; 0 is none.
+	// AimMS is the target response time in milliseconds, within which an answer has its full value;
+	// 0 means that there is none.
 	AimMS int
 	// Priority is the rank under overload; 0 is the highest.
 	Priority int
@@ -58,12 +59,12 @@
 	Source   []byte
 }
 
-// Limits bound what a client may send; 0 means no limit.
+// Limits bound what a client may send; 0 selects the default of the gateways.
 type Limits struct {
 	Version     uint64
 	HeaderBytes int
 	BodyBytes   int
-	HeaderMS    int
-	IdleMS      int
+	HeaderMS    int // time from the first byte of a request to the end of its header, in milliseconds
+	IdleMS      int // time that a connection may wait for its next request, in milliseconds
 	Source      []byte
 }
--- a/internal/route/validator.go
+++ b/internal/route/validator.go
@@ -103,10 +103,10 @@
 	releasedRefs map[string]int             // number of changed routes that referred to a service before
 }
 
-// Validate reports what would be wrong with the whole configuration if the change were applied. Items
-// that are not newer than the stored ones have no effect, but must be well-formed like all others.
-// A conflict that two concurrent changes left behind, each valid by itself, is not reported for a
-// change that leaves it as it is.
+// Validate reports the problems that the whole configuration would have after the change. Items that
+// are not newer than the stored ones have no effect, but must be well-formed like all others. Two
+// concurrent changes, each valid by itself, may have left a conflict; it is not reported for a
+// change that does not touch it.
 func (v *Validator) Validate(change []item.Item) []Problem {
 	c := &changeCheck{Validator: v, effective: map[item.Key]*itemRecord{}, changedByKey: map[routeKey][]*itemRecord{}, releasedRefs: map[string]int{}}
 	for _, it := range change {
@@ -145,7 +145,8 @@
 
 func itemPath(it item.Item) string { return kindNames[it.Kind] + "/" + it.Name + "/" }
 
-// addItem checks an item by itself and keeps it if it would take effect.
+// addItem checks an item by itself and, if it is valid and would take effect, adds it to effective
+// and order.
 func (c *changeCheck) addItem(it item.Item) {
 	c.path = itemPath(it)
 	rec := &itemRecord{Item: it}
@@ -163,6 +164,8 @@
 	}
 }
 
+// wellFormed reports whether an item is valid by itself, and adds its problems. It sets the key and the
+// services of a valid route.
 func (c *changeCheck) wellFormed(rec *itemRecord) bool {
 	before := len(c.list)
 	if kindNames[rec.Kind] == "" {
@@ -200,17 +203,18 @@
 	return len(c.list) == before
 }
 
-// resulting returns the record of an item after the change.
-func (c *changeCheck) resulting(k item.Key) *itemRecord {
+// recordAfterChange returns the record that an item has after the change.
+func (c *changeCheck) recordAfterChange(k item.Key) *itemRecord {
 	if rec := c.effective[k]; rec != nil {
 		return rec
 	}
 	return c.items[k]
 }
 
+// checkRoute reports unknown services of a route, and a host and prefix that another route has.
 func (c *changeCheck) checkRoute(rec *itemRecord) {
 	for _, name := range rec.services {
-		s := c.resulting(item.Key{Kind: item.Service, Name: name})
+		s := c.recordAfterChange(item.Key{Kind: item.Service, Name: name})
 		if s == nil || s.Gone {
 			c.add("Shares", "unknown service %q", name)
 		}
--- a/internal/route/validator_test.go
+++ b/internal/route/validator_test.go
@@ -64,12 +64,12 @@
 		{"a dropped service that comes back", []item.Item{routeAt("n", 6, "a.example", "/n/", "old"), service("old", 6)}, ""},
 		{"it comes back with too low a version", []item.Item{routeAt("n", 6, "a.example", "/n/", "old"), service("old", 4)}, "route/n/Shares"},
 		{"a service dropped in the change", []item.Item{routeAt("n", 6, "a.example", "/n/", "idle"), tombstone(item.Service, "idle", 6)}, "route/n/Shares"},
-		{"a service dropped in vain", []item.Item{routeAt("n", 6, "a.example", "/n/", "idle"), tombstone(item.Service, "idle", 4)}, ""},
+		{"a service dropped with too low a version", []item.Item{routeAt("n", 6, "a.example", "/n/", "idle"), tombstone(item.Service, "idle", 4)}, ""},
 		{"dropping an idle service", []item.Item{tombstone(item.Service, "idle", 6)}, ""},
 		{"dropping a service that is named", []item.Item{tombstone(item.Service, "s2", 6)}, "service/s2"},
 		{"dropping it with an old version", []item.Item{tombstone(item.Service, "s2", 5)}, ""},
 		{"dropping it with its route", []item.Item{tombstone(item.Service, "s2", 6), tombstone(item.Route, "r2", 6)}, ""},
-		{"dropping it, its route dropped in vain", []item.Item{tombstone(item.Service, "s2", 6), tombstone(item.Route, "r2", 4)}, "service/s2"},
+		{"dropping it, its route dropped with too low a version", []item.Item{tombstone(item.Service, "s2", 6), tombstone(item.Route, "r2", 4)}, "service/s2"},
 		{"dropping it, its route moved off", []item.Item{routeAt("r2", 6, "a.example", "/y/", "s1"), tombstone(item.Service, "s2", 6)}, ""},
 		{"dropping it, its route still on it", []item.Item{routeAt("r2", 6, "a.example", "/z/", "s2"), tombstone(item.Service, "s2", 6)}, "route/r2/Shares"},
 		{"dropping a dropped service again", []item.Item{tombstone(item.Service, "old", 6)}, ""},
@@ -78,7 +78,7 @@
 		{"a taken place in other case", []item.Item{routeAt("n", 6, "A.Example", "/x/", "s1")}, "route/n/Prefix"},
 		{"a path in other case", []item.Item{routeAt("n", 6, "a.example", "/X/", "s1")}, ""},
 		{"a place freed by a drop", []item.Item{routeAt("n", 6, "a.example", "/x/", "s1"), tombstone(item.Route, "r1", 6)}, ""},
-		{"a place freed in vain", []item.Item{routeAt("n", 6, "a.example", "/x/", "s1"), tombstone(item.Route, "r1", 5)}, "route/n/Prefix"},
+		{"a place freed with too low a version", []item.Item{routeAt("n", 6, "a.example", "/x/", "s1"), tombstone(item.Route, "r1", 5)}, "route/n/Prefix"},
 		{"a place freed by a move", []item.Item{routeAt("n", 6, "a.example", "/x/", "s1"), routeAt("r1", 6, "b.example", "/x/", "s1")}, ""},
 		{"two that change places", []item.Item{routeAt("r1", 6, "a.example", "/y/", "s1"), routeAt("r2", 6, "a.example", "/x/", "s1")}, ""},
 		{"one place for two", []item.Item{routeAt("n", 6, "a.example", "/n/", "s1"), routeAt("m", 6, "a.example", "/n/", "s1")}, "route/n/Prefix route/m/Prefix"},
@@ -237,11 +237,11 @@
 }
 
 func BenchmarkProblemsOneOf6600(b *testing.B) {
-	book := validatorWith(b, manyItems(6600)...)
+	validator := validatorWith(b, manyItems(6600)...)
 	change := []item.Item{routeAt("r-17", 2, "host17.example", "/pre0/", "s0")}
 	b.ReportAllocs()
 	for b.Loop() {
-		if p := book.Validate(change); p != nil {
+		if p := validator.Validate(change); p != nil {
 			b.Fatal(p)
 		}
 	}
--- a/internal/sim/model/actors.go
+++ b/internal/sim/model/actors.go
@@ -135,7 +135,7 @@
 	}
 	runs := map[string]target.State{}
 	_, err = callNode(w, "", id, func(_ context.Context, n *control.Node) (struct{}, error) {
-		n.Board.WithRuns(func(t *target.Table, now time.Time) bool {
+		n.Replica.WithRuns(func(t *target.Table, now time.Time) bool {
 			for x := range t.All(now) {
 				runs[x.ID] = x.State
 			}
--- a/internal/sim/model/world.go
+++ b/internal/sim/model/world.go
@@ -299,7 +299,7 @@
 		if p == nil {
 			continue
 		}
-		p.control.Board.WithItems(func(s *item.Set) {
+		p.control.Replica.WithItems(func(s *item.Set) {
 			for i := range s.All() {
 				w.history.recordShown(n.id, i)
 			}
--- a/internal/target/monitor.go
+++ b/internal/target/monitor.go
@@ -11,9 +11,9 @@
 const (
 	// SuspicionThreshold is the suspicion level from which a run counts as silent.
 	SuspicionThreshold = 0.99
-	// moveGraceBeats is the number of heartbeat intervals for which a run is not judged after
+	// moveGraceHeartbeats is the number of heartbeat intervals for which a run is not judged after
 	// it moved here: the run may return to the node that it left, and each such move costs a heartbeat.
-	moveGraceBeats = 3
+	moveGraceHeartbeats = 3
 	// pauseGrace is how long no run is judged after this process was paused: heartbeats that
 	// arrived meanwhile, here or at other nodes, are still to be processed.
 	pauseGrace = time.Second
@@ -23,8 +23,8 @@
 // for each run whose heartbeats this node receives itself (docs/detector.md). Nodes need
 // not agree: a run is judged only by the node that received its newest heartbeat, because
 // silence at any other node proves nothing. A heartbeat newer than the one after which the
-// run was suspected, at whichever node, clears the suspicion for all. A Monitor is guarded
-// by the owner of the table.
+// run was suspected, at whichever node, clears the suspicion for all. A Monitor is not safe for
+// concurrent use; the owner of the table guards it.
 type Monitor struct {
 	HeartbeatInterval time.Duration // between two heartbeats of a run
 	Pauses            *liveness.PauseMonitor
@@ -57,7 +57,7 @@
 		det.Restart(now)
 	}
 	if moved {
-		det.suspendedUntil = now.Add(moveGraceBeats * w.HeartbeatInterval)
+		det.suspendedUntil = now.Add(moveGraceHeartbeats * w.HeartbeatInterval)
 	}
 	det.RecordArrival(seq, now)
 }
--- a/internal/target/monitor_test.go
+++ b/internal/target/monitor_test.go
@@ -86,20 +86,20 @@
 func TestNobodyIsJudgedRightAfterAPauseOrAMove(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := liveness.NewPauseMonitorEvery(clock.Wall{}, 200*time.Millisecond)
-		run := func() context.CancelFunc {
+		startPauseMonitor := func() context.CancelFunc {
 			ctx, end := context.WithCancel(t.Context())
 			go p.Run(ctx)
 			return end
 		}
-		freeze := run()
+		stopPauseMonitor := startPauseMonitor()
 		tb, w := NewTable(), &Monitor{HeartbeatInterval: time.Second, Pauses: p}
 		var seq uint64
 		none := func(int) bool { return false }
 		sendHeartbeats(tb, w, 4, &seq, 10*time.Second, none)
 		time.Sleep(200 * time.Millisecond)
-		freeze()
+		stopPauseMonitor()
 		time.Sleep(5 * time.Second)
-		freeze = run()
+		stopPauseMonitor = startPauseMonitor()
 		for range 3 {
 			time.Sleep(250 * time.Millisecond)
 			w.Evaluate(tb, time.Now())
@@ -128,6 +128,6 @@
 		if n := countSuspected(tb); n != 1 {
 			t.Errorf("%d suspected, want the one that fell silent after its move", n)
 		}
-		freeze()
+		stopPauseMonitor()
 	})
 }
--- a/internal/target/recalled_test.go
+++ b/internal/target/recalled_test.go
@@ -26,7 +26,7 @@
 	before := tb.Sums()
 	// A heartbeat received here and a copy from a node that received one both confirm the
 	// run, each as a change, since nodes that are not complete yet must learn of it.
-	if _, news, _ := tb.ReceiveHeartbeat(testHeartbeat("1", "10.0.0.1:1", 6), quietTime, testStart); !news {
+	if _, changed, _ := tb.ReceiveHeartbeat(testHeartbeat("1", "10.0.0.1:1", 6), quietTime, testStart); !changed {
 		t.Error("a confirmation is not reported as a change")
 	}
 	if tb.Sums() == before {
@@ -47,7 +47,7 @@
 		t.Errorf("%+v", r)
 	}
 	// A run whose heartbeats were only delayed is cleared by its next one.
-	if _, news, _ := tb.ReceiveHeartbeat(testHeartbeat("3", "10.0.0.1:3", 6), quietTime, testStart); !news {
+	if _, changed, _ := tb.ReceiveHeartbeat(testHeartbeat("3", "10.0.0.1:3", 6), quietTime, testStart); !changed {
 		t.Error("a cleared suspicion is not reported as a change")
 	}
 	if r, _ := tb.Get("3", testStart); r.Suspected() || r.Recalled {
@@ -87,14 +87,14 @@
 func TestALeavingOfARecalledRunIsFirstHand(t *testing.T) {
 	tb := NewTable()
 	tb.Merge(recalledRun("1", 5, Ready), testStart)
-	if r, news := tb.MarkEnded("1", testStart); !news || r.Recalled || r.State != Ended {
-		t.Errorf("%+v, changed %v", r, news)
+	if r, changed := tb.MarkEnded("1", testStart); !changed || r.Recalled || r.State != Ended {
+		t.Errorf("%+v, changed %v", r, changed)
 	}
 	tb.Merge(recalledRun("2", 5, Ready), testStart)
 	b := testHeartbeat("2", "10.0.0.1:2", 6)
 	b.Draining = true
-	if r, news, _ := tb.ReceiveHeartbeat(b, quietTime, testStart); !news || r.Recalled || r.State != Draining {
-		t.Errorf("%+v, changed %v", r, news)
+	if r, changed, _ := tb.ReceiveHeartbeat(b, quietTime, testStart); !changed || r.Recalled || r.State != Draining {
+		t.Errorf("%+v, changed %v", r, changed)
 	}
 }
 
@@ -102,17 +102,17 @@
 func TestAMoveThatCouldNotBeToldIsOwed(t *testing.T) {
 	tb := NewTable()
 	tb.Merge(testRun("1", 1, Ready), testStart)
-	if _, news, moved := tb.ReceiveHeartbeat(testHeartbeat("1", "10.0.0.1:1", 2), quietTime, testStart.Add(time.Second)); !news || !moved {
+	if _, changed, moved := tb.ReceiveHeartbeat(testHeartbeat("1", "10.0.0.1:1", 2), quietTime, testStart.Add(time.Second)); !changed || !moved {
 		t.Error("a first move is not reported if the run itself was reported just before")
 	}
 	tb.Merge(testRun("1", 3, Ready), testStart.Add(1200*time.Millisecond))
-	if _, news, _ := tb.ReceiveHeartbeat(testHeartbeat("1", "10.0.0.1:1", 4), quietTime, testStart.Add(1500*time.Millisecond)); news {
+	if _, changed, _ := tb.ReceiveHeartbeat(testHeartbeat("1", "10.0.0.1:1", 4), quietTime, testStart.Add(1500*time.Millisecond)); changed {
 		t.Error("a move is reported too soon after another")
 	}
 	for i, want := range []bool{false, true, false, false} {
 		at := testStart.Add(2500*time.Millisecond + time.Duration(i)*500*time.Millisecond)
-		if _, news, _ := tb.ReceiveHeartbeat(testHeartbeat("1", "10.0.0.1:1", 5+uint64(i)), quietTime, at); news != want {
-			t.Errorf("%d heartbeats after the move: changed %v", i+1, news)
+		if _, changed, _ := tb.ReceiveHeartbeat(testHeartbeat("1", "10.0.0.1:1", 5+uint64(i)), quietTime, at); changed != want {
+			t.Errorf("%d heartbeats after the move: changed %v", i+1, changed)
 		}
 	}
 }
--- a/internal/target/table.go
+++ b/internal/target/table.go
@@ -192,7 +192,7 @@
 	e.seq = 0
 }
 
-// update replaces a run's copy and reports whether that is a material change.
+// update replaces the stored state of a run and reports whether that is a material change.
 func (t *Table) update(e *entry, r Run, now time.Time) bool {
 	previous, wasInactive := e.Run, e.State == Ended || e.Suspected()
 	if r.Addr != e.Addr {
@@ -228,23 +228,25 @@
 	}
 }
 
-// ReceiveHeartbeat merges a heartbeat that this node received itself. moved reports that
-// the run's previous heartbeat went to another node, or that there was none.
+// ReceiveHeartbeat merges a heartbeat that this node received itself. If it is the first one of its
+// run, the older runs at the same address are ended or suspected; quiet is how long a run must have
+// been silent to be ended (see supersedeOlder). moved reports that the run's previous heartbeat went
+// to another node, or that there was none.
 func (t *Table) ReceiveHeartbeat(b Heartbeat, quiet time.Duration, now time.Time) (r Run, changed, moved bool) {
 	in := Run{ID: b.ID, Service: b.Service, Addr: b.Addr, Zone: b.Zone, Version: b.Version, Slots: b.Slots, Seq: b.Seq, Cold: b.Cold,
 		State: lo.Ternary(b.Draining, Draining, Ready)}
 	before := t.runs[b.ID]
-	elsewhere := before != nil && before.ownSeq < before.Seq && b.Seq > before.Seq
+	receivedElsewhere := before != nil && before.ownSeq < before.Seq && b.Seq > before.Seq
 	changed = t.Merge(in, now)
 	e := t.runs[b.ID]
 	if e == nil {
 		return in, false, false
 	}
-	moved = before == nil || elsewhere || e.ownSeq == 0
+	moved = before == nil || receivedElsewhere || e.ownSeq == 0
 	// The node that received its heartbeats before must learn that it no longer has to
 	// monitor the run: at once, or, if another move was reported just before, with a later
 	// heartbeat. The report must not be skipped, because to that node the run is silent.
-	e.movePending = e.movePending || elsewhere && !changed
+	e.movePending = e.movePending || receivedElsewhere && !changed
 	if e.movePending && now.Sub(e.moveReportedAt) >= moveReportInterval {
 		t.recordChange(e, now)
 		e.moveReportedAt, changed = now, true
--- a/internal/target/table_test.go
+++ b/internal/target/table_test.go
@@ -20,8 +20,8 @@
 	tb := NewTable()
 	now := testStart
 	for i, c := range []struct {
-		r    Run
-		news bool
+		r       Run
+		changed bool
 	}{
 		{testRun("1", 1, Ready), true},
 		{testRun("1", 2, Ready), false}, // an ordinary heartbeat
@@ -37,8 +37,8 @@
 		{Run{ID: "", State: Ready}, false}, {Run{ID: "x"}, false}, {Run{ID: "x", State: 7}, false}, // invalid
 	} {
 		seq := tb.Seq()
-		if got := tb.Merge(c.r, now); got != c.news || (tb.Seq() > seq) != c.news {
-			t.Errorf("%d: changed %v, sequence %d -> %d, want changed %v", i, got, seq, tb.Seq(), c.news)
+		if got := tb.Merge(c.r, now); got != c.changed || (tb.Seq() > seq) != c.changed {
+			t.Errorf("%d: changed %v, sequence %d -> %d, want changed %v", i, got, seq, tb.Seq(), c.changed)
 		}
 	}
 	if r, _ := tb.Get("1", now); r.State != Ended || r.Slots != 3 || r.Seq != 9 || r.Suspected() || tb.Len() != 1 {
@@ -254,17 +254,17 @@
 	tb.Merge(testRun("1", 5, Ready), testStart)
 	now := testStart.Add(moveReportInterval)
 	b := testHeartbeat("1", "10.0.0.1:1", 6)
-	if _, news, moved := tb.ReceiveHeartbeat(b, quietTime, now); !news || !moved {
+	if _, changed, moved := tb.ReceiveHeartbeat(b, quietTime, now); !changed || !moved {
 		t.Error("a move is not reported as a change")
 	}
 	b.Seq++
-	if _, news, moved := tb.ReceiveHeartbeat(b, quietTime, now); news || moved {
+	if _, changed, moved := tb.ReceiveHeartbeat(b, quietTime, now); changed || moved {
 		t.Error("the next heartbeat is reported as a change")
 	}
 	tb.Merge(testRun("1", 8, Ready), now)
 	b.Seq = 9
-	if _, news, moved := tb.ReceiveHeartbeat(b, quietTime, now.Add(moveReportInterval/2)); news || !moved {
-		t.Errorf("an immediate move back: changed %v, moved %v", news, moved)
+	if _, changed, moved := tb.ReceiveHeartbeat(b, quietTime, now.Add(moveReportInterval/2)); changed || !moved {
+		t.Errorf("an immediate move back: changed %v, moved %v", changed, moved)
 	}
 }
 
--- a/internal/upgrade/analyzer.go
+++ b/internal/upgrade/analyzer.go
@@ -37,7 +37,8 @@
 	earlyAffectedTargets = 3
 )
 
-// increment is what answers of the new version add to the sum, given the old version's answers; bad is how many of them are bad.
+// increment returns what answers of the new version add to the sum, given the old version's answers. bad
+// and oldBad are how many of the answers are bad.
 func (t cusumTest) increment(answers, bad, oldAnswers, oldBad int) float64 {
 	baseline := min(max(t.minBaseline, baselineFactor*float64(oldBad)/float64(oldAnswers+priorGoodAnswers)), t.maxBaseline)
 	degraded := min(baseline+t.increase, 0.95)
@@ -104,15 +105,16 @@
 // AddTarget adds answers of one target of the new version; they must also be given to AddNew.
 func (a *Analyzer) AddTarget(target string, t Tally) { a.targets[target] = a.targets[target].Add(t) }
 
-// affectsManyTargets reports whether answers of a kind came from as many targets as they would if all targets gave them equally: a
-// fault of the version affects all its targets, a fault of a machine one. While few targets have given enough answers, a
-// minimum ratio of all targets must have given one.
-func (a *Analyzer) affectsManyTargets(kind func(Tally) int) bool {
+// affectsManyTargets reports whether the answers that count selects came from about as many targets as
+// they would if all targets gave them equally often. A fault of the version affects all of its targets,
+// a fault of a machine only one. While few targets have given enough answers, a minimum ratio of all
+// targets must have given such an answer.
+func (a *Analyzer) affectsManyTargets(count func(Tally) int) bool {
 	known := slices.DeleteFunc(slices.Collect(maps.Values(a.targets)), func(t Tally) bool { return t.Answers < minAnswersPerTarget })
 	if len(known) < minKnownTargets {
 		affected := 0
 		for _, t := range a.targets {
-			affected += min(kind(t), 1)
+			affected += min(count(t), 1)
 		}
 		return affected >= min(earlyAffectedTargets, len(a.targets)) && float64(affected) >= earlyAffectedRatio*float64(len(a.targets))
 	}
@@ -120,9 +122,9 @@
 	affected := 0
 	for _, t := range known {
 		sum = sum.Add(t)
-		affected += min(kind(t), 1)
+		affected += min(count(t), 1)
 	}
-	ratio := float64(kind(sum)) / float64(sum.Answers)
+	ratio := float64(count(sum)) / float64(sum.Answers)
 	expected := 0.0
 	for _, t := range known {
 		expected += 1 - math.Pow(1-ratio, float64(t.Answers))
--- a/internal/upgrade/plan.go
+++ b/internal/upgrade/plan.go
@@ -39,9 +39,9 @@
 	Degraded           bool
 	// Gateways is how many gateways report on this upgrade, and Stopped how many of them have stopped on their own.
 	Gateways, Stopped int
-	// OldDrained reports whether every gateway applies this step and has no requests in progress at old targets.
+	// OldDrained means that every gateway applies this step and has no requests in progress at old targets.
 	OldDrained bool
-	// OldVersions are the versions of the targets other than the new one.
+	// OldVersions are the versions of the ready targets, without the new version and denied ones.
 	OldVersions []string
 }
 
--- a/internal/upgrade/report.go
+++ b/internal/upgrade/report.go
@@ -8,7 +8,7 @@
 	Old, New Tally
 }
 
-// TargetCount counts the answers of one target of the new version since then.
+// TargetCount counts the answers of one target of the new version since the upgrade was ordered.
 type TargetCount struct {
 	Target string
 	Tally
@@ -35,7 +35,7 @@
 // ReportAsk sends reports to a controller.
 type ReportAsk struct{ Reports []Report }
 
-// ReportTold is the reply.
+// ReportTold answers ReportAsk.
 type ReportTold struct{}
 
 func init() { link.RegisterPair[ReportAsk, ReportTold]() }
--- a/internal/upgrade/routing.go
+++ b/internal/upgrade/routing.go
@@ -14,7 +14,8 @@
 	NoTraffic
 )
 
-// VersionRouting determines which versions' targets a gateway may send requests to. Its owner guards it.
+// VersionRouting determines to which versions' targets a gateway may send requests. It is not safe for
+// concurrent use; its owner guards it.
 //
 // A target of a version other than its service's starts only after the order for the upgrade was
 // acknowledged. A gateway that knows everything acknowledged up to a moment after it first saw a
--- a/internal/upgrade/upgrade.go
+++ b/internal/upgrade/upgrade.go
@@ -160,15 +160,15 @@
 	Exposure int
 }
 
-// Validate reports what is wrong with an order by itself.
+// Validate checks an order on its own, without the state of its service.
 func (o Order) Validate() error {
 	switch {
 	case o.Service == "" || len(o.Service) > maxNameLen:
-		return fmt.Errorf("service: 1 to %d characters are wanted", maxNameLen)
+		return fmt.Errorf("service: the length must be 1 to %d bytes", maxNameLen)
 	case o.To == "" || len(o.To) > maxNameLen:
-		return fmt.Errorf("version: 1 to %d characters are wanted", maxNameLen)
+		return fmt.Errorf("version: the length must be 1 to %d bytes", maxNameLen)
 	case o.Term <= 0 || o.Term > maxTerm:
-		return fmt.Errorf("term: more than 0 and at most %v is wanted", maxTerm)
+		return fmt.Errorf("term: must be more than 0 and at most %v", maxTerm)
 	}
 	return nil
 }
--- a/internal/upgrade/upgrade_test.go
+++ b/internal/upgrade/upgrade_test.go
@@ -116,14 +116,14 @@
 		}
 	}
 	v.Observe(map[string]int{"v1": 9, "v2": 2}, start)
-	want("at the first sight", StableTraffic, NoTraffic, NoTraffic)
+	want("when first seen", StableTraffic, NoTraffic, NoTraffic)
 	v.Confirm(start)
-	want("news as old as that", StableTraffic, NoTraffic, NoTraffic)
+	want("changes known up to the first sighting", StableTraffic, NoTraffic, NoTraffic)
 	u := newUpgrade(t)
 	v.ApplyUpgrade(u)
 	want("canary", StableTraffic, CanaryTraffic, NoTraffic)
 	v.Confirm(start.Add(time.Second))
-	want("news newer than the sight", StableTraffic, CanaryTraffic, NoTraffic)
+	want("changes known up to a later time", StableTraffic, CanaryTraffic, NoTraffic)
 	v.ApplyUpgrade(u.WithShare(200))
 	if v.ApplyUpgrade(u) || v.Upgrade().Share != 200 {
 		t.Error("an older step was applied")
@@ -139,13 +139,14 @@
 	v.Observe(map[string]int{"v1": 3}, start)
 	v.Observe(map[string]int{"v1": 3, "v3": 1}, start.Add(time.Second))
 	v.ApplyUpgrade(u.Revert("bad"))
-	want("reverted, another one unproven", StableTraffic, NoTraffic, NoTraffic)
+	want("reverted, another version unconfirmed", StableTraffic, NoTraffic, NoTraffic)
 	v.Confirm(start.Add(2 * time.Second))
 	want("no upgrade to it was acknowledged", StableTraffic, NoTraffic, StableTraffic)
 }
 
-// simulate gives an analyzer random answers of two versions with the given probabilities of bad ones per target. It returns after how many answers of the
-// new version a degraded route was found, or 0 if none was. fails is 1 if bad answers are failures, and 0 if they are slow.
+// simulate gives an analyzer random answers of two versions. old and new return the probability of a bad
+// answer of a target. It returns after how many answers of the new version a degraded route was found, or 0
+// if none was. fails is 1 if bad answers are failures, and 0 if they are slow.
 func simulate(rnd *rand.Rand, answers int, old, new func(target int) float64, fails int) int {
 	a := NewAnalyzer()
 	for i := range answers {
@@ -169,6 +170,7 @@
 	a.AddNew("r", t)
 }
 
+// draw returns 1 with probability p, else 0.
 func draw(rnd *rand.Rand, p float64) int {
 	if rnd.Float64() < p {
 		return 1
@@ -178,7 +180,8 @@
 
 func constant(p float64) func(int) float64 { return func(int) float64 { return p } }
 
-// someTargets is the probability of a bad answer if the first targets have the probability p.
+// someTargets returns the probability of a bad answer by target: p for the first targets, and 0.002 for
+// the others.
 func someTargets(targets int, p float64) func(int) float64 {
 	return func(target int) float64 {
 		if target < targets {
@@ -246,13 +249,13 @@
 	}
 }
 
-// recordingLink records the reports sent through it.
-type recordingLink struct {
+// recordingTransport records the reports sent through it.
+type recordingTransport struct {
 	mu   sync.Mutex
 	asks map[string][]ReportAsk
 }
 
-func (r *recordingLink) Call(_ context.Context, addr string, ask any) (any, error) {
+func (r *recordingTransport) Call(_ context.Context, addr string, ask any) (any, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.asks[addr] = append(r.asks[addr], ask.(ReportAsk))
@@ -262,7 +265,7 @@
 // A gateway must report exactly to the controllers that the controllers themselves rank first.
 func TestReportsGoToTheFirstInRank(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		transport := &recordingLink{asks: map[string][]ReportAsk{}}
+		transport := &recordingTransport{asks: map[string][]ReportAsk{}}
 		ids := map[string]string{"c1": "a1", "c2": "a2", "c3": "a3", "c4": "a4", "c5": "a5"}
 		r := Reporter{Transport: transport, Clock: clock.Wall{}, Incarnation: 7, Controllers: func() map[string]string { return ids },
 			Reports: func() []Report { return []Report{{Service: "a"}} }}
--- a/internal/watch/follow.go
+++ b/internal/watch/follow.go
@@ -11,8 +11,9 @@
 	"walkrudder/internal/target"
 )
 
-// followState is how far a follower has received one controller's changes. Only its owner uses
-// it. A copy may be polled concurrently, because receiving a change twice merges to the same state.
+// followState is how far a follower has received one controller's changes. It is not safe for
+// concurrent use. A copy may be used to poll concurrently, because merging a change twice has no
+// further effect.
 type followState struct {
 	addr       string
 	inc        uint64
--- a/internal/watch/follower.go
+++ b/internal/watch/follower.go
@@ -19,10 +19,10 @@
 func (t *Publisher) Followers() []Follower {
 	now := t.Clock.Now()
 	t.mu.Lock()
-	out := make([]Follower, 0, len(t.clients))
-	for _, a := range t.clients {
+	out := make([]Follower, 0, len(t.followers))
+	for _, a := range t.followers {
 		f := Follower{a.Member, a.cursor}
-		f.Age = now.Sub(a.askedAt)
+		f.Age = now.Sub(a.polledAt)
 		out = append(out, f)
 	}
 	t.mu.Unlock()
--- a/internal/watch/mesh.go
+++ b/internal/watch/mesh.go
@@ -17,11 +17,11 @@
 )
 
 const (
-	// voterWait and nonVoterWait are how long requests to controllers wait for changes. Answers
-	// of voters prove that no change is missing, and are requested more often.
+	// voterWait and nonVoterWait are how long requests to controllers wait for changes. Voters are
+	// polled more often, because their answers prove that no change is missing.
 	voterWait    = 500 * time.Millisecond
 	nonVoterWait = time.Second
-	// peerAnswerMargin is how much longer than its wait a request may take.
+	// peerAnswerMargin is how much longer a request may take than it waits for changes.
 	peerAnswerMargin = 500 * time.Millisecond
 	// maxProofAge is the maximum age of the proof that no acknowledged change is missing.
 	maxProofAge = 1200 * time.Millisecond
@@ -59,8 +59,8 @@
 	ctx       context.Context  // nil while Run is not active
 	wg        sync.WaitGroup
 	fresh     bool
-	everFresh bool // whether it was ever fresh
-	recheck   chan struct{}
+	everFresh bool          // whether it was ever fresh
+	recheck   chan struct{} // makes monitorFreshness check again
 }
 
 // peer is another controller.
@@ -71,11 +71,11 @@
 	answeredAt    time.Time // time of its last answer
 	// provedAt is the time up to which everything that it held is known here, if its disk has a seat.
 	provedAt    time.Time
-	votingEpoch uint64
-	disk        string
+	votingEpoch uint64            // of the core in which its disk has a seat, or 0
+	disk        string            // incarnation of its disk
 	gateways    map[string]string // zones of the gateways that follow it, by ID
 	stopping    bool              // about to stop
-	retry       chan struct{}
+	retry       chan struct{}     // ends the pause after a failed request
 }
 
 func (m *Mesh) poller() *poller {
@@ -184,8 +184,8 @@
 			wait = 0
 		}
 		start := m.Clock.Now()
-		cx, cancel := context.WithTimeout(ctx, wait+peerAnswerMargin)
-		t, _, _, err := q.poll(cx, &state, wait)
+		pollCtx, cancel := context.WithTimeout(ctx, wait+peerAnswerMargin)
+		t, _, _, err := q.poll(pollCtx, &state, wait)
 		cancel()
 		if err != nil {
 			expired, stop := m.Clock.After(pause)
@@ -245,22 +245,23 @@
 }
 
 // SpeaksForSeat reports whether a node with the given disk, which votes in the core of
-// votingEpoch, represents a seat of c. A node that still votes in the previous core has a
-// seat that remains and has not been notified yet. A node further behind had left the core
-// and still has to fetch what was acknowledged without it.
+// votingEpoch, represents a seat of c. A node that still votes in the previous core kept its
+// seat and has not learned of c yet. A node further behind had left the core, and still has to
+// fetch what was acknowledged without it.
 func SpeaksForSeat(c quorum.Core, id, disk string, votingEpoch uint64) bool {
 	s, ok := c.Seat(id)
 	return ok && disk != "" && s.Disk == disk && votingEpoch > 0 && votingEpoch+1 >= c.Epoch
 }
 
-// lag returns how long ago this controller had every change acknowledged until then. That
-// is the age of the proofs of enough voters that every majority includes one of them. ok is
-// false if there are too few proofs. The caller must hold the lock.
+// lag returns how old the state of this controller may be: every change acknowledged up to then is
+// known here. It is the smallest age such that enough voters have given a proof at most that old:
+// so many that every majority includes one of them. The second result is false if there are too
+// few proofs. The caller must hold the lock.
 //
-// One core suffices: a core takes over only after enough seats of the previous core were
-// sealed that at least one of the seats heard here was among them. If that seat was sealed
-// when it answered, it reported the next core, which is then the newest core known here. If
-// it was not, nothing had been acknowledged in the next core by then.
+// It suffices to check the newest known core. A core takes over only after so many seats of the
+// previous core were sealed that at least one of the seats heard here is among them. If that seat
+// was sealed when it answered, it reported the next core, which is then the newest core known
+// here. If it was not, nothing had been acknowledged in the next core by then.
 func (m *Mesh) lag() (time.Duration, bool) {
 	c := m.Core()
 	need := c.BlockingSize()
@@ -351,7 +352,7 @@
 	}
 }
 
-// syncSeats polls the seats of one core once.
+// syncSeats polls the seats of one core once, and reports whether enough of them answered completely.
 func (m *Mesh) syncSeats(ctx context.Context, core quorum.Core) bool {
 	missing := core.BlockingSize()
 	if m.ownDiskVotes(core) {
@@ -361,7 +362,7 @@
 		return true
 	}
 	me := m.Me()
-	cx, cancel := context.WithTimeout(ctx, voterWait+peerAnswerMargin)
+	seatsCtx, cancel := context.WithTimeout(ctx, voterWait+peerAnswerMargin)
 	defer cancel()
 	results := make(chan bool, len(core.Seats))
 	asked := 0
@@ -370,7 +371,7 @@
 			continue
 		}
 		asked++
-		go func() { results <- m.syncSeat(cx, core, s) }()
+		go func() { results <- m.syncSeat(seatsCtx, core, s) }()
 	}
 	for range asked {
 		select {
@@ -388,7 +389,8 @@
 	return false
 }
 
-// syncSeat polls one seat until everything was received.
+// syncSeat polls one seat until everything was received, and reports whether that succeeded and the
+// node that answered represents the seat.
 func (m *Mesh) syncSeat(ctx context.Context, core quorum.Core, s quorum.Seat) bool {
 	state := followState{addr: s.Addr}
 	m.mu.Lock()
--- a/internal/watch/publisher.go
+++ b/internal/watch/publisher.go
@@ -26,21 +26,20 @@
 	maxFirstAnswerBytes = 32 << 10
 	// gatewayTimeout is how long after its last request a gateway no longer counts as attached.
 	gatewayTimeout = 2500 * time.Millisecond
-	// clientRetention is how long a client is remembered.
-	clientRetention = time.Minute
-	// maxClients is the maximum number of remembered clients.
-	maxClients = 1024
-	// holdUrgent and holdNormal are the minimum times between two answers with changes to a
-	// gateway, so that changes are batched: holdUrgent if runs leave, holdNormal for other
-	// runs. Items are not held back (design 23.6). holdController applies to controllers, to
-	// changes that are not urgent. It is shorter, so that a change that passes two controllers
-	// is not fully delayed twice.
+	// followerRetention is how long after its last request a follower is remembered.
+	followerRetention = time.Minute
+	// maxFollowers is the maximum number of remembered followers.
+	maxFollowers = 1024
+	// Changes are batched: two answers with changes to a gateway are at least holdUrgent apart if
+	// runs drain or end, and holdNormal for other changes of runs. Items are not held back (design
+	// 23.6). For controllers, holdController applies to changes that are not urgent. It is shorter,
+	// so that a change that passes two controllers is not fully delayed twice.
 	holdUrgent     = 100 * time.Millisecond
 	holdNormal     = 250 * time.Millisecond
 	holdController = 100 * time.Millisecond
 )
 
-// Publisher answers the nodes that follow this one.
+// Publisher answers the nodes that follow this one: it returns what changed since their last request.
 type Publisher struct {
 	Me      func() Member
 	Replica *Replica
@@ -61,7 +60,7 @@
 	OnController func(Member)
 
 	mu             sync.Mutex
-	clients        map[string]*client
+	followers      map[string]*followerEntry
 	pollCount      uint64
 	peers          []Member
 	ownGateways    map[string]string // zones of the gateways that follow this node, by ID
@@ -70,14 +69,15 @@
 	refreshedAt    time.Time
 }
 
-type client struct {
+// followerEntry is what a publisher remembers of a node that polls it.
+type followerEntry struct {
 	Member
-	askedAt       time.Time
+	polledAt      time.Time
 	cursor        Cursor    // of its last request
 	changesSentAt time.Time // when changes were last sent to it
 }
 
-// Serve registers the handler for WatchAsk at d.
+// Serve registers the handler of WatchAsk.
 func (t *Publisher) Serve(mux *link.Mux) {
 	link.Handle(mux, func(ctx context.Context, _ link.Identity, a WatchAsk) (WatchTold, error) {
 		return t.handleWatch(ctx, a)
@@ -88,10 +88,10 @@
 func (t *Publisher) handleWatch(ctx context.Context, a WatchAsk) (WatchTold, error) {
 	start := t.Clock.Now()
 	me := t.Me()
-	if !t.noteClient(a.Me, len(a.Sums) > 0, start) || len(a.Sums) == 0 && (a.Inc != me.Inc || t.Replica.beyond(a.Seen)) {
+	if !t.recordFollower(a.Me, len(a.Sums) > 0, start) || len(a.Sums) == 0 && (a.Inc != me.Inc || t.Replica.isBehind(a.Seen)) {
 		return WatchTold{Inc: me.Inc, Anew: true}, nil
 	}
-	if a.Inc != me.Inc || t.Replica.beyond(a.Seen) {
+	if a.Inc != me.Inc || t.Replica.isBehind(a.Seen) {
 		a.Seen = Cursor{}
 	}
 	wait := min(max(a.Wait, 0), maxWait)
@@ -111,7 +111,7 @@
 		if timedOut || r.Fresh != wasFresh || r.Going != wasStopping || r.More || hasChanges && hold <= 0 || r.Core.Epoch > a.Epoch {
 			if hasChanges && wait > 0 {
 				// A request that does not wait may run concurrently with one that does.
-				t.noteChangesSent(a.Me.ID)
+				t.recordChangesSent(a.Me.ID)
 			}
 			return r, r.pack()
 		}
@@ -144,7 +144,7 @@
 	urgent := slices.ContainsFunc(r.Runs, func(x target.Run) bool { return x.State > target.Ready })
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	a := t.clients[id]
+	a := t.followers[id]
 	if a == nil || a.changesSentAt.IsZero() {
 		return 0
 	}
@@ -155,18 +155,18 @@
 	return a.changesSentAt.Add(hold).Sub(t.Clock.Now())
 }
 
-// noteChangesSent records that changes are sent to a client now.
-func (t *Publisher) noteChangesSent(id string) {
+// recordChangesSent records that changes are sent to a follower now.
+func (t *Publisher) recordChangesSent(id string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if a := t.clients[id]; a != nil {
+	if a := t.followers[id]; a != nil {
 		a.changesSentAt = t.Clock.Now()
 	}
 }
 
 func (t *Publisher) stopping() bool { return t.Stopping != nil && t.Stopping() }
 
-// fillAnswer fills in the current state.
+// fillAnswer adds the current state, and the changes after the cursor of the request, to an answer.
 func (t *Publisher) fillAnswer(r *WatchTold, a WatchAsk, me Member) {
 	// The order matters: what is reported about the core and about freshness must not be
 	// newer than the changes reported with it.
@@ -185,49 +185,50 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.refreshPeers()
-	if x := t.clients[a.Me.ID]; x != nil {
+	if x := t.followers[a.Me.ID]; x != nil {
 		x.cursor = a.Seen
 	}
 	if r.Seen.Peers = t.peersVersion; a.Seen.Peers != t.peersVersion {
 		r.Peers = append(slices.Clone(t.peers), me)
-		if t.clients[a.Me.ID].kind() == Controller {
+		if t.followers[a.Me.ID].kind() == Controller {
 			r.Attached = t.ownGateways
 		}
 	}
-	if t.clients[a.Me.ID].kind() == Gateway {
-		r.Gateways, r.GatewaysNear = lo.Sum(lo.Values(t.gatewaysByZone)), t.gatewaysByZone[t.clients[a.Me.ID].Zone]
+	if t.followers[a.Me.ID].kind() == Gateway {
+		r.Gateways, r.GatewaysNear = lo.Sum(lo.Values(t.gatewaysByZone)), t.gatewaysByZone[t.followers[a.Me.ID].Zone]
 	}
 }
 
-func (a *client) kind() string {
+func (a *followerEntry) kind() string {
 	if a == nil {
 		return ""
 	}
 	return a.Kind
 }
 
-// noteClient records a request's sender; false means that the sender must introduce itself again.
-func (t *Publisher) noteClient(m Member, introduced bool, now time.Time) bool {
+// recordFollower records the sender of a request. It returns false if the sender must introduce itself
+// again.
+func (t *Publisher) recordFollower(m Member, introduced bool, now time.Time) bool {
 	if m.ID == "" {
 		return false
 	}
 	t.mu.Lock()
 	t.pollCount++
-	old := t.clients[m.ID]
+	old := t.followers[m.ID]
 	switch {
 	case introduced:
-		if t.clients == nil {
-			t.clients = map[string]*client{}
+		if t.followers == nil {
+			t.followers = map[string]*followerEntry{}
 		}
-		if old == nil && len(t.clients) >= maxClients {
-			delete(t.clients, lo.MinBy(lo.Keys(t.clients), func(a, b string) bool { return t.clients[a].askedAt.Before(t.clients[b].askedAt) }))
+		if old == nil && len(t.followers) >= maxFollowers {
+			delete(t.followers, lo.MinBy(lo.Keys(t.followers), func(a, b string) bool { return t.followers[a].polledAt.Before(t.followers[b].polledAt) }))
 		}
-		t.clients[m.ID] = &client{Member: m, askedAt: now}
+		t.followers[m.ID] = &followerEntry{Member: m, polledAt: now}
 	case old == nil || old.Inc != m.Inc:
 		t.mu.Unlock()
 		return false
 	default:
-		old.askedAt = now
+		old.polledAt = now
 		m = old.Member
 	}
 	t.mu.Unlock()
@@ -245,10 +246,10 @@
 	}
 	t.refreshedAt = now
 	own := map[string]string{}
-	for id, a := range t.clients {
-		switch age := now.Sub(a.askedAt); {
-		case age > clientRetention:
-			delete(t.clients, id)
+	for id, a := range t.followers {
+		switch age := now.Sub(a.polledAt); {
+		case age > followerRetention:
+			delete(t.followers, id)
 		case a.Kind == Gateway && age < gatewayTimeout:
 			own[id] = a.Zone
 		}
@@ -266,15 +267,15 @@
 	t.peers, t.ownGateways, t.gatewaysByZone = lo.Ternary(peers == nil, []Member{}, peers), own, all
 }
 
-// Clients returns the nodes that polled this one recently, with the age of their last request.
-func (t *Publisher) Clients() []Member {
+// FollowerMembers returns the nodes that polled this one recently, with the age of their last request.
+func (t *Publisher) FollowerMembers() []Member {
 	now := t.Clock.Now()
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	out := make([]Member, 0, len(t.clients))
-	for _, a := range t.clients {
+	out := make([]Member, 0, len(t.followers))
+	for _, a := range t.followers {
 		m := a.Member
-		m.Age = now.Sub(a.askedAt)
+		m.Age = now.Sub(a.polledAt)
 		out = append(out, m)
 	}
 	slices.SortFunc(out, func(a, b Member) int { return cmp.Compare(a.ID, b.ID) })
--- a/internal/watch/publisher_test.go
+++ b/internal/watch/publisher_test.go
@@ -87,10 +87,10 @@
 		b.Replica.MergeItems([]item.Item{testItem("x", 1), testItem("y", 1)})
 		none := make([]uint64, sumsLen)
 		for name, a := range map[string]WatchAsk{
-			"never introduced":  {Me: Member{ID: "f", Inc: 1}, Inc: 5},
-			"of a life before":  {Me: Member{ID: "f", Inc: 1}, Inc: 4, Seen: Cursor{Items: 2}},
-			"past what it told": {Me: Member{ID: "f", Inc: 1}, Inc: 5, Seen: Cursor{Items: 9}},
-			"another life asks": {Me: Member{ID: "f", Inc: 2}, Inc: 5},
+			"never introduced":                  {Me: Member{ID: "f", Inc: 1}, Inc: 5},
+			"earlier incarnation":               {Me: Member{ID: "f", Inc: 1}, Inc: 4, Seen: Cursor{Items: 2}},
+			"cursor beyond the changes":         {Me: Member{ID: "f", Inc: 1}, Inc: 5, Seen: Cursor{Items: 9}},
+			"other incarnation of the follower": {Me: Member{ID: "f", Inc: 2}, Inc: 5},
 		} {
 			if name != "never introduced" {
 				b.ask(t, WatchAsk{Me: testGateway, Sums: none})
@@ -99,10 +99,10 @@
 				t.Errorf("%s: %+v", name, r)
 			}
 			a.Me, a.Sums = testGateway, none
-			if r := b.ask(t, a); r.Anew || len(r.Items) != 2 && name != "another life asks" {
+			if r := b.ask(t, a); r.Anew || len(r.Items) != 2 && name != "other incarnation of the follower" {
 				t.Errorf("%s, introduced: %+v", name, r)
 			}
-			b.clients = nil
+			b.followers = nil
 		}
 	})
 }
@@ -118,9 +118,9 @@
 		if n, zones := b.Gateways(); n != 1 || zones["z"] != 0 {
 			t.Errorf("%d %v", n, zones)
 		}
-		time.Sleep(clientRetention)
-		if _, _ = b.Gateways(); len(b.Clients()) != 0 {
-			t.Error("a client is never removed")
+		time.Sleep(followerRetention)
+		if _, _ = b.Gateways(); len(b.FollowerMembers()) != 0 {
+			t.Error("a follower is never removed")
 		}
 	})
 }
@@ -159,7 +159,7 @@
 	f := &testFollower{items: map[string]time.Time{}, runs: map[string]time.Time{}}
 	f.last = b.ask(t, WatchAsk{Me: me, Sums: make([]uint64, sumsLen)})
 	go func() {
-		for begun := time.Now(); t.Context().Err() == nil && time.Since(begun) < until; {
+		for start := time.Now(); t.Context().Err() == nil && time.Since(start) < until; {
 			r, err := b.handleWatch(t.Context(), WatchAsk{Me: Member{ID: me.ID, Inc: me.Inc}, Inc: 5, Seen: f.last.Seen, Wait: time.Second})
 			if err != nil {
 				t.Error(err)
@@ -201,7 +201,7 @@
 func TestNewsAreHeldTogether(t *testing.T) {
 	for name, c := range map[string]struct {
 		kind       string
-		what       func(*testPublisher, int)
+		change     func(*testPublisher, int)
 		each       time.Duration
 		most, held time.Duration
 	}{
@@ -225,7 +225,7 @@
 				n := int(min(maxChanges, time.Second/c.each))
 				for i := range n {
 					changedAt[fmt.Sprint(i)] = time.Now()
-					c.what(b, i)
+					c.change(b, i)
 					synctest.Wait()
 					if n := locked(f, answerCount); i == 0 && n != 1 {
 						t.Errorf("the first change is sent in %d answers", n)
@@ -270,9 +270,9 @@
 // that is stopping or no longer fresh reports that at once.
 func TestALeavingIsNotHeldBehindTheRest(t *testing.T) {
 	for name, c := range map[string]struct {
-		what func(*testPublisher)
-		most time.Duration
-		told func(*testFollower) bool
+		change   func(*testPublisher)
+		most     time.Duration
+		reported func(*testFollower) bool
 	}{
 		"leaves": {func(b *testPublisher) { b.Replica.MergeRuns([]target.Run{runInState("x", target.Ended)}) }, holdUrgent,
 			func(f *testFollower) bool { return !f.runs["x"+stateSuffix(target.Ended)].IsZero() }},
@@ -294,12 +294,12 @@
 					t.Fatalf("%d answers: the second change is not held back", n)
 				}
 				time.Sleep(20 * time.Millisecond)
-				c.what(b)
+				c.change(b)
 				if c.most > 0 {
 					time.Sleep(c.most)
 				}
 				synctest.Wait()
-				if !locked(f, c.told) {
+				if !locked(f, c.reported) {
 					t.Errorf("not reported after %v", c.most)
 				}
 				time.Sleep(3 * time.Second)
--- a/internal/watch/replica.go
+++ b/internal/watch/replica.go
@@ -244,8 +244,8 @@
 	return items, runs, to, more
 }
 
-// beyond reports whether a cursor is ahead of the changes recorded by this replica.
-func (b *Replica) beyond(c Cursor) bool {
+// isBehind reports whether a cursor is ahead of the changes recorded by this replica.
+func (b *Replica) isBehind(c Cursor) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return c.Items > b.items.Seq() || c.Runs > b.runs.Seq()
--- a/internal/watch/report.go
+++ b/internal/watch/report.go
@@ -5,8 +5,8 @@
 // Report describes, for operators, the controllers that a gateway follows and what it received.
 type Report struct {
 	Synced bool `json:"synced"`
-	// BehindMS is how long ago everything acknowledged until then was known here; -1 means
-	// never.
+	// BehindMS is the age of the known state: everything acknowledged until BehindMS ago is known
+	// here. -1 means that there is none yet.
 	BehindMS int64                `json:"behind_ms"`
 	Follows  []FollowedController `json:"follows"`
 	// Newest is the item that changed last here. Items and Runs are the numbers of changes
@@ -30,7 +30,7 @@
 	Runs  uint64 `json:"runs"`
 }
 
-// Report describes the followed controllers.
+// Report returns the state of this gateway's subscription.
 func (s *Subscriber) Report() Report {
 	now := s.Clock.Now()
 	r := Report{BehindMS: -1, Follows: []FollowedController{}}
--- a/internal/watch/subscriber.go
+++ b/internal/watch/subscriber.go
@@ -40,15 +40,19 @@
 	// ownZoneRetryInterval is how often a gateway that follows a controller of another zone tries its own zone.
 	ownZoneRetryInterval = 2 * time.Second
 	// initialSyncTick is how long a starting gateway waits for the first answer of one controller before it
-	// asks a second, and initialSyncMaxIdle for each further answer.
+	// polls a second one, and initialSyncMaxIdle how long it waits for each further answer.
 	initialSyncTick, initialSyncMaxIdle = 100 * time.Millisecond, time.Second
 	// expireInterval is how often expired runs are removed.
 	expireInterval = time.Minute
-	// usualChangeDeadline is the deadline of changes for which gatewayWait and maxGatewayLag are chosen, and
-	// minChangeDeadline the shortest for which requests are made more often.
+	// usualChangeDeadline is the deadline of changes for which gatewayWait and maxGatewayLag are chosen.
+	// For shorter ones, requests are sent more often, down to a deadline of minChangeDeadline.
 	usualChangeDeadline, minChangeDeadline = 2 * time.Second, time.Second
-	slowLinkDialTimeout                    = 1200 * time.Millisecond
-	slowLinkWait, slowLinkAnswerTimeout    = 500 * time.Millisecond, 3500 * time.Millisecond
+	// On a slow link, where messages may be queued for long: slowLinkDialTimeout is how long connecting
+	// may take, slowLinkWait how long a request waits for changes, and slowLinkAnswerTimeout how long a
+	// request of the second slot may take in total. With shorter timeouts, requests were given up
+	// shortly before their answers arrived, and new connections took as long (incident 40).
+	slowLinkDialTimeout                 = 1200 * time.Millisecond
+	slowLinkWait, slowLinkAnswerTimeout = 500 * time.Millisecond, 3500 * time.Millisecond
 )
 
 // followSlots is how many controllers a gateway follows at once. With only one, the changes
@@ -176,7 +180,8 @@
 	return lo.MapEntries(s.peers, func(addr string, m Member) (string, string) { return m.ID, addr })
 }
 
-// Following returns the followed controller.
+// Following returns the followed controller: that of the first slot whose controller is fresh, or else
+// of the first slot.
 func (s *Subscriber) Following() Member {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -296,8 +301,8 @@
 	return addr, false, retryIn
 }
 
-// awaitInitialSync returns once a starting gateway has received everything, or receives no more answers: the
-// initial state should be sent once, and not by two controllers at the same time.
+// awaitInitialSync returns once a starting gateway has received everything, or receives no more answers.
+// The initial state should be sent only once, and not by two controllers at the same time.
 func (s *Subscriber) awaitInitialSync(ctx context.Context) {
 	for idleTicks := 0; idleTicks*int(initialSyncTick) < int(initialSyncMaxIdle); idleTicks++ {
 		s.mu.Lock()
@@ -340,7 +345,7 @@
 }
 
 // timeouts returns how long the next request may take and how long it should wait for changes.
-func (s *Subscriber) timeouts(slot int, state *followState, failures int) (answer, wait time.Duration) {
+func (s *Subscriber) timeouts(slot int, state *followState, failures int) (timeout, wait time.Duration) {
 	if s.SlowLink && slot > 0 {
 		return slowLinkAnswerTimeout, lo.Ternary(state.inc == 0 || state.sums != nil, 0, s.scaled(slowLinkWait))
 	}
@@ -350,9 +355,9 @@
 	if state.sums != nil {
 		return gatewayAnswerTimeout, 0
 	}
-	left := s.asOf.Add(s.scaled(maxGatewayLag)).Sub(s.Clock.Now())
-	answer = min(max(left, minAnswerTimeout), gatewayAnswerTimeout)
-	return answer, min(answer-answerMargin, s.scaled(lo.Ternary(s.SlowLink, slowLinkWait, gatewayWait)))
+	remaining := s.asOf.Add(s.scaled(maxGatewayLag)).Sub(s.Clock.Now())
+	timeout = min(max(remaining, minAnswerTimeout), gatewayAnswerTimeout)
+	return timeout, min(timeout-answerMargin, s.scaled(lo.Ternary(s.SlowLink, slowLinkWait, gatewayWait)))
 }
 
 // follow follows one controller for as long as it is suitable. ok is false if the controller
@@ -367,15 +372,15 @@
 	for first := true; ctx.Err() == nil; first = false {
 		s.mu.Lock()
 		failures := s.backoffs[addr].failures
-		answer, wait := s.timeouts(slot, &state, failures)
+		timeout, wait := s.timeouts(slot, &state, failures)
 		s.mu.Unlock()
 		if !ok && !first && state.sums == nil {
 			// No controller is fresh: wait here until the next attempt at the others.
-			answer, wait = staleWait+answerMargin, staleWait
+			timeout, wait = staleWait+answerMargin, staleWait
 		}
 		start := s.Clock.Now()
-		cx, cancel := context.WithTimeout(ctx, answer)
-		t, items, runs, err := q.poll(cx, &state, wait)
+		pollCtx, cancel := context.WithTimeout(ctx, timeout)
+		t, items, runs, err := q.poll(pollCtx, &state, wait)
 		cancel()
 		if err != nil {
 			if ctx.Err() == nil {
@@ -406,7 +411,7 @@
 	}
 }
 
-// recordAnswer stores an answer.
+// recordAnswer records the answer to a request that was sent at start.
 func (s *Subscriber) recordAnswer(slot int, addr string, state followState, t WatchTold, start time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -448,7 +453,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if slot > 0 {
-		// It yields to the first slot, which prefers this zone.
+		// The second slot gives up a controller of this zone for the first slot, which prefers this zone.
 		return s.peers[addr].Zone == s.Me.Zone && s.peers[s.following[0]].Zone != s.Me.Zone && len(s.peers) > followSlots
 	}
 	if now.Sub(since) < ownZoneRetryInterval {
--- a/internal/watch/subscriber_test.go
+++ b/internal/watch/subscriber_test.go
@@ -28,9 +28,10 @@
 	sentBytes   int // total size of the changes sent
 }
 
-// newDelayedLine creates controllers that know each other, each in a zone of its own.
-func newDelayedTransport(way time.Duration, ids ...string) *delayedTransport {
-	f := &delayedTransport{delay: way, controllers: map[string]*testPublisher{}, connected: map[string]bool{}, silent: map[string]bool{}}
+// newDelayedTransport returns a transport to new controllers that know each other, each in a zone of
+// its own, with the given delay in each direction.
+func newDelayedTransport(delay time.Duration, ids ...string) *delayedTransport {
+	f := &delayedTransport{delay: delay, controllers: map[string]*testPublisher{}, connected: map[string]bool{}, silent: map[string]bool{}}
 	var members []Member
 	for _, id := range ids {
 		b := newTestPublisher()
@@ -44,27 +45,27 @@
 }
 
 // setDelay sets the delay of each direction from now on.
-func (f *delayedTransport) setDelay(way time.Duration) {
+func (f *delayedTransport) setDelay(delay time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.delay = way
+	f.delay = delay
 }
 
 func (f *delayedTransport) Call(ctx context.Context, addr string, ask any) (any, error) {
 	f.mu.Lock()
-	b, first, mute, way := f.controllers[addr], !f.connected[addr], f.silent[addr], f.delay
+	b, first, silent, delay := f.controllers[addr], !f.connected[addr], f.silent[addr], f.delay
 	f.connected[addr] = true
 	f.mu.Unlock()
-	trips := 1
+	roundTrips := 1
 	if first {
-		trips = 3
+		roundTrips = 3
 	}
-	if mute {
+	if silent {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
-	for range 2*trips - 1 {
-		if err := (clock.Wall{}).Sleep(ctx, way); err != nil {
+	for range 2*roundTrips - 1 {
+		if err := (clock.Wall{}).Sleep(ctx, delay); err != nil {
 			return nil, err
 		}
 	}
@@ -82,7 +83,7 @@
 		f.sentBytes += len(i.Name) + len(i.Body)
 	}
 	f.mu.Unlock()
-	return r, (clock.Wall{}).Sleep(ctx, way)
+	return r, (clock.Wall{}).Sleep(ctx, delay)
 }
 
 // A controller that is partitioned from the others, but not from the gateway, takes over a
--- a/internal/watch/types.go
+++ b/internal/watch/types.go
@@ -29,7 +29,7 @@
 	Inc   uint64 // incarnation of its process
 	// Seat is the node's disk, if it has one.
 	Seat quorum.Seat
-	// Age is how long ago the sender heard from it; set for peers.
+	// Age is the time since the node was last heard from; it is not part of an introduction.
 	Age time.Duration
 }
 
