--- a/internal/control/beat.go
+++ b/internal/control/beat.go
@@ -96,7 +96,7 @@
 		if stopping && m.ID == n.ID {
 			continue
 		}
-		candidateScore := score(service, zone, m.ID)
+		candidateScore := rendezvousScore(service, zone, m.ID)
 		sameZone, better := m.Zone == zone, cmp.Or(cmp.Compare(candidateScore, bestScore), cmp.Compare(m.ID, best.ID)) > 0
 		if bestSameZone := ok && best.Zone == zone; !ok || sameZone && !bestSameZone || sameZone == bestSameZone && better {
 			best, bestScore, ok = m, candidateScore, true
@@ -105,8 +105,8 @@
 	return best, ok
 }
 
-// score is the rendezvous hash of a controller for a service's targets in a zone.
-func score(service, zone, id string) uint64 {
+// rendezvousScore is the rendezvous hash of a controller for a service's targets in a zone.
+func rendezvousScore(service, zone, id string) uint64 {
 	var d xxhash.Digest
 	d.Reset()
 	for _, s := range []string{service, "\x00", zone, "\x00", id} {
--- a/internal/control/domain_test.go
+++ b/internal/control/domain_test.go
@@ -46,19 +46,19 @@
 	}
 }
 
-// toleratedLosses returns the sets of machines, each of whole domains, that the tolerance allows to be lost at once.
+// toleratedLosses returns the sets of machines whose loss at once the tolerance allows. Each consists of whole domains.
 func (cl *cluster) toleratedLosses() (sets [][]*controllerHost) {
-	domain := func(label func(*controllerHost) string, most int) {
+	addLosses := func(label func(*controllerHost) string, count int) {
 		names := lo.Uniq(lo.Map(cl.controllers, func(m *controllerHost, _ int) string { return label(m) }))
 		for i := range names {
-			lost := names[i:min(i+most, len(names))]
-			if most > 0 {
+			lost := names[i:min(i+count, len(names))]
+			if count > 0 {
 				sets = append(sets, lo.Filter(cl.controllers, func(m *controllerHost, _ int) bool { return slices.Contains(lost, label(m)) }))
 			}
 		}
 	}
-	domain(func(m *controllerHost) string { return m.zone }, cl.tolerance.Zones)
-	domain(func(m *controllerHost) string { return cl.regions[m.zone] }, cl.tolerance.Regions)
+	addLosses(func(m *controllerHost) string { return m.zone }, cl.tolerance.Zones)
+	addLosses(func(m *controllerHost) string { return cl.regions[m.zone] }, cl.tolerance.Regions)
 	return sets
 }
 
@@ -90,10 +90,10 @@
 		time.Sleep(recoveryTime)
 		for i, lost := range cl.toleratedLosses() {
 			cl.mustApply(routeChange(uint64(2*i+2)), shuffled(cl, cl.controllers))
-			back := cl.takeDown(lost, true)
+			restart := cl.takeDown(lost, true)
 			time.Sleep(downTime)
 			cl.mustApply(routeChange(uint64(2*i+3)), shuffled(cl, cl.alive()))
-			back()
+			restart()
 			time.Sleep(recoveryTime)
 			cl.expectAcknowledged(cl.controllers)
 		}
@@ -111,15 +111,15 @@
 		version := uint64(1)
 		for range lossPairs {
 			first, second := pick(cl, cl.toleratedLosses()), pick(cl, cl.toleratedLosses())
-			back := cl.takeDown(first, false)
+			restart := cl.takeDown(first, false)
 			time.Sleep(5 * time.Second)
 			version++
 			cl.mustApply(routeChange(version), shuffled(cl, cl.alive()))
-			back()
+			restart()
 			time.Sleep(recoveryTime)
-			back = cl.takeDown(second, true)
+			restart = cl.takeDown(second, true)
 			time.Sleep(downTime)
-			back()
+			restart()
 			time.Sleep(recoveryTime)
 			cl.expectAcknowledged(cl.controllers)
 		}
@@ -135,14 +135,14 @@
 		version := uint64(1)
 		for range lossPairs {
 			first, second := pick(cl, cl.toleratedLosses()), pick(cl, cl.toleratedLosses())
-			back := cl.takeDown(first, false)
+			restartFirst := cl.takeDown(first, false)
 			time.Sleep(5 * time.Second)
 			version++
 			cl.mustApply(routeChange(version), shuffled(cl, cl.alive()))
-			alsoBack := cl.takeDown(lo.Without(second, first...), true)
+			restartSecond := cl.takeDown(lo.Without(second, first...), true)
 			time.Sleep(downTime)
-			back()
-			alsoBack()
+			restartFirst()
+			restartSecond()
 			time.Sleep(2 * recoveryTime)
 			cl.expectAcknowledged(cl.controllers)
 		}
--- a/internal/control/home_test.go
+++ b/internal/control/home_test.go
@@ -108,6 +108,6 @@
 func BenchmarkScore(b *testing.B) {
 	b.ReportAllocs()
 	for b.Loop() {
-		score("service", "zone", "controller")
+		rendezvousScore("service", "zone", "controller")
 	}
 }
--- a/internal/control/latency_test.go
+++ b/internal/control/latency_test.go
@@ -26,15 +26,15 @@
 			time.Sleep(200 * time.Millisecond)
 		}
 		for _, x := range []struct {
-			what string
-			took []time.Duration
-			most time.Duration
+			what  string
+			took  []time.Duration
+			bound time.Duration
 		}{{"change", changes, 40 * time.Millisecond}, {"departure", departures, 15 * time.Millisecond}} {
 			slices.Sort(x.took)
 			median, maximum := x.took[len(x.took)/2], x.took[len(x.took)-1]
 			t.Logf("%s: median latency %v, maximum %v", x.what, median.Round(10*time.Microsecond), maximum.Round(10*time.Microsecond))
-			if maximum > x.most {
-				t.Errorf("%s: %v, bound %v", x.what, maximum, x.most)
+			if maximum > x.bound {
+				t.Errorf("%s: %v, bound %v", x.what, maximum, x.bound)
 			}
 		}
 	})
--- a/internal/control/recall_test.go
+++ b/internal/control/recall_test.go
@@ -21,13 +21,13 @@
 
 func (j *diskJournal) Load() ([][]byte, error) { return j.d.journalCopy(), nil }
 
-func (j *diskJournal) write(records [][]byte, anew bool) error {
+func (j *diskJournal) write(records [][]byte, replace bool) error {
 	j.d.mu.Lock()
 	defer j.d.mu.Unlock()
 	if j.ctx.Err() != nil {
 		return errDead
 	}
-	j.d.journal = append(lo.Ternary(anew, nil, j.d.journal), records...)
+	j.d.journal = append(lo.Ternary(replace, nil, j.d.journal), records...)
 	return nil
 }
 
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -15,7 +15,7 @@
 	events   *prometheus.CounterVec
 }
 
-// New creates the metrics of a program.
+// New returns the metrics of a process of program, which is the subsystem in the name of the event counter.
 func New(program string) *Registry {
 	r := &Registry{registry: prometheus.NewRegistry(), events: prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: "walkrudder", Subsystem: program,
 		Name: "events_total", Help: "What happened, by kind and service."}, []string{"what", "service"})}
@@ -23,10 +23,10 @@
 	return r
 }
 
-// Add counts one event.
+// Add counts one event of the kind what at a service.
 func (r *Registry) Add(what, service string) { r.events.WithLabelValues(what, service).Inc() }
 
-// Gauge registers a gauge whose value is f's result.
+// Gauge registers a gauge that calls f for its value.
 func (r *Registry) Gauge(name, help string, f func() float64) {
 	r.registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Namespace: "walkrudder", Name: name, Help: help}, f))
 }
--- a/internal/watch/publisher_test.go
+++ b/internal/watch/publisher_test.go
@@ -197,13 +197,13 @@
 }
 
 // The first change after an idle time is sent at once. Subsequent runs are batched, for a
-// shorter time if they are urgent, and no change is held for longer. Items are never held.
+// shorter time if they are urgent, and no change is held back for longer. Items are never held back.
 func TestNewsAreHeldTogether(t *testing.T) {
 	for name, c := range map[string]struct {
-		kind       string
-		change     func(*testPublisher, int)
-		each       time.Duration
-		most, held time.Duration
+		kind           string
+		change         func(*testPublisher, int)
+		interval       time.Duration
+		maxDelay, hold time.Duration
 	}{
 		"runs that appear": {Gateway, func(b *testPublisher, i int) { b.Replica.MergeRuns([]target.Run{testRun(fmt.Sprint(i), 1)}) }, time.Millisecond, holdNormal, holdNormal},
 		"runs that leave": {Gateway, func(b *testPublisher, i int) {
@@ -222,7 +222,7 @@
 				const maxChanges = 1000
 				changedAt := map[string]time.Time{}
 				start := time.Now()
-				n := int(min(maxChanges, time.Second/c.each))
+				n := int(min(maxChanges, time.Second/c.interval))
 				for i := range n {
 					changedAt[fmt.Sprint(i)] = time.Now()
 					c.change(b, i)
@@ -230,7 +230,7 @@
 					if n := locked(f, answerCount); i == 0 && n != 1 {
 						t.Errorf("the first change is sent in %d answers", n)
 					}
-					time.Sleep(c.each)
+					time.Sleep(c.interval)
 				}
 				time.Sleep(2*time.Second + holdNormal)
 				synctest.Wait()
@@ -240,7 +240,7 @@
 				if len(f.runs) > 0 {
 					receivedAt = f.runs
 				}
-				most := time.Duration(0)
+				longestDelay := time.Duration(0)
 				for id, at := range changedAt {
 					got, ok := receivedAt[id]
 					for _, s := range []target.State{target.Ready, target.Draining} {
@@ -251,13 +251,13 @@
 					if !ok {
 						t.Fatalf("%s is never sent", id)
 					}
-					most = max(most, got.Sub(at))
+					longestDelay = max(longestDelay, got.Sub(at))
 				}
-				if most > c.most {
-					t.Errorf("a change was sent %v late, want at most %v", most, c.most)
+				if longestDelay > c.maxDelay {
+					t.Errorf("a change was sent %v late, want at most %v", longestDelay, c.maxDelay)
 				}
-				if c.held > 0 {
-					if want := int(time.Second/c.held) + 2; f.answers > want {
+				if c.hold > 0 {
+					if want := int(time.Second/c.hold) + 2; f.answers > want {
 						t.Errorf("%d answers for %d changes in %v, want at most %d", f.answers, n, time.Since(start), want)
 					}
 				}
@@ -266,12 +266,12 @@
 	}
 }
 
-// A leaving run is sent in time even if runs that appeared are held for longer. A publisher
+// A leaving run is sent in time even if runs that appeared are held back for longer. A publisher
 // that is stopping or no longer fresh reports that at once.
 func TestALeavingIsNotHeldBehindTheRest(t *testing.T) {
 	for name, c := range map[string]struct {
 		change   func(*testPublisher)
-		most     time.Duration
+		maxDelay time.Duration
 		reported func(*testFollower) bool
 	}{
 		"leaves": {func(b *testPublisher) { b.Replica.MergeRuns([]target.Run{runInState("x", target.Ended)}) }, holdUrgent,
@@ -295,12 +295,12 @@
 				}
 				time.Sleep(20 * time.Millisecond)
 				c.change(b)
-				if c.most > 0 {
-					time.Sleep(c.most)
+				if c.maxDelay > 0 {
+					time.Sleep(c.maxDelay)
 				}
 				synctest.Wait()
 				if !locked(f, c.reported) {
-					t.Errorf("not reported after %v", c.most)
+					t.Errorf("not reported after %v", c.maxDelay)
 				}
 				time.Sleep(3 * time.Second)
 			})
