--- a/internal/route/validator_test.go
+++ b/internal/route/validator_test.go
@@ -64,21 +64,21 @@
 		{"a dropped service that comes back", []item.Item{routeAt("n", 6, "a.example", "/n/", "old"), service("old", 6)}, ""},
 		{"it comes back with too low a version", []item.Item{routeAt("n", 6, "a.example", "/n/", "old"), service("old", 4)}, "route/n/Shares"},
 		{"a service dropped in the change", []item.Item{routeAt("n", 6, "a.example", "/n/", "idle"), tombstone(item.Service, "idle", 6)}, "route/n/Shares"},
-		{"a service dropped in vain", []item.Item{routeAt("n", 6, "a.example", "/n/", "idle"), tombstone(item.Service, "idle", 4)}, ""},
+		{"a service dropped with too low a version", []item.Item{routeAt("n", 6, "a.example", "/n/", "idle"), tombstone(item.Service, "idle", 4)}, ""},
 		{"dropping an idle service", []item.Item{tombstone(item.Service, "idle", 6)}, ""},
 		{"dropping a service that is named", []item.Item{tombstone(item.Service, "s2", 6)}, "service/s2"},
 		{"dropping it with an old version", []item.Item{tombstone(item.Service, "s2", 5)}, ""},
 		{"dropping it with its route", []item.Item{tombstone(item.Service, "s2", 6), tombstone(item.Route, "r2", 6)}, ""},
-		{"dropping it, its route dropped in vain", []item.Item{tombstone(item.Service, "s2", 6), tombstone(item.Route, "r2", 4)}, "service/s2"},
+		{"dropping it, its route dropped with too low a version", []item.Item{tombstone(item.Service, "s2", 6), tombstone(item.Route, "r2", 4)}, "service/s2"},
 		{"dropping it, its route moved off", []item.Item{routeAt("r2", 6, "a.example", "/y/", "s1"), tombstone(item.Service, "s2", 6)}, ""},
 		{"dropping it, its route still on it", []item.Item{routeAt("r2", 6, "a.example", "/z/", "s2"), tombstone(item.Service, "s2", 6)}, "route/r2/Shares"},
 		{"dropping a dropped service again", []item.Item{tombstone(item.Service, "old", 6)}, ""},
-		{"dropping what never was", []item.Item{tombstone(item.Service, "n", 6), tombstone(item.Route, "n", 6)}, ""},
+		{"dropping unknown items", []item.Item{tombstone(item.Service, "n", 6), tombstone(item.Route, "n", 6)}, ""},
 		{"a taken place", []item.Item{routeAt("n", 6, "a.example", "/x/", "s1")}, "route/n/Prefix"},
 		{"a taken place in other case", []item.Item{routeAt("n", 6, "A.Example", "/x/", "s1")}, "route/n/Prefix"},
 		{"a path in other case", []item.Item{routeAt("n", 6, "a.example", "/X/", "s1")}, ""},
 		{"a place freed by a drop", []item.Item{routeAt("n", 6, "a.example", "/x/", "s1"), tombstone(item.Route, "r1", 6)}, ""},
-		{"a place freed in vain", []item.Item{routeAt("n", 6, "a.example", "/x/", "s1"), tombstone(item.Route, "r1", 5)}, "route/n/Prefix"},
+		{"a place freed with too low a version", []item.Item{routeAt("n", 6, "a.example", "/x/", "s1"), tombstone(item.Route, "r1", 5)}, "route/n/Prefix"},
 		{"a place freed by a move", []item.Item{routeAt("n", 6, "a.example", "/x/", "s1"), routeAt("r1", 6, "b.example", "/x/", "s1")}, ""},
 		{"two that change places", []item.Item{routeAt("r1", 6, "a.example", "/y/", "s1"), routeAt("r2", 6, "a.example", "/x/", "s1")}, ""},
 		{"one place for two", []item.Item{routeAt("n", 6, "a.example", "/n/", "s1"), routeAt("m", 6, "a.example", "/n/", "s1")}, "route/n/Prefix route/m/Prefix"},
@@ -87,12 +87,12 @@
 		{"a dropped route comes back", []item.Item{routeAt("gone", 6, "a.example", "/x/", "s1")}, "route/gone/Prefix"},
 		{"an old one changes nothing", []item.Item{routeAt("gone", 4, "a.example", "/x/", "nowhere")}, ""},
 		{"an equal one changes nothing", declared, ""},
-		{"a twin that stays", []item.Item{routeAt("twin1", 6, "a.example", "/twin/", "s2")}, ""},
-		{"a third twin", []item.Item{routeAt("n", 6, "a.example", "/twin/", "s2")}, "route/n/Prefix"},
+		{"a conflicting route that keeps its place", []item.Item{routeAt("twin1", 6, "a.example", "/twin/", "s2")}, ""},
+		{"a third route at a conflicting place", []item.Item{routeAt("n", 6, "a.example", "/twin/", "s2")}, "route/n/Prefix"},
 		{"malformed", []item.Item{bad, routeAt("n", 6, "a.example", "/x/", "s1")}, "route/bad/Prefix"},
 		{"malformed and old", []item.Item{old}, "route/r1/Prefix"},
 		{"unreadable", []item.Item{{Key: item.Key{Kind: item.Route, Name: "u"}, Version: 9, Body: []byte{99}}}, "route/u"},
-		{"of no kind", []item.Item{{Key: item.Key{Kind: 9, Name: "u"}, Version: 9}}, "/u"},
+		{"of an unknown kind", []item.Item{{Key: item.Key{Kind: 9, Name: "u"}, Version: 9}}, "/u"},
 		{"limits", []item.Item{Limits{Version: 1, BodyBytes: 1}.Item()}, ""},
 		{"limits below 0", []item.Item{Limits{Version: 1, BodyBytes: -1}.Item()}, "limits/limits/BodyBytes"},
 		{"a nameless drop", []item.Item{tombstone(item.Route, "", 1)}, "route//Name"},
@@ -237,11 +237,11 @@
 }
 
 func BenchmarkProblemsOneOf6600(b *testing.B) {
-	book := validatorWith(b, manyItems(6600)...)
+	validator := validatorWith(b, manyItems(6600)...)
 	change := []item.Item{routeAt("r-17", 2, "host17.example", "/pre0/", "s0")}
 	b.ReportAllocs()
 	for b.Loop() {
-		if p := book.Validate(change); p != nil {
+		if p := validator.Validate(change); p != nil {
 			b.Fatal(p)
 		}
 	}
--- a/internal/watch/publisher_test.go
+++ b/internal/watch/publisher_test.go
@@ -87,10 +87,10 @@
 		b.Replica.MergeItems([]item.Item{testItem("x", 1), testItem("y", 1)})
 		none := make([]uint64, sumsLen)
 		for name, a := range map[string]WatchAsk{
-			"never introduced":  {Me: Member{ID: "f", Inc: 1}, Inc: 5},
-			"of a life before":  {Me: Member{ID: "f", Inc: 1}, Inc: 4, Seen: Cursor{Items: 2}},
-			"past what it told": {Me: Member{ID: "f", Inc: 1}, Inc: 5, Seen: Cursor{Items: 9}},
-			"another life asks": {Me: Member{ID: "f", Inc: 2}, Inc: 5},
+			"never introduced":                  {Me: Member{ID: "f", Inc: 1}, Inc: 5},
+			"earlier incarnation":               {Me: Member{ID: "f", Inc: 1}, Inc: 4, Seen: Cursor{Items: 2}},
+			"cursor beyond the changes":         {Me: Member{ID: "f", Inc: 1}, Inc: 5, Seen: Cursor{Items: 9}},
+			"other incarnation of the follower": {Me: Member{ID: "f", Inc: 2}, Inc: 5},
 		} {
 			if name != "never introduced" {
 				b.ask(t, WatchAsk{Me: testGateway, Sums: none})
@@ -99,10 +99,10 @@
 				t.Errorf("%s: %+v", name, r)
 			}
 			a.Me, a.Sums = testGateway, none
-			if r := b.ask(t, a); r.Anew || len(r.Items) != 2 && name != "another life asks" {
+			if r := b.ask(t, a); r.Anew || len(r.Items) != 2 && name != "other incarnation of the follower" {
 				t.Errorf("%s, introduced: %+v", name, r)
 			}
-			b.clients = nil
+			b.followers = nil
 		}
 	})
 }
@@ -118,9 +118,9 @@
 		if n, zones := b.Gateways(); n != 1 || zones["z"] != 0 {
 			t.Errorf("%d %v", n, zones)
 		}
-		time.Sleep(clientRetention)
-		if _, _ = b.Gateways(); len(b.Clients()) != 0 {
-			t.Error("a client is never removed")
+		time.Sleep(followerRetention)
+		if _, _ = b.Gateways(); len(b.FollowerMembers()) != 0 {
+			t.Error("a follower is never removed")
 		}
 	})
 }
@@ -159,7 +159,7 @@
 	f := &testFollower{items: map[string]time.Time{}, runs: map[string]time.Time{}}
 	f.last = b.ask(t, WatchAsk{Me: me, Sums: make([]uint64, sumsLen)})
 	go func() {
-		for begun := time.Now(); t.Context().Err() == nil && time.Since(begun) < until; {
+		for start := time.Now(); t.Context().Err() == nil && time.Since(start) < until; {
 			r, err := b.handleWatch(t.Context(), WatchAsk{Me: Member{ID: me.ID, Inc: me.Inc}, Inc: 5, Seen: f.last.Seen, Wait: time.Second})
 			if err != nil {
 				t.Error(err)
@@ -197,13 +197,13 @@
 }
 
 // The first change after an idle time is sent at once. Subsequent runs are batched, for a
-// shorter time if they are urgent, and no change is held for longer. Items are never held.
+// shorter time if they are urgent, and no change is held back for longer. Items are never held back.
 func TestNewsAreHeldTogether(t *testing.T) {
 	for name, c := range map[string]struct {
-		kind       string
-		what       func(*testPublisher, int)
-		each       time.Duration
-		most, held time.Duration
+		kind           string
+		change         func(*testPublisher, int)
+		interval       time.Duration
+		maxDelay, hold time.Duration
 	}{
 		"runs that appear": {Gateway, func(b *testPublisher, i int) { b.Replica.MergeRuns([]target.Run{testRun(fmt.Sprint(i), 1)}) }, time.Millisecond, holdNormal, holdNormal},
 		"runs that leave": {Gateway, func(b *testPublisher, i int) {
@@ -222,15 +222,15 @@
 				const maxChanges = 1000
 				changedAt := map[string]time.Time{}
 				start := time.Now()
-				n := int(min(maxChanges, time.Second/c.each))
+				n := int(min(maxChanges, time.Second/c.interval))
 				for i := range n {
 					changedAt[fmt.Sprint(i)] = time.Now()
-					c.what(b, i)
+					c.change(b, i)
 					synctest.Wait()
 					if n := locked(f, answerCount); i == 0 && n != 1 {
 						t.Errorf("the first change is sent in %d answers", n)
 					}
-					time.Sleep(c.each)
+					time.Sleep(c.interval)
 				}
 				time.Sleep(2*time.Second + holdNormal)
 				synctest.Wait()
@@ -240,7 +240,7 @@
 				if len(f.runs) > 0 {
 					receivedAt = f.runs
 				}
-				most := time.Duration(0)
+				longestDelay := time.Duration(0)
 				for id, at := range changedAt {
 					got, ok := receivedAt[id]
 					for _, s := range []target.State{target.Ready, target.Draining} {
@@ -251,13 +251,13 @@
 					if !ok {
 						t.Fatalf("%s is never sent", id)
 					}
-					most = max(most, got.Sub(at))
+					longestDelay = max(longestDelay, got.Sub(at))
 				}
-				if most > c.most {
-					t.Errorf("a change was sent %v late, want at most %v", most, c.most)
+				if longestDelay > c.maxDelay {
+					t.Errorf("a change was sent %v late, want at most %v", longestDelay, c.maxDelay)
 				}
-				if c.held > 0 {
-					if want := int(time.Second/c.held) + 2; f.answers > want {
+				if c.hold > 0 {
+					if want := int(time.Second/c.hold) + 2; f.answers > want {
 						t.Errorf("%d answers for %d changes in %v, want at most %d", f.answers, n, time.Since(start), want)
 					}
 				}
@@ -266,13 +266,13 @@
 	}
 }
 
-// A leaving run is sent in time even if runs that appeared are held for longer. A publisher
+// A leaving run is sent in time even if runs that appeared are held back for longer. A publisher
 // that is stopping or no longer fresh reports that at once.
 func TestALeavingIsNotHeldBehindTheRest(t *testing.T) {
 	for name, c := range map[string]struct {
-		what func(*testPublisher)
-		most time.Duration
-		told func(*testFollower) bool
+		change   func(*testPublisher)
+		maxDelay time.Duration
+		reported func(*testFollower) bool
 	}{
 		"leaves": {func(b *testPublisher) { b.Replica.MergeRuns([]target.Run{runInState("x", target.Ended)}) }, holdUrgent,
 			func(f *testFollower) bool { return !f.runs["x"+stateSuffix(target.Ended)].IsZero() }},
@@ -294,13 +294,13 @@
 					t.Fatalf("%d answers: the second change is not held back", n)
 				}
 				time.Sleep(20 * time.Millisecond)
-				c.what(b)
-				if c.most > 0 {
-					time.Sleep(c.most)
+				c.change(b)
+				if c.maxDelay > 0 {
+					time.Sleep(c.maxDelay)
 				}
 				synctest.Wait()
-				if !locked(f, c.told) {
-					t.Errorf("not reported after %v", c.most)
+				if !locked(f, c.reported) {
+					t.Errorf("not reported after %v", c.maxDelay)
 				}
 				time.Sleep(3 * time.Second)
 			})
