--- a/cmd/controller/main.go
+++ b/cmd/controller/main.go
@@ -44,6 +44,7 @@
 // dataFile is the name of the storage file in the data folder.
 const dataFile = "items.db"
 
+// openDisk opens the storage file; nil means that the settings name no data folder.
 func openDisk(s startup.Controller, logger *log.Logger) (storage.Disk, error) {
 	if s.Data == "" {
 		return nil, nil
--- a/cmd/controller/say.go
+++ b/cmd/controller/say.go
@@ -84,6 +84,7 @@
 
 var httpClient = &http.Client{Timeout: 15 * time.Second}
 
+// send sends one statement, prints the response and returns the exit code.
 func (a sayArgs) send(text string, out, errw io.Writer) int {
 	response, err := httpClient.Post("http://"+a.At+"/v1/say", "text/plain", strings.NewReader(text))
 	if err != nil {
--- a/cmd/controller/snapshot.go
+++ b/cmd/controller/snapshot.go
@@ -48,7 +48,7 @@
 }
 
 // runSnapshot runs `controller snapshot` and returns its exit code.
-func runSnapshot(args []string, out, errs io.Writer) int {
+func runSnapshot(args []string, out, errw io.Writer) int {
 	var a snapshotArgs
 	check := func(p *arg.Parser) error {
 		if p.Subcommand() == nil {
@@ -56,7 +56,7 @@
 		}
 		return nil
 	}
-	if code, done := parseArgs("snapshot", "error:", args, &a, check, out, errs); done {
+	if code, done := parseArgs("snapshot", "error:", args, &a, check, out, errw); done {
 		return code
 	}
 	var err error
@@ -69,7 +69,7 @@
 		err = a.Restore.run(out)
 	}
 	if err != nil {
-		fmt.Fprintln(errs, "error:", err)
+		fmt.Fprintln(errw, "error:", err)
 		return 1
 	}
 	return 0
--- a/cmd/trial/main.go
+++ b/cmd/trial/main.go
@@ -115,17 +115,18 @@
 	return false
 }
 
+// runTrial runs the trial and returns its report; out gets progress lines unless JSON is requested.
 func runTrial(a args, plan stand.Plan, out io.Writer) (*report, error) {
-	town, err := stand.NewDeployment(plan, a.Dir, a.Bin, a.Net, a.How == "cut")
+	deployment, err := stand.NewDeployment(plan, a.Dir, a.Bin, a.Net, a.How == "cut")
 	if err != nil {
 		return nil, err
 	}
-	defer town.Stop()
+	defer deployment.Stop()
 	ctx, cancel := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer cancel()
 	startCtx, cancelStart := context.WithTimeout(ctx, time.Minute)
 	defer cancelStart()
-	if err := town.Start(startCtx); err != nil {
+	if err := deployment.Start(startCtx); err != nil {
 		return nil, err
 	}
 	logf := func(format string, args ...any) {
@@ -141,16 +142,16 @@
 	}
 	loadCtx, stopLoad := context.WithCancel(ctx)
 	defer stopLoad()
-	go town.Balancer.Run(loadCtx)
+	go deployment.Balancer.Run(loadCtx)
 	callersDone, operatorDone := make(chan struct{}), make(chan struct{})
-	go func() { town.Callers.Run(loadCtx); close(callersDone) }()
-	go func() { town.RunOperator(loadCtx, func(uint64) {}); close(operatorDone) }()
-	go town.Callers.CallContinuously(loadCtx, plan.CallKinds[0], "hammer")
+	go func() { deployment.Callers.Run(loadCtx); close(callersDone) }()
+	go func() { deployment.RunOperator(loadCtx, func(uint64) {}); close(operatorDone) }()
+	go deployment.Callers.CallContinuously(loadCtx, plan.CallKinds[0], "hammer")
 	// Run undisturbed at first: the limit on refused requests is relative to all requests.
 	sleep(20 * time.Second)
 	result := &report{Plan: plan.Name, Zone: a.Zone, How: a.How}
 	logf("%s: zone %s goes out (%s)", plan.Name, a.Zone, a.How)
-	for _, n := range town.Fleet.Nodes {
+	for _, n := range deployment.Fleet.Nodes {
 		if n.Zone != a.Zone {
 			continue
 		}
@@ -162,31 +163,31 @@
 			n.Kill()
 		}
 	}
-	for _, x := range town.Targets {
-		if x.Zone == a.Zone {
+	for _, target := range deployment.Targets {
+		if target.Zone == a.Zone {
 			result.Targets++
 			if a.How != "cut" {
-				x.Crash()
+				target.Crash()
 			}
 		}
 	}
 	if a.How == "cut" {
-		town.CutZones(a.Zone)
+		deployment.CutZones(a.Zone)
 	}
 	// Drain a target in another zone during the outage.
 	sleep(a.Out / 3)
-	if x, ok := lo.Find(town.Targets, func(x *stand.Target) bool { return x.Zone != a.Zone }); ok {
+	if target, ok := lo.Find(deployment.Targets, func(target *stand.Target) bool { return target.Zone != a.Zone }); ok {
 		leaveCtx, cancel := context.WithTimeout(ctx, a.Out/3)
-		_, _ = x.Leave(leaveCtx)
+		_, _ = target.Leave(leaveCtx)
 		cancel()
 	}
 	sleep(a.Out - a.Out/3)
 	logf("zone %s comes back: %d nodes, %d targets", a.Zone, result.Nodes, result.Targets)
 	returned := time.Now()
 	if a.How == "cut" {
-		town.Relays.SetCut(nil)
+		deployment.Relays.SetCut(nil)
 	}
-	for _, n := range town.Fleet.Nodes {
+	for _, n := range deployment.Fleet.Nodes {
 		switch {
 		case n.Zone != a.Zone:
 		case a.How == "freeze":
@@ -197,9 +198,9 @@
 			}
 		}
 	}
-	for _, x := range town.Targets {
-		if x.Zone == a.Zone && a.How != "cut" {
-			if err := x.Start(ctx); err != nil {
+	for _, target := range deployment.Targets {
+		if target.Zone == a.Zone && a.How != "cut" {
+			if err := target.Start(ctx); err != nil {
 				return nil, err
 			}
 		}
@@ -208,18 +209,18 @@
 	stopLoad()
 	<-callersDone
 	<-operatorDone
-	if a.Plant && len(town.Rec.Execs) > 0 {
-		for _, o := range town.Rec.Outcomes {
+	if a.Plant && len(deployment.Rec.Execs) > 0 {
+		for _, o := range deployment.Rec.Outcomes {
 			if !o.Repeatable && o.Status == 200 {
-				town.Rec.RecordExec(stand.Exec{At: time.Now(), Order: o.Order, Path: o.Path, Service: o.Service, Target: "planted"})
+				deployment.Rec.RecordExec(stand.Exec{At: time.Now(), Order: o.Order, Path: o.Path, Service: o.Service, Target: "planted"})
 				break
 			}
 		}
 	}
-	judgeCtx, cancelJudge := context.WithTimeout(ctx, 20*time.Second)
-	defer cancelJudge()
-	result.Verdict = town.Check(judgeCtx)
-	for _, o := range town.Rec.Failed(returned) {
+	checkCtx, cancelCheck := context.WithTimeout(ctx, 20*time.Second)
+	defer cancelCheck()
+	result.Verdict = deployment.Check(checkCtx)
+	for _, o := range deployment.Rec.Failed(returned) {
 		result.RecoveryMS = max(result.RecoveryMS, float64(o.Sent.Sub(returned).Milliseconds()))
 		if o.Sent.Sub(returned) > maxRecovery {
 			result.LateFails++
--- a/internal/claim/claim.go
+++ b/internal/claim/claim.go
@@ -24,7 +24,7 @@
 	// BucketSpan and at most two.
 	BucketSpan = 10 * time.Minute
 	// maxClockSkew is the assumed bound on the difference between the controllers' wall
-	// clocks: that close to a bucket boundary, a key is claimed in both buckets.
+	// clocks. Closer than this to a bucket boundary, a key is claimed in both buckets.
 	maxClockSkew = time.Minute
 	// MaxKey bounds the length of a caller's key.
 	MaxKey = 255
@@ -80,10 +80,11 @@
 // QuorumStore keeps claims as items in the quorum store, on a majority of the disks.
 type QuorumStore struct {
 	Proposer *quorum.Proposer
-	// WallMS is the wall clock in milliseconds.
+	// WallMS returns the wall-clock time in Unix milliseconds.
 	WallMS func() int64
 }
 
+// bucket returns the number of the time bucket that contains ms.
 func bucket(ms int64) int64 { return ms / BucketSpan.Milliseconds() }
 
 // keyHash returns a fixed-length hash of a key.
@@ -94,15 +95,15 @@
 
 func itemKey(b int64, key string) string { return fmt.Sprintf("%s%09d/%s", Prefix, b, keyHash(key)) }
 
-// buckets lists, oldest first, the buckets in which a key is to be claimed now, and the
-// bucket before them, in which an earlier claim may still stand.
-func buckets(ms int64) (before int64, current []int64) {
+// buckets returns the buckets in which a key must be claimed at ms, oldest first, and the
+// bucket before them, in which an earlier claim may still be valid.
+func buckets(ms int64) (previous int64, current []int64) {
 	b := bucket(ms)
-	in := ms % BucketSpan.Milliseconds()
+	offset := ms % BucketSpan.Milliseconds()
 	switch {
-	case in < maxClockSkew.Milliseconds():
+	case offset < maxClockSkew.Milliseconds():
 		return b - 2, []int64{b - 1, b}
-	case in >= BucketSpan.Milliseconds()-maxClockSkew.Milliseconds():
+	case offset >= BucketSpan.Milliseconds()-maxClockSkew.Milliseconds():
 		return b - 1, []int64{b, b + 1}
 	}
 	return b - 1, []int64{b}
@@ -113,8 +114,8 @@
 // Take claims a key for a call, or returns the state of the claim of another call. It is
 // idempotent for the same call.
 func (q *QuorumStore) Take(ctx context.Context, a TakeAsk) (TakeTold, error) {
-	before, current := buckets(q.WallMS())
-	raw, err := q.Proposer.Read(ctx, itemKey(before, a.Key))
+	previous, current := buckets(q.WallMS())
+	raw, err := q.Proposer.Read(ctx, itemKey(previous, a.Key))
 	if err != nil && !quorum.IsNeverWritten(err) {
 		return TakeTold{}, steperr.Wrap("claim", "", err)
 	}
@@ -135,7 +136,7 @@
 		if errors.Is(err, errTaken) {
 			// The claim is released in the earlier buckets where it was just taken.
 			for _, o := range current[:i] {
-				_ = q.release(ctx, itemKey(o, a.Key), a.Call)
+				_ = q.releaseClaim(ctx, itemKey(o, a.Key), a.Call)
 			}
 			return TakeTold{State: decodeState(raw)}, nil
 		}
@@ -153,17 +154,17 @@
 	return s
 }
 
-func (q *QuorumStore) release(ctx context.Context, k, call string) error {
-	return q.replace(ctx, k, call, nil)
+func (q *QuorumStore) releaseClaim(ctx context.Context, key, call string) error {
+	return q.replaceClaim(ctx, key, call, nil)
 }
 
-// replace replaces a call's own claim; nil releases it.
-func (q *QuorumStore) replace(ctx context.Context, k, call string, to *State) error {
+// replaceClaim replaces a call's own claim; nil releases it. A claim of another call is kept.
+func (q *QuorumStore) replaceClaim(ctx context.Context, key, call string, to *State) error {
 	raw, _ := json.Marshal(State{})
 	if to != nil {
 		raw, _ = json.Marshal(*to)
 	}
-	_, err := q.Proposer.Change(ctx, k, func(old []byte) ([]byte, error) {
+	_, err := q.Proposer.Change(ctx, key, func(old []byte) ([]byte, error) {
 		if decodeState(old).Call != call {
 			return nil, errTaken
 		}
@@ -190,20 +191,20 @@
 			continue
 		}
 		if !a.Ran {
-			if err := q.release(ctx, k, a.Call); err != nil {
+			if err := q.releaseClaim(ctx, k, a.Call); err != nil {
 				return err
 			}
 			continue
 		}
 		s.State, s.Status = Ended, a.Status
-		if err := q.replace(ctx, k, a.Call, &s); err != nil {
+		if err := q.replaceClaim(ctx, k, a.Call, &s); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// Sweep lets the voters drop buckets that are no longer read.
+// Sweep makes the voters drop buckets that are no longer read.
 func (q *QuorumStore) Sweep(ctx context.Context) error {
 	return q.Proposer.DropBelow(ctx, Prefix, fmt.Sprintf("%s%09d/", Prefix, bucket(q.WallMS())-3))
 }
--- a/internal/claim/coordinator.go
+++ b/internal/claim/coordinator.go
@@ -15,24 +15,25 @@
 )
 
 const (
-	// broadcastTimeout bounds the wait for the other nodes' answers on a key.
+	// broadcastTimeout bounds the wait for the other nodes' answers to a broadcast.
 	broadcastTimeout = 100 * time.Millisecond
-	// flushInterval is the interval at which the ends of claims are broadcast, and claims
-	// that are on no disk are uploaded to the controllers.
+	// flushInterval is the interval at which changed claims are broadcast, and claims
+	// that are only in the nodes' memories are uploaded to the controllers.
 	flushInterval = 200 * time.Millisecond
-	// Claims whose own node has not uploaded them after the core's return are uploaded by
-	// other nodes: by controllers after controllerUploadDelay, since they are few and many
-	// gateways may have been killed at once, and by gateways after gatewayUploadDelay.
+	// Claims that their own node has not uploaded after the core's return are uploaded by other
+	// nodes. Controllers do so after controllerUploadDelay, since they are few, and many gateways
+	// may have been killed at once. Gateways do so after gatewayUploadDelay.
 	controllerUploadDelay = 300 * time.Millisecond
 	gatewayUploadDelay    = 1500 * time.Millisecond
-	// maxMarks bounds the claims a node remembers, maxBatch those sent in one message.
+	// maxMarks bounds the claims a node remembers, and maxBatch those sent in one message.
 	maxMarks = 100000
 	maxBatch = 500
 	// roundWorkers is the number of concurrent broadcast rounds.
 	roundWorkers = 4
 	// uploadWorkers is the number of concurrent uploads of claims.
 	uploadWorkers = 32
-	// maxUploadAttempts bounds the attempts to upload against a claim of another call.
+	// maxUploadAttempts bounds the attempts to upload a claim, which fail while the disks hold a
+	// claim of another call.
 	maxUploadAttempts = 25
 )
 
@@ -52,7 +53,8 @@
 	// MarkAsk sends marks to another node.
 	MarkAsk struct{ Marks []Mark }
 	// MarkTold returns the conflicting marks: those of other calls under the same keys.
-	// Counts means that ID is a voting gateway confirmed in its present run.
+	// Counts means that ID is a gateway that was confirmed in its present run, so that its answer
+	// may count towards a majority.
 	MarkTold struct {
 		ID     string
 		Counts bool
@@ -91,17 +93,17 @@
 	LeasedPeers, Peers func() []string
 	// HasLease: this node holds a lease. CoreLost: it serves without the core.
 	HasLease, CoreLost func() bool
-	// Voters lists the voting gateways; counts reports whether this node is a gateway
+	// Voters lists the voting gateways; selfVotes reports whether this node is a gateway
 	// that was confirmed in its present run.
-	Voters func() (ids []string, counts bool)
+	Voters func() (ids []string, selfVotes bool)
 
 	owner   *owner.Owner
 	pending chan *pendingMark
 	// Accessed only by owner.
 	marks      map[string]*entry
-	keysByAge  []string // oldest first
-	outgoing   []Mark   // to be broadcast
-	leaseSince time.Time
+	keysByAge  []string  // oldest first
+	outgoing   []Mark    // to be broadcast
+	leaseSince time.Time // when this node was first seen with its present lease
 }
 
 // Init initializes the coordinator.
@@ -116,16 +118,16 @@
 		if len(a.Marks) > 2*maxBatch {
 			return r, steperr.New("mark", "", "message carries too many marks: %d", len(a.Marks))
 		}
-		_, counts := c.Voters()
-		return owner.Call(ctx, c.owner, func() MarkTold { return c.merge(a.Marks, counts) })
+		_, selfVotes := c.Voters()
+		return owner.Call(ctx, c.owner, func() MarkTold { return c.mergeMarks(a.Marks, selfVotes) })
 	})
 }
 
-// merge applies marks and returns the conflicting ones; only owner calls it.
-func (c *Coordinator) merge(ms []Mark, selfVotes bool) MarkTold {
+// mergeMarks applies marks and returns the conflicting ones; only owner calls it.
+func (c *Coordinator) mergeMarks(ms []Mark, selfVotes bool) MarkTold {
 	r := MarkTold{ID: c.Self, Counts: selfVotes}
 	for _, m := range ms {
-		if o, ok := c.apply(m); ok {
+		if o, ok := c.applyMark(m); ok {
 			r.Others = append(r.Others, o)
 		}
 	}
@@ -139,13 +141,14 @@
 		go c.runRounds(ctx)
 	}
 	clock.Every(ctx, c.Clock, flushInterval, func() {
-		c.flush(ctx)
-		c.upload(ctx)
+		c.broadcastOutgoing(ctx)
+		c.uploadClaims(ctx)
 	})
 }
 
-// apply applies a mark; ok reports that a claim of another call conflicts with it.
-func (c *Coordinator) apply(m Mark) (other Mark, ok bool) {
+// applyMark applies a mark. If a claim of another call conflicts with it, applyMark returns that
+// claim and ok. Only owner calls it.
+func (c *Coordinator) applyMark(m Mark) (other Mark, ok bool) {
 	now := c.Clock.Now()
 	for len(c.keysByAge) > 0 {
 		oldest := c.keysByAge[0]
@@ -166,7 +169,8 @@
 		if known.State == Taken {
 			known.State, known.Status = m.State, m.Status
 		}
-		// A call that asks the disks without success asks the other nodes next.
+		// A call that gets no decision from the disks asks the voting gateways next, so Backed
+		// may become false again.
 		if m.Backed || m.State == Taken {
 			known.Backed = m.Backed
 		}
@@ -188,9 +192,9 @@
 	reply    chan peerReply
 }
 
-// consult broadcasts a mark and returns the other nodes' answers. Marks that arrive while
+// consultPeers broadcasts a mark and returns the other nodes' answers. Marks that arrive while
 // other rounds are under way are sent together.
-func (c *Coordinator) consult(ctx context.Context, m Mark, coreLost bool) (reply peerReply) {
+func (c *Coordinator) consultPeers(ctx context.Context, m Mark, coreLost bool) (reply peerReply) {
 	pending := &pendingMark{m, coreLost, make(chan peerReply, 1)}
 	select {
 	case c.pending <- pending:
@@ -229,18 +233,18 @@
 		}
 		majority, others := c.broadcast(ctx, addrs, lo.Map(batch, func(q *pendingMark, _ int) Mark { return q.mark }))
 		othersByKey := lo.GroupBy(others, func(m Mark) string { return m.Key })
-		for _, q := range batch {
-			h := peerReply{majority: majority}
-			for _, o := range othersByKey[q.mark.Key] {
-				if o.Call == q.mark.Call {
+		for _, pending := range batch {
+			reply := peerReply{majority: majority}
+			for _, o := range othersByKey[pending.mark.Key] {
+				if o.Call == pending.mark.Call {
 					continue
 				}
-				h.conflict = &o
+				reply.conflict = &o
 				if !o.Backed {
-					h.unbacked = &o
+					reply.unbacked = &o
 				}
 			}
-			q.reply <- h
+			pending.reply <- reply
 		}
 	}
 }
@@ -257,16 +261,16 @@
 // conflicting marks.
 func (c *Coordinator) broadcast(ctx context.Context, addrs []string, ms []Mark) (majority bool, others []Mark) {
 	voters, selfVotes := c.Voters()
-	cx, cancel := context.WithTimeout(ctx, broadcastTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, broadcastTimeout)
 	defer cancel()
 	ch := make(chan MarkTold, len(addrs)+1)
 	for _, a := range addrs {
 		go func() {
-			r, _ := link.Call[MarkTold](cx, c.Transport, a, MarkAsk{Marks: ms})
+			r, _ := link.Call[MarkTold](callCtx, c.Transport, a, MarkAsk{Marks: ms})
 			ch <- r
 		}()
 	}
-	own, _ := owner.Call(ctx, c.owner, func() MarkTold { return c.merge(ms, selfVotes) })
+	own, _ := owner.Call(ctx, c.owner, func() MarkTold { return c.mergeMarks(ms, selfVotes) })
 	ch <- own
 	ids := map[string]bool{}
 	for range len(addrs) + 1 {
@@ -279,7 +283,8 @@
 	return 2*lo.CountBy(voters, func(f string) bool { return ids[f] }) > len(voters), others
 }
 
-// Take claims a key for a call, or returns the state of another call's claim; it retries until ctx ends.
+// Take claims a key for a call, or returns the state of another call's claim. It retries until
+// ctx ends.
 func (c *Coordinator) Take(ctx context.Context, a TakeAsk) (r TakeTold, err error) {
 	m := Mark{Key: keyHash(a.Key), Call: a.Call, Print: a.Print, State: Taken, By: c.Self}
 	a.Key = m.Key
@@ -297,10 +302,10 @@
 
 // takeFromVoters lets the voting gateways decide.
 func (c *Coordinator) takeFromVoters(ctx context.Context, m Mark) (TakeTold, error) {
-	reply := c.consult(ctx, m, true)
+	reply := c.consultPeers(ctx, m, true)
 	switch {
 	case reply.conflict != nil:
-		c.release(ctx, m)
+		c.withdrawMark(ctx, m)
 		return TakeTold{State: reply.conflict.state()}, nil
 	case !reply.majority:
 		return TakeTold{}, steperr.New("claim", "", "no answer from more than half of the voting gateways")
@@ -312,19 +317,19 @@
 // without the core takes precedence.
 func (c *Coordinator) takeFromStore(ctx context.Context, a TakeAsk, m Mark) (TakeTold, error) {
 	m.Backed = true
-	cx, cancel := context.WithCancel(ctx)
+	storeCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	go func() {
 		// Waiting for the disks is pointless once the core is known to be unreachable.
-		for c.Clock.Sleep(cx, 50*time.Millisecond) == nil {
+		for c.Clock.Sleep(storeCtx, 50*time.Millisecond) == nil {
 			if c.CoreLost() {
 				cancel()
 			}
 		}
 	}()
 	ch := make(chan peerReply, 1)
-	go func() { ch <- c.consult(ctx, m, false) }()
-	r, err := c.Store.Take(cx, a)
+	go func() { ch <- c.consultPeers(ctx, m, false) }()
+	r, err := c.Store.Take(storeCtx, a)
 	reply := <-ch
 	switch {
 	case err != nil:
@@ -336,10 +341,10 @@
 		})
 		return r, err
 	case !r.OK:
-		c.release(ctx, m)
+		c.withdrawMark(ctx, m)
 		return r, nil
 	case reply.unbacked != nil:
-		c.release(ctx, m)
+		c.withdrawMark(ctx, m)
 		_ = c.Store.End(ctx, EndAsk{Key: a.Key, Call: a.Call})
 		return TakeTold{State: reply.unbacked.state()}, nil
 	}
@@ -350,11 +355,11 @@
 	return State{State: m.State, Call: m.Call, Print: m.Print, Status: m.Status}
 }
 
-// release withdraws a mark that did not obtain the claim.
-func (c *Coordinator) release(ctx context.Context, m Mark) {
+// withdrawMark withdraws a mark that did not obtain the claim.
+func (c *Coordinator) withdrawMark(ctx context.Context, m Mark) {
 	m.State = Free
 	_ = c.owner.Do(ctx, func() {
-		c.apply(m)
+		c.applyMark(m)
 		c.outgoing = append(c.outgoing, m)
 	})
 }
@@ -380,8 +385,8 @@
 	return c.Store.End(ctx, a)
 }
 
-// flush broadcasts claims that ended.
-func (c *Coordinator) flush(ctx context.Context) {
+// broadcastOutgoing broadcasts claims that ended, were withdrawn or were uploaded.
+func (c *Coordinator) broadcastOutgoing(ctx context.Context) {
 	ms, _ := owner.Call(ctx, c.owner, func() []Mark {
 		n := min(len(c.outgoing), maxBatch)
 		ms := c.outgoing[:n:n]
@@ -393,16 +398,16 @@
 	}
 }
 
-// upload writes to the disks what was decided without them: each node uploads its own
-// claims, and after a delay also those that are left.
-func (c *Coordinator) upload(ctx context.Context) {
+// uploadClaims writes to the disks the claims that were decided without them. Each node uploads
+// its own claims, and after a delay also those of other nodes that are left.
+func (c *Coordinator) uploadClaims(ctx context.Context) {
 	now := c.Clock.Now()
 	if !c.HasLease() {
 		_ = c.owner.Do(ctx, func() { c.leaseSince = time.Time{} })
 		return
 	}
-	_, gateway := c.Voters()
-	othersDelay := lo.Ternary(gateway, gatewayUploadDelay, controllerUploadDelay)
+	_, isGateway := c.Voters()
+	othersDelay := lo.Ternary(isGateway, gatewayUploadDelay, controllerUploadDelay)
 	ms, _ := owner.Call(ctx, c.owner, func() (ms []Mark) {
 		if c.leaseSince.IsZero() {
 			c.leaseSince = now
@@ -425,7 +430,7 @@
 	if len(ms) == 0 {
 		return
 	}
-	cx, cancel := context.WithTimeout(ctx, 2*time.Second)
+	uploadCtx, cancel := context.WithTimeout(ctx, 2*time.Second)
 	defer cancel()
 	var wg sync.WaitGroup
 	queue := make(chan Mark, len(ms))
@@ -436,7 +441,7 @@
 	for range uploadWorkers {
 		wg.Go(func() {
 			for m := range queue {
-				ok := c.uploadOne(cx, m)
+				ok := c.uploadClaim(uploadCtx, m)
 				_ = c.owner.Do(ctx, func() { c.recordUpload(m, ok) })
 			}
 		})
@@ -444,16 +449,17 @@
 	wg.Wait()
 }
 
-// uploadOne writes the current state of one claim to the disks.
-func (c *Coordinator) uploadOne(ctx context.Context, m Mark) bool {
+// uploadClaim writes the state of one claim to the disks and reports whether they hold it.
+func (c *Coordinator) uploadClaim(ctx context.Context, m Mark) bool {
 	if r, err := c.Store.Take(ctx, TakeAsk{Key: m.Key, Call: m.Call, Print: m.Print}); err != nil || !r.OK {
 		return false
 	}
 	return m.State == Taken || c.Store.End(ctx, EndAsk{Key: m.Key, Call: m.Call, Ran: true, Status: m.Status}) == nil
 }
 
-// recordUpload records the result of an upload. If a claim of another call remains on the
-// disks, either it was there first or its end will be uploaded.
+// recordUpload records the result of an upload; only owner calls it. After maxUploadAttempts it
+// gives up: a claim of another call that remains on the disks was either there first or will be
+// ended by an upload.
 func (c *Coordinator) recordUpload(m Mark, ok bool) {
 	e := c.marks[m.Key]
 	if e == nil || e.Call != m.Call || e.State != m.State {
--- a/internal/commands/change.go
+++ b/internal/commands/change.go
@@ -63,12 +63,12 @@
 // Apply decides a change and brings it into force (design 8.1). The outcome is "in force"
 // only when every gateway has the change or has lost its lease.
 func (c *Changer) Apply(ctx context.Context, o Order) Result {
-	for try := 0; ; try++ {
+	for attempt := 0; ; attempt++ {
 		state, err := c.Ledger.Refresh(ctx)
 		if err != nil {
-			return failure(err, false)
+			return errorResult(err, false)
 		}
-		if n, ok := state.Token(o.Token); ok && o.Token != "" {
+		if n, ok := state.TokenVersion(o.Token); ok && o.Token != "" {
 			r := c.waitInForce(ctx, n)
 			r.Duplicate = true
 			return r
@@ -95,7 +95,7 @@
 		// as for a second after the core becomes available again.
 		if _, err := c.Rollout.Membership.ReadTable(ctx); err != nil {
 			if c.Clock.Sleep(ctx, membersRetryDelay) != nil {
-				return failure(err, false)
+				return errorResult(err, false)
 			}
 			continue
 		}
@@ -105,18 +105,18 @@
 			return c.waitInForce(ctx, change.Version)
 		case errors.Is(err, ledger.ErrNumberTaken):
 			// Another change was decided at this number; retry on top of it.
-			if c.Clock.Sleep(ctx, time.Duration(rand.IntN(5*min(try+1, 10))+1)*time.Millisecond) != nil {
-				return failure(ctx.Err(), false)
+			if c.Clock.Sleep(ctx, time.Duration(rand.IntN(5*min(attempt+1, 10))+1)*time.Millisecond) != nil {
+				return errorResult(ctx.Err(), false)
 			}
 		default:
-			return failure(err, true)
+			return errorResult(err, true)
 		}
 	}
 }
 
-// failure returns the result for an error of the core. mayBeDecided means that the change
+// errorResult returns the result for an error of the core. mayBeDecided means that the change
 // may have been decided nevertheless.
-func failure(err error, mayBeDecided bool) Result {
+func errorResult(err error, mayBeDecided bool) Result {
 	step, _ := steperr.Innermost(err)
 	if mayBeDecided {
 		return Result{Outcome: OutcomeUnknown, Reason: fmt.Sprintf("%s: %v; send it again with the same token", step, err)}
@@ -124,6 +124,7 @@
 	return Result{Outcome: NoMajority, Reason: err.Error()}
 }
 
+// waitInForce brings version n into force and returns the result of the change request.
 func (c *Changer) waitInForce(ctx context.Context, n uint64) Result {
 	if _, err := c.Rollout.Settle(ctx, n); err != nil {
 		return Result{Outcome: OutcomeUnknown, Version: n, Reason: fmt.Sprintf("decided, not yet known to be in force everywhere: %v", err)}
--- a/internal/commands/drain.go
+++ b/internal/commands/drain.go
@@ -24,7 +24,7 @@
 	Faults     *fault.Set
 
 	mu        sync.Mutex
-	completed map[string]time.Time // time at which every gateway had acknowledged, by key
+	completed map[string]time.Time // by key of the note, when every gateway had acknowledged it
 }
 
 // maxCompleted bounds the number of completed drains remembered. A forgotten drain is
@@ -36,15 +36,17 @@
 // learns of the drain with its next confirmation (design 12.3).
 func (d *Drainer) MarkLeaving(ctx context.Context, b httpapi.Beat) error {
 	t := ledger.Target{ID: b.ID, Service: b.Service, Incarnation: b.Inc}
-	return d.record(ctx, ledger.LeavePrefix, t, ledger.Note{Kind: ledger.NoteLeave, Target: &t, HeartbeatSeq: b.Seq})
+	return d.recordDrain(ctx, ledger.LeavePrefix, t, ledger.Note{Kind: ledger.NoteLeave, Target: &t, HeartbeatSeq: b.Seq})
 }
 
 // MarkGone records that a target run is removed and informs every gateway.
 func (d *Drainer) MarkGone(ctx context.Context, t ledger.Target, suspicion float64, reason string) error {
-	return d.record(ctx, ledger.GonePrefix, t, ledger.Note{Kind: ledger.NoteGone, Target: &t, Suspicion: suspicion, Reason: reason})
+	return d.recordDrain(ctx, ledger.GonePrefix, t, ledger.Note{Kind: ledger.NoteGone, Target: &t, Suspicion: suspicion, Reason: reason})
 }
 
-func (d *Drainer) record(ctx context.Context, prefix string, t ledger.Target, note ledger.Note) error {
+// recordDrain writes note, the decision to drain or remove a target run, and returns once every
+// gateway has acknowledged it or has lost its lease.
+func (d *Drainer) recordDrain(ctx context.Context, prefix string, t ledger.Target, note ledger.Note) error {
 	key := ledger.TargetKey(prefix, d.Ledger.WallMS(), t)
 	d.mu.Lock()
 	_, ok := d.completed[key]
--- a/internal/commands/supervisor.go
+++ b/internal/commands/supervisor.go
@@ -21,6 +21,7 @@
 )
 
 const (
+	// supervisorInterval is the pause between two rounds of the supervisor.
 	supervisorInterval = 500 * time.Millisecond
 	// suspectThreshold is the suspicion level from which a target is recorded as suspected.
 	suspectThreshold = registry.SuspicionThreshold
@@ -79,36 +80,36 @@
 	}
 }
 
-// checkTargets evaluates every target once.
+// checkTargets records which targets became suspected or trusted, and removes silent ones.
 func (sv *Supervisor) checkTargets(ctx context.Context) error {
 	if sv.suspected == nil {
-		m, err := sv.Ledger.Suspected(ctx)
+		suspected, err := sv.Ledger.Suspected(ctx)
 		if err != nil {
 			return err
 		}
-		sv.suspected = m
+		sv.suspected = suspected
 	}
 	all := registry.CollectSeen(ctx, sv.Transport, sv.Membership.Members())
 	total, suspected := map[string]int{}, map[string]int{}
-	for _, x := range all {
-		if x.Gone {
+	for _, seen := range all {
+		if seen.Gone {
 			continue
 		}
-		total[x.Beat.Service]++
-		if x.W >= suspectThreshold {
-			suspected[x.Beat.Service]++
+		total[seen.Beat.Service]++
+		if seen.W >= suspectThreshold {
+			suspected[seen.Beat.Service]++
 		}
 	}
 	// Heartbeats may fail to reach the controllers asked here. A target that answers
 	// the gateways' own probes is not silent (design 10.7).
 	var views map[ledger.Target]registry.GatewayViews
-	for _, x := range all {
-		t := ledger.Target{ID: x.Beat.ID, Service: x.Beat.Service, Incarnation: x.Beat.Inc}
-		if x.Gone {
+	for _, seen := range all {
+		t := ledger.Target{ID: seen.Beat.ID, Service: seen.Beat.Service, Incarnation: seen.Beat.Inc}
+		if seen.Gone {
 			delete(sv.suspected, t)
 			continue
 		}
-		if x.W >= suspectThreshold {
+		if seen.W >= suspectThreshold {
 			if views == nil {
 				views = registry.CollectViews(ctx, sv.Transport, sv.Membership.Members())
 			}
@@ -118,21 +119,21 @@
 		}
 		tooMany := float64(suspected[t.Service]) > maxSuspectedShare*float64(total[t.Service])
 		switch {
-		case x.W >= suspectThreshold && !sv.suspected[t] && !tooMany:
-			if err := sv.Ledger.AddNote(ctx, ledger.Note{Kind: ledger.NoteSuspect, Target: &t, HeartbeatSeq: x.Beat.Seq, Suspicion: x.W,
-				Reason: fmt.Sprintf("silent for %s, fitted alpha %.3f s beta %.2f", x.Quiet.Round(time.Millisecond), x.Fit.Alpha, x.Fit.Beta)}); err != nil {
+		case seen.W >= suspectThreshold && !sv.suspected[t] && !tooMany:
+			if err := sv.Ledger.AddNote(ctx, ledger.Note{Kind: ledger.NoteSuspect, Target: &t, HeartbeatSeq: seen.Beat.Seq, Suspicion: seen.W,
+				Reason: fmt.Sprintf("silent for %s, fitted alpha %.3f s beta %.2f", seen.Quiet.Round(time.Millisecond), seen.Fit.Alpha, seen.Fit.Beta)}); err != nil {
 				return err
 			}
 			sv.suspected[t] = true
 			sv.broadcastMark(ctx, t, true, false)
-		case x.W < suspectThreshold && sv.suspected[t]:
-			if err := sv.Ledger.AddNote(ctx, ledger.Note{Kind: ledger.NoteTrust, Target: &t, HeartbeatSeq: x.Beat.Seq, Suspicion: x.W, Reason: "beats again"}); err != nil {
+		case seen.W < suspectThreshold && sv.suspected[t]:
+			if err := sv.Ledger.AddNote(ctx, ledger.Note{Kind: ledger.NoteTrust, Target: &t, HeartbeatSeq: seen.Beat.Seq, Suspicion: seen.W, Reason: "beats again"}); err != nil {
 				return err
 			}
 			delete(sv.suspected, t)
 		}
-		if x.W >= goneThreshold && x.Quiet > goneSilence && !tooMany && sv.homesAgree(ctx, t) && sv.Membership.HoldsDuty(SupervisorDuty) {
-			if err := sv.Drainer.MarkGone(ctx, t, x.W, fmt.Sprintf("silent for %s, a majority of its homes agree", x.Quiet.Round(time.Second))); err != nil {
+		if seen.W >= goneThreshold && seen.Quiet > goneSilence && !tooMany && sv.homesAgree(ctx, t) && sv.Membership.HoldsDuty(SupervisorDuty) {
+			if err := sv.Drainer.MarkGone(ctx, t, seen.W, fmt.Sprintf("silent for %s, a majority of its homes agree", seen.Quiet.Round(time.Second))); err != nil {
 				return err
 			}
 			sv.Log.Info("target run removed", "step", "let go", "mate", t.Service+"/"+t.ID)
@@ -142,7 +143,8 @@
 	return nil
 }
 
-// broadcastMark informs every controller's registry. A controller that misses the message
+// broadcastMark informs every controller's registry that a target run is suspected or gone. A
+// controller that misses the message
 // shows the old state for a while longer; the gateways do not depend on it.
 func (sv *Supervisor) broadcastMark(ctx context.Context, t ledger.Target, suspect, gone bool) {
 	callCtx, cancel := context.WithTimeout(ctx, 300*time.Millisecond)
@@ -156,11 +158,12 @@
 	wg.Wait()
 }
 
-// homesAgree asks the home controllers of the service, all of which receive its heartbeats.
-// A majority of them must suspect the run, and none may have heard from it recently.
+// homesAgree reports whether the home controllers of the service, all of which receive its
+// heartbeats, agree that the run is gone. A majority of them must suspect the run, and none may
+// have heard from it recently.
 func (sv *Supervisor) homesAgree(ctx context.Context, t ledger.Target) bool {
 	homes := registry.Homes(t.Service, sv.Membership.Members())
-	yes := 0
+	agreeing := 0
 	for _, m := range homes {
 		callCtx, cancel := context.WithTimeout(ctx, 500*time.Millisecond)
 		r, err := link.Call[registry.JudgeTold](callCtx, sv.Transport, m.Inner, registry.JudgeAsk{Service: t.Service, ID: t.ID, Inc: t.Incarnation})
@@ -172,10 +175,10 @@
 			return false
 		}
 		if r.Known {
-			yes++
+			agreeing++
 		}
 	}
-	return yes > len(homes)/2
+	return agreeing > len(homes)/2
 }
 
 // fillSeats fills a seat whose disk is missing: with the new disk of the same node, or with
@@ -252,13 +255,13 @@
 	if err != nil {
 		return steperr.Wrap("read wish", "", err)
 	}
-	x, err := ledger.Decode[swapRequest](raw)
+	request, err := ledger.Decode[swapRequest](raw)
 	if err != nil {
 		return steperr.Wrap("read wish", "", err)
 	}
-	out, hasSeat := core.Seat(x.Out)
-	if _, in := core.Seat(x.In); !hasSeat || in {
-		if x.Out == "" {
+	out, hasSeat := core.Seat(request.Out)
+	if _, in := core.Seat(request.In); !hasSeat || in {
+		if request.Out == "" {
 			return nil
 		}
 		// The swap is done or no longer applies. Clear the request: it is carried out once.
@@ -271,7 +274,7 @@
 		return err
 	}
 	for _, m := range disks {
-		if m.ID == x.In {
+		if m.ID == request.In {
 			return sv.swap(ctx, core, out, m.Disk)
 		}
 	}
@@ -307,12 +310,12 @@
 	if err != nil {
 		return steperr.Wrap("decide swap", in.ID, err)
 	}
-	sv.Log.Info("seat passes on", "step", "swap", "mate", in.ID, "out", out.ID, "epoch", next.Epoch)
+	sv.Log.Info("voter seat reassigned", "step", "swap", "mate", in.ID, "out", out.ID, "epoch", next.Epoch)
 	_, err = sv.finishSwap(ctx, core)
 	return err
 }
 
-// finishSwap carries out a decided swap; done reports that none is pending.
+// finishSwap carries out a decided swap; done reports that none is left to carry out.
 func (sv *Supervisor) finishSwap(ctx context.Context, core quorum.Core) (done bool, err error) {
 	raw, err := sv.Proposer.Read(ctx, ledger.CoreKey)
 	if quorum.IsNeverWritten(err) || err == nil && raw == nil {
@@ -372,7 +375,7 @@
 	return voting >= next.QuorumSize(), nil
 }
 
-// sourceSeats lists the voters that a joining voter may copy items from.
+// sourceSeats lists the voters to seal, from which a joining voter copies its items.
 func (sv *Supervisor) sourceSeats(core, next quorum.Core) []quorum.Seat {
 	if next.Epoch > core.Epoch {
 		return core.Seats
--- a/internal/commands/trim.go
+++ b/internal/commands/trim.go
@@ -51,7 +51,7 @@
 	})
 	for _, n := range notes {
 		if n.Target != nil && seen[*n.Target] && ledger.DayPrefix(ledger.LeavePrefix, n.AtMS) < oldestDay {
-			if e := t.Drainer.record(ctx, ledger.LeavePrefix, *n.Target, ledger.Note{Kind: ledger.NoteLeave, Target: n.Target, HeartbeatSeq: n.HeartbeatSeq, Reason: "still there"}); e != nil {
+			if e := t.Drainer.recordDrain(ctx, ledger.LeavePrefix, *n.Target, ledger.Note{Kind: ledger.NoteLeave, Target: n.Target, HeartbeatSeq: n.HeartbeatSeq, Reason: "still there"}); e != nil {
 				return e
 			}
 		}
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -41,7 +41,8 @@
 	Faults    *fault.Set
 	// OnDiskFailure is called when the disk fails; the process must then end.
 	OnDiskFailure func(error)
-	WallMS        func() int64
+	// WallMS returns the wall-clock time in Unix milliseconds.
+	WallMS func() int64
 	// Retention is how long decisions are kept; 0 means a week.
 	Retention time.Duration
 }
@@ -73,11 +74,11 @@
 // New assembles a controller; Run starts it.
 func New(cfg Config) (*Controller, error) {
 	injector := do.New()
-	me := quorum.Seat{ID: cfg.Startup.ID, Addr: cfg.Startup.Inner, Zone: cfg.Startup.Zone}
+	seat := quorum.Seat{ID: cfg.Startup.ID, Addr: cfg.Startup.Inner, Zone: cfg.Startup.Zone}
 	var voter *quorum.Voter
 	if cfg.Disk != nil {
 		var err error
-		if voter, err = quorum.NewVoter(me, cfg.Disk, cfg.NewDiskID, cfg.Transport, cfg.Faults, cfg.OnDiskFailure); err != nil {
+		if voter, err = quorum.NewVoter(seat, cfg.Disk, cfg.NewDiskID, cfg.Transport, cfg.Faults, cfg.OnDiskFailure); err != nil {
 			return nil, err
 		}
 	}
@@ -125,9 +126,9 @@
 		Supervisor: do.MustInvoke[*commands.Supervisor](injector)}
 	ctl.Statements = &statement.Executor{Changer: ctl.Changer, Drainer: ctl.Drainer, Supervisor: ctl.Supervisor, Ledger: ctl.Ledger, WaitInForce: ctl.Rollout.Settle,
 		Queries: &queries.Reader{Ledger: ctl.Ledger, Registry: ctl.Registry, Membership: ctl.Membership, Proposer: ctl.Proposer, Transport: cfg.Transport}}
-	since := cfg.WallMS()
+	upSince := cfg.WallMS()
 	ctl.Membership.Self = func() membership.Member {
-		x := membership.Member{ID: cfg.Startup.ID, Inc: cfg.Incarnation, Kind: "controller", Inner: cfg.Startup.Inner, Door: cfg.Startup.Door, Zone: cfg.Startup.Zone, Since: since, Rest: ctl.drained.Load()}
+		x := membership.Member{ID: cfg.Startup.ID, Inc: cfg.Incarnation, Kind: "controller", Inner: cfg.Startup.Inner, Door: cfg.Startup.Door, Zone: cfg.Startup.Zone, Since: upSince, Rest: ctl.drained.Load()}
 		if voter != nil {
 			x.Disk = voter.Seat()
 		}
@@ -166,7 +167,7 @@
 	ctl.wg.Wait()
 }
 
-// Ready is the readiness reported to the platform: the controller is a member of the cluster
+// Ready returns the readiness reported to the platform: the controller is a member of the cluster
 // and is neither stopping nor drained.
 func (ctl *Controller) Ready() bool {
 	return ctl.Membership.Held() && !ctl.stopping.Load() && !ctl.drained.Load()
@@ -182,14 +183,15 @@
 	trimInterval     = 100 * sweepInterval
 )
 
-// sweepInterval is the interval at which outdated copies not repaired by a read are looked for.
+// sweepInterval is the interval between sweeps, which repair outdated copies that no read has
+// repaired.
 const sweepInterval = 15 * time.Second
 
-// sweep periodically reads every item, which repairs outdated copies (design 4.3). It runs on
-// the controller that holds the duty.
+// sweep periodically reads every item, which repairs outdated copies (design 4.3), and deletes
+// expired claims and decisions. It acts on the controller that holds the duty "sweep".
 func (ctl *Controller) sweep(ctx context.Context) {
 	ctl.Membership.RequestDuty("sweep")
-	var trimmed time.Time
+	var lastTrim time.Time
 	for ctl.Clock.Sleep(ctx, sweepInterval) == nil {
 		if !ctl.Membership.HoldsDuty("sweep") {
 			continue
@@ -198,8 +200,8 @@
 		if err := ctl.Claims.Sweep(callCtx); err != nil && ctx.Err() == nil {
 			ctl.Log.Warn("cannot delete expired claims", "step", "sweep", "err", err)
 		}
-		if now := ctl.Clock.Now(); trimmed.IsZero() || now.Sub(trimmed) > min(trimInterval, ctl.trimmer.Retention) {
-			trimmed = now
+		if now := ctl.Clock.Now(); lastTrim.IsZero() || now.Sub(lastTrim) > min(trimInterval, ctl.trimmer.Retention) {
+			lastTrim = now
 			if err := ctl.trimmer.Trim(callCtx); err != nil && ctx.Err() == nil {
 				ctl.Log.Warn("cannot delete expired decisions", "step", "sweep", "err", err)
 			}
--- a/internal/controller/http.go
+++ b/internal/controller/http.go
@@ -57,6 +57,7 @@
 // postStatement executes a statement sent as plain text.
 func (ctl *Controller) postStatement(c *fiber.Ctx) error { return ctl.execute(c, string(c.Body())) }
 
+// execute executes a statement and writes its result.
 func (ctl *Controller) execute(c *fiber.Ctx, text string) error {
 	ctx, cancel := context.WithTimeout(context.Background(), changeTimeout)
 	defer cancel()
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -59,8 +59,8 @@
 
 	start    func(context.Context)
 	stopping atomic.Bool
-	drained  atomic.Bool // drained by an operator
-	warm     atomic.Bool
+	drained  atomic.Bool  // drained by an operator
+	warm     atomic.Bool  // the state of the targets is known, or maxWarmup has passed
 	lastOpen atomic.Int64 // when the gate was last seen open, in ns since created, plus 1; 0 is never
 	created  time.Time
 	wg       sync.WaitGroup
@@ -87,10 +87,10 @@
 	do.Provide(injector, newProxy)
 	g := &Gateway{Config: cfg, created: cfg.Clock.Now(), Mux: link.NewMux(), Membership: do.MustInvoke[*membership.LeaseClient](injector), Pauses: do.MustInvoke[*liveness.PauseMonitor](injector),
 		Sheets: do.MustInvoke[*rollout.SheetStore](injector), Targets: do.MustInvoke[*registry.GatewayTable](injector), Proxy: do.MustInvoke[*passage.Pipeline](injector)}
-	since := time.Now().UnixMilli()
+	upSince := time.Now().UnixMilli()
 	g.Membership.Self = func() membership.Member {
 		return membership.Member{ID: cfg.Startup.ID, Inc: cfg.Incarnation, Kind: "gateway", Inner: cfg.Startup.Inner, Door: cfg.Startup.Door,
-			Zone: cfg.Startup.Zone, Spec: g.Sheets.Version(), Since: since, Rest: g.drained.Load()}
+			Zone: cfg.Startup.Zone, Spec: g.Sheets.Version(), Since: upSince, Rest: g.drained.Load()}
 	}
 	g.Targets.OnNewTarget = g.probeTarget
 	g.Sheets.Serve(g.Mux)
@@ -140,9 +140,9 @@
 	return sheets, nil
 }
 
-// controllersByDistance lists the controllers to ask, those of the gateway's own zone first.
-// Each gateway starts at another one, to spread the load. Before any member is known, it
-// returns the seeds.
+// controllersByDistance lists the addresses of the controllers to ask, those of the gateway's own
+// zone first. Gateways start at different ones, to spread the load. Before any member is known,
+// it returns the seeds.
 func controllersByDistance(ms []membership.Member, s startup.Gateway) []string {
 	if len(ms) == 0 {
 		return s.Seeds
@@ -167,7 +167,7 @@
 	proxy := &passage.Pipeline{Clock: cfg.Clock, Sheets: do.MustInvoke[*rollout.SheetStore](i), Targets: do.MustInvoke[*registry.GatewayTable](i),
 		Transport: cfg.TargetClient, Zone: cfg.Startup.Zone, ZoneMap: cfg.Startup.Chart, ID: cfg.Startup.ID, Inc: cfg.Incarnation, Faults: cfg.Faults, Log: cfg.Log, Count: cfg.Count,
 		Gateways: func() int {
-			// Called for every choice of a target, so the members are counted without building a list.
+			// Called for every selection of a target, so the members are counted without building a list.
 			return lo.CountBy(members.Members(), func(m membership.Member) bool { return m.Kind == "gateway" }) + 1
 		},
 		Claims: do.MustInvoke[*claim.Coordinator](i)}
@@ -184,7 +184,7 @@
 	return claims, nil
 }
 
-// claimClient makes idempotency-key claims through any controller that answers.
+// claimClient makes and ends claims on idempotency keys through any controller that answers.
 type claimClient struct {
 	transport   link.Transport
 	clock       clock.Clock
@@ -236,26 +236,26 @@
 const maxWarmup = 4 * time.Second
 
 // maxGateClosed is how long the gate may be closed before this node reports not ready. If the
-// core is lost in the middle of a hold, the gate closes on all gateways at once until their
-// leases have expired and they have found each other, or until the core is back and its
-// lease tables have waited for the length of a lease. Calls wait at the gate during that time,
-// which they could not if all gateways were not ready. A gateway that is cut off alone detects
-// that much sooner.
+// core is lost in the middle of a hold, the gate closes on all gateways at once. It stays closed
+// until their leases have expired and they have found each other, or until the core is back and
+// its lease tables have waited for the length of a lease. Calls wait at the gate during that time,
+// which they could not if no gateway were ready. A gateway that is cut off alone detects that
+// much sooner.
 const maxGateClosed = 2*membership.LeaseDuration + 200*time.Millisecond
 
-// Ready is the readiness reported to the platform: the node serves calls and is not stopping.
+// Ready returns the readiness reported to the platform: the node serves calls and is not stopping.
 func (g *Gateway) Ready() bool {
 	now := g.Clock.Now()
 	if _, open := g.Sheets.Gate(); open {
 		g.lastOpen.Store(int64(now.Sub(g.created)) + 1)
 	}
-	// A hold closes the gate for a moment on all gateways at once. That alone must not make
-	// all of them not ready.
 	// A gateway that is cut off reports so before its lease ends, because the platform takes
 	// a second to notice.
 	if g.Sheets.Isolated() || g.drained.Load() {
 		return false
 	}
+	// A hold closes the gate for a moment on all gateways at once. That alone must not make
+	// all of them not ready.
 	if o := g.lastOpen.Load(); o == 0 || now.Sub(g.created)-time.Duration(o) > maxGateClosed || g.stopping.Load() {
 		return false
 	}
@@ -311,17 +311,18 @@
 	}
 }
 
+// probe sends one probe to a target run and records a valid answer.
 func (g *Gateway) probe(ctx context.Context, s *registry.Target, seq uint64) {
 	sent := g.Clock.Now()
 	callCtx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	name := httpapi.TargetName(s.ID, s.Service, s.Inc)
-	a, _, err := g.TargetClient.Carry(callCtx, &passage.SendRequest{Addr: s.Addr, Target: "probe:" + name, SendID: httpapi.ProbeNumber(seq), Expiry: sent.Add(probeTimeout),
+	response, _, err := g.TargetClient.Send(callCtx, &passage.SendRequest{Addr: s.Addr, Target: "probe:" + name, SendID: httpapi.ProbeRequestID(seq), Expiry: sent.Add(probeTimeout),
 		Req: &passage.Request{Method: "GET", URI: httpapi.ProbeURI(seq), Host: s.Addr}})
-	if err != nil || a.Status != 200 || !a.Complete {
+	if err != nil || response.Status != 200 || !response.Complete {
 		return
 	}
-	p, err := httpapi.ParseProbe(a.Body)
+	p, err := httpapi.ParseProbe(response.Body)
 	if err != nil || p.Seq != seq || p.ID != s.ID || p.Service != s.Service || p.Inc != s.Inc {
 		return
 	}
--- a/internal/gateway/http.go
+++ b/internal/gateway/http.go
@@ -81,20 +81,20 @@
 		return g.writeError(c, httpapi.ErrorResponse{Status: 400, Code: httpapi.Malformed}, "")
 	}
 	client := c.Get(httpapi.ClientHeader)
-	t := g.Proxy.Handle(context.Background(), client, c.Get(httpapi.KeyHeader), r)
-	if t.Verdict != nil {
-		return g.writeError(c, *t.Verdict, t.ID)
+	call := g.Proxy.Handle(context.Background(), client, c.Get(httpapi.KeyHeader), r)
+	if call.ErrorResponse != nil {
+		return g.writeError(c, *call.ErrorResponse, call.ID)
 	}
-	c.Status(t.Response.Status)
-	for _, h := range t.Response.Header {
+	c.Status(call.Response.Status)
+	for _, h := range call.Response.Header {
 		c.Context().Response.Header.Add(h[0], h[1])
 	}
-	c.Set(httpapi.CallHeader, t.ID)
+	c.Set(httpapi.CallHeader, call.ID)
 	if r.Method == fiber.MethodHead {
 		c.Context().Response.SkipBody = true
 		return nil
 	}
-	return c.Send(t.Response.Body)
+	return c.Send(call.Response.Body)
 }
 
 func (g *Gateway) writeError(c *fiber.Ctx, response httpapi.ErrorResponse, call string) error {
@@ -147,6 +147,7 @@
 	return r
 }
 
+// splitList splits a comma-separated header value.
 func splitList(s string) []string {
 	var out []string
 	for len(s) > 0 {
--- a/internal/gateway/http_test.go
+++ b/internal/gateway/http_test.go
@@ -30,7 +30,8 @@
 func (o openGate) Gate() (*spec.Table, bool)                { return o.table, true }
 func (o openGate) Wait(context.Context) (*spec.Table, bool) { return o.table, true }
 
-// testTarget is a target behind a gateway's HTTP server.
+// testTarget is a target behind a gateway. addr is the address of the gateway, and requests
+// counts the requests that reached the target.
 type testTarget struct {
 	addr     string
 	requests atomic.Int64
@@ -41,6 +42,7 @@
 	w.Header().Set(httpapi.StampHeader, httpapi.Stamp{ID: "a", Service: "svc", Inc: 1, Request: r.Header.Get(httpapi.RequestHeader), Length: length}.String())
 }
 
+// newTarget starts a target that answers with serve, and a gateway in front of it.
 func newTarget(t *testing.T, serve http.HandlerFunc) *testTarget {
 	t.Helper()
 	s := &testTarget{}
@@ -107,10 +109,10 @@
 
 func TestDoorPassesOnWhatItShould(t *testing.T) {
 	var got *http.Request
-	var in string
+	var requestBody string
 	s := newTarget(t, func(w http.ResponseWriter, r *http.Request) {
 		b, _ := io.ReadAll(r.Body)
-		got, in = r.Clone(context.Background()), string(b)
+		got, requestBody = r.Clone(context.Background()), string(b)
 		setStamp(w, r, 5)
 		w.Header().Set("X-Mine", "yes")
 		w.Header().Add("Set-Cookie", "a=1")
@@ -123,11 +125,11 @@
 	if r.StatusCode != 201 || b != "hello" || r.Header.Get("X-Mine") != "yes" || len(r.Header.Values("Set-Cookie")) != 2 || r.Header.Get("Content-Type") != "text/x-thing" {
 		t.Errorf("answer: %d %q %v", r.StatusCode, b, r.Header)
 	}
-	if got.RequestURI != "/once/a%2Fb?x=1&y=%20z" || in != "body" || got.Header.Get("X-Theirs") != "1" || got.Header.Get("Cookie") != "c=3" || got.Host != s.addr {
-		t.Errorf("request: %s %q %v %s", got.RequestURI, in, got.Header, got.Host)
+	if got.RequestURI != "/once/a%2Fb?x=1&y=%20z" || requestBody != "body" || got.Header.Get("X-Theirs") != "1" || got.Header.Get("Cookie") != "c=3" || got.Host != s.addr {
+		t.Errorf("request: %s %q %v %s", got.RequestURI, requestBody, got.Header, got.Host)
 	}
 	if got.Header.Get("X-Local") != "" || got.Header.Get("Te") != "" || got.Header.Get(httpapi.TargetHeader) != "a;svc;1" {
-		t.Errorf("fields of one link were passed on: %v", got.Header)
+		t.Errorf("hop-by-hop fields were forwarded, or the target is not named: %v", got.Header)
 	}
 	if r, _ := s.call(t, "GET", "/nowhere", nil); r.StatusCode != 404 {
 		t.Errorf("unknown path: %d", r.StatusCode)
@@ -191,8 +193,8 @@
 	}
 }
 
-// newRawTarget starts a target whose answer is written as raw bytes.
-func newRawTarget(t *testing.T, answer func(c net.Conn, number string)) *testTarget {
+// newRawTarget starts a target whose answers are written as raw bytes, and a gateway in front of it.
+func newRawTarget(t *testing.T, answer func(c net.Conn, requestID string)) *testTarget {
 	t.Helper()
 	s := &testTarget{}
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -222,8 +224,9 @@
 	return s
 }
 
-func stampLine(number, id string, inc, length int) string {
-	return httpapi.StampHeader + ": " + id + ";svc;" + strconv.Itoa(inc) + ";" + number + ";" + strconv.Itoa(length) + "\r\n"
+// stampLine returns the stamp header line of an answer.
+func stampLine(requestID, id string, inc, length int) string {
+	return httpapi.StampHeader + ": " + id + ";svc;" + strconv.Itoa(inc) + ";" + requestID + ";" + strconv.Itoa(length) + "\r\n"
 }
 
 // An improper answer must never be reported as a success. A request that may not be repeated
--- a/internal/httpapi/heartbeat.go
+++ b/internal/httpapi/heartbeat.go
@@ -24,7 +24,7 @@
 	Seq uint64 `json:"call_seq"`
 	// Inc is the incarnation of the run; a later run has a larger one.
 	Inc uint64 `json:"incarnation"`
-	// EveryMS is the target's heartbeat interval.
+	// EveryMS is the target's heartbeat interval in milliseconds; 0 means 2000.
 	EveryMS int `json:"heartbeat_ms"`
 }
 
@@ -34,48 +34,48 @@
 	ReadyPath   = "/_walkrudder/ready"
 	MetricsPath = "/_walkrudder/metrics"
 	ProbePath   = "/_walkrudder/probe"
-	// MaxBeatBytes bounds the size of a heartbeat in bytes.
+	// MaxBeatBytes bounds the size of a heartbeat, and of a response to a probe, in bytes.
 	MaxBeatBytes = 4 << 10
 )
 
 var namePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$`)
 
 // ParseBeat parses and validates a heartbeat and sets its defaults.
-func ParseBeat(b []byte) (t Beat, err error) {
+func ParseBeat(b []byte) (beat Beat, err error) {
 	if len(b) > MaxBeatBytes {
-		return t, errors.New("beat too large")
+		return beat, errors.New("beat too large")
 	}
-	if err := json.Unmarshal(b, &t); err != nil {
-		return t, fmt.Errorf("beat is no JSON object of the expected form: %w", err)
+	if err := json.Unmarshal(b, &beat); err != nil {
+		return beat, fmt.Errorf("beat is no JSON object of the expected form: %w", err)
 	}
 	switch {
-	case !namePattern.MatchString(t.ID):
-		return t, fmt.Errorf("id: %q is no name", t.ID)
-	case !namePattern.MatchString(t.Service):
-		return t, fmt.Errorf("service: %q is no name", t.Service)
-	case t.Zone != "" && !namePattern.MatchString(t.Zone):
-		return t, fmt.Errorf("zone: %q is no name", t.Zone)
-	case t.Seq == 0:
-		return t, errors.New("call_seq: starts at 1")
-	case t.Capacity < 0 || t.Capacity > 1<<20:
-		return t, fmt.Errorf("capacity: %d is out of range", t.Capacity)
-	case t.EveryMS < 0 || t.EveryMS > 600_000:
-		return t, fmt.Errorf("heartbeat_ms: %d is out of range", t.EveryMS)
+	case !namePattern.MatchString(beat.ID):
+		return beat, fmt.Errorf("id: %q is no name", beat.ID)
+	case !namePattern.MatchString(beat.Service):
+		return beat, fmt.Errorf("service: %q is no name", beat.Service)
+	case beat.Zone != "" && !namePattern.MatchString(beat.Zone):
+		return beat, fmt.Errorf("zone: %q is no name", beat.Zone)
+	case beat.Seq == 0:
+		return beat, errors.New("call_seq: starts at 1")
+	case beat.Capacity < 0 || beat.Capacity > 1<<20:
+		return beat, fmt.Errorf("capacity: %d is out of range", beat.Capacity)
+	case beat.EveryMS < 0 || beat.EveryMS > 600_000:
+		return beat, fmt.Errorf("heartbeat_ms: %d is out of range", beat.EveryMS)
 	}
-	host, port, err := net.SplitHostPort(t.Addr)
+	host, port, err := net.SplitHostPort(beat.Addr)
 	if err != nil || net.ParseIP(host) == nil {
-		return t, fmt.Errorf("addr: %q is not IP:port", t.Addr)
+		return beat, fmt.Errorf("addr: %q is not IP:port", beat.Addr)
 	}
 	if n, err := strconv.Atoi(port); err != nil || n < 1 || n > 65535 {
-		return t, fmt.Errorf("addr: port %q is out of range", port)
+		return beat, fmt.Errorf("addr: port %q is out of range", port)
 	}
-	if t.EveryMS == 0 {
-		t.EveryMS = 2000
+	if beat.EveryMS == 0 {
+		beat.EveryMS = 2000
 	}
-	if t.Capacity == 0 {
-		t.Capacity = 1
+	if beat.Capacity == 0 {
+		beat.Capacity = 1
 	}
-	return t, nil
+	return beat, nil
 }
 
 // ProbeResponse is a target's response to a probe.
@@ -99,8 +99,8 @@
 // ProbeURI returns the path and query of probe number n.
 func ProbeURI(n uint64) string { return ProbePath + "?seq=" + strconv.FormatUint(n, 10) }
 
-// ProbeNumber returns the request number of probe number n.
-func ProbeNumber(n uint64) string { return "p" + strconv.FormatUint(n, 10) }
+// ProbeRequestID returns the value of RequestHeader for probe number n.
+func ProbeRequestID(n uint64) string { return "p" + strconv.FormatUint(n, 10) }
 
 // BeatResponse is a controller's response to a heartbeat. Leaving confirms that no new requests
 // are sent to the target. Gone informs a run that it was removed and must restart.
--- a/internal/httpapi/stamp.go
+++ b/internal/httpapi/stamp.go
@@ -8,7 +8,7 @@
 
 // The header fields used between gateways and targets, and towards callers.
 const (
-	// RequestHeader carries the number of this attempt to send the request. The target
+	// RequestHeader carries the ID of this attempt to send the request. The target
 	// repeats it in its stamp.
 	RequestHeader = "Walk-Request"
 	// TargetHeader names the target run that the request is addressed to.
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -30,7 +30,7 @@
 	atMS    int64
 }
 
-// FullSheetBefore returns the version of the last change made before the time ms that
+// FullSheetBefore returns the version of the last change before ms (in Unix milliseconds) that
 // carries the full sheet, or 0 if there is none. Replay can start at that change.
 func (st *State) FullSheetBefore(ms int64) (n uint64) {
 	for _, sheet := range st.fullSheets {
@@ -41,8 +41,8 @@
 	return n
 }
 
-// Token returns the version of the change that was made with idempotency token t.
-func (st *State) Token(t string) (uint64, bool) {
+// TokenVersion returns the version of the change that was made with idempotency token t.
+func (st *State) TokenVersion(t string) (uint64, bool) {
 	n, ok := st.tokens[t]
 	return n, ok
 }
@@ -61,6 +61,7 @@
 
 	// refreshSlot admits one refresh at a time. It is a channel instead of a mutex
 	// because it is held during remote calls and waiting for it must be cancellable.
+	// initOnce creates it.
 	initOnce    sync.Once
 	refreshSlot chan struct{}
 	state       atomic.Pointer[State]
@@ -170,10 +171,10 @@
 	return err
 }
 
-// Activation is the record of which version is in force: Version is the version decided
-// to be in force, Open is the version that may be shown because more than half of the
-// counted gateways were told of it, and Gateways lists the gateways that count (design 8.4).
-// Round is the revision of that list.
+// Activation is the record of which version is in force (design 8.4). Version is the version
+// decided to be in force. Open is the version that may be served, because more than half of the
+// voting gateways know of it. Gateways lists the voting gateways, and Round is the revision of
+// that list.
 type Activation struct {
 	Version  uint64   `json:"version"`
 	Open     uint64   `json:"open"`
@@ -181,7 +182,8 @@
 	Round    uint64   `json:"round"`
 }
 
-// HasMajority reports whether ids contain more than half of the gateways that count.
+// HasMajority reports whether ids contain more than half of the voting gateways. It is true if
+// there are none.
 func (a Activation) HasMajority(ids []string) bool {
 	return len(a.Gateways) == 0 || 2*len(lo.Intersect(a.Gateways, ids)) > len(a.Gateways)
 }
@@ -199,7 +201,7 @@
 }
 
 // Activate records that version n comes into force; the version never decreases.
-// If the list of gateways that count is empty, it is set to gateways. Activate returns
+// If the list of voting gateways is empty, it is set to gateways. Activate returns
 // the resulting record.
 func (l *Ledger) Activate(ctx context.Context, n uint64, gateways []string) (Activation, error) {
 	return l.updateActivation(ctx, func(o Activation) Activation {
@@ -211,7 +213,7 @@
 	})
 }
 
-// SetOpen records that version n may be shown.
+// SetOpen records that version n may be served.
 func (l *Ledger) SetOpen(ctx context.Context, n uint64) error {
 	_, err := l.updateActivation(ctx, func(o Activation) Activation {
 		o.Open = max(o.Open, min(n, o.Version))
@@ -220,7 +222,7 @@
 	return err
 }
 
-// SetGateways replaces the list of gateways that count if its revision is still round.
+// SetGateways replaces the list of voting gateways if its revision is still round.
 func (l *Ledger) SetGateways(ctx context.Context, round uint64, gateways []string) (Activation, error) {
 	return l.updateActivation(ctx, func(o Activation) Activation {
 		if o.Round == round {
@@ -230,7 +232,8 @@
 	})
 }
 
-// RemoveGateway removes a gateway that was stopped as planned from those that count.
+// RemoveGateway removes a gateway from the voting gateways: one that was stopped as planned, or
+// that an operator ordered to forget.
 func (l *Ledger) RemoveGateway(ctx context.Context, id string) error {
 	_, err := l.updateActivation(ctx, func(o Activation) Activation {
 		if n := lo.Without(o.Gateways, id); len(n) < len(o.Gateways) {
@@ -241,6 +244,7 @@
 	return err
 }
 
+// updateActivation replaces the activation record by the result of update and returns it.
 func (l *Ledger) updateActivation(ctx context.Context, update func(Activation) Activation) (out Activation, err error) {
 	_, err = l.Proposer.Change(ctx, ActivationKey, func(old []byte) ([]byte, error) {
 		var o Activation
@@ -256,7 +260,7 @@
 	return out, steperr.Wrap("flip", "", err)
 }
 
-// WriteOnce writes an immutable item. If the item exists, it is kept and returned.
+// WriteOnce writes a note as an immutable item. If the item exists, it is kept and returned.
 func (l *Ledger) WriteOnce(ctx context.Context, key string, n Note) (Note, error) {
 	n.Controller = l.Controller
 	if n.AtMS == 0 {
@@ -274,7 +278,7 @@
 	return Decode[Note](raw)
 }
 
-// AddNote writes a decision under a new unique key.
+// AddNote writes a note under a new unique key.
 func (l *Ledger) AddNote(ctx context.Context, n Note) error {
 	at := l.WallMS()
 	n.AtMS = at
@@ -283,7 +287,7 @@
 	return err
 }
 
-// Notes lists the decisions under prefix, oldest first if the keys are ordered by time.
+// Notes lists the notes under prefix, oldest first if the keys are ordered by time.
 func (l *Ledger) Notes(ctx context.Context, prefix string) ([]Note, error) {
 	var out []Note
 	err := l.Proposer.List(ctx, prefix, "", func(k string, v []byte) error {
--- a/internal/ledger/types.go
+++ b/internal/ledger/types.go
@@ -1,5 +1,5 @@
 // Package ledger stores the control plane's decisions. Each decision is an immutable
-// item on a majority of the voters' disks before anyone is told of it. The current
+// item on a majority of the voters' disks before anyone is informed of it. The current
 // state is computed by replaying the decisions (design 6).
 package ledger
 
@@ -32,7 +32,7 @@
 type Change struct {
 	Version    uint64      `json:"version"`
 	Token      string      `json:"token,omitempty"`
-	Operator   string      `json:"by,omitempty"` // the operator, as named by himself
+	Operator   string      `json:"by,omitempty"` // name that the operator gave; not verified
 	Controller string      `json:"controller"`
 	AtMS       int64       `json:"at_ms"`
 	Edits      []spec.Edit `json:"edits"`
@@ -80,16 +80,16 @@
 // ActivationNoteKey returns the key of the note that version n came into force.
 func ActivationNoteKey(n uint64) string { return fmt.Sprintf("%s%012d", ActivationPrefix, n) }
 
-// DayMS is the length of a day in milliseconds, the granularity at which decisions about
-// targets are deleted.
+// DayMS is the length of a day in milliseconds. Decisions about targets are deleted by the day.
 const DayMS = 24 * 3600 * 1000
 
-// DayPrefix returns the key prefix of the decisions about targets made on the day of ms.
+// DayPrefix returns the key prefix of the decisions about targets made on the day that contains
+// ms, in Unix milliseconds.
 func DayPrefix(prefix string, ms int64) string {
 	return fmt.Sprintf("%s%06d/", prefix, max(ms, 0)/DayMS)
 }
 
-// TargetKey returns the key of a decision made at time ms about one run of a target.
+// TargetKey returns the key of a decision made at ms about one run of a target.
 func TargetKey(prefix string, ms int64, t Target) string {
 	return fmt.Sprintf("%s%s/%s/%020d", DayPrefix(prefix, ms), t.Service, t.ID, t.Incarnation)
 }
--- a/internal/passage/attempt.go
+++ b/internal/passage/attempt.go
@@ -37,20 +37,20 @@
 	a.limiter.release(a.Binding.Name)
 }
 
-// suspicionPoll is the interval at which a target's suspicion is read while a repeatable
-// request waits for it; suspicion grows over hundreds of milliseconds. If the retry budget
-// refused a hedge, the next is tried after hedgeRetryDelay, since the budget grows with
-// requests.
 const (
-	suspicionPoll   = 20 * time.Millisecond
+	// suspicionPoll is the interval at which a target's suspicion is read while a repeatable
+	// request waits for it; suspicion grows over hundreds of milliseconds.
+	suspicionPoll = 20 * time.Millisecond
+	// hedgeRetryDelay is the time until the next hedge is tried, since the retry budget that
+	// refused one grows with requests.
 	hedgeRetryDelay = 200 * time.Millisecond
 )
 
-// monitorAttempt reads the target's suspicion while a repeatable request waits for it, and
-// sends the request to another target if this one is suspected, has been let go, or has
-// taken half of the remaining time. It cancels the send when the call has finished.
-func (p *Pipeline) monitorAttempt(attempt *Attempt, limit float64, hedgeAt time.Time, cancel func()) {
-	var next time.Time
+// monitorAttempt watches the target while a repeatable request waits for it. It sends the
+// request to another target if this one is suspected, has been removed, or has not responded
+// by hedgeAt. It cancels the send when the call has finished.
+func (p *Pipeline) monitorAttempt(attempt *Attempt, suspicionLimit float64, hedgeAt time.Time, cancel func()) {
+	var nextHedge time.Time
 	for {
 		c, stop := p.Clock.After(suspicionPoll)
 		select {
@@ -64,26 +64,26 @@
 		case <-c:
 		}
 		now := p.Clock.Now()
-		why := ""
+		reason := ""
 		switch suspicion := attempt.Target.Detector.Suspicion(now); {
-		case now.Before(next):
-		case suspicion >= limit:
-			why = "the target is suspected while it is waited for"
+		case now.Before(nextHedge):
+		case suspicion >= suspicionLimit:
+			reason = "the target is suspected while it is waited for"
 		case attempt.Target.Gone.Load():
-			why = "the target was let go while it was waited for"
+			reason = "the target was let go while it was waited for"
 		case !now.Before(hedgeAt):
-			why = "the target has taken half of the time left"
+			reason = "the target has taken half of the time left"
 		}
-		if why != "" {
-			next = now.Add(hedgeRetryDelay)
-			p.hedge(attempt, why)
+		if reason != "" {
+			nextHedge = now.Add(hedgeRetryDelay)
+			p.hedge(attempt, reason)
 		}
 	}
 }
 
-// hedge queues a call with a send under way for selection once more, unless another
+// hedge queues a call whose send is still under way for selection again, unless another
 // attempt has already replaced this one.
-func (p *Pipeline) hedge(attempt *Attempt, why string) {
+func (p *Pipeline) hedge(attempt *Attempt, reason string) {
 	call := attempt.Call
 	call.mu.Lock()
 	ok := !call.finished.Load() && !call.selecting && (call.inFlight == 1 || attempt.Num == call.Attempts) && call.Attempts < maxAttempts && call.Remaining(p.Clock.Now()) > returnMargin
@@ -92,10 +92,10 @@
 	if !ok {
 		return
 	}
-	p.addStep(call, "elsewhere", "", why)
+	p.addStep(call, "elsewhere", "", reason)
 	if !p.selection.Put(call) {
 		p.endSelection(call)
-		p.refuse(call, why)
+		p.refuse(call, reason)
 	}
 }
 
--- a/internal/passage/attempt_test.go
+++ b/internal/passage/attempt_test.go
@@ -18,9 +18,9 @@
 	sentTo chan string
 }
 
-func (d hangingTargets) Carry(ctx context.Context, s *SendRequest) (*Response, bool, error) {
+func (d hangingTargets) Send(ctx context.Context, s *SendRequest) (*Response, bool, error) {
 	if !s.BeforeWrite() {
-		return nil, false, ErrStopped
+		return nil, false, ErrSendCancelled
 	}
 	id, _, _ := strings.Cut(s.Target, ";")
 	d.sentTo <- id
@@ -28,25 +28,25 @@
 	if d.silent[id] {
 		wait = time.Hour
 	}
-	cx, end := context.WithDeadline(ctx, s.Expiry)
-	defer end()
+	sendCtx, cancel := context.WithDeadline(ctx, s.Expiry)
+	defer cancel()
 	select {
-	case <-cx.Done():
-		return nil, true, cx.Err()
+	case <-sendCtx.Done():
+		return nil, true, sendCtx.Err()
 	case <-time.After(wait):
 	}
 	return &Response{Status: 200, Complete: true, Stamp: httpapi.Stamp{ID: id, Service: "s", Inc: 1, Request: s.SendID}.String()}, true, nil
 }
 
-// withSilentTargets runs try on a pipeline of n targets, of which the first k become
-// silent, to probes and requests alike, 100 ms before the calls. call makes a repeatable
-// (GET) or non-repeatable (POST) call and returns its result, its duration and the number
-// of sends. Without hasBudget the retry budget is used up.
+// withSilentTargets runs try on a pipeline of n targets. The first k become silent, to
+// probes and requests alike, 100 ms before the calls. try gets a function that makes a
+// repeatable (GET) or non-repeatable (POST) call and returns its result, its duration and the
+// number of sends. Without hasBudget the retry budget is used up.
 func withSilentTargets(t *testing.T, n, k int, hasBudget bool, try func(call func(method string) (*Call, time.Duration, int))) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		p, targets := newTestPipeline(ctx, t, n)
-		heartbeats(p, targets, n, 1, 30)
+		recordArrivals(p, targets, n, 1, 30)
 		transport := hangingTargets{map[string]bool{}, make(chan string, 100)}
 		for _, s := range targets[:k] {
 			transport.silent[s.ID] = true
@@ -111,14 +111,14 @@
 func TestSilenceSendsElsewhereOnlyWhatMayBeRepeated(t *testing.T) {
 	withSilentTargets(t, 6, 1, true, func(call func(string) (*Call, time.Duration, int)) {
 		x, took, sends := call("GET")
-		if x.Verdict != nil || sends != 2 || took > 1300*time.Millisecond || took < 100*time.Millisecond {
-			t.Errorf("a repeatable request: %+v after %s, %d sends", x.Verdict, took, sends)
+		if x.ErrorResponse != nil || sends != 2 || took > 1300*time.Millisecond || took < 100*time.Millisecond {
+			t.Errorf("a repeatable request: %+v after %s, %d sends", x.ErrorResponse, took, sends)
 		}
 	})
 	withSilentTargets(t, 6, 1, true, func(call func(string) (*Call, time.Duration, int)) {
 		x, took, sends := call("POST")
-		if x.Verdict == nil || x.Verdict.Code != httpapi.OutcomeUnknown || sends != 1 || took < 3900*time.Millisecond {
-			t.Errorf("a non-repeatable request: %+v after %s, %d sends", x.Verdict, took, sends)
+		if x.ErrorResponse == nil || x.ErrorResponse.Code != httpapi.OutcomeUnknown || sends != 1 || took < 3900*time.Millisecond {
+			t.Errorf("a non-repeatable request: %+v after %s, %d sends", x.ErrorResponse, took, sends)
 		}
 	})
 }
@@ -128,8 +128,8 @@
 func TestMassSilenceSendsNothingElsewhere(t *testing.T) {
 	withSilentTargets(t, 6, 6, true, func(call func(string) (*Call, time.Duration, int)) {
 		x, took, sends := call("GET")
-		if x.Verdict == nil || sends > 2 || took < 3900*time.Millisecond {
-			t.Errorf("%+v after %s, %d sends", x.Verdict, took, sends)
+		if x.ErrorResponse == nil || sends > 2 || took < 3900*time.Millisecond {
+			t.Errorf("%+v after %s, %d sends", x.ErrorResponse, took, sends)
 		}
 	})
 }
@@ -139,8 +139,8 @@
 func TestElsewhereKeepsToTheAllowance(t *testing.T) {
 	withSilentTargets(t, 6, 1, false, func(call func(string) (*Call, time.Duration, int)) {
 		x, took, sends := call("GET")
-		if x.Verdict == nil || sends != 1 || took < 3900*time.Millisecond {
-			t.Errorf("%+v after %s, %d sends", x.Verdict, took, sends)
+		if x.ErrorResponse == nil || sends != 1 || took < 3900*time.Millisecond {
+			t.Errorf("%+v after %s, %d sends", x.ErrorResponse, took, sends)
 		}
 	})
 }
--- a/internal/passage/budget.go
+++ b/internal/passage/budget.go
@@ -6,12 +6,13 @@
 )
 
 const (
-	// window is the period over which extra sends are counted.
-	window = 10 * time.Second
-	// slotWidth is the resolution of the count.
+	// budgetWindow is the period over which sends are counted.
+	budgetWindow = 10 * time.Second
+	// slotWidth is the resolution of the count, and slotCount the number of slots that cover
+	// budgetWindow.
 	slotWidth = 250 * time.Millisecond
-	slotCount = int(window/slotWidth) + 1
-	// extraRatio is the share of first sends that extra sends may reach. It is below the
+	slotCount = int(budgetWindow/slotWidth) + 1
+	// extraRatio is the ratio of extra sends to first sends that is allowed. It is below the
 	// guaranteed limit of a fifth.
 	extraRatio = 0.15
 	// sharedExtra is a further allowance shared by all gateways, below the guaranteed
@@ -21,7 +22,7 @@
 
 // Budget bounds the extra sends of one service at one gateway. The guarantee holds for all
 // gateways together: each has extraRatio of its own requests and an equal share of
-// sharedExtra. A new budget gets no part of sharedExtra for one window, because the run
+// sharedExtra. A new budget gets no part of sharedExtra for one budgetWindow, because the run
 // before it may have spent this gateway's share (design 13.6).
 type Budget struct {
 	mu        sync.Mutex
@@ -30,11 +31,12 @@
 	gateways  func() int
 }
 
-// NewBudget creates a budget; gateways returns the number of gateways that share.
-func NewBudget(born time.Time, gateways func() int) *Budget {
-	return &Budget{createdAt: born, gateways: gateways}
+// NewBudget creates a budget; gateways returns the number of gateways that divide sharedExtra.
+func NewBudget(createdAt time.Time, gateways func() int) *Budget {
+	return &Budget{createdAt: createdAt, gateways: gateways}
 }
 
+// slotIndex returns the index of the slot for now, cleared if it held an older period.
 func (b *Budget) slotIndex(now time.Time) int {
 	number := int64(now.Sub(b.createdAt) / slotWidth)
 	i := int(number % int64(slotCount))
@@ -44,6 +46,7 @@
 	return i
 }
 
+// sums returns the first and extra sends within the last budgetWindow.
 func (b *Budget) sums(now time.Time) (first, extra int64) {
 	n := int64(now.Sub(b.createdAt) / slotWidth)
 	for _, s := range b.slots {
@@ -68,7 +71,7 @@
 	defer b.mu.Unlock()
 	first, extra := b.sums(now)
 	allowed := extraRatio * float64(first)
-	if now.Sub(b.createdAt) > window {
+	if now.Sub(b.createdAt) > budgetWindow {
 		allowed += sharedExtra / float64(max(1, b.gateways()))
 	}
 	if float64(extra)+1 > allowed {
--- a/internal/passage/claims.go
+++ b/internal/passage/claims.go
@@ -12,7 +12,7 @@
 	"walkrudder/internal/httpapi"
 )
 
-// Claims takes and ends claims at the controllers.
+// Claims makes and ends claims on idempotency keys.
 type Claims interface {
 	Take(ctx context.Context, a claim.TakeAsk) (claim.TakeTold, error)
 	End(ctx context.Context, a claim.EndAsk) error
@@ -21,7 +21,7 @@
 const (
 	// maxClaims bounds the concurrent claim requests of one gateway.
 	maxClaims = 64
-	// endClaimTimeout is how long ending a claim is retried.
+	// endClaimTimeout bounds how long ending a claim is retried.
 	endClaimTimeout = 20 * time.Second
 )
 
@@ -46,48 +46,48 @@
 		return
 	}
 	call.ClaimKey = call.Client + "\x00" + call.Key
-	call.claimAsked.Store(true)
-	cx, cancel := context.WithDeadline(call.Ctx, call.Expiry.Add(-returnMargin))
-	told, err := p.Claims.Take(cx, claim.TakeAsk{Key: call.ClaimKey, Call: call.ID, Print: call.Req.fingerprint()})
+	call.claimMayExist.Store(true)
+	claimCtx, cancel := context.WithDeadline(call.Ctx, call.Expiry.Add(-returnMargin))
+	reply, err := p.Claims.Take(claimCtx, claim.TakeAsk{Key: call.ClaimKey, Call: call.ID, Print: call.Req.fingerprint()})
 	cancel()
-	if told.OK {
+	if reply.OK {
 		call.claimOwned.Store(true)
 		p.addStep(call, "claim", "", "the key is this call's")
 	}
 	switch {
 	case call.finished.Load():
-		// The caller was told "not run" in the meantime, so a claim obtained is released.
+		// The caller was answered "not run" in the meantime, so a claim obtained is released.
 		p.endClaim(call, claim.EndAsk{Key: call.ClaimKey, Call: call.ID})
 	case err != nil:
 		p.refuse(call, "its key cannot be claimed now")
-	case told.OK:
+	case reply.OK:
 		p.enqueueSelection(call, "the queue before the choice is full")
 	default:
-		call.claimAsked.Store(false)
-		p.reject(call, earlierCallVerdict(told.State, call.Req.fingerprint()))
+		call.claimMayExist.Store(false)
+		p.reject(call, earlierCallResponse(reply.State, call.Req.fingerprint()))
 	}
 }
 
-// notRun returns the verdict on a call that was not and will not be sent. If the claim on
+// notRun returns the response to a call that was not and will not be sent. If the claim on
 // its key is not this call's, an earlier call may have run, and "not run" would be wrong
 // for the request.
-func (p *Pipeline) notRun(call *Call, why string) *httpapi.ErrorResponse {
-	v := busyVerdict(why, cmp.Or(call.RetryAfter, time.Second))
+func (p *Pipeline) notRun(call *Call, reason string) *httpapi.ErrorResponse {
+	response := busyResponse(reason, cmp.Or(call.RetryAfter, time.Second))
 	if p.Claims != nil && call.Key != "" && !call.repeatable && !call.claimOwned.Load() {
-		v.Code, v.Reason = httpapi.OutcomeUnknown, why+"; whether an earlier call under this key ran is not known"
+		response.Code, response.Reason = httpapi.OutcomeUnknown, reason+"; whether an earlier call under this key ran is not known"
 	}
-	return v
+	return response
 }
 
-// reject ends a call that was never sent.
-func (p *Pipeline) reject(call *Call, v httpapi.ErrorResponse) {
-	if call.claimNotRun() {
-		call.finish(nil, &v)
+// reject ends a call that was never sent with response.
+func (p *Pipeline) reject(call *Call, response httpapi.ErrorResponse) {
+	if call.tryMarkNotSent() {
+		call.finish(nil, &response)
 	}
 }
 
-// earlierCallVerdict returns the verdict on a call whose key is claimed by another call.
-func earlierCallVerdict(s claim.State, fingerprint string) httpapi.ErrorResponse {
+// earlierCallResponse returns the response to a call whose key is claimed by another call.
+func earlierCallResponse(s claim.State, fingerprint string) httpapi.ErrorResponse {
 	switch {
 	case s.Print != fingerprint:
 		return httpapi.ErrorResponse{Status: 422, Code: httpapi.KeyReused, Reason: "this key was used for another request, call " + s.Call}
@@ -97,41 +97,42 @@
 	return httpapi.ErrorResponse{Status: 409, Code: httpapi.OutcomeUnknown, Reason: "call " + s.Call + " under this key is under way, or its outcome is unknown", RetryDelay: 2 * time.Second}
 }
 
-// closeClaim informs the controllers how a claimed call ended. The claim is released if
-// nothing ran and nothing will, and marked as ended if the call was answered; with an
-// unknown outcome the key stays claimed for as long as keys are kept.
+// closeClaim ends the claim of a call that has finished. The claim is released if nothing ran
+// and nothing will, and marked as ended if the call was answered. With an unknown outcome the
+// key stays claimed for as long as keys are kept.
 func (p *Pipeline) closeClaim(call *Call) {
-	if !call.claimAsked.Load() {
+	if !call.claimMayExist.Load() {
 		return
 	}
 	a := claim.EndAsk{Key: call.ClaimKey, Call: call.ID}
 	switch {
-	case call.Response != nil && call.Verdict == nil:
+	case call.Response != nil && call.ErrorResponse == nil:
 		a.Ran, a.Status = true, call.Response.Status
-	case call.Verdict != nil && (call.state.Load() == stateNotSent || call.Verdict.Code == httpapi.BusyNotRun):
+	case call.ErrorResponse != nil && (call.state.Load() == stateNotSent || call.ErrorResponse.Code == httpapi.BusyNotRun):
 	default:
 		return
 	}
 	p.endClaim(call, a)
 }
 
-// endClaim retries until the claim is ended; the caller already has its answer.
+// endClaim retries in the background until the claim is ended or endClaimTimeout has passed;
+// the caller already has its answer.
 func (p *Pipeline) endClaim(call *Call, a claim.EndAsk) {
 	go func() {
-		cx, cancel := context.WithTimeout(call.Ctx, endClaimTimeout)
+		endCtx, cancel := context.WithTimeout(call.Ctx, endClaimTimeout)
 		defer cancel()
 		for {
 			// A claim request that returned an error may still be carried out later, so a
 			// release is sent twice.
-			err := p.Claims.End(cx, a)
+			err := p.Claims.End(endCtx, a)
 			if err == nil && a.Ran {
 				return
 			}
-			if p.Clock.Sleep(cx, 500*time.Millisecond) != nil {
+			if p.Clock.Sleep(endCtx, 500*time.Millisecond) != nil {
 				return
 			}
 			if err == nil {
-				_ = p.Claims.End(cx, a)
+				_ = p.Claims.End(endCtx, a)
 				return
 			}
 		}
--- a/internal/passage/limiter.go
+++ b/internal/passage/limiter.go
@@ -17,7 +17,7 @@
 	slowWeight = 0.1
 	fastWeight = 0.4
 	// usableShare is the share of a request's remaining time within which its target
-	// should finish: the rest is a margin for late responses.
+	// should finish. The rest is a margin for late responses.
 	usableShare = 0.8
 	// unknownSpeedup is how many times faster than necessary a target without any
 	// response so far is assumed to be.
@@ -30,16 +30,17 @@
 )
 
 // concurrencyLimit returns how many sends this gateway may have in flight at a target if
-// each is to finish within remaining: what the target's announced capacity completes in
-// that time at the measured response time, divided equally among all gateways. For a
-// target without any response so far a moderate response time is assumed.
-func concurrencyLimit(s *registry.Target, remaining time.Duration, gateways int) float64 {
+// each is to finish within remaining. That is the number of requests that the target's
+// announced capacity completes in usableShare of that time at the measured response time,
+// divided equally among all gateways. A target without any response so far is assumed to be
+// unknownSpeedup times faster than necessary.
+func concurrencyLimit(target *registry.Target, remaining time.Duration, gateways int) float64 {
 	usable := usableShare * float64(remaining)
-	took := float64(s.MeanLatency())
-	if took <= 0 {
-		took = usable / unknownSpeedup
+	latency := float64(target.MeanLatency())
+	if latency <= 0 {
+		latency = usable / unknownSpeedup
 	}
-	return float64(max(1, s.Capacity.Load())) * usable / took / float64(max(1, gateways))
+	return float64(max(1, target.Capacity.Load())) * usable / latency / float64(max(1, gateways))
 }
 
 // ServiceLimiter counts one service's queued and running sends at this gateway, and the
--- a/internal/passage/pipeline.go
+++ b/internal/passage/pipeline.go
@@ -43,21 +43,24 @@
 	returnMargin = 20 * time.Millisecond
 	// clientRate and clientBurst limit a client that sends too many requests, summed over
 	// all gateways. Each gateway applies an equal share, but no less than minClientRate
-	// and minClientBurst. Well-behaved clients stay far below.
+	// and minClientBurst. Rates are in requests per second. Well-behaved clients stay far below.
 	clientRate     = 60
 	clientBurst    = 120
 	minClientRate  = 4
 	minClientBurst = 8
-	maxClients     = 10000
+	// maxClients bounds the number of clients whose rate is tracked.
+	maxClients = 10000
 )
 
 // Gate provides the route sheet under which requests may be sent now.
 type Gate interface {
+	// Gate returns the current route sheet; false means that requests must wait.
 	Gate() (*spec.Table, bool)
+	// Wait waits until requests may be sent; false means that ctx ended first.
 	Wait(ctx context.Context) (*spec.Table, bool)
 }
 
-// Pipeline takes requests through a gateway.
+// Pipeline processes the requests of a gateway in stages.
 type Pipeline struct {
 	Clock     clock.Clock
 	Sheets    Gate
@@ -66,12 +69,12 @@
 	Claims    Claims
 	Zone      string
 	ZoneMap   *topology.Distances // nil where no map is given
-	ID        string
-	Inc       uint64
-	Gateways  func() int
+	ID        string              // ID of this gateway
+	Inc       uint64              // incarnation of this gateway
+	Gateways  func() int          // number of gateways that share the limits
 	Faults    *fault.Set
 	Log       *log.Logger
-	Count     func(what, service string)
+	Count     func(what, service string) // counts an event, which may concern a service
 
 	route, claim, selection *Stage[*Call]
 	send, check             *Stage[*Attempt]
@@ -83,7 +86,7 @@
 	clients         map[string]*client
 	limiters        sync.Map // by service: *ServiceLimiter
 	startedAt       time.Time
-	lastNoTargetLog atomic.Int64
+	lastNoTargetLog atomic.Int64 // Unix time in ns of the last line of logNoTarget
 	inFlight        atomic.Int64
 }
 
@@ -124,7 +127,7 @@
 func (p *Pipeline) InFlight() int64 { return p.inFlight.Load() }
 
 // Handle accepts a call, waits until it finishes or expires, and returns it with Response
-// or Verdict set. key is the caller's idempotency key, "" if there is none.
+// or ErrorResponse set. key is the caller's idempotency key, "" if there is none.
 func (p *Pipeline) Handle(ctx context.Context, client, key string, r *Request) *Call {
 	p.inFlight.Add(1)
 	defer p.inFlight.Add(-1)
@@ -147,17 +150,17 @@
 	case match == spec.Found:
 		call.Expiry, call.repeatable = now.Add(binding.Expiry), binding.Repeatable
 	case open:
-		call.Verdict = noBindingVerdict(match, table, r)
+		call.ErrorResponse = noBindingResponse(match, table, r)
 		return call
 	}
 	if !p.allowClient(client, now) {
-		call.Verdict = p.notRun(call, "this client sends too many requests")
-		call.Verdict.Status = 429
+		call.ErrorResponse = p.notRun(call, "this client sends too many requests")
+		call.ErrorResponse.Status = 429
 		return call
 	}
 	wait := call.Remaining(now)
 	if !p.route.Put(call) {
-		call.Verdict = p.notRun(call, "the door's queue is full")
+		call.ErrorResponse = p.notRun(call, "the door's queue is full")
 		return call
 	}
 	for {
@@ -173,13 +176,13 @@
 			stopping = true
 			call.finished.Store(true)
 			// A stage may still hold the call, so the caller gets a separate one.
-			return &Call{ID: call.ID, Verdict: &httpapi.ErrorResponse{Status: 502, Code: httpapi.OutcomeUnknown, Reason: "this node was ended", Sent: true}}
+			return &Call{ID: call.ID, ErrorResponse: &httpapi.ErrorResponse{Status: 502, Code: httpapi.OutcomeUnknown, Reason: "this node was ended", Sent: true}}
 		}
-		if call.claimNotRun() {
+		if call.tryMarkNotSent() {
 			call.finish(nil, p.notRun(call, "no target could take it before its expiry"))
 			return call
 		}
-		// A send is under way: it ends at the same expiry and sets the result.
+		// A send is under way. It ends at the same expiry and then finishes the call.
 		wait = 50 * time.Millisecond
 	}
 }
@@ -193,65 +196,65 @@
 	return len(uri)
 }
 
-func noBindingVerdict(match spec.Match, table *spec.Table, r *Request) *httpapi.ErrorResponse {
+func noBindingResponse(match spec.Match, table *spec.Table, r *Request) *httpapi.ErrorResponse {
 	if match == spec.NoMethod {
 		return &httpapi.ErrorResponse{Status: 405, Code: httpapi.BadMethod, Allow: table.AllowedMethods(r.URI[:pathEnd(r.URI)])}
 	}
 	return &httpapi.ErrorResponse{Status: 404, Code: httpapi.NoBinding}
 }
 
-func busyVerdict(why string, retry time.Duration) *httpapi.ErrorResponse {
-	return &httpapi.ErrorResponse{Status: 503, Code: httpapi.BusyNotRun, Reason: why, RetryDelay: retry}
+func busyResponse(reason string, retry time.Duration) *httpapi.ErrorResponse {
+	return &httpapi.ErrorResponse{Status: 503, Code: httpapi.BusyNotRun, Reason: reason, RetryDelay: retry}
 }
 
-// refuse ends a call that has not run, unless a send is still under way, in which case
-// the end of that send decides. If any byte may have been written, "not run" would be
-// wrong, and the outcome is unknown.
-func (p *Pipeline) refuse(call *Call, why string) {
+// refuse ends a call for which no further send is tried. If a send is still under way, the
+// end of that send decides instead. If a target may have run the request, "not run" would be
+// wrong: the response is OutcomeUnknown, or BadAnswer if the request is repeatable.
+func (p *Pipeline) refuse(call *Call, reason string) {
 	call.mu.Lock()
 	active, mayHaveRun, attempts, sends := call.inFlight > 0 || call.selecting, call.MaybeRun, call.Attempts, call.Sends
 	call.mu.Unlock()
 	if active {
 		return
 	}
-	p.addStep(call, "refuse", "", why)
+	p.addStep(call, "refuse", "", reason)
 	if p.Log != nil {
-		p.Log.Info("call ended without a response", "step", "refuse", "call", call.ID, "why", why, "tries", attempts, "sends", sends, "loose", mayHaveRun)
+		p.Log.Info("call ended without a response", "step", "refuse", "call", call.ID, "why", reason, "tries", attempts, "sends", sends, "loose", mayHaveRun)
 	}
 	switch {
 	case mayHaveRun > 0 && !call.Binding.Repeatable:
-		call.finish(nil, &httpapi.ErrorResponse{Status: 502, Code: httpapi.OutcomeUnknown, Reason: why, Sent: true})
+		call.finish(nil, &httpapi.ErrorResponse{Status: 502, Code: httpapi.OutcomeUnknown, Reason: reason, Sent: true})
 	case mayHaveRun > 0:
-		call.finish(nil, &httpapi.ErrorResponse{Status: 502, Code: httpapi.BadAnswer, Reason: why, RetryDelay: time.Second, Sent: true})
-	case call.claimNotRun() || call.state.Load() == stateSent:
+		call.finish(nil, &httpapi.ErrorResponse{Status: 502, Code: httpapi.BadAnswer, Reason: reason, RetryDelay: time.Second, Sent: true})
+	case call.tryMarkNotSent() || call.state.Load() == stateSent:
 		// Either no byte was written, or the target answered "not run".
-		call.finish(nil, p.notRun(call, why))
+		call.finish(nil, p.notRun(call, reason))
 	}
 }
 
 // doRoute waits for the gate, finds the binding and checks the body size.
 func (p *Pipeline) doRoute(call *Call) {
-	cx, cancel := context.WithDeadline(call.Ctx, call.Expiry)
+	gateCtx, cancel := context.WithDeadline(call.Ctx, call.Expiry)
 	table, ok := p.Sheets.Gate()
 	if !ok {
-		table, ok = p.Sheets.Wait(cx)
+		table, ok = p.Sheets.Wait(gateCtx)
 	}
 	cancel()
 	if !ok {
-		if call.claimNotRun() {
+		if call.tryMarkNotSent() {
 			call.finish(nil, p.notRun(call, "this node waits for the control plane"))
 		}
 		return
 	}
 	binding, match := table.Find(call.Req.Method, call.Req.URI[:pathEnd(call.Req.URI)])
 	if match != spec.Found {
-		if call.claimNotRun() {
-			call.finish(nil, noBindingVerdict(match, table, call.Req))
+		if call.tryMarkNotSent() {
+			call.finish(nil, noBindingResponse(match, table, call.Req))
 		}
 		return
 	}
 	if len(call.Req.Body) > binding.MaxBody {
-		if call.claimNotRun() {
+		if call.tryMarkNotSent() {
 			call.finish(nil, &httpapi.ErrorResponse{Status: 413, Code: httpapi.TooLarge, Reason: fmt.Sprintf("the limit here is %d bytes", binding.MaxBody)})
 		}
 		return
@@ -262,7 +265,7 @@
 	if e := call.Arrived.Add(binding.Expiry); e.Before(call.Expiry) {
 		call.Expiry = e
 	}
-	if p.needsClaim(call) && !call.claimAsked.Load() {
+	if p.needsClaim(call) && !call.claimMayExist.Load() {
 		if !p.claim.Put(call) {
 			p.refuse(call, "the queue before the claim is full")
 		}
@@ -272,13 +275,13 @@
 }
 
 // enqueueSelection queues a call for target selection; why is the reason given if the queue is full.
-func (p *Pipeline) enqueueSelection(call *Call, why string) {
+func (p *Pipeline) enqueueSelection(call *Call, reason string) {
 	call.mu.Lock()
 	call.selecting = true
 	call.mu.Unlock()
 	if !p.selection.Put(call) {
 		p.endSelection(call)
-		p.refuse(call, why)
+		p.refuse(call, reason)
 	}
 }
 
@@ -286,14 +289,14 @@
 // cannot provide one in time.
 func (p *Pipeline) doSelect(call *Call) {
 	service := call.Table.Services[call.Binding.Service]
-	limit := cmp.Or(service.Suspect, defaultSuspicion)
+	suspicionLimit := cmp.Or(service.Suspect, defaultSuspicion)
 	now := p.Clock.Now()
 	call.mu.Lock()
 	attempts, tried, inFlight := call.Attempts, call.Tried, call.inFlight > 0
 	call.mu.Unlock()
-	refuse := func(why string) {
+	refuse := func(reason string) {
 		p.endSelection(call)
-		p.refuse(call, why)
+		p.refuse(call, reason)
 	}
 	if call.Remaining(now) <= returnMargin {
 		refuse("no time left before its expiry")
@@ -304,9 +307,9 @@
 		return
 	}
 	limiter := p.limiter(service.Name)
-	target, totalLimit, full := p.selectTarget(service.Name, limit, tried, call.Remaining(now))
+	target, totalLimit, full := p.selectTarget(service.Name, suspicionLimit, tried, call.Remaining(now))
 	attempt := &Attempt{Call: call, Target: target, Num: attempts + 1, Table: call.Table, Binding: call.Binding, limiter: limiter, pausedBefore: p.Targets.Pauses.Total(), returned: make(chan struct{})}
-	if inFlight && attempt.Target != nil && attempt.Target.Detector.Suspicion(now) >= limit {
+	if inFlight && attempt.Target != nil && attempt.Target.Detector.Suspicion(now) >= suspicionLimit {
 		// With most targets suspected the fault is at this gateway: no other target is
 		// better than the one already being waited for.
 		attempt.Target = nil
@@ -380,7 +383,7 @@
 
 // logNoTarget logs, at most once a second, why no target of a service could be selected.
 func (p *Pipeline) logNoTarget(service string, now time.Time) {
-	if l := p.lastNoTargetLog.Load(); p.Log == nil || now.UnixNano()-l < int64(time.Second) || !p.lastNoTargetLog.CompareAndSwap(l, now.UnixNano()) {
+	if last := p.lastNoTargetLog.Load(); p.Log == nil || now.UnixNano()-last < int64(time.Second) || !p.lastNoTargetLog.CompareAndSwap(last, now.UnixNano()) {
 		return
 	}
 	all := p.Targets.Targets(service)
@@ -411,51 +414,52 @@
 // doSend sends a call to one target.
 func (p *Pipeline) doSend(attempt *Attempt) {
 	call, target, binding := attempt.Call, attempt.Target, attempt.Binding
-	svc := attempt.Table.Services[binding.Service]
+	service := attempt.Table.Services[binding.Service]
 	send := &SendRequest{Addr: target.Addr, Target: httpapi.TargetName(target.ID, target.Service, target.Inc), Req: call.Req, Expiry: call.Expiry,
 		SendID: call.ID + "." + strconv.Itoa(attempt.Num), NewConn: !binding.Repeatable}
-	charged, overBudget, writing := false, false, false
+	charged, overBudget, writeAllowed := false, false, false
 	send.BeforeWrite = func() bool {
 		p.Faults.Hit(fault.BeforeSend)
 		// The next step writes, so every precondition of this send is checked again:
 		// the route sheet, the identity proof, leaving and the expiry.
-		at := p.Clock.Now()
+		now := p.Clock.Now()
 		table, open := p.Sheets.Gate()
 		if !open || call.finished.Load() || table != attempt.Table && !p.stillAllowed(attempt, table) || target.Leaving.Load() || target.Gone.Load() ||
-			p.Targets.ProofAge(target, at) >= MaxProofAge || call.Remaining(at) <= returnMargin {
+			p.Targets.ProofAge(target, now) >= MaxProofAge || call.Remaining(now) <= returnMargin {
 			return false
 		}
 		call.mu.Lock()
 		defer call.mu.Unlock()
 		if call.writesAllowed > 0 && !charged {
-			if charged = p.budget(svc.Name).TakeExtra(at); !charged {
+			if charged = p.budget(service.Name).TakeExtra(now); !charged {
 				overBudget = true
 				return false
 			}
 		}
-		if !call.claimWrite() {
+		if !call.tryMarkSent() {
 			return false
 		}
 		call.writesAllowed++
-		attempt.SentAt, writing = at, true
+		attempt.SentAt, writeAllowed = now, true
 		return true
 	}
-	cx, cancel := context.WithCancel(call.Ctx)
+	sendCtx, cancel := context.WithCancel(call.Ctx)
 	defer cancel()
 	if binding.Repeatable {
+		// Hedged after half of the remaining time, but not within the first 400 ms.
 		now := p.Clock.Now()
-		go p.monitorAttempt(attempt, cmp.Or(svc.Suspect, defaultSuspicion), now.Add(max(call.Remaining(now)/2, min(call.Remaining(now), 400*time.Millisecond))), cancel)
+		go p.monitorAttempt(attempt, cmp.Or(service.Suspect, defaultSuspicion), now.Add(max(call.Remaining(now)/2, min(call.Remaining(now), 400*time.Millisecond))), cancel)
 	}
-	resp, written, err := p.Transport.Carry(cx, send)
+	resp, written, err := p.Transport.Send(sendCtx, send)
 	close(attempt.returned)
 	attempt.release()
 	call.mu.Lock()
 	if written {
 		call.MaybeRun++
 		if call.Sends++; !charged {
-			p.budget(svc.Name).RecordFirst(attempt.SentAt)
+			p.budget(service.Name).RecordFirst(attempt.SentAt)
 		}
-	} else if writing {
+	} else if writeAllowed {
 		call.writesAllowed--
 	} else if overBudget && call.inFlight > 1 {
 		// Does not count as an attempt: a call that waits for another target may be
@@ -464,7 +468,7 @@
 		call.Tried = lo.Without(call.Tried, target)
 	}
 	call.mu.Unlock()
-	if written && (err == nil || cx.Err() == nil) {
+	if written && (err == nil || sendCtx.Err() == nil) {
 		// Record a response, or none within the whole time; a cancelled send says nothing
 		// about the target's latency.
 		p.recordLatency(attempt)
@@ -484,8 +488,8 @@
 		return
 	}
 	p.addStep(call, "send failed", target.Key(), err.Error())
-	p.Count("send-defect", svc.Name)
-	if p.Log != nil && !errors.Is(err, ErrStopped) {
+	p.Count("send-defect", service.Name)
+	if p.Log != nil && !errors.Is(err, ErrSendCancelled) {
 		p.Log.Warn("send failed", "step", "send", "mate", target.Key(), "call", call.ID, "left", written, "err", err)
 	}
 	p.endAttempt(call)
@@ -499,7 +503,8 @@
 	}
 }
 
-// stillAllowed reports whether a route sheet that came into force since allows the same send.
+// stillAllowed reports whether a route sheet that came into force after the target was selected
+// allows the same send.
 func (p *Pipeline) stillAllowed(attempt *Attempt, table *spec.Table) bool {
 	binding, match := table.Find(attempt.Call.Req.Method, attempt.Call.Req.URI[:pathEnd(attempt.Call.Req.URI)])
 	return match == spec.Found && table.Services[binding.Service].Name == attempt.Target.Service && binding.Repeatable == attempt.Binding.Repeatable
@@ -507,7 +512,7 @@
 
 // retry queues the call for selection again, under the route sheet now in force, unless
 // another send is under way or about to start.
-func (p *Pipeline) retry(call *Call, why string) {
+func (p *Pipeline) retry(call *Call, reason string) {
 	now := p.Clock.Now()
 	call.mu.Lock()
 	active, attempts, mayHaveRun := call.inFlight > 0 || call.selecting, call.Attempts, call.MaybeRun
@@ -518,7 +523,7 @@
 	}
 	refuse := func() {
 		p.endSelection(call)
-		p.refuse(call, why)
+		p.refuse(call, reason)
 	}
 	if call.Remaining(now) <= returnMargin || attempts >= maxAttempts {
 		refuse()
@@ -593,7 +598,8 @@
 	call.finish(resp, nil)
 }
 
-// allowClient applies the rate limit of a client.
+// allowClient applies the rate limit of a client and reports whether its call is within it. With
+// maxClients tracked, further clients are not limited.
 func (p *Pipeline) allowClient(name string, now time.Time) bool {
 	if name == "" {
 		return true
--- a/internal/passage/pipeline_test.go
+++ b/internal/passage/pipeline_test.go
@@ -23,16 +23,16 @@
 // and never respond, while all others respond at once.
 type hangingService struct{ service string }
 
-func (h hangingService) Carry(ctx context.Context, s *SendRequest) (*Response, bool, error) {
+func (h hangingService) Send(ctx context.Context, s *SendRequest) (*Response, bool, error) {
 	if !s.BeforeWrite() {
-		return nil, false, ErrStopped
+		return nil, false, ErrSendCancelled
 	}
 	p := strings.Split(s.Target, ";")
 	if p[1] == h.service {
-		cx, end := context.WithDeadline(ctx, s.Expiry)
-		defer end()
-		<-cx.Done()
-		return nil, true, cx.Err()
+		sendCtx, cancel := context.WithDeadline(ctx, s.Expiry)
+		defer cancel()
+		<-sendCtx.Done()
+		return nil, true, sendCtx.Err()
 	}
 	st := httpapi.Stamp{ID: p[0], Service: p[1], Inc: 1, Request: s.SendID}
 	return &Response{Status: 200, Complete: true, Stamp: st.String()}, true, nil
@@ -50,7 +50,7 @@
 		if err := p.Targets.MergeEntries(ctx, "u", []registry.Entry{{Beat: b}}); err != nil {
 			t.Fatal(err)
 		}
-		heartbeats(p, append(p.Targets.Targets("s"), p.Targets.Targets("u")...), 3, 1, 3)
+		recordArrivals(p, append(p.Targets.Targets("s"), p.Targets.Targets("u")...), 3, 1, 3)
 		var bindings []spec.Binding
 		for _, n := range []string{"s", "u"} {
 			bindings = append(bindings, spec.Binding{Name: n, Service: n, Methods: []string{"POST"}, Path: "/" + n, ExpiryMS: 1200})
@@ -62,7 +62,7 @@
 		var wg sync.WaitGroup
 		var mu sync.Mutex
 		refused, hung, served := 0, 0, 0
-		enter := func(path string) {
+		startCall := func(path string) {
 			wg.Go(func() {
 				start := time.Now()
 				call := p.Handle(ctx, "", "", &Request{Method: "POST", URI: path})
@@ -70,19 +70,19 @@
 				mu.Lock()
 				defer mu.Unlock()
 				switch {
-				case call.Verdict == nil && path == "/u" && took < 10*time.Millisecond:
+				case call.ErrorResponse == nil && path == "/u" && took < 10*time.Millisecond:
 					served++
-				case path == "/s" && call.Verdict.Code == httpapi.BusyNotRun && call.Verdict.RetryDelay > 0 && took < maxCapacityWaits*waitInterval+10*time.Millisecond:
+				case path == "/s" && call.ErrorResponse.Code == httpapi.BusyNotRun && call.ErrorResponse.RetryDelay > 0 && took < maxCapacityWaits*waitInterval+10*time.Millisecond:
 					refused++
-				case path == "/s" && call.Verdict.Code == httpapi.OutcomeUnknown:
+				case path == "/s" && call.ErrorResponse.Code == httpapi.OutcomeUnknown:
 					hung++
 				default:
-					t.Errorf("%s: %+v after %s", path, call.Verdict, took)
+					t.Errorf("%s: %+v after %s", path, call.ErrorResponse, took)
 				}
 			})
 		}
 		for range 500 {
-			enter("/s")
+			startCall("/s")
 		}
 		time.Sleep(100 * time.Millisecond)
 		// As many at once as the target has slots, and the next batch once those are done.
@@ -91,7 +91,7 @@
 		// that instant. What must hold for such a burst is checked below.
 		for range 25 {
 			for range slots {
-				enter("/u")
+				startCall("/u")
 			}
 			time.Sleep(time.Millisecond)
 		}
@@ -105,12 +105,12 @@
 				mu.Lock()
 				defer mu.Unlock()
 				switch {
-				case call.Verdict == nil && took <= maxCapacityWaits*waitInterval:
+				case call.ErrorResponse == nil && took <= maxCapacityWaits*waitInterval:
 					burstServed++
-				case call.Verdict != nil && call.Verdict.Code == httpapi.BusyNotRun && call.Verdict.RetryDelay > 0 && took <= maxCapacityWaits*waitInterval:
+				case call.ErrorResponse != nil && call.ErrorResponse.Code == httpapi.BusyNotRun && call.ErrorResponse.RetryDelay > 0 && took <= maxCapacityWaits*waitInterval:
 					burstRefused++
 				default:
-					t.Errorf("a request of the burst: %+v after %s", call.Verdict, took)
+					t.Errorf("a request of the burst: %+v after %s", call.ErrorResponse, took)
 				}
 			})
 		}
--- a/internal/passage/select.go
+++ b/internal/passage/select.go
@@ -10,8 +10,10 @@
 )
 
 const (
-	// MaxProofAge and defaultSuspicion are common to all readers of the gateways' identity proofs.
-	MaxProofAge      = registry.MaxProofAge
+	// MaxProofAge bounds the age of the identity proof of a target that is selected.
+	MaxProofAge = registry.MaxProofAge
+	// defaultSuspicion is the suspicion level from which a target is not selected, unless its
+	// service sets another.
 	defaultSuspicion = registry.SuspicionThreshold
 	// maxSuspectedShare is the share of a service's targets that may be excluded for
 	// suspicion at once; beyond it the least suspected stay eligible (design 10.5).
@@ -27,30 +29,29 @@
 	suspicion float64
 }
 
-// selectTarget selects a target of a service. Eligible are targets that are proved, not
-// leaving, not suspected, and have capacity for one more send to finish within remaining.
-// Of three eligible targets drawn at random it takes the least loaded for its capacity,
-// preferring the local zone. The suspicion of every target is read anew at each selection.
-// It also returns the total concurrency limit of the targets, and whether capacity was all
-// that was missing.
-func (p *Pipeline) selectTarget(service string, limit float64, tried []*registry.Target, remaining time.Duration) (s *registry.Target, totalLimit float64, full bool) {
+// selectTarget selects a target of a service. Eligible are targets that have a recent identity
+// proof, are neither leaving nor suspected, and have capacity for one more send to finish
+// within remaining. Of three eligible targets drawn at random it selects the one with the
+// least relativeLoad. The suspicion of every target is read anew at each selection. It also
+// returns the total concurrency limit of the targets; full means that only capacity was missing.
+func (p *Pipeline) selectTarget(service string, suspicionLimit float64, tried []*registry.Target, remaining time.Duration) (target *registry.Target, totalLimit float64, full bool) {
 	now, gateways := p.Clock.Now(), p.Gateways()
 	all := p.Targets.Targets(service)
 	var eligible, suspected []candidate
-	for _, s := range all {
-		if s.Leaving.Load() || s.Gone.Load() || slices.Contains(tried, s) || p.Targets.ProofAge(s, now) >= MaxProofAge {
+	for _, t := range all {
+		if t.Leaving.Load() || t.Gone.Load() || slices.Contains(tried, t) || p.Targets.ProofAge(t, now) >= MaxProofAge {
 			continue
 		}
-		if w := s.Detector.Suspicion(now); w < limit {
-			eligible = append(eligible, candidate{s, w})
+		if suspicion := t.Detector.Suspicion(now); suspicion < suspicionLimit {
+			eligible = append(eligible, candidate{t, suspicion})
 		} else {
-			suspected = append(suspected, candidate{s, w})
+			suspected = append(suspected, candidate{t, suspicion})
 		}
 	}
 	// Many suspected targets at once point to this node or its network rather than to them.
 	if n := len(all); len(suspected) > int(maxSuspectedShare*float64(n)) {
-		slices.SortFunc(suspected, func(best, b candidate) int {
-			if best.suspicion < b.suspicion {
+		slices.SortFunc(suspected, func(a, b candidate) int {
+			if a.suspicion < b.suspicion {
 				return -1
 			}
 			return 1
@@ -78,12 +79,12 @@
 	return best.target, totalLimit, false
 }
 
-// relativeLoad is a target's load relative to its capacity; a target in another zone
-// counts as busier.
-func (p *Pipeline) relativeLoad(s *registry.Target) float64 {
-	load := (float64(s.InFlight.Load()) + 1) / float64(max(1, s.Capacity.Load()))
-	if s.Zone != p.Zone {
-		load *= zonePenalty * p.ZoneMap.RelativeDistance(p.Zone, s.Zone)
+// relativeLoad returns a target's load relative to its capacity; a target in another zone
+// counts as busier, so that the local zone is preferred.
+func (p *Pipeline) relativeLoad(target *registry.Target) float64 {
+	load := (float64(target.InFlight.Load()) + 1) / float64(max(1, target.Capacity.Load()))
+	if target.Zone != p.Zone {
+		load *= zonePenalty * p.ZoneMap.RelativeDistance(p.Zone, target.Zone)
 	}
 	return load
 }
--- a/internal/passage/select_test.go
+++ b/internal/passage/select_test.go
@@ -14,7 +14,7 @@
 	"walkrudder/internal/topology"
 )
 
-// newTestPipeline returns a pipeline with n targets that have a heartbeat interval of 400 ms.
+// newTestPipeline returns a pipeline with n targets that are probed every 400 ms.
 func newTestPipeline(ctx context.Context, t *testing.T, n int) (*Pipeline, []*registry.Target) {
 	t.Helper()
 	pauses := liveness.NewPauseMonitor(clock.Wall{})
@@ -34,11 +34,12 @@
 	return p, gatewayTable.Targets("s")
 }
 
-// heartbeats lets the first k targets send heartbeats for a while; the others stay silent.
-func heartbeats(p *Pipeline, targets []*registry.Target, k int, from uint64, times int) {
+// recordArrivals records probe responses of the first n targets every 400 ms, numbered from from.
+// The others stay silent. The identity proofs of all targets are renewed.
+func recordArrivals(p *Pipeline, targets []*registry.Target, n int, from uint64, times int) {
 	for j := range times {
 		time.Sleep(400 * time.Millisecond)
-		for _, s := range targets[:k] {
+		for _, s := range targets[:n] {
 			s.Detector.RecordArrival(from+uint64(j), time.Now())
 		}
 		for _, s := range targets {
@@ -51,8 +52,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		p, targets := newTestPipeline(ctx, t, 10)
-		heartbeats(p, targets, 10, 1, 20)
-		heartbeats(p, targets, 7, 100, 5)
+		recordArrivals(p, targets, 10, 1, 20)
+		recordArrivals(p, targets, 7, 100, 5)
 		for range 300 {
 			s, _, _ := p.selectTarget("s", defaultSuspicion, nil, time.Second)
 			if s == nil {
@@ -65,7 +66,7 @@
 			}
 		}
 		// All become silent together, which points to this node rather than to the targets.
-		heartbeats(p, targets, 0, 0, 10)
+		recordArrivals(p, targets, 0, 0, 10)
 		selected := map[string]bool{}
 		for range 300 {
 			if s, _, _ := p.selectTarget("s", defaultSuspicion, nil, time.Second); s != nil {
@@ -87,7 +88,7 @@
 		if s, _, _ := p.selectTarget("s", defaultSuspicion, nil, time.Second); s != nil {
 			t.Error("selected a target without an identity proof")
 		}
-		heartbeats(p, targets, 2, 1, 5)
+		recordArrivals(p, targets, 2, 1, 5)
 		targets[0].Leaving.Store(true)
 		for range 50 {
 			if s, _, _ := p.selectTarget("s", defaultSuspicion, nil, time.Second); s != targets[1] {
@@ -120,7 +121,7 @@
 		for i, s := range targets {
 			s.Zone = []string{"near", "far"}[i%2]
 		}
-		heartbeats(p, targets, 8, 1, 3)
+		recordArrivals(p, targets, 8, 1, 3)
 		byZone := map[string]int{}
 		for range 400 {
 			s, _, _ := p.selectTarget("s", defaultSuspicion, nil, time.Second)
--- a/internal/passage/stage.go
+++ b/internal/passage/stage.go
@@ -11,14 +11,15 @@
 	queue   chan T
 	workers int
 	work    func(T)
-	// finished reports items that ended while queued; discard, if set, is called for them.
+	// finished reports whether an item ended while queued. Such items are not worked on;
+	// discard, if set, is called for them.
 	finished func(T) bool
 	discard  func(T)
 }
 
-// NewStage creates a stage with a queue of the given size and n workers.
-func NewStage[T any](name string, size, n int, work func(T), over func(T) bool) *Stage[T] {
-	return &Stage[T]{Name: name, queue: make(chan T, size), workers: n, work: work, finished: over}
+// NewStage creates a stage with a queue of the given size and n workers that run work.
+func NewStage[T any](name string, size, n int, work func(T), finished func(T) bool) *Stage[T] {
+	return &Stage[T]{Name: name, queue: make(chan T, size), workers: n, work: work, finished: finished}
 }
 
 // Put queues x and reports whether there was room.
--- a/internal/passage/story.go
+++ b/internal/passage/story.go
@@ -16,7 +16,7 @@
 	maxSteps = 24
 )
 
-// Step is one event in the processing of a call.
+// Step is one event in the processing of a call. Mate is the target concerned, if any.
 type Step struct {
 	MS   int64  `json:"at_ms"` // since the call arrived
 	Step string `json:"step"`
@@ -24,7 +24,8 @@
 	What string `json:"what"`
 }
 
-// Story is the record of a call.
+// Story is the record of a call. Came is its time of arrival, and Sends the number of its
+// steps that sent it to a target.
 type Story struct {
 	Call   string `json:"call"`
 	Method string `json:"method"`
@@ -111,9 +112,9 @@
 		}
 	}
 	switch {
-	case call.Verdict != nil:
-		story.Status, story.Code = call.Verdict.Status, call.Verdict.Code
-		story.Steps = append(story.Steps, Step{p.Clock.Now().Sub(call.Arrived).Milliseconds(), "answer", "", call.Verdict.Code + ": " + call.Verdict.Reason})
+	case call.ErrorResponse != nil:
+		story.Status, story.Code = call.ErrorResponse.Status, call.ErrorResponse.Code
+		story.Steps = append(story.Steps, Step{p.Clock.Now().Sub(call.Arrived).Milliseconds(), "answer", "", call.ErrorResponse.Code + ": " + call.ErrorResponse.Reason})
 	case call.Response != nil:
 		story.Status = call.Response.Status
 	}
--- a/internal/passage/transport.go
+++ b/internal/passage/transport.go
@@ -20,7 +20,7 @@
 type SendRequest struct {
 	Addr   string
 	Target string // httpapi.TargetName of the intended run
-	SendID string // of this send; the stamp must repeat it
+	SendID string // ID of this send; the stamp of the response must repeat it
 	Req    *Request
 	Expiry time.Time
 	// NewConn requests a new connection: an idle one may be dead, and the outcome of a
@@ -44,19 +44,19 @@
 	Status   int
 	Header   [][2]string
 	Body     []byte
-	Complete bool // framed by length or chunks, and complete
-	Stamp    string
-	NotRun   bool
+	Complete bool   // framed by length or chunks, and complete
+	Stamp    string // value of httpapi.StampHeader
+	NotRun   bool   // the target reports that it did not and will not run the request
 }
 
-// Transport performs one send. left reports whether any byte of the request may have
-// been written; if not, the target cannot have run it.
+// Transport sends one request to one target. written reports whether any byte of the request
+// may have been written; if not, the target cannot have run it.
 type Transport interface {
-	Carry(ctx context.Context, s *SendRequest) (a *Response, left bool, err error)
+	Send(ctx context.Context, s *SendRequest) (response *Response, written bool, err error)
 }
 
-// ErrStopped reports that BeforeWrite cancelled the send.
-var ErrStopped = errors.New("stopped before the first byte")
+// ErrSendCancelled reports that BeforeWrite cancelled the send.
+var ErrSendCancelled = errors.New("stopped before the first byte")
 
 const (
 	// DialTimeout bounds connecting; no byte of the request has been written at that point.
@@ -172,15 +172,15 @@
 	}
 }
 
-// Carry sends s and reads the response.
-func (h *HTTPTransport) Carry(ctx context.Context, s *SendRequest) (*Response, bool, error) {
+// Send sends s and reads the response.
+func (h *HTTPTransport) Send(ctx context.Context, s *SendRequest) (*Response, bool, error) {
 	tc, err := h.getConn(ctx, s.Target, s.Addr, s.NewConn)
 	if err != nil {
 		return nil, false, err
 	}
-	ok := false
+	keepConn := false
 	defer func() {
-		if ok {
+		if keepConn {
 			h.putIdle(s.Target, tc)
 		} else {
 			tc.abort()
@@ -197,8 +197,8 @@
 	defer fasthttp.ReleaseResponse(resp)
 	s.fillRequest(req)
 	if s.BeforeWrite != nil && !s.BeforeWrite() {
-		ok = true
-		return nil, false, ErrStopped
+		keepConn = true
+		return nil, false, ErrSendCancelled
 	}
 	before := tc.conn.written.Load()
 	if err = req.Write(tc.writer); err == nil {
@@ -211,7 +211,7 @@
 	if err != nil {
 		return nil, true, err
 	}
-	ok = reusable && tc.reader.Buffered() == 0
+	keepConn = reusable && tc.reader.Buffered() == 0
 	return response, true, nil
 }
 
--- a/internal/queries/queries.go
+++ b/internal/queries/queries.go
@@ -55,12 +55,13 @@
 	}
 	c := rd.Proposer.Core()
 	return lo.Map(ms, func(m membership.Member, _ int) NodeRow {
-		s, in := c.Seat(m.ID)
-		return NodeRow{ID: m.ID, Kind: m.Kind, Zone: m.Zone, Inner: m.Inner, Door: m.Door, Votes: in && s.Disk == m.Disk.Disk,
-			Standby: !in && m.Disk.Disk != "", Drained: m.Rest, Version: m.Spec, UpSince: formatTime(m.Since)}
+		seat, hasSeat := c.Seat(m.ID)
+		return NodeRow{ID: m.ID, Kind: m.Kind, Zone: m.Zone, Inner: m.Inner, Door: m.Door, Votes: hasSeat && seat.Disk == m.Disk.Disk,
+			Standby: !hasSeat && m.Disk.Disk != "", Drained: m.Rest, Version: m.Spec, UpSince: formatTime(m.Since)}
 	}), nil
 }
 
+// formatTime formats a time in Unix milliseconds.
 func formatTime(ms int64) string { return time.UnixMilli(ms).UTC().Format("2006-01-02T15:04:05.000Z") }
 
 // TargetRow describes one target as its home controllers see it.
@@ -111,7 +112,7 @@
 	Sheet   spec.Sheet `json:"sheet"`
 }
 
-// Sheet reads the latest sheet from a majority, or the sheet of an earlier version.
+// Sheet reads the sheet of version n from a majority; 0 selects the latest.
 func (rd *Reader) Sheet(ctx context.Context, n uint64) (SheetStatus, error) {
 	state, err := rd.Ledger.Refresh(ctx)
 	if err != nil {
@@ -135,7 +136,7 @@
 	State  string        `json:"state"`
 }
 
-// Change returns the state of a change, found by version or token.
+// Change returns a change, found by version or token, and its state.
 func (rd *Reader) Change(ctx context.Context, n uint64, token string) (ChangeStatus, error) {
 	changes, err := rd.Ledger.Changes(ctx)
 	if err != nil {
@@ -171,7 +172,7 @@
 		}
 		out = append(out, ns...)
 	}
-	slices.SortStableFunc(out, func(rd, b ledger.Note) int { return cmp.Compare(rd.AtMS, b.AtMS) })
+	slices.SortStableFunc(out, func(a, b ledger.Note) int { return cmp.Compare(a.AtMS, b.AtMS) })
 	return out, nil
 }
 
@@ -196,13 +197,14 @@
 		}
 		out = append(out, Decision{formatTime(n.AtMS), n.Controller, n.Kind, about, n.Reason, n.AtMS})
 	}
-	slices.SortStableFunc(out, func(rd, b Decision) int { return cmp.Compare(rd.atMS, b.atMS) })
+	slices.SortStableFunc(out, func(a, b Decision) int { return cmp.Compare(a.atMS, b.atMS) })
 	if last > 0 && len(out) > last {
 		out = out[len(out)-last:]
 	}
 	return out, nil
 }
 
+// formatEdits summarizes edits; of more than four it names the first four.
 func formatEdits(es []spec.Edit) string {
 	s := ""
 	for i, e := range es {
@@ -284,7 +286,7 @@
 	Binding  *spec.Binding `json:"binding"` // nil: removed
 }
 
-// History lists the versions of a binding.
+// History lists the versions of a binding, oldest first.
 func (rd *Reader) History(ctx context.Context, name string) ([]HistoryRow, error) {
 	changes, err := rd.Ledger.Changes(ctx)
 	if err != nil {
@@ -322,20 +324,21 @@
 	To   any    `json:"to"`
 }
 
-// Diff lists the differences between versions x and y.
-func (rd *Reader) Diff(ctx context.Context, x, y uint64) ([]DiffRow, error) {
-	sx, err := rd.Sheet(ctx, x)
+// Diff lists the differences between two versions of the sheet.
+func (rd *Reader) Diff(ctx context.Context, from, to uint64) ([]DiffRow, error) {
+	fromSheet, err := rd.Sheet(ctx, from)
 	if err != nil {
 		return nil, err
 	}
-	sy, err := rd.Sheet(ctx, y)
+	toSheet, err := rd.Sheet(ctx, to)
 	if err != nil {
 		return nil, err
 	}
-	out := diff("service", sx.Sheet.Services, sy.Sheet.Services, func(s spec.Service) string { return s.Name })
-	return append(out, diff("binding", sx.Sheet.Bindings, sy.Sheet.Bindings, func(b spec.Binding) string { return b.Name })...), nil
+	out := diff("service", fromSheet.Sheet.Services, toSheet.Sheet.Services, func(s spec.Service) string { return s.Name })
+	return append(out, diff("binding", fromSheet.Sheet.Bindings, toSheet.Sheet.Bindings, func(b spec.Binding) string { return b.Name })...), nil
 }
 
+// diff lists the elements, matched by name, that differ between xs and ys.
 func diff[T any](what string, xs, ys []T, name func(T) string) []DiffRow {
 	x, y := lo.KeyBy(xs, name), lo.KeyBy(ys, name)
 	ks := lo.Uniq(append(lo.Keys(x), lo.Keys(y)...))
@@ -352,7 +355,7 @@
 	})
 }
 
-// FullState is the complete shared state. It is read back at the end of the day.
+// FullState is the complete shared state. The availability tests read it back at their end.
 type FullState struct {
 	Controller string          `json:"controller"`
 	Sheet      SheetStatus     `json:"route_sheet"`
@@ -364,24 +367,24 @@
 }
 
 // FullState reads the complete shared state.
-func (rd *Reader) FullState(ctx context.Context) (p FullState, err error) {
-	p.Controller, p.Core = rd.Ledger.Controller, rd.Proposer.Core()
-	if p.Sheet, err = rd.Sheet(ctx, 0); err != nil {
-		return p, err
+func (rd *Reader) FullState(ctx context.Context) (state FullState, err error) {
+	state.Controller, state.Core = rd.Ledger.Controller, rd.Proposer.Core()
+	if state.Sheet, err = rd.Sheet(ctx, 0); err != nil {
+		return state, err
 	}
-	if p.Changes, err = rd.Ledger.Changes(ctx); err != nil {
-		return p, err
+	if state.Changes, err = rd.Ledger.Changes(ctx); err != nil {
+		return state, err
 	}
-	if p.Decisions, err = rd.notes(ctx); err != nil {
-		return p, err
+	if state.Decisions, err = rd.notes(ctx); err != nil {
+		return state, err
 	}
-	if p.Targets, err = rd.Targets(ctx, ""); err != nil {
-		return p, err
+	if state.Targets, err = rd.Targets(ctx, ""); err != nil {
+		return state, err
 	}
 	// The member list is not part of the decisions. If the member table is unavailable
 	// for a moment after a restart, the rest of the state is still returned.
-	if p.Nodes, err = rd.Nodes(ctx); err != nil {
+	if state.Nodes, err = rd.Nodes(ctx); err != nil {
 		err = nil
 	}
-	return p, err
+	return state, err
 }
--- a/internal/rollout/executor.go
+++ b/internal/rollout/executor.go
@@ -25,9 +25,9 @@
 	askTimeout    = 300 * time.Millisecond // per gateway and attempt
 	retryInterval = 20 * time.Millisecond
 	// holdTimeout is how long a roll-out holds the gateways before it lets them continue
-	// under the old sheet, since calls wait in the meantime. Two rounds take about 10 ms;
-	// a longer wait is due to a gateway that is down, and its lease does not lapse any
-	// sooner for the wait.
+	// under the old sheet, since calls wait in the meantime. Two rounds take about 10 ms.
+	// A longer wait is due to a gateway that is down, and holding the others does not make
+	// its lease lapse any sooner.
 	holdTimeout = 250 * time.Millisecond
 )
 
@@ -44,10 +44,10 @@
 	mu             sync.Mutex
 	running        chan struct{} // closed when the current roll-out ends
 	appliedVersion uint64        // highest version known to be in force everywhere
-	// absent is since when a voting gateway has had no lease.
-	absent         map[string]time.Time
-	announcedRound uint64 // round of the last list of voting gateways announced to all; used only by Watch
-	holdSeq        atomic.Uint64
+	// absentSince holds, by ID, when a voting gateway without a lease was first seen without it.
+	absentSince    map[string]time.Time
+	announcedRound uint64        // revision of the last list of voting gateways announced to all; used only by Watch
+	holdSeq        atomic.Uint64 // numbers the holds of this controller
 }
 
 // Settle brings all decided changes into force, up to at least version n, and returns
@@ -91,77 +91,77 @@
 
 // runOnce runs one roll-out to the last decided version.
 func (e *Executor) runOnce(ctx context.Context) (uint64, error) {
-	fold, err := e.Ledger.Refresh(ctx)
+	state, err := e.Ledger.Refresh(ctx)
 	if err != nil {
 		return 0, err
 	}
-	before, err := e.Ledger.Activation(ctx)
+	previous, err := e.Ledger.Activation(ctx)
 	if err != nil {
 		return 0, err
 	}
-	if fold.Version == 0 {
+	if state.Version == 0 {
 		return 0, nil
 	}
 	e.Faults.Hit(fault.AfterDecided)
-	flip := before
-	if before.Version < fold.Version {
-		ids, err := e.stageAndHold(ctx, fold, before)
+	activation := previous
+	if previous.Version < state.Version {
+		ids, err := e.stageAndHold(ctx, state, previous)
 		if err != nil {
 			return 0, err
 		}
 		e.Faults.Hit(fault.AfterHeld)
 		slices.Sort(ids)
-		if flip, err = e.Ledger.Activate(ctx, fold.Version, ids); err != nil {
+		if activation, err = e.Ledger.Activate(ctx, state.Version, ids); err != nil {
 			return 0, err
 		}
 		e.Faults.Hit(fault.AfterFlipped)
 	}
-	if flip.Open < fold.Version {
+	if activation.Open < state.Version {
 		// Gateways that are cut off together with more than half of the voting gateways may
-		// continue to serve the old sheet as long as none of them knows of the flip. So no
-		// gateway may show the new sheet before more than half know of the flip; the
+		// continue to serve the old sheet as long as none of them knows of the activation. So no
+		// gateway may serve the new sheet before more than half know of the activation. The
 		// others are held and are not waited for.
-		if _, err := e.askMajority(ctx, "flip", flip, FlipAsk{fold.Version, false, flip.Round, flip.Gateways}, flip.HasMajority); err != nil {
+		if _, err := e.askMajority(ctx, "flip", activation, FlipAsk{state.Version, false, activation.Round, activation.Gateways}, activation.HasMajority); err != nil {
 			return 0, err
 		}
 		e.Faults.Hit(fault.AfterFlipNotified)
 	}
 	// Sent again even if the version was already open: the controller that opened it may
-	// not have told all gateways.
+	// not have informed all gateways.
 	opened := make(chan error, 1)
-	go func() { opened <- e.recordOpen(ctx, flip, fold.Version) }()
-	_, err = e.askAll(ctx, "open", FlipAsk{fold.Version, true, flip.Round, flip.Gateways}, nil)
+	go func() { opened <- e.recordOpen(ctx, activation, state.Version) }()
+	_, err = e.askAll(ctx, "open", FlipAsk{state.Version, true, activation.Round, activation.Gateways}, nil)
 	if err = errors.Join(err, <-opened); err != nil {
 		return 0, err
 	}
 	e.Faults.Hit(fault.BeforeAck)
-	return fold.Version, nil
+	return state.Version, nil
 }
 
 // stageAndHold stages the sheet at every leased gateway, then holds all of them, and
 // returns their IDs. A gateway that the hold does not reach promptly is down or about to
-// be: the others are released until its lease has lapsed, and then held again.
-func (e *Executor) stageAndHold(ctx context.Context, fold *ledger.State, flip ledger.Activation) ([]string, error) {
+// be. The others are released until its lease has lapsed, and then held again.
+func (e *Executor) stageAndHold(ctx context.Context, state *ledger.State, activation ledger.Activation) ([]string, error) {
 	for {
 		// More than half of the voting gateways must take part: gateways that are cut off
 		// together with that many may continue under the old sheet (design 8.4).
-		if _, err := e.askMajority(ctx, "stage", flip, StageAsk{fold.Version, fold.Sheet}, nil); err != nil {
+		if _, err := e.askMajority(ctx, "stage", activation, StageAsk{state.Version, state.Sheet}, nil); err != nil {
 			return nil, err
 		}
 		e.Faults.Hit(fault.AfterStaged)
 		// Each attempt uses a hold of its own, and only its holder releases it, so that
 		// concurrent roll-outs do not undo each other's holds.
-		hold := HoldAsk{N: fold.Version, By: fmt.Sprintf("%s-%d", e.Ledger.Controller, e.holdSeq.Add(1))}
-		cx, cancel := context.WithTimeout(ctx, holdTimeout)
-		ids, err := e.askMajority(cx, "hold", flip, hold, nil)
+		hold := HoldAsk{N: state.Version, By: fmt.Sprintf("%s-%d", e.Ledger.Controller, e.holdSeq.Add(1))}
+		holdCtx, cancel := context.WithTimeout(ctx, holdTimeout)
+		ids, err := e.askMajority(holdCtx, "hold", activation, hold, nil)
 		cancel()
 		if err == nil {
 			return ids, nil
 		}
 		go func() {
-			cx, cancel := context.WithTimeout(context.WithoutCancel(ctx), membership.LeaseDuration)
+			releaseCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), membership.LeaseDuration)
 			defer cancel()
-			_, _ = e.askAll(cx, "let go on", FreeAsk(hold), nil)
+			_, _ = e.askAll(releaseCtx, "let go on", FreeAsk(hold), nil)
 		}()
 		if ctx.Err() != nil {
 			return nil, err
@@ -170,8 +170,8 @@
 }
 
 // recordOpen records in the ledger that version n may be served.
-func (e *Executor) recordOpen(ctx context.Context, flip ledger.Activation, n uint64) error {
-	if flip.Open >= n {
+func (e *Executor) recordOpen(ctx context.Context, activation ledger.Activation, n uint64) error {
+	if activation.Open >= n {
 		return nil
 	}
 	if err := e.Ledger.SetOpen(ctx, n); err != nil {
@@ -196,7 +196,7 @@
 	defer e.mu.Unlock()
 	now := e.Clock.Now()
 	out := lo.Union(lo.Filter(voters, func(id string, _ int) bool {
-		since, ok := e.absent[id]
+		since, ok := e.absentSince[id]
 		return !ok || now.Sub(since) < voterAbsenceLimit
 	}), lo.FilterMap(members, func(m membership.Member, _ int) (string, bool) { return m.ID, m.Kind == "gateway" }))
 	slices.Sort(out)
@@ -208,37 +208,37 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	leased := lo.SliceToMap(e.Membership.MembersOfKind("gateway"), func(m membership.Member) (string, bool) { return m.ID, true })
-	before := e.absent
-	e.absent = map[string]time.Time{}
+	previous := e.absentSince
+	e.absentSince = map[string]time.Time{}
 	for _, id := range voters {
 		if leased[id] {
 			continue
 		}
-		since, ok := before[id]
+		since, ok := previous[id]
 		if !ok {
 			since = e.Clock.Now()
 		}
-		e.absent[id] = since
+		e.absentSince[id] = since
 	}
 }
 
-// updateVoters brings the list of voting gateways up to date. More than half of the voters
-// of the old list must know the new one before it is decided, so that every group that
+// updateVoters brings the list of voting gateways up to date. More than half of the gateways
+// on the old list must know the new one before it is decided. So every group of gateways that
 // may serve without a lease has a member that knows it.
-func (e *Executor) updateVoters(ctx context.Context, flip ledger.Activation) {
-	if flip.Version == 0 {
+func (e *Executor) updateVoters(ctx context.Context, activation ledger.Activation) {
+	if activation.Version == 0 {
 		return
 	}
-	voters, err := e.desiredVoters(ctx, flip.Gateways)
-	if err == nil && !slices.Equal(voters, flip.Gateways) {
+	voters, err := e.desiredVoters(ctx, activation.Gateways)
+	if err == nil && !slices.Equal(voters, activation.Gateways) {
 		var ids []string
-		if ids, err = e.askAll(ctx, "count", CountAsk{Round: flip.Round + 1, Gateways: voters}, nil); err == nil && flip.HasMajority(ids) {
-			flip, err = e.Ledger.SetGateways(ctx, flip.Round, voters)
+		if ids, err = e.askAll(ctx, "count", CountAsk{Round: activation.Round + 1, Gateways: voters}, nil); err == nil && activation.HasMajority(ids) {
+			activation, err = e.Ledger.SetGateways(ctx, activation.Round, voters)
 		}
 	}
-	if err == nil && e.announcedRound != flip.Round {
-		if _, err = e.askAll(ctx, "count", CountAsk{Round: flip.Round, Gateways: flip.Gateways, Sure: true}, nil); err == nil {
-			e.announcedRound = flip.Round
+	if err == nil && e.announcedRound != activation.Round {
+		if _, err = e.askAll(ctx, "count", CountAsk{Round: activation.Round, Gateways: activation.Gateways, Sure: true}, nil); err == nil {
+			e.announcedRound = activation.Round
 		}
 	}
 	if err != nil && ctx.Err() == nil && e.Log != nil {
@@ -246,18 +246,19 @@
 	}
 }
 
-// askMajority repeats askAll until more than half of the voting gateways have agreed.
-func (e *Executor) askMajority(ctx context.Context, step string, flip ledger.Activation, ask any, enough func([]string) bool) ([]string, error) {
+// askMajority repeats askAll until more than half of the voting gateways have agreed, and
+// returns the IDs of those that agreed.
+func (e *Executor) askMajority(ctx context.Context, step string, activation ledger.Activation, ask any, enough func([]string) bool) ([]string, error) {
 	for {
 		ids, err := e.askAll(ctx, step, ask, enough)
 		if err != nil {
 			return nil, err
 		}
-		if flip.HasMajority(ids) {
+		if activation.HasMajority(ids) {
 			return ids, nil
 		}
 		if e.Clock.Sleep(ctx, 5*retryInterval) != nil {
-			return nil, steperr.New(step, "", "%d of %d gateways that count take part, more than half must", len(lo.Intersect(ids, flip.Gateways)), len(flip.Gateways))
+			return nil, steperr.New(step, "", "%d of %d gateways that count take part, more than half must", len(lo.Intersect(ids, activation.Gateways)), len(activation.Gateways))
 		}
 	}
 }
@@ -266,8 +267,8 @@
 // enough have agreed, and returns the IDs of those that agreed.
 func (e *Executor) askAll(ctx context.Context, step string, ask any, enough func([]string) bool) ([]string, error) {
 	var tried sync.Map
-	ids, err := ForEachGateway(ctx, e.Membership, e.Clock, enough, func(cx context.Context, m membership.Member) bool {
-		reply, err := link.Call[GatewayTold](cx, e.Transport, m.Inner, ask)
+	ids, err := ForEachGateway(ctx, e.Membership, e.Clock, enough, func(callCtx context.Context, m membership.Member) bool {
+		reply, err := link.Call[GatewayTold](callCtx, e.Transport, m.Inner, ask)
 		if _, again := tried.LoadOrStore(m.ID, true); err != nil && !again && e.Log != nil {
 			e.Log.Warn("gateway unreachable; waiting for its lease to lapse", "step", step, "mate", m.ID, "err", err)
 		}
@@ -277,10 +278,11 @@
 }
 
 // ForEachGateway runs f for every gateway that holds a lease until f has succeeded for it
-// or its lease has lapsed, or until enough have succeeded, if enough is given. It returns
-// the IDs of those that succeeded. A gateway that obtains a lease meanwhile is asked too,
-// although its confirmation would have told it.
-func ForEachGateway(ctx context.Context, t *membership.LeaseClient, c clock.Clock, enough func([]string) bool, f func(context.Context, membership.Member) bool) ([]string, error) {
+// or its lease has lapsed. If enough is given, it ends as soon as enough reports true for the
+// IDs of the gateways for which f succeeded. It returns
+// the IDs of the gateways for which f succeeded. A gateway that obtains a lease meanwhile is
+// included, although its confirmation informs it as well.
+func ForEachGateway(ctx context.Context, leases *membership.LeaseClient, c clock.Clock, enough func([]string) bool, f func(context.Context, membership.Member) bool) ([]string, error) {
 	type run struct {
 		id  string
 		inc uint64
@@ -291,18 +293,18 @@
 		return lo.Uniq(lo.Map(lo.Keys(agreed), func(result run, _ int) string { return result.id }))
 	}
 	for {
-		members, err := t.ReadTable(ctx)
+		members, err := leases.ReadTable(ctx)
 		if err != nil {
 			// The known gateways can be asked meanwhile, but others may be missing.
-			members = t.Members()
+			members = leases.Members()
 		}
 		pending := lo.Filter(members, func(m membership.Member, _ int) bool { return m.Kind == "gateway" && !agreed[run{m.ID, m.Inc}] })
 		ch := make(chan *run, len(pending))
 		for _, m := range pending {
 			go func() {
-				cx, cancel := context.WithTimeout(ctx, askTimeout)
+				callCtx, cancel := context.WithTimeout(ctx, askTimeout)
 				defer cancel()
-				ch <- lo.Ternary(f(cx, m), &run{m.ID, m.Inc}, nil)
+				ch <- lo.Ternary(f(callCtx, m), &run{m.ID, m.Inc}, nil)
 			}()
 		}
 		failed := 0
@@ -337,35 +339,35 @@
 // get no new work.
 func (e *Executor) Serve(mux *link.Mux, leaves func(context.Context) ([]Leave, error)) {
 	link.Handle(mux, func(ctx context.Context, w link.Identity, a ConfirmAsk) (reply ConfirmTold, err error) {
-		fold, err := e.Ledger.Refresh(ctx)
+		state, err := e.Ledger.Refresh(ctx)
 		if err != nil {
 			return reply, err
 		}
-		// Read after the ledger: a flip seen here is of a change seen above or of a later
-		// one, and in the latter case the version is not settled.
-		flip, err := e.Ledger.Activation(ctx)
+		// Read after the ledger: the version in force is either one seen above or a later one,
+		// and in the latter case the answer is not OK.
+		activation, err := e.Ledger.Activation(ctx)
 		if err != nil {
 			return reply, err
 		}
-		n := flip.Version
-		reply.Gateways, reply.Round = flip.Gateways, flip.Round
+		n := activation.Version
+		reply.Gateways, reply.Round = activation.Gateways, activation.Round
 		if reply.Leaves, err = leaves(ctx); err != nil {
 			return reply, err
 		}
-		reply.OK, reply.N, reply.Open = true, n, flip.Open >= n
-		reply.Settled = reply.Open && n == fold.Version
-		if !reply.Settled && n <= fold.Version {
+		reply.OK, reply.N, reply.Open = true, n, activation.Open >= n
+		reply.Settled = reply.Open && n == state.Version
+		if !reply.Settled && n <= state.Version {
 			go func() {
-				cx, cancel := context.WithTimeout(context.WithoutCancel(ctx), 5*time.Second)
+				settleCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), 5*time.Second)
 				defer cancel()
-				_, _ = e.Settle(cx, fold.Version)
+				_, _ = e.Settle(settleCtx, state.Version)
 			}()
 		}
-		if n > fold.Version {
+		if n > state.Version {
 			reply.OK = false
 		} else if n != a.Have {
-			s := fold.Sheet
-			if n != fold.Version {
+			s := state.Sheet
+			if n != state.Version {
 				if s, err = e.Ledger.SheetAt(ctx, n); err != nil {
 					return reply, err
 				}
@@ -392,18 +394,18 @@
 		if !e.Membership.HoldsDuty("roll") {
 			continue
 		}
-		cx, cancel := context.WithTimeout(ctx, 4*time.Second)
-		fold, err := e.Ledger.Refresh(cx)
-		if err == nil && fold.Version > 0 {
-			if flip, err := e.Ledger.Activation(cx); err == nil {
-				e.trackAbsence(flip.Gateways)
-				e.updateVoters(cx, flip)
+		roundCtx, cancel := context.WithTimeout(ctx, 4*time.Second)
+		state, err := e.Ledger.Refresh(roundCtx)
+		if err == nil && state.Version > 0 {
+			if activation, err := e.Ledger.Activation(roundCtx); err == nil {
+				e.trackAbsence(activation.Gateways)
+				e.updateVoters(roundCtx, activation)
 			}
 			e.mu.Lock()
-			behind := e.appliedVersion < fold.Version
+			behind := e.appliedVersion < state.Version
 			e.mu.Unlock()
 			if behind {
-				_, err = e.Settle(cx, fold.Version)
+				_, err = e.Settle(roundCtx, state.Version)
 			}
 		}
 		cancel()
--- a/internal/rollout/sheetstore.go
+++ b/internal/rollout/sheetstore.go
@@ -21,7 +21,7 @@
 const (
 	// confirmInterval is the interval at which an unconfirmed gateway asks again.
 	confirmInterval = 25 * time.Millisecond
-	// maxHold is how long a gateway is held before it asks for the state of the flip.
+	// maxHold is how long a gateway is held before it asks a controller what is in force.
 	maxHold = 250 * time.Millisecond
 	// While it holds no lease, this node probes its peers every probeInterval and waits
 	// probeTimeout for the answers. leaselessRounds probes in a row must succeed before
@@ -33,8 +33,9 @@
 	leaselessTime   = 180 * time.Millisecond
 )
 
-// state is read by the request path; it is replaced, never modified.
-type state struct {
+// servingState is the sheet to serve and whether it may be served. The request path reads it; it
+// is replaced, never modified.
+type servingState struct {
 	table *spec.Table
 	// open: confirmed under the lease that began at leaseStart, and not held.
 	open       bool
@@ -61,10 +62,10 @@
 	OnSheet func(*spec.Table)
 
 	owner   *owner.Owner
-	current atomic.Pointer[state]
+	current atomic.Pointer[servingState]
 
 	// isolated: this node cannot renew its lease while others can, or it reaches too few of
-	// the voting gateways. It is cut off, or will be when the lease ends.
+	// the voting gateways. It refuses requests now, or will when the lease ends.
 	isolated atomic.Bool
 	// published holds confirmed and voters for other goroutines.
 	published atomic.Pointer[voterList]
@@ -73,7 +74,7 @@
 	staged   map[uint64]*spec.Table
 	held     map[string]uint64 // by roll-out, the version below which it holds
 	lastHold time.Time
-	// confirmed: a majority has told this run what is in force.
+	// confirmed: this run has learned from a majority what is in force.
 	confirmed     bool
 	voters        []string // voting gateways, by list voterRound
 	voterRound    uint64
@@ -84,12 +85,13 @@
 	closedVersion uint64
 }
 
+// voterList is the list of voting gateways, and whether this run is confirmed.
 type voterList struct {
 	ids       []string
 	confirmed bool
 }
 
-// Voters lists the voting gateways, and reports whether a majority has told this run
+// Voters lists the voting gateways, and reports whether this run has learned from a majority
 // what is in force.
 func (st *SheetStore) Voters() ([]string, bool) {
 	if list := st.published.Load(); list != nil {
@@ -114,7 +116,7 @@
 func (st *SheetStore) Init() {
 	st.owner = owner.New(64)
 	st.staged, st.held = map[uint64]*spec.Table{}, map[string]uint64{}
-	st.current.Store(&state{table: spec.NewTable(0, spec.Sheet{}), replaced: make(chan struct{})})
+	st.current.Store(&servingState{table: spec.NewTable(0, spec.Sheet{}), replaced: make(chan struct{})})
 }
 
 // Gate returns the sheet to serve under now; ok is false while requests must wait.
@@ -127,7 +129,7 @@
 	return s.table, s.open && since.Equal(s.leaseStart)
 }
 
-// Wait waits until the gate opens or ctx ends.
+// Wait waits until the gate opens and returns the sheet; ok is false if ctx ended first.
 func (st *SheetStore) Wait(ctx context.Context) (*spec.Table, bool) {
 	for {
 		s := st.current.Load()
@@ -145,7 +147,7 @@
 // Isolated reports whether this node seems to be cut off from the others.
 func (st *SheetStore) Isolated() bool { return st.isolated.Load() }
 
-// Version is the version in force at this gateway.
+// Version returns the version in force at this gateway.
 func (st *SheetStore) Version() uint64 { return st.current.Load().table.Version }
 
 // ServesWithoutLease reports whether the last sheet is served without a lease.
@@ -155,7 +157,7 @@
 }
 
 // update replaces the state; only owner calls it.
-func (st *SheetStore) update(f func(*state)) {
+func (st *SheetStore) update(f func(*servingState)) {
 	old := st.current.Load()
 	next := *old
 	next.replaced = make(chan struct{})
@@ -201,7 +203,7 @@
 				st.held[a.By], st.lastHold = a.N, st.Clock.Now()
 				// For a gateway without a lease the hold is not binding, as it is not for the
 				// others that serve without one; the next probe decides (design 8.4).
-				st.update(func(s *state) { s.open, s.leaselessUntil = false, time.Time{} })
+				st.update(func(s *servingState) { s.open, s.leaselessUntil = false, time.Time{} })
 			}
 			r = GatewayTold{OK: true, N: st.Version()}
 			return r
@@ -211,7 +213,7 @@
 		return owner.Call(ctx, st.owner, func() (r GatewayTold) {
 			if st.held[a.By] == a.N && a.N > st.Version() {
 				delete(st.held, a.By)
-				st.update(func(s *state) { s.open = !s.leaseStart.IsZero() })
+				st.update(func(s *servingState) { s.open = !s.leaseStart.IsZero() })
 			}
 			return GatewayTold{OK: true, N: st.Version()}
 		})
@@ -220,14 +222,14 @@
 		return owner.Call(ctx, st.owner, func() (r GatewayTold) {
 			if t := st.staged[a.N]; a.N > st.Version() && t != nil {
 				st.confirmed, st.closedVersion = true, a.N
-				st.update(func(s *state) { s.table, s.leaselessUntil = t, time.Time{} })
+				st.update(func(s *servingState) { s.table, s.leaselessUntil = t, time.Time{} })
 			}
 			if a.N <= st.Version() {
 				st.setVoters(a.Round, a.Gateways, true)
 			}
 			if a.Open && a.N == st.Version() && a.N == st.closedVersion {
 				st.closedVersion = 0
-				st.update(func(s *state) { s.open = !s.leaseStart.IsZero() })
+				st.update(func(s *servingState) { s.open = !s.leaseStart.IsZero() })
 			}
 			r = GatewayTold{OK: a.N <= st.Version(), N: st.Version()}
 			return r
@@ -265,7 +267,7 @@
 }
 
 // needsConfirmation reports whether a confirmation is needed: there is a lease, and either
-// none was received under it or a hold has lasted longer than maxHold.
+// no confirmation was received under it or a hold has lasted longer than maxHold.
 func (st *SheetStore) needsConfirmation() bool {
 	since, ok := st.Membership.HeldSince()
 	if !ok {
@@ -291,8 +293,8 @@
 		if !ok {
 			return
 		}
-		cx, cancel := context.WithTimeout(ctx, 600*time.Millisecond)
-		r, err := link.Call[ConfirmTold](cx, st.Transport, addr, ConfirmAsk{ID: st.ID, Have: st.Version()})
+		callCtx, cancel := context.WithTimeout(ctx, 600*time.Millisecond)
+		r, err := link.Call[ConfirmTold](callCtx, st.Transport, addr, ConfirmAsk{ID: st.ID, Have: st.Version()})
 		cancel()
 		if err != nil || !r.OK {
 			if st.Log != nil {
@@ -319,7 +321,7 @@
 			case !r.Open && r.N > st.Version():
 				st.closedVersion = r.N
 			}
-			st.update(func(s *state) {
+			st.update(func(s *servingState) {
 				s.table = t
 				if r.Settled {
 					s.leaseStart, s.open = since, true
@@ -361,25 +363,26 @@
 // within one interval of each other; when it returns, some have a lease a moment before
 // others. Only owner calls it.
 func (st *SheetStore) isBehind(fresh bool) bool {
-	left, now := st.Membership.Remaining(), st.Clock.Now()
-	if !fresh || left >= membership.OverdueThreshold-membership.RenewInterval-probeTimeout {
+	remaining, now := st.Membership.Remaining(), st.Clock.Now()
+	if !fresh || remaining >= membership.OverdueThreshold-membership.RenewInterval-probeTimeout {
 		st.behindSince = time.Time{}
 		return false
 	}
 	if st.behindSince.IsZero() {
 		st.behindSince = now
 	}
-	return left > 0 || now.Sub(st.behindSince) > 4*membership.RenewInterval
+	return remaining > 0 || now.Sub(st.behindSince) > 4*membership.RenewInterval
 }
 
-// probePeers asks all peers once; allow lets a successful probe open the gate for a limited
-// time. It adopts a later sheet that one of them knew to be in force.
-func (st *SheetStore) probePeers(ctx context.Context, allow bool) (good bool) {
+// probePeers asks all peers once and reports whether the last sheet may be served without a
+// lease. If so and mayServe is set, it opens the gate for leaselessTime. It adopts a later sheet
+// that a peer knows to be in force.
+func (st *SheetStore) probePeers(ctx context.Context, mayServe bool) (allowed bool) {
 	addrs := st.Peers()
 	start := st.Clock.Now()
-	cx, cancel := context.WithTimeout(ctx, probeTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	have := st.Version()
+	version := st.Version()
 	type result struct {
 		r   LastTold
 		err error
@@ -387,12 +390,12 @@
 	ch := make(chan result, len(addrs))
 	for _, a := range addrs {
 		go func() {
-			r, err := link.Call[LastTold](cx, st.Transport, a, LastAsk{Have: have})
+			r, err := link.Call[LastTold](callCtx, st.Transport, a, LastAsk{Have: version})
 			ch <- result{r, err}
 		}()
 	}
 	var replies []*LastTold
-	silent := 0 // peers that neither answered nor refused the connection: such a process may be up
+	silent := 0 // peers that neither answered nor refused the connection; their processes may be up
 	for range addrs {
 		switch b := <-ch; {
 		case b.err == nil:
@@ -401,7 +404,7 @@
 			silent++
 		}
 	}
-	good, _ = owner.Call(ctx, st.owner, func() (good bool) {
+	allowed, _ = owner.Call(ctx, st.owner, func() (allowed bool) {
 		var best *LastTold
 		ids := map[string]bool{}
 		leaseHeld, fresh := false, false
@@ -441,18 +444,18 @@
 		}
 		enough := 2*reached > len(st.voters) || reached > 0 && 2*reached == len(st.voters) && silent == 0
 		st.isolated.Store(!enough || st.isBehind(fresh))
-		good = !leaseHeld && enough
-		if good && allow || t != st.current.Load().table {
-			st.update(func(s *state) {
+		allowed = !leaseHeld && enough
+		if allowed && mayServe || t != st.current.Load().table {
+			st.update(func(s *servingState) {
 				if s.table != t {
 					s.table, s.leaselessUntil = t, time.Time{}
 				}
-				if good && allow {
+				if allowed && mayServe {
 					s.leaselessUntil = start.Add(leaselessTime)
 				}
 			})
 		}
-		return good
+		return allowed
 	})
-	return good
+	return allowed
 }
--- a/internal/rollout/types.go
+++ b/internal/rollout/types.go
@@ -1,5 +1,6 @@
-// Package rollout brings a decided change into force on every gateway: it stages the new
-// sheet on all of them, holds them, decides the flip and opens the gates (design 8.2).
+// Package rollout brings a decided change into force on every gateway (design 8.2). It stages
+// the new sheet on all of them, holds their requests, records the activation of the new version,
+// and lets the gateways serve it. The messages call the activation "flip".
 package rollout
 
 import "walkrudder/internal/spec"
@@ -17,23 +18,24 @@
 	}
 	// FreeAsk releases By's hold.
 	FreeAsk HoldAsk
-	// FlipAsk announces that the flip to N is decided: no lower version is served from
-	// then on. Open allows N to be served. Gateways are the voting gateways, by the list
-	// numbered Round.
+	// FlipAsk announces that the activation of N is decided: no lower version is served from
+	// then on. Open allows N to be served. Gateways lists the voting gateways, and Round is the
+	// revision of that list.
 	FlipAsk struct {
 		N        uint64
 		Open     bool
 		Round    uint64
 		Gateways []string
 	}
-	// CountAsk announces the list of voting gateways. Sure means that the list is decided;
-	// otherwise it is about to be, and already binds each gateway that agrees.
+	// CountAsk announces the list of voting gateways with revision Round. Sure means that the
+	// list is decided; otherwise it is about to be, and already binds each gateway that agrees.
 	CountAsk struct {
 		Round    uint64
 		Gateways []string
 		Sure     bool
 	}
-	// GatewayTold answers these five; N is the version in force at the gateway.
+	// GatewayTold answers StageAsk, HoldAsk, FreeAsk, FlipAsk and CountAsk; N is the version in
+	// force at the gateway.
 	GatewayTold struct {
 		OK bool
 		N  uint64
@@ -56,7 +58,7 @@
 		Sheet    *spec.Sheet
 		Leaves   []Leave
 	}
-	// Leave is a target run whose leaving was acknowledged, or that was let go.
+	// Leave is a target run that is leaving, or that was removed if Gone is set.
 	Leave struct {
 		Service string
 		ID      string
@@ -66,9 +68,10 @@
 	// LastAsk asks any node whether it holds a lease from a majority, and a gateway also
 	// for the last sheet that was confirmed to it.
 	LastAsk struct{ Have uint64 }
-	// LastTold answers LastAsk. Fresh means that the lease was renewed recently. Confirmed
-	// means that a majority told this run of the gateway what is in force; Shut, that N is
-	// decided and not known here to be open.
+	// LastTold answers LastAsk. Held means that the node holds a lease from a majority, and
+	// Fresh that the lease was renewed recently. Confirmed means that this run of the gateway
+	// has learned from a majority what is in force. Shut means that N is decided and not known
+	// here to be open.
 	LastTold struct {
 		ID        string
 		Held      bool
--- a/internal/shell/memory.go
+++ b/internal/shell/memory.go
@@ -58,8 +58,8 @@
 	runtime.SetFinalizer(&sentinel{}, func(*sentinel) {
 		s := []metrics.Sample{{Name: "/gc/heap/live:bytes"}}
 		metrics.Read(s)
-		is := gcPercent.Load()
-		if want := gcPercentFor(s[0].Value.Uint64(), is); want != is {
+		current := gcPercent.Load()
+		if want := gcPercentFor(s[0].Value.Uint64(), current); want != current {
 			gcPercent.Store(want)
 			debug.SetGCPercent(int(want))
 		}
--- a/internal/sim/target.go
+++ b/internal/sim/target.go
@@ -206,7 +206,7 @@
 var errReset = errors.New("connection reset")
 
 // Carry sends s. It connects first, and only then asks Last whether to write the request.
-func (c *targetTransport) Carry(ctx context.Context, s *passage.SendRequest) (*passage.Response, bool, error) {
+func (c *targetTransport) Send(ctx context.Context, s *passage.SendRequest) (*passage.Response, bool, error) {
 	callCtx, cancel := context.WithDeadline(ctx, s.Expiry)
 	defer cancel()
 	stop := context.AfterFunc(c.run, cancel)
@@ -233,7 +233,7 @@
 		return nil, false, errUnreachable
 	}
 	if s.BeforeWrite != nil && !s.BeforeWrite() {
-		return nil, false, passage.ErrStopped
+		return nil, false, passage.ErrSendCancelled
 	}
 	c.host.waitThawed()
 	if c.run.Err() != nil {
--- a/internal/sim/world.go
+++ b/internal/sim/world.go
@@ -593,11 +593,11 @@
 		o.Err = "Timeout"
 		return o
 	}
-	if t.Verdict != nil {
+	if t.ErrorResponse != nil {
 		o.Call = t.ID
-		o.Status, o.Code, o.Reason, o.Forwarded = t.Verdict.Status, t.Verdict.Code, t.Verdict.Reason, t.Verdict.Sent
-		if t.Verdict.RetryDelay > 0 {
-			o.RetryAfter = t.Verdict.RetryAfter()
+		o.Status, o.Code, o.Reason, o.Forwarded = t.ErrorResponse.Status, t.ErrorResponse.Code, t.ErrorResponse.Reason, t.ErrorResponse.Sent
+		if t.ErrorResponse.RetryDelay > 0 {
+			o.RetryAfter = t.ErrorResponse.RetryAfter()
 		}
 		return o
 	}
--- a/internal/spec/table.go
+++ b/internal/spec/table.go
@@ -30,14 +30,14 @@
 
 // Table is a sheet compiled for routing requests. It is immutable.
 type Table struct {
-	Version       uint64
-	Sheet         Sheet
-	Services      []Service
-	byName        map[string]int
-	bindingCounts []int // by service index
-	exact         map[string][]int
-	prefixes      []prefix // longest first
-	Bindings      []CompiledBinding
+	Version        uint64
+	Sheet          Sheet
+	Services       []Service
+	serviceIndices map[string]int
+	bindingCounts  []int // by service index
+	exact          map[string][]int
+	prefixes       []prefix // longest first
+	Bindings       []CompiledBinding
 }
 
 type prefix struct {
@@ -47,28 +47,28 @@
 
 // NewTable compiles version n of the sheet.
 func NewTable(n uint64, s Sheet) *Table {
-	t := &Table{Version: n, Sheet: s, Services: s.Services, byName: map[string]int{}, exact: map[string][]int{}}
+	t := &Table{Version: n, Sheet: s, Services: s.Services, serviceIndices: map[string]int{}, exact: map[string][]int{}}
 	for i, v := range s.Services {
-		t.byName[v.Name] = i
+		t.serviceIndices[v.Name] = i
 	}
 	t.bindingCounts = make([]int, len(s.Services))
 	byPrefix := map[string][]int{}
 	for i, b := range s.Bindings {
-		m := b.MaxBody
-		if m == 0 {
-			m = 1 << 20
+		maxBody := b.MaxBody
+		if maxBody == 0 {
+			maxBody = 1 << 20
 		}
-		t.Bindings = append(t.Bindings, CompiledBinding{Index: i, Name: b.Name, Service: t.byName[b.Service],
-			Expiry: time.Duration(b.ExpiryMS) * time.Millisecond, Repeatable: b.Repeatable, MaxBody: m, methods: b.Methods})
-		t.bindingCounts[t.byName[b.Service]]++
+		t.Bindings = append(t.Bindings, CompiledBinding{Index: i, Name: b.Name, Service: t.serviceIndices[b.Service],
+			Expiry: time.Duration(b.ExpiryMS) * time.Millisecond, Repeatable: b.Repeatable, MaxBody: maxBody, methods: b.Methods})
+		t.bindingCounts[t.serviceIndices[b.Service]]++
 		if p, ok := strings.CutSuffix(b.Path, "*"); ok {
 			byPrefix[p] = append(byPrefix[p], i)
 		} else {
 			t.exact[b.Path] = append(t.exact[b.Path], i)
 		}
 	}
-	for p, at := range byPrefix {
-		t.prefixes = append(t.prefixes, prefix{p, at})
+	for p, indices := range byPrefix {
+		t.prefixes = append(t.prefixes, prefix{p, indices})
 	}
 	slices.SortFunc(t.prefixes, func(a, b prefix) int { return cmp.Compare(len(b.path), len(a.path)) })
 	return t
@@ -76,7 +76,7 @@
 
 // ServiceIndex returns the dense index of a service.
 func (t *Table) ServiceIndex(name string) (int, bool) {
-	i, ok := t.byName[name]
+	i, ok := t.serviceIndices[name]
 	return i, ok
 }
 
@@ -87,8 +87,8 @@
 // method.
 func (t *Table) Find(method, path string) (*CompiledBinding, Match) {
 	pathFound := false
-	match := func(at []int) *CompiledBinding {
-		for _, i := range at {
+	match := func(indices []int) *CompiledBinding {
+		for _, i := range indices {
 			pathFound = true
 			if slices.Contains(t.Bindings[i].methods, method) {
 				return &t.Bindings[i]
@@ -115,8 +115,8 @@
 // AllowedMethods lists the methods accepted at path, for the Allow header of a rejection.
 func (t *Table) AllowedMethods(path string) []string {
 	var out []string
-	add := func(at []int) {
-		for _, i := range at {
+	add := func(indices []int) {
+		for _, i := range indices {
 			out = append(out, t.Bindings[i].methods...)
 		}
 	}
--- a/internal/statement/executor.go
+++ b/internal/statement/executor.go
@@ -20,11 +20,13 @@
 
 // Executor executes statements on one controller.
 type Executor struct {
-	Queries     *queries.Reader
-	Changer     *commands.Changer
-	Drainer     *commands.Drainer
-	Supervisor  *commands.Supervisor
-	Ledger      *ledger.Ledger
+	Queries    *queries.Reader
+	Changer    *commands.Changer
+	Drainer    *commands.Drainer
+	Supervisor *commands.Supervisor
+	Ledger     *ledger.Ledger
+	// WaitInForce waits until at least version n is in force everywhere and returns the version
+	// that is.
 	WaitInForce func(ctx context.Context, n uint64) (uint64, error)
 }
 
@@ -45,12 +47,12 @@
 	}
 	switch {
 	case x.Show != nil:
-		return ex.show(ctx, x.Show)
+		return ex.executeShow(ctx, x.Show)
 	case x.Why != nil && x.Why.Call != nil:
 		d, err := ex.Queries.ExplainCall(ctx, *x.Why.Call)
 		return Reply{"call", d}, err
 	case x.Why != nil:
-		svc, id, err := x.Why.Target.split()
+		svc, id, err := x.Why.Target.splitName()
 		if err != nil {
 			return Reply{}, err
 		}
@@ -65,7 +67,7 @@
 		n, err := ex.WaitInForce(ctx, *x.Wait)
 		return Reply{"in force", n}, err
 	case x.Order != nil:
-		return ex.change(ctx, x.Order)
+		return ex.applyOrder(ctx, x.Order)
 	case x.Drain != nil && x.Drain.Node != nil:
 		return ex.setDrained(ctx, *x.Drain.Node, true)
 	case x.Drain != nil:
@@ -83,6 +85,7 @@
 	return Reply{"help", Help}, nil
 }
 
+// replyTo wraps f so that its result becomes a Reply of the given kind.
 func replyTo[A, B any](kind string, f func(context.Context, A, B) (any, error)) func(context.Context, A, B) (Reply, error) {
 	return func(ctx context.Context, a A, b B) (Reply, error) {
 		d, err := f(ctx, a, b)
@@ -90,7 +93,8 @@
 	}
 }
 
-func (t *Target) split() (string, string, error) {
+// splitName returns the service and the ID of the target.
+func (t *Target) splitName() (string, string, error) {
 	svc, id, ok := strings.Cut(t.Name, "/")
 	if !ok || svc == "" || id == "" {
 		return "", "", errors.Join(ErrInvalid, fmt.Errorf("%q is no target: SERVICE/ID", t.Name))
@@ -98,7 +102,7 @@
 	return svc, id, nil
 }
 
-func (ex *Executor) show(ctx context.Context, x *Show) (Reply, error) {
+func (ex *Executor) executeShow(ctx context.Context, x *Show) (Reply, error) {
 	switch {
 	case x.Nodes:
 		d, err := ex.Queries.Nodes(ctx)
@@ -128,10 +132,10 @@
 	return Reply{"services", d.Sheet.Services}, err
 }
 
-// change converts an order into edits and applies them.
-func (ex *Executor) change(ctx context.Context, x *Order) (Reply, error) {
-	o := commands.Order{Base: x.Base, Token: x.Token, Operator: x.By, Note: x.Note, DryRun: x.Check}
-	for _, e := range x.Edits {
+// applyOrder converts an order into edits and applies them.
+func (ex *Executor) applyOrder(ctx context.Context, order *Order) (Reply, error) {
+	o := commands.Order{Base: order.Base, Token: order.Token, Operator: order.By, Note: order.Note, DryRun: order.Check}
+	for _, e := range order.Edits {
 		switch {
 		case e.RollBack != nil:
 			old, err := ex.Ledger.SheetAt(ctx, *e.RollBack)
@@ -155,7 +159,7 @@
 	return Reply{"result", ex.Changer.Apply(ctx, o)}, nil
 }
 
-// setDrained drains a node by hand or ends that.
+// setDrained drains a node, or resumes it if on is false.
 func (ex *Executor) setDrained(ctx context.Context, id string, on bool) (Reply, error) {
 	m, ok := lo.Find(ex.Queries.Membership.Members(), func(m membership.Member) bool { return m.ID == id })
 	if !ok {
@@ -167,9 +171,9 @@
 	return Reply{lo.Ternary(on, "drained", "resumed"), id}, nil
 }
 
-// drainTarget stops new requests to the run of a target that this controller knows.
+// drainTarget stops new requests to a target, in the run that this controller knows.
 func (ex *Executor) drainTarget(ctx context.Context, x *Target) (Reply, error) {
-	svc, id, err := x.split()
+	svc, id, err := x.splitName()
 	if err != nil {
 		return Reply{}, err
 	}
--- a/internal/topology/topology.go
+++ b/internal/topology/topology.go
@@ -25,7 +25,7 @@
 // Distances holds the round-trip times between zones in milliseconds.
 type Distances struct {
 	roundTripMS map[[2]string]float64
-	// nearest is the distance from each zone to its nearest neighbour.
+	// nearest is the distance in milliseconds from each zone to its nearest neighbour.
 	nearest map[string]float64
 }
 
@@ -45,7 +45,7 @@
 }
 
 // ParseDot parses a graph whose nodes are zones and whose edges have the attribute "ms". The
-// distance of zones without an edge is the shortest path through others.
+// distance between two zones is the length of the shortest path.
 func ParseDot(data []byte) (*Distances, error) {
 	f, err := dot.ParseBytes(data)
 	if err != nil {
@@ -106,7 +106,7 @@
 			return nil, fmt.Errorf("features[%d]: not a point with the property zone", i)
 		}
 		if _, twice := points[z]; twice {
-			return nil, fmt.Errorf("features[%d]: zone %s stands there twice", i, z)
+			return nil, fmt.Errorf("features[%d]: zone %s is listed twice", i, z)
 		}
 		points[z] = f.Geometry.Point
 	}
@@ -114,21 +114,22 @@
 	for a, p := range points {
 		for b, q := range points {
 			if a < b {
-				c.setShorter(a, b, distance(p, q)/roundTripMetresPerMS)
+				c.setShorter(a, b, greatCircleMetres(p, q)/roundTripMetresPerMS)
 			}
 		}
 	}
 	return c, c.addIndirect()
 }
 
-// distance returns the great-circle distance in metres between two points given as longitude
-// and latitude.
-func distance(p, q []float64) float64 {
+// greatCircleMetres returns the distance in metres between two points given as longitude and
+// latitude.
+func greatCircleMetres(p, q []float64) float64 {
 	const radius, deg = 6371e3, math.Pi / 180
 	a, b := math.Sin((q[1]-p[1])*deg/2), math.Sin((q[0]-p[0])*deg/2)
 	return 2 * radius * math.Asin(math.Sqrt(min(1, a*a+math.Cos(p[1]*deg)*math.Cos(q[1]*deg)*b*b)))
 }
 
+// setShorter sets the distance between two zones, unless a shorter one is known.
 func (c *Distances) setShorter(a, b string, ms float64) {
 	if o, ok := c.roundTripMS[[2]string{a, b}]; !ok || ms < o {
 		c.roundTripMS[[2]string{a, b}], c.roundTripMS[[2]string{b, a}] = ms, ms
