--- a/cmd/trial/main.go
+++ b/cmd/trial/main.go
@@ -68,11 +68,11 @@
 		p.WriteHelp(out)
 		return 0
 	}
-	plan, perr := stand.PlanByName(a.Plan)
+	plan, planErr := stand.PlanByName(a.Plan)
 	switch {
 	case err != nil:
-	case perr != nil:
-		err = fmt.Errorf("--plan: %w", perr)
+	case planErr != nil:
+		err = fmt.Errorf("--plan: %w", planErr)
 	case !slices.Contains(outageKinds, a.How):
 		err = fmt.Errorf("--how: %q is none of %s", a.How, strings.Join(outageKinds, ", "))
 	case a.Out < time.Second || a.Out > 10*time.Minute:
--- a/internal/claim/coordinator.go
+++ b/internal/claim/coordinator.go
@@ -124,9 +124,9 @@
 }
 
 // mergeMarks applies marks and returns the conflicting ones; only owner calls it.
-func (c *Coordinator) mergeMarks(ms []Mark, selfVotes bool) MarkTold {
+func (c *Coordinator) mergeMarks(marks []Mark, selfVotes bool) MarkTold {
 	r := MarkTold{ID: c.Self, Counts: selfVotes}
-	for _, m := range ms {
+	for _, m := range marks {
 		if o, ok := c.applyMark(m); ok {
 			r.Others = append(r.Others, o)
 		}
@@ -259,18 +259,18 @@
 // broadcast sends marks to addrs, applies them to this node's own memory and waits for the
 // answers. It returns whether more than half of the voting gateways answered, and the
 // conflicting marks.
-func (c *Coordinator) broadcast(ctx context.Context, addrs []string, ms []Mark) (majority bool, others []Mark) {
+func (c *Coordinator) broadcast(ctx context.Context, addrs []string, marks []Mark) (majority bool, others []Mark) {
 	voters, selfVotes := c.Voters()
 	callCtx, cancel := context.WithTimeout(ctx, broadcastTimeout)
 	defer cancel()
 	ch := make(chan MarkTold, len(addrs)+1)
 	for _, a := range addrs {
 		go func() {
-			r, _ := link.Call[MarkTold](callCtx, c.Transport, a, MarkAsk{Marks: ms})
+			r, _ := link.Call[MarkTold](callCtx, c.Transport, a, MarkAsk{Marks: marks})
 			ch <- r
 		}()
 	}
-	own, _ := owner.Call(ctx, c.owner, func() MarkTold { return c.mergeMarks(ms, selfVotes) })
+	own, _ := owner.Call(ctx, c.owner, func() MarkTold { return c.mergeMarks(marks, selfVotes) })
 	ch <- own
 	ids := map[string]bool{}
 	for range len(addrs) + 1 {
@@ -280,7 +280,7 @@
 		}
 		others = append(others, r.Others...)
 	}
-	return 2*lo.CountBy(voters, func(f string) bool { return ids[f] }) > len(voters), others
+	return 2*lo.CountBy(voters, func(id string) bool { return ids[id] }) > len(voters), others
 }
 
 // Take claims a key for a call, or returns the state of another call's claim. It retries until
@@ -387,14 +387,14 @@
 
 // broadcastOutgoing broadcasts claims that ended, were withdrawn or were uploaded.
 func (c *Coordinator) broadcastOutgoing(ctx context.Context) {
-	ms, _ := owner.Call(ctx, c.owner, func() []Mark {
+	marks, _ := owner.Call(ctx, c.owner, func() []Mark {
 		n := min(len(c.outgoing), maxBatch)
-		ms := c.outgoing[:n:n]
+		marks := c.outgoing[:n:n]
 		c.outgoing = c.outgoing[n:]
-		return ms
+		return marks
 	})
-	if len(ms) > 0 {
-		c.broadcast(ctx, lo.Union(c.LeasedPeers(), c.Peers()), ms)
+	if len(marks) > 0 {
+		c.broadcast(ctx, lo.Union(c.LeasedPeers(), c.Peers()), marks)
 	}
 }
 
@@ -408,7 +408,7 @@
 	}
 	_, isGateway := c.Voters()
 	othersDelay := lo.Ternary(isGateway, gatewayUploadDelay, controllerUploadDelay)
-	ms, _ := owner.Call(ctx, c.owner, func() (ms []Mark) {
+	marks, _ := owner.Call(ctx, c.owner, func() (marks []Mark) {
 		if c.leaseSince.IsZero() {
 			c.leaseSince = now
 		}
@@ -421,20 +421,20 @@
 				e.Backed = true
 				continue
 			}
-			if ms = append(ms, e.Mark); len(ms) >= maxBatch {
+			if marks = append(marks, e.Mark); len(marks) >= maxBatch {
 				break
 			}
 		}
-		return ms
+		return marks
 	})
-	if len(ms) == 0 {
+	if len(marks) == 0 {
 		return
 	}
 	uploadCtx, cancel := context.WithTimeout(ctx, 2*time.Second)
 	defer cancel()
 	var wg sync.WaitGroup
-	queue := make(chan Mark, len(ms))
-	for _, m := range ms {
+	queue := make(chan Mark, len(marks))
+	for _, m := range marks {
 		queue <- m
 	}
 	close(queue)
--- a/internal/commands/supervisor.go
+++ b/internal/commands/supervisor.go
@@ -117,9 +117,9 @@
 				continue
 			}
 		}
-		tooMany := float64(suspected[t.Service]) > maxSuspectedShare*float64(total[t.Service])
+		tooManySuspected := float64(suspected[t.Service]) > maxSuspectedShare*float64(total[t.Service])
 		switch {
-		case seen.W >= suspectThreshold && !sv.suspected[t] && !tooMany:
+		case seen.W >= suspectThreshold && !sv.suspected[t] && !tooManySuspected:
 			if err := sv.Ledger.AddNote(ctx, ledger.Note{Kind: ledger.NoteSuspect, Target: &t, HeartbeatSeq: seen.Beat.Seq, Suspicion: seen.W,
 				Reason: fmt.Sprintf("silent for %s, fitted alpha %.3f s beta %.2f", seen.Quiet.Round(time.Millisecond), seen.Fit.Alpha, seen.Fit.Beta)}); err != nil {
 				return err
@@ -132,7 +132,7 @@
 			}
 			delete(sv.suspected, t)
 		}
-		if seen.W >= goneThreshold && seen.Quiet > goneSilence && !tooMany && sv.homesAgree(ctx, t) && sv.Membership.HoldsDuty(SupervisorDuty) {
+		if seen.W >= goneThreshold && seen.Quiet > goneSilence && !tooManySuspected && sv.homesAgree(ctx, t) && sv.Membership.HoldsDuty(SupervisorDuty) {
 			if err := sv.Drainer.MarkGone(ctx, t, seen.W, fmt.Sprintf("silent for %s, a majority of its homes agree", seen.Quiet.Round(time.Second))); err != nil {
 				return err
 			}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -112,16 +112,18 @@
 	return g
 }
 
-func newTargets(i do.Injector) (*registry.GatewayTable, error) {
-	cfg, members := do.MustInvoke[Config](i), do.MustInvoke[*membership.LeaseClient](i)
-	r := &registry.GatewayTable{Transport: cfg.Transport, Clock: cfg.Clock, Pauses: do.MustInvoke[*liveness.PauseMonitor](i), Self: cfg.Startup.ID, Zone: cfg.Startup.Zone,
+// newTargets, newSheets, newProxy and newClaims construct the components of a gateway for the
+// injector.
+func newTargets(injector do.Injector) (*registry.GatewayTable, error) {
+	cfg, members := do.MustInvoke[Config](injector), do.MustInvoke[*membership.LeaseClient](injector)
+	targets := &registry.GatewayTable{Transport: cfg.Transport, Clock: cfg.Clock, Pauses: do.MustInvoke[*liveness.PauseMonitor](injector), Self: cfg.Startup.ID, Zone: cfg.Startup.Zone,
 		Controllers: func() []membership.Member { return members.MembersOfKind("controller") }, ProbeInterval: probeInterval}
-	r.Init()
-	return r, nil
+	targets.Init()
+	return targets, nil
 }
 
-func newSheets(i do.Injector) (*rollout.SheetStore, error) {
-	cfg, members, targets := do.MustInvoke[Config](i), do.MustInvoke[*membership.LeaseClient](i), do.MustInvoke[*registry.GatewayTable](i)
+func newSheets(injector do.Injector) (*rollout.SheetStore, error) {
+	cfg, members, targets := do.MustInvoke[Config](injector), do.MustInvoke[*membership.LeaseClient](injector), do.MustInvoke[*registry.GatewayTable](injector)
 	sheets := &rollout.SheetStore{Membership: members, Transport: cfg.Transport, Clock: cfg.Clock, ID: cfg.Startup.ID, Log: cfg.Log,
 		Controllers: func() []string { return controllersByDistance(members.MembersOfKind("controller"), cfg.Startup) },
 		Peers: func() []string {
@@ -143,11 +145,11 @@
 // controllersByDistance lists the addresses of the controllers to ask, those of the gateway's own
 // zone first. Gateways start at different ones, to spread the load. Before any member is known,
 // it returns the seeds.
-func controllersByDistance(ms []membership.Member, s startup.Gateway) []string {
-	if len(ms) == 0 {
+func controllersByDistance(members []membership.Member, s startup.Gateway) []string {
+	if len(members) == 0 {
 		return s.Seeds
 	}
-	ownZone, otherZones := lo.FilterReject(ms, func(m membership.Member, _ int) bool { return m.Zone == s.Zone })
+	ownZone, otherZones := lo.FilterReject(members, func(m membership.Member, _ int) bool { return m.Zone == s.Zone })
 	hash := 0
 	for _, c := range []byte(s.ID) {
 		hash = hash*31 + int(c)
@@ -162,21 +164,21 @@
 	return lo.Map(append(rotate(ownZone), rotate(otherZones)...), func(m membership.Member, _ int) string { return m.Inner })
 }
 
-func newProxy(i do.Injector) (*passage.Pipeline, error) {
-	cfg, members := do.MustInvoke[Config](i), do.MustInvoke[*membership.LeaseClient](i)
-	proxy := &passage.Pipeline{Clock: cfg.Clock, Sheets: do.MustInvoke[*rollout.SheetStore](i), Targets: do.MustInvoke[*registry.GatewayTable](i),
+func newProxy(injector do.Injector) (*passage.Pipeline, error) {
+	cfg, members := do.MustInvoke[Config](injector), do.MustInvoke[*membership.LeaseClient](injector)
+	proxy := &passage.Pipeline{Clock: cfg.Clock, Sheets: do.MustInvoke[*rollout.SheetStore](injector), Targets: do.MustInvoke[*registry.GatewayTable](injector),
 		Transport: cfg.TargetClient, Zone: cfg.Startup.Zone, ZoneMap: cfg.Startup.Chart, ID: cfg.Startup.ID, Inc: cfg.Incarnation, Faults: cfg.Faults, Log: cfg.Log, Count: cfg.Count,
 		Gateways: func() int {
 			// Called for every selection of a target, so the members are counted without building a list.
 			return lo.CountBy(members.Members(), func(m membership.Member) bool { return m.Kind == "gateway" }) + 1
 		},
-		Claims: do.MustInvoke[*claim.Coordinator](i)}
+		Claims: do.MustInvoke[*claim.Coordinator](injector)}
 	proxy.Init()
 	return proxy, nil
 }
 
-func newClaims(i do.Injector) (*claim.Coordinator, error) {
-	cfg, members, sheets := do.MustInvoke[Config](i), do.MustInvoke[*membership.LeaseClient](i), do.MustInvoke[*rollout.SheetStore](i)
+func newClaims(injector do.Injector) (*claim.Coordinator, error) {
+	cfg, members, sheets := do.MustInvoke[Config](injector), do.MustInvoke[*membership.LeaseClient](injector), do.MustInvoke[*rollout.SheetStore](injector)
 	claims := &claim.Coordinator{Self: cfg.Startup.ID, Transport: cfg.Transport, Clock: cfg.Clock, Log: cfg.Log, Peers: sheets.Peers, HasLease: members.Held, CoreLost: sheets.ServesWithoutLease, Voters: sheets.Voters,
 		LeasedPeers: func() []string { return members.OtherAddrs(cfg.Startup.ID) },
 		Store:       &claimClient{transport: cfg.Transport, clock: cfg.Clock, controllers: func() []string { return controllersByDistance(members.MembersOfKind("controller"), cfg.Startup) }}}
@@ -288,18 +290,18 @@
 
 // probeTarget probes a target run until ctx ends. Probes carry this gateway's own sequence
 // numbers. An answer that names another run is no evidence (design 10.2).
-func (g *Gateway) probeTarget(ctx context.Context, s *registry.Target) {
+func (g *Gateway) probeTarget(ctx context.Context, target *registry.Target) {
 	var seq uint64
 	first := true
 	for {
-		if !s.InSubset() {
+		if !target.InSubset() {
 			if g.Clock.Sleep(ctx, probeInterval/8) != nil {
 				return
 			}
 			continue
 		}
 		seq++
-		go g.probe(ctx, s, seq)
+		go g.probe(ctx, target, seq)
 		d := probeInterval
 		if first {
 			// Probe a new target again soon, to learn its state quickly.
@@ -312,23 +314,23 @@
 }
 
 // probe sends one probe to a target run and records a valid answer.
-func (g *Gateway) probe(ctx context.Context, s *registry.Target, seq uint64) {
+func (g *Gateway) probe(ctx context.Context, target *registry.Target, seq uint64) {
 	sent := g.Clock.Now()
 	callCtx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	name := httpapi.TargetName(s.ID, s.Service, s.Inc)
-	response, _, err := g.TargetClient.Send(callCtx, &passage.SendRequest{Addr: s.Addr, Target: "probe:" + name, SendID: httpapi.ProbeRequestID(seq), Expiry: sent.Add(probeTimeout),
-		Req: &passage.Request{Method: "GET", URI: httpapi.ProbeURI(seq), Host: s.Addr}})
+	name := httpapi.TargetName(target.ID, target.Service, target.Inc)
+	response, _, err := g.TargetClient.Send(callCtx, &passage.SendRequest{Addr: target.Addr, Target: "probe:" + name, SendID: httpapi.ProbeRequestID(seq), Expiry: sent.Add(probeTimeout),
+		Req: &passage.Request{Method: "GET", URI: httpapi.ProbeURI(seq), Host: target.Addr}})
 	if err != nil || response.Status != 200 || !response.Complete {
 		return
 	}
 	p, err := httpapi.ParseProbe(response.Body)
-	if err != nil || p.Seq != seq || p.ID != s.ID || p.Service != s.Service || p.Inc != s.Inc {
+	if err != nil || p.Seq != seq || p.ID != target.ID || p.Service != target.Service || p.Inc != target.Inc {
 		return
 	}
-	g.Targets.RecordProof(s, sent)
-	s.Detector.RecordArrival(seq, g.Clock.Now())
+	g.Targets.RecordProof(target, sent)
+	target.Detector.RecordArrival(seq, g.Clock.Now())
 	if p.Leaving {
-		_ = g.Targets.Drain(ctx, s.Service, s.ID, s.Inc, false)
+		_ = g.Targets.Drain(ctx, target.Service, target.ID, target.Inc, false)
 	}
 }
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -304,12 +304,12 @@
 // Suspected replays the suspect and trust notes and returns the target runs that are
 // currently suspected.
 func (l *Ledger) Suspected(ctx context.Context) (map[Target]bool, error) {
-	ns, err := l.Notes(ctx, NotePrefix)
+	notes, err := l.Notes(ctx, NotePrefix)
 	if err != nil {
 		return nil, err
 	}
 	m := map[Target]bool{}
-	for _, n := range ns {
+	for _, n := range notes {
 		switch {
 		case n.Target == nil:
 		case n.Kind == NoteSuspect:
@@ -337,12 +337,12 @@
 
 // SheetAt returns the route sheet as of version n.
 func (l *Ledger) SheetAt(ctx context.Context, n uint64) (spec.Sheet, error) {
-	cs, err := l.Changes(ctx)
+	changes, err := l.Changes(ctx)
 	if err != nil {
 		return spec.Sheet{}, err
 	}
 	st := &State{tokens: map[string]uint64{}}
-	for _, c := range cs {
+	for _, c := range changes {
 		if c.Version > n {
 			break
 		}
--- a/internal/passage/attempt.go
+++ b/internal/passage/attempt.go
@@ -52,7 +52,7 @@
 func (p *Pipeline) monitorAttempt(attempt *Attempt, suspicionLimit float64, hedgeAt time.Time, cancel func()) {
 	var nextHedge time.Time
 	for {
-		c, stop := p.Clock.After(suspicionPoll)
+		timer, stop := p.Clock.After(suspicionPoll)
 		select {
 		case <-attempt.returned:
 			stop()
@@ -61,7 +61,7 @@
 			stop()
 			cancel()
 			return
-		case <-c:
+		case <-timer:
 		}
 		now := p.Clock.Now()
 		reason := ""
--- a/internal/passage/pipeline.go
+++ b/internal/passage/pipeline.go
@@ -164,12 +164,12 @@
 		return call
 	}
 	for {
-		c, stop := p.Clock.After(wait)
+		timer, stop := p.Clock.After(wait)
 		select {
 		case <-call.done:
 			stop()
 			return call
-		case <-c:
+		case <-timer:
 		case <-ctx.Done():
 			// The process is shutting down: waiting callers are cut off with it.
 			stop()
@@ -307,14 +307,14 @@
 		return
 	}
 	limiter := p.limiter(service.Name)
-	target, totalLimit, full := p.selectTarget(service.Name, suspicionLimit, tried, call.Remaining(now))
+	target, totalLimit, atCapacity := p.selectTarget(service.Name, suspicionLimit, tried, call.Remaining(now))
 	attempt := &Attempt{Call: call, Target: target, Num: attempts + 1, Table: call.Table, Binding: call.Binding, limiter: limiter, pausedBefore: p.Targets.Pauses.Total(), returned: make(chan struct{})}
 	if inFlight && attempt.Target != nil && attempt.Target.Detector.Suspicion(now) >= suspicionLimit {
 		// With most targets suspected the fault is at this gateway: no other target is
 		// better than the one already being waited for.
 		attempt.Target = nil
 	}
-	if full || attempt.Target != nil && !limiter.acquire(call.Binding.Name, totalLimit, call.Table.BindingCount(call.Binding.Service)) {
+	if atCapacity || attempt.Target != nil && !limiter.acquire(call.Binding.Name, totalLimit, call.Table.BindingCount(call.Binding.Service)) {
 		if call.Waits < maxCapacityWaits && !inFlight && limiter.startWait(totalLimit) {
 			p.selectLater(call, refuse, limiter)
 			return
@@ -553,7 +553,7 @@
 // exactly this send, and the body is complete.
 func (p *Pipeline) doCheck(attempt *Attempt) {
 	call, target, resp := attempt.Call, attempt.Target, attempt.Response
-	svc := target.Service
+	service := target.Service
 	problem := ""
 	stamp, err := httpapi.ParseStamp(resp.Stamp)
 	switch {
@@ -572,7 +572,7 @@
 	}
 	if problem != "" {
 		p.addStep(call, "check", target.Key(), problem)
-		p.Count("bad-answer", svc)
+		p.Count("bad-answer", service)
 		if p.Log != nil {
 			p.Log.Warn("invalid response from a target", "step", "check", "mate", target.Key(), "call", call.ID, "why", problem)
 		}
--- a/internal/passage/select.go
+++ b/internal/passage/select.go
@@ -33,8 +33,9 @@
 // proof, are neither leaving nor suspected, and have capacity for one more send to finish
 // within remaining. Of three eligible targets drawn at random it selects the one with the
 // least relativeLoad. The suspicion of every target is read anew at each selection. It also
-// returns the total concurrency limit of the targets; full means that only capacity was missing.
-func (p *Pipeline) selectTarget(service string, suspicionLimit float64, tried []*registry.Target, remaining time.Duration) (target *registry.Target, totalLimit float64, full bool) {
+// returns the total concurrency limit of the targets; atCapacity means that only capacity was
+// missing.
+func (p *Pipeline) selectTarget(service string, suspicionLimit float64, tried []*registry.Target, remaining time.Duration) (target *registry.Target, totalLimit float64, atCapacity bool) {
 	now, gateways := p.Clock.Now(), p.Gateways()
 	all := p.Targets.Targets(service)
 	var eligible, suspected []candidate
--- a/internal/passage/transport.go
+++ b/internal/passage/transport.go
@@ -155,7 +155,7 @@
 func (h *HTTPTransport) CloseIdle() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for t, idle := range h.idle {
+	for target, idle := range h.idle {
 		var live []*targetConn
 		for _, tc := range idle {
 			if time.Since(tc.lastUsed) < maxIdleTime {
@@ -165,9 +165,9 @@
 			}
 		}
 		if len(live) == 0 {
-			delete(h.idle, t)
+			delete(h.idle, target)
 		} else {
-			h.idle[t] = live
+			h.idle[target] = live
 		}
 	}
 }
--- a/internal/queries/queries.go
+++ b/internal/queries/queries.go
@@ -49,13 +49,13 @@
 
 // Nodes lists the members according to the lease tables of a majority.
 func (rd *Reader) Nodes(ctx context.Context) ([]NodeRow, error) {
-	ms, err := rd.Membership.ReadTable(ctx)
+	members, err := rd.Membership.ReadTable(ctx)
 	if err != nil {
 		return nil, err
 	}
-	c := rd.Proposer.Core()
-	return lo.Map(ms, func(m membership.Member, _ int) NodeRow {
-		seat, hasSeat := c.Seat(m.ID)
+	core := rd.Proposer.Core()
+	return lo.Map(members, func(m membership.Member, _ int) NodeRow {
+		seat, hasSeat := core.Seat(m.ID)
 		return NodeRow{ID: m.ID, Kind: m.Kind, Zone: m.Zone, Inner: m.Inner, Door: m.Door, Votes: hasSeat && seat.Disk == m.Disk.Disk,
 			Standby: !hasSeat && m.Disk.Disk != "", Drained: m.Rest, Version: m.Spec, UpSince: formatTime(m.Since)}
 	}), nil
@@ -166,11 +166,11 @@
 // notes lists all decisions other than changes, oldest first.
 func (rd *Reader) notes(ctx context.Context) (out []ledger.Note, err error) {
 	for _, p := range ledger.NotePrefixes {
-		ns, err := rd.Ledger.Notes(ctx, p)
+		notes, err := rd.Ledger.Notes(ctx, p)
 		if err != nil {
 			return nil, err
 		}
-		out = append(out, ns...)
+		out = append(out, notes...)
 	}
 	slices.SortStableFunc(out, func(a, b ledger.Note) int { return cmp.Compare(a.AtMS, b.AtMS) })
 	return out, nil
@@ -228,7 +228,7 @@
 
 // ExplainTarget returns what is known about a target and the decisions made about it.
 func (rd *Reader) ExplainTarget(ctx context.Context, service, id string) (any, error) {
-	ts, err := rd.Targets(ctx, service)
+	targets, err := rd.Targets(ctx, service)
 	if err != nil {
 		return nil, err
 	}
@@ -242,7 +242,7 @@
 			notes = append(notes, n)
 		}
 	}
-	now, seen := lo.Find(ts, func(t TargetRow) bool { return t.ID == id })
+	now, seen := lo.Find(targets, func(t TargetRow) bool { return t.ID == id })
 	if !seen && len(notes) == 0 {
 		return nil, steperr.New("find target", "", "nothing is known of %s/%s", service, id)
 	}
--- a/internal/rollout/executor.go
+++ b/internal/rollout/executor.go
@@ -23,7 +23,7 @@
 
 const (
 	askTimeout    = 300 * time.Millisecond // per gateway and attempt
-	retryInterval = 20 * time.Millisecond
+	retryInterval = 20 * time.Millisecond  // until gateways that did not agree are asked again
 	// holdTimeout is how long a roll-out holds the gateways before it lets them continue
 	// under the old sheet, since calls wait in the meantime. Two rounds take about 10 ms.
 	// A longer wait is due to a gateway that is down, and holding the others does not make
--- a/internal/spec/sheet.go
+++ b/internal/spec/sheet.go
@@ -86,11 +86,11 @@
 func (s Sheet) Check() []Problem {
 	var out []Problem
 	if err := structValidator.Struct(s); err != nil {
-		fs, ok := err.(validator.ValidationErrors)
+		fieldErrs, ok := err.(validator.ValidationErrors)
 		if !ok {
 			return []Problem{{"", err.Error()}}
 		}
-		for _, f := range fs {
+		for _, f := range fieldErrs {
 			out = append(out, Problem{fieldPath(f.Namespace()), describe(f)})
 		}
 	}
--- a/internal/startup/startup.go
+++ b/internal/startup/startup.go
@@ -138,8 +138,8 @@
 	if n.Level == "" {
 		n.Level = "info"
 	}
-	if m, ok := dest.(*Controller); ok && m.Core == 0 {
-		m.Core = 3
+	if controller, ok := dest.(*Controller); ok && controller.Core == 0 {
+		controller.Core = 3
 	}
 	return validate(dest)
 }
@@ -196,20 +196,20 @@
 	if n.Inner == n.Door || n.Bind == n.Door {
 		return fmt.Errorf("door: %s is also the inner address", n.Door)
 	}
-	if f, ok := dest.(*Gateway); ok && f.Map != "" {
-		c, err := topology.Read(f.Map)
+	if gateway, ok := dest.(*Gateway); ok && gateway.Map != "" {
+		distances, err := topology.Read(gateway.Map)
 		if err != nil {
 			return fmt.Errorf("map: %w", err)
 		}
-		f.Chart = c
+		gateway.Chart = distances
 	}
-	if m, ok := dest.(*Controller); ok && m.Data != "" {
-		i, err := os.Stat(m.Data)
+	if controller, ok := dest.(*Controller); ok && controller.Data != "" {
+		i, err := os.Stat(controller.Data)
 		if err != nil {
 			return fmt.Errorf("data: %w", err)
 		}
 		if !i.IsDir() {
-			return fmt.Errorf("data: %s is no folder", m.Data)
+			return fmt.Errorf("data: %s is no folder", controller.Data)
 		}
 	}
 	return nil
--- a/internal/statement/executor.go
+++ b/internal/statement/executor.go
@@ -41,46 +41,46 @@
 
 // Execute executes one statement. Nothing is changed unless the whole statement is valid.
 func (ex *Executor) Execute(ctx context.Context, text string) (Reply, error) {
-	x, err := Parse(text)
+	statement, err := Parse(text)
 	if err != nil {
 		return Reply{}, errors.Join(ErrInvalid, err)
 	}
 	switch {
-	case x.Show != nil:
-		return ex.executeShow(ctx, x.Show)
-	case x.Why != nil && x.Why.Call != nil:
-		d, err := ex.Queries.ExplainCall(ctx, *x.Why.Call)
+	case statement.Show != nil:
+		return ex.executeShow(ctx, statement.Show)
+	case statement.Why != nil && statement.Why.Call != nil:
+		d, err := ex.Queries.ExplainCall(ctx, *statement.Why.Call)
 		return Reply{"call", d}, err
-	case x.Why != nil:
-		svc, id, err := x.Why.Target.splitName()
+	case statement.Why != nil:
+		svc, id, err := statement.Why.Target.splitName()
 		if err != nil {
 			return Reply{}, err
 		}
 		return replyTo("why", ex.Queries.ExplainTarget)(ctx, svc, id)
-	case x.History != nil:
-		d, err := ex.Queries.History(ctx, *x.History)
+	case statement.History != nil:
+		d, err := ex.Queries.History(ctx, *statement.History)
 		return Reply{"history", d}, err
-	case x.Diff != nil:
-		d, err := ex.Queries.Diff(ctx, x.Diff.From, x.Diff.To)
+	case statement.Diff != nil:
+		d, err := ex.Queries.Diff(ctx, statement.Diff.From, statement.Diff.To)
 		return Reply{"diff", d}, err
-	case x.Wait != nil:
-		n, err := ex.WaitInForce(ctx, *x.Wait)
+	case statement.Wait != nil:
+		n, err := ex.WaitInForce(ctx, *statement.Wait)
 		return Reply{"in force", n}, err
-	case x.Order != nil:
-		return ex.applyOrder(ctx, x.Order)
-	case x.Drain != nil && x.Drain.Node != nil:
-		return ex.setDrained(ctx, *x.Drain.Node, true)
-	case x.Drain != nil:
-		return ex.drainTarget(ctx, x.Drain.Target)
-	case x.Resume != nil:
-		return ex.setDrained(ctx, *x.Resume, false)
-	case x.Swap != nil:
-		if err := ex.Supervisor.RequestSwap(ctx, x.Swap.Out, x.Swap.In); err != nil {
+	case statement.Order != nil:
+		return ex.applyOrder(ctx, statement.Order)
+	case statement.Drain != nil && statement.Drain.Node != nil:
+		return ex.setDrained(ctx, *statement.Drain.Node, true)
+	case statement.Drain != nil:
+		return ex.drainTarget(ctx, statement.Drain.Target)
+	case statement.Resume != nil:
+		return ex.setDrained(ctx, *statement.Resume, false)
+	case statement.Swap != nil:
+		if err := ex.Supervisor.RequestSwap(ctx, statement.Swap.Out, statement.Swap.In); err != nil {
 			return Reply{}, err
 		}
-		return Reply{"wished", *x.Swap}, nil
-	case x.Forget != nil:
-		return Reply{"forgotten", *x.Forget}, ex.Ledger.RemoveGateway(ctx, *x.Forget)
+		return Reply{"wished", *statement.Swap}, nil
+	case statement.Forget != nil:
+		return Reply{"forgotten", *statement.Forget}, ex.Ledger.RemoveGateway(ctx, *statement.Forget)
 	}
 	return Reply{"help", Help}, nil
 }
@@ -102,29 +102,29 @@
 	return svc, id, nil
 }
 
-func (ex *Executor) executeShow(ctx context.Context, x *Show) (Reply, error) {
+func (ex *Executor) executeShow(ctx context.Context, show *Show) (Reply, error) {
 	switch {
-	case x.Nodes:
+	case show.Nodes:
 		d, err := ex.Queries.Nodes(ctx)
 		return Reply{"nodes", d}, err
-	case x.Targets != nil:
-		d, err := ex.Queries.Targets(ctx, x.Targets.Service)
+	case show.Targets != nil:
+		d, err := ex.Queries.Targets(ctx, show.Targets.Service)
 		return Reply{"targets", d}, err
-	case x.Ledger != nil:
-		d, err := ex.Queries.Decisions(ctx, x.Ledger.Last)
+	case show.Ledger != nil:
+		d, err := ex.Queries.Decisions(ctx, show.Ledger.Last)
 		return Reply{"ledger", d}, err
-	case x.Change != nil:
-		d, err := ex.Queries.Change(ctx, x.Change.Version, x.Change.Token)
+	case show.Change != nil:
+		d, err := ex.Queries.Change(ctx, show.Change.Version, show.Change.Token)
 		return Reply{"change", d}, err
-	case x.Sheet != nil:
-		d, err := ex.Queries.Sheet(ctx, x.Sheet.Number)
+	case show.Sheet != nil:
+		d, err := ex.Queries.Sheet(ctx, show.Sheet.Number)
 		return Reply{"sheet", d}, err
-	case x.Picture:
+	case show.Picture:
 		d, err := ex.Queries.FullState(ctx)
 		return Reply{"picture", d}, err
-	case x.Core:
+	case show.Core:
 		return Reply{"core", ex.Queries.Proposer.Core()}, nil
-	case x.Bindings:
+	case show.Bindings:
 		d, err := ex.Queries.Sheet(ctx, 0)
 		return Reply{"bindings", d.Sheet.Bindings}, err
 	}
--- a/internal/statement/grammar.go
+++ b/internal/statement/grammar.go
@@ -139,6 +139,7 @@
 	Binding *string `parser:"| 'binding' @(Word|String)"`
 }
 
+// tokens are the lexical rules of the language.
 var tokens = lexer.MustSimple([]lexer.SimpleRule{
 	{Name: "String", Pattern: `"[^"]*"`},
 	{Name: "Number", Pattern: `[0-9]+(\.[0-9]+)?\b`},
--- a/internal/topology/topology.go
+++ b/internal/topology/topology.go
@@ -54,7 +54,7 @@
 	if len(f.Graphs) != 1 {
 		return nil, fmt.Errorf("%d graphs, not one", len(f.Graphs))
 	}
-	c := &Distances{roundTripMS: map[[2]string]float64{}}
+	distances := &Distances{roundTripMS: map[[2]string]float64{}}
 	for _, s := range f.Graphs[0].Stmts {
 		e, ok := s.(*ast.EdgeStmt)
 		if !ok {
@@ -77,11 +77,11 @@
 			if !ok || !is {
 				return nil, fmt.Errorf("an edge joins something other than two zones")
 			}
-			c.setShorter(unquote(from.ID), unquote(n.ID), ms)
+			distances.setShorter(unquote(from.ID), unquote(n.ID), ms)
 			from = n
 		}
 	}
-	return c, c.addIndirect()
+	return distances, distances.addIndirect()
 }
 
 // unquote removes the quotes of an identifier, if any.
@@ -110,15 +110,15 @@
 		}
 		points[z] = f.Geometry.Point
 	}
-	c := &Distances{roundTripMS: map[[2]string]float64{}}
+	distances := &Distances{roundTripMS: map[[2]string]float64{}}
 	for a, p := range points {
 		for b, q := range points {
 			if a < b {
-				c.setShorter(a, b, greatCircleMetres(p, q)/roundTripMetresPerMS)
+				distances.setShorter(a, b, greatCircleMetres(p, q)/roundTripMetresPerMS)
 			}
 		}
 	}
-	return c, c.addIndirect()
+	return distances, distances.addIndirect()
 }
 
 // greatCircleMetres returns the distance in metres between two points given as longitude and
