--- a/internal/commands/supervisor.go
+++ b/internal/commands/supervisor.go
@@ -144,8 +144,8 @@
 }
 
 // broadcastMark informs every controller's registry that a target run is suspected or gone. A
-// controller that misses the message
-// shows the old state for a while longer; the gateways do not depend on it.
+// controller that misses the message shows the old state for a while longer; the gateways do not
+// depend on it.
 func (sv *Supervisor) broadcastMark(ctx context.Context, t ledger.Target, suspect, gone bool) {
 	callCtx, cancel := context.WithTimeout(ctx, 300*time.Millisecond)
 	defer cancel()
--- a/internal/passage/attempt.go
+++ b/internal/passage/attempt.go
@@ -81,7 +81,7 @@
 	}
 }
 
-// hedge queues a call whose send is still under way for selection again, unless another
+// hedge queues a call for another selection while its send is still under way, unless another
 // attempt has already replaced this one.
 func (p *Pipeline) hedge(attempt *Attempt, reason string) {
 	call := attempt.Call
--- a/internal/passage/claims.go
+++ b/internal/passage/claims.go
@@ -79,7 +79,7 @@
 	return response
 }
 
-// reject ends a call that was never sent with response.
+// reject answers a call with response, unless a send may already have written.
 func (p *Pipeline) reject(call *Call, response httpapi.ErrorResponse) {
 	if call.tryMarkNotSent() {
 		call.finish(nil, &response)
--- a/internal/passage/pipeline.go
+++ b/internal/passage/pipeline.go
@@ -274,7 +274,8 @@
 	p.enqueueSelection(call, "the queue before the choice is full")
 }
 
-// enqueueSelection queues a call for target selection; why is the reason given if the queue is full.
+// enqueueSelection queues a call for target selection, or refuses it with reason if the queue is
+// full.
 func (p *Pipeline) enqueueSelection(call *Call, reason string) {
 	call.mu.Lock()
 	call.selecting = true
--- a/internal/passage/select_test.go
+++ b/internal/passage/select_test.go
@@ -34,13 +34,13 @@
 	return p, gatewayTable.Targets("s")
 }
 
-// recordArrivals records probe responses of the first n targets every 400 ms, numbered from from.
-// The others stay silent. The identity proofs of all targets are renewed.
-func recordArrivals(p *Pipeline, targets []*registry.Target, n int, from uint64, times int) {
+// recordArrivals records probe responses of the first n targets every 400 ms, numbered from
+// firstSeq. The others stay silent. The identity proofs of all targets are renewed.
+func recordArrivals(p *Pipeline, targets []*registry.Target, n int, firstSeq uint64, times int) {
 	for j := range times {
 		time.Sleep(400 * time.Millisecond)
 		for _, s := range targets[:n] {
-			s.Detector.RecordArrival(from+uint64(j), time.Now())
+			s.Detector.RecordArrival(firstSeq+uint64(j), time.Now())
 		}
 		for _, s := range targets {
 			p.Targets.RecordProof(s, time.Now())
