--- a/internal/sim/target.go
+++ b/internal/sim/target.go
@@ -205,9 +205,9 @@
 
 var errReset = errors.New("connection reset")
 
-// Carry sends s. It connects first and then calls BeforeWrite, if that is set, which decides
+// Send sends s. It connects first and then calls BeforeWrite, if that is set, which decides
 // whether the request is written.
-func (c *targetTransport) Carry(ctx context.Context, s *passage.SendRequest) (*passage.Response, bool, error) {
+func (c *targetTransport) Send(ctx context.Context, s *passage.SendRequest) (*passage.Response, bool, error) {
 	callCtx, cancel := context.WithDeadline(ctx, s.Expiry)
 	defer cancel()
 	stop := context.AfterFunc(c.procCtx, cancel)
@@ -234,7 +234,7 @@
 		return nil, false, errUnreachable
 	}
 	if s.BeforeWrite != nil && !s.BeforeWrite() {
-		return nil, false, passage.ErrStopped
+		return nil, false, passage.ErrSendCancelled
 	}
 	c.host.waitThawed()
 	if c.procCtx.Err() != nil {
--- a/internal/sim/world.go
+++ b/internal/sim/world.go
@@ -593,11 +593,11 @@
 		o.Err = "Timeout"
 		return o
 	}
-	if result.Verdict != nil {
+	if result.ErrorResponse != nil {
 		o.Call = result.ID
-		o.Status, o.Code, o.Reason, o.Forwarded = result.Verdict.Status, result.Verdict.Code, result.Verdict.Reason, result.Verdict.Sent
-		if result.Verdict.RetryDelay > 0 {
-			o.RetryAfter = result.Verdict.RetryAfter()
+		o.Status, o.Code, o.Reason, o.Forwarded = result.ErrorResponse.Status, result.ErrorResponse.Code, result.ErrorResponse.Reason, result.ErrorResponse.Sent
+		if result.ErrorResponse.RetryDelay > 0 {
+			o.RetryAfter = result.ErrorResponse.RetryAfter()
 		}
 		return o
 	}
--- a/internal/statement/executor.go
+++ b/internal/statement/executor.go
@@ -20,11 +20,13 @@
 
 // Executor executes statements on one controller.
 type Executor struct {
-	Queries     *queries.Reader
-	Changer     *commands.Changer
-	Drainer     *commands.Drainer
-	Supervisor  *commands.Supervisor
-	Ledger      *ledger.Ledger
+	Queries    *queries.Reader
+	Changer    *commands.Changer
+	Drainer    *commands.Drainer
+	Supervisor *commands.Supervisor
+	Ledger     *ledger.Ledger
+	// WaitInForce waits until at least version n is in force everywhere and returns the version
+	// that is.
 	WaitInForce func(ctx context.Context, n uint64) (uint64, error)
 }
 
@@ -39,50 +41,51 @@
 
 // Execute executes one statement. Nothing is changed unless the whole statement is valid.
 func (ex *Executor) Execute(ctx context.Context, text string) (Reply, error) {
-	x, err := Parse(text)
+	statement, err := Parse(text)
 	if err != nil {
 		return Reply{}, errors.Join(ErrInvalid, err)
 	}
 	switch {
-	case x.Show != nil:
-		return ex.show(ctx, x.Show)
-	case x.Why != nil && x.Why.Call != nil:
-		d, err := ex.Queries.ExplainCall(ctx, *x.Why.Call)
+	case statement.Show != nil:
+		return ex.executeShow(ctx, statement.Show)
+	case statement.Why != nil && statement.Why.Call != nil:
+		d, err := ex.Queries.ExplainCall(ctx, *statement.Why.Call)
 		return Reply{"call", d}, err
-	case x.Why != nil:
-		svc, id, err := x.Why.Target.split()
+	case statement.Why != nil:
+		svc, id, err := statement.Why.Target.splitName()
 		if err != nil {
 			return Reply{}, err
 		}
 		return replyTo("why", ex.Queries.ExplainTarget)(ctx, svc, id)
-	case x.History != nil:
-		d, err := ex.Queries.History(ctx, *x.History)
+	case statement.History != nil:
+		d, err := ex.Queries.History(ctx, *statement.History)
 		return Reply{"history", d}, err
-	case x.Diff != nil:
-		d, err := ex.Queries.Diff(ctx, x.Diff.From, x.Diff.To)
+	case statement.Diff != nil:
+		d, err := ex.Queries.Diff(ctx, statement.Diff.From, statement.Diff.To)
 		return Reply{"diff", d}, err
-	case x.Wait != nil:
-		n, err := ex.WaitInForce(ctx, *x.Wait)
+	case statement.Wait != nil:
+		n, err := ex.WaitInForce(ctx, *statement.Wait)
 		return Reply{"in force", n}, err
-	case x.Order != nil:
-		return ex.change(ctx, x.Order)
-	case x.Drain != nil && x.Drain.Node != nil:
-		return ex.setDrained(ctx, *x.Drain.Node, true)
-	case x.Drain != nil:
-		return ex.drainTarget(ctx, x.Drain.Target)
-	case x.Resume != nil:
-		return ex.setDrained(ctx, *x.Resume, false)
-	case x.Swap != nil:
-		if err := ex.Supervisor.RequestSwap(ctx, x.Swap.Out, x.Swap.In); err != nil {
+	case statement.Order != nil:
+		return ex.applyOrder(ctx, statement.Order)
+	case statement.Drain != nil && statement.Drain.Node != nil:
+		return ex.setDrained(ctx, *statement.Drain.Node, true)
+	case statement.Drain != nil:
+		return ex.drainTarget(ctx, statement.Drain.Target)
+	case statement.Resume != nil:
+		return ex.setDrained(ctx, *statement.Resume, false)
+	case statement.Swap != nil:
+		if err := ex.Supervisor.RequestSwap(ctx, statement.Swap.Out, statement.Swap.In); err != nil {
 			return Reply{}, err
 		}
-		return Reply{"wished", *x.Swap}, nil
-	case x.Forget != nil:
-		return Reply{"forgotten", *x.Forget}, ex.Ledger.RemoveGateway(ctx, *x.Forget)
+		return Reply{"wished", *statement.Swap}, nil
+	case statement.Forget != nil:
+		return Reply{"forgotten", *statement.Forget}, ex.Ledger.RemoveGateway(ctx, *statement.Forget)
 	}
 	return Reply{"help", Help}, nil
 }
 
+// replyTo wraps f so that its result becomes a Reply of the given kind.
 func replyTo[A, B any](kind string, f func(context.Context, A, B) (any, error)) func(context.Context, A, B) (Reply, error) {
 	return func(ctx context.Context, a A, b B) (Reply, error) {
 		d, err := f(ctx, a, b)
@@ -90,7 +93,8 @@
 	}
 }
 
-func (t *Target) split() (string, string, error) {
+// splitName returns the service and the ID of the target.
+func (t *Target) splitName() (string, string, error) {
 	svc, id, ok := strings.Cut(t.Name, "/")
 	if !ok || svc == "" || id == "" {
 		return "", "", errors.Join(ErrInvalid, fmt.Errorf("%q is no target: SERVICE/ID", t.Name))
@@ -98,29 +102,29 @@
 	return svc, id, nil
 }
 
-func (ex *Executor) show(ctx context.Context, x *Show) (Reply, error) {
+func (ex *Executor) executeShow(ctx context.Context, show *Show) (Reply, error) {
 	switch {
-	case x.Nodes:
+	case show.Nodes:
 		d, err := ex.Queries.Nodes(ctx)
 		return Reply{"nodes", d}, err
-	case x.Targets != nil:
-		d, err := ex.Queries.Targets(ctx, x.Targets.Service)
+	case show.Targets != nil:
+		d, err := ex.Queries.Targets(ctx, show.Targets.Service)
 		return Reply{"targets", d}, err
-	case x.Ledger != nil:
-		d, err := ex.Queries.Decisions(ctx, x.Ledger.Last)
+	case show.Ledger != nil:
+		d, err := ex.Queries.Decisions(ctx, show.Ledger.Last)
 		return Reply{"ledger", d}, err
-	case x.Change != nil:
-		d, err := ex.Queries.Change(ctx, x.Change.Version, x.Change.Token)
+	case show.Change != nil:
+		d, err := ex.Queries.Change(ctx, show.Change.Version, show.Change.Token)
 		return Reply{"change", d}, err
-	case x.Sheet != nil:
-		d, err := ex.Queries.Sheet(ctx, x.Sheet.Number)
+	case show.Sheet != nil:
+		d, err := ex.Queries.Sheet(ctx, show.Sheet.Number)
 		return Reply{"sheet", d}, err
-	case x.Picture:
+	case show.Picture:
 		d, err := ex.Queries.FullState(ctx)
 		return Reply{"picture", d}, err
-	case x.Core:
+	case show.Core:
 		return Reply{"core", ex.Queries.Proposer.Core()}, nil
-	case x.Bindings:
+	case show.Bindings:
 		d, err := ex.Queries.Sheet(ctx, 0)
 		return Reply{"bindings", d.Sheet.Bindings}, err
 	}
@@ -128,10 +132,10 @@
 	return Reply{"services", d.Sheet.Services}, err
 }
 
-// change converts an order into edits and applies them.
-func (ex *Executor) change(ctx context.Context, x *Order) (Reply, error) {
-	o := commands.Order{Base: x.Base, Token: x.Token, Operator: x.By, Note: x.Note, DryRun: x.Check}
-	for _, e := range x.Edits {
+// applyOrder converts an order into edits and applies them.
+func (ex *Executor) applyOrder(ctx context.Context, order *Order) (Reply, error) {
+	o := commands.Order{Base: order.Base, Token: order.Token, Operator: order.By, Note: order.Note, DryRun: order.Check}
+	for _, e := range order.Edits {
 		switch {
 		case e.RollBack != nil:
 			old, err := ex.Ledger.SheetAt(ctx, *e.RollBack)
@@ -155,7 +159,7 @@
 	return Reply{"result", ex.Changer.Apply(ctx, o)}, nil
 }
 
-// setDrained drains a node by hand or ends that.
+// setDrained drains a node, or resumes it if on is false.
 func (ex *Executor) setDrained(ctx context.Context, id string, on bool) (Reply, error) {
 	m, ok := lo.Find(ex.Queries.Membership.Members(), func(m membership.Member) bool { return m.ID == id })
 	if !ok {
@@ -167,9 +171,9 @@
 	return Reply{lo.Ternary(on, "drained", "resumed"), id}, nil
 }
 
-// drainTarget stops new requests to the run of a target that this controller knows.
+// drainTarget stops new requests to a target, in the run that this controller knows.
 func (ex *Executor) drainTarget(ctx context.Context, x *Target) (Reply, error) {
-	svc, id, err := x.split()
+	svc, id, err := x.splitName()
 	if err != nil {
 		return Reply{}, err
 	}
--- a/internal/topology/topology.go
+++ b/internal/topology/topology.go
@@ -25,7 +25,7 @@
 // Distances holds the round-trip times between zones in milliseconds.
 type Distances struct {
 	roundTripMS map[[2]string]float64
-	// nearest is the distance from each zone to its nearest neighbour.
+	// nearest is the distance in milliseconds from each zone to its nearest neighbour.
 	nearest map[string]float64
 }
 
@@ -45,7 +45,7 @@
 }
 
 // ParseDot parses a graph whose nodes are zones and whose edges have the attribute "ms". The
-// distance of zones without an edge is the shortest path through others.
+// distance between two zones is the length of the shortest path.
 func ParseDot(data []byte) (*Distances, error) {
 	f, err := dot.ParseBytes(data)
 	if err != nil {
@@ -54,7 +54,7 @@
 	if len(f.Graphs) != 1 {
 		return nil, fmt.Errorf("%d graphs, not one", len(f.Graphs))
 	}
-	c := &Distances{roundTripMS: map[[2]string]float64{}}
+	distances := &Distances{roundTripMS: map[[2]string]float64{}}
 	for _, s := range f.Graphs[0].Stmts {
 		e, ok := s.(*ast.EdgeStmt)
 		if !ok {
@@ -77,11 +77,11 @@
 			if !ok || !is {
 				return nil, fmt.Errorf("an edge joins something other than two zones")
 			}
-			c.setShorter(unquote(from.ID), unquote(n.ID), ms)
+			distances.setShorter(unquote(from.ID), unquote(n.ID), ms)
 			from = n
 		}
 	}
-	return c, c.addIndirect()
+	return distances, distances.addIndirect()
 }
 
 // unquote removes the quotes of an identifier, if any.
@@ -106,29 +106,30 @@
 			return nil, fmt.Errorf("features[%d]: not a point with the property zone", i)
 		}
 		if _, twice := points[z]; twice {
-			return nil, fmt.Errorf("features[%d]: zone %s stands there twice", i, z)
+			return nil, fmt.Errorf("features[%d]: zone %s is listed twice", i, z)
 		}
 		points[z] = f.Geometry.Point
 	}
-	c := &Distances{roundTripMS: map[[2]string]float64{}}
+	distances := &Distances{roundTripMS: map[[2]string]float64{}}
 	for a, p := range points {
 		for b, q := range points {
 			if a < b {
-				c.setShorter(a, b, distance(p, q)/roundTripMetresPerMS)
+				distances.setShorter(a, b, greatCircleMetres(p, q)/roundTripMetresPerMS)
 			}
 		}
 	}
-	return c, c.addIndirect()
+	return distances, distances.addIndirect()
 }
 
-// distance returns the great-circle distance in metres between two points given as longitude
-// and latitude.
-func distance(p, q []float64) float64 {
+// greatCircleMetres returns the distance in metres between two points given as longitude and
+// latitude.
+func greatCircleMetres(p, q []float64) float64 {
 	const radius, deg = 6371e3, math.Pi / 180
 	a, b := math.Sin((q[1]-p[1])*deg/2), math.Sin((q[0]-p[0])*deg/2)
 	return 2 * radius * math.Asin(math.Sqrt(min(1, a*a+math.Cos(p[1]*deg)*math.Cos(q[1]*deg)*b*b)))
 }
 
+// setShorter sets the distance between two zones, unless a shorter one is known.
 func (c *Distances) setShorter(a, b string, ms float64) {
 	if o, ok := c.roundTripMS[[2]string{a, b}]; !ok || ms < o {
 		c.roundTripMS[[2]string{a, b}], c.roundTripMS[[2]string{b, a}] = ms, ms
