--- a/internal/commands/supervisor.go
+++ b/internal/commands/supervisor.go
@@ -310,7 +310,7 @@
 	if err != nil {
 		return steperr.Wrap("decide swap", in.ID, err)
 	}
-	sv.Log.Info("voter seat reassigned", "step", "swap", "mate", in.ID, "out", out.ID, "epoch", next.Epoch)
+	sv.Log.Info("seat passes on", "step", "swap", "mate", in.ID, "out", out.ID, "epoch", next.Epoch)
 	_, err = sv.finishSwap(ctx, core)
 	return err
 }
--- a/internal/control/change.go
+++ b/internal/control/change.go
@@ -106,7 +106,7 @@
 
 // ErrStale reports that a change was not carried out, because its caller may have given it up and
 // sent it to another node.
-var ErrStale = errors.New("not carried out: the caller may have sent this to another node")
+var ErrStale = errors.New("the caller may have sent this elsewhere: not carried out here")
 
 // ApplyFor is Apply for a caller that may disconnect. A nil caller never does.
 func (n *Node) ApplyFor(ctx context.Context, caller Caller, c Change) (problems []route.Problem, err error) {
--- a/internal/control/core.go
+++ b/internal/control/core.go
@@ -52,7 +52,7 @@
 		if current.exposure.Total() > 0 {
 			n.Log.Warn("the core does not bear every loss that it is to tolerate", attrs...)
 		} else {
-			n.Log.Info("the core changed", attrs...)
+			n.Log.Info("the core", attrs...)
 		}
 	}
 	switch {
--- a/internal/control/node.go
+++ b/internal/control/node.go
@@ -130,7 +130,7 @@
 	n.Replica.OnItem = func(i item.Item) {
 		n.recordUpgrade(i)
 		if err := n.routeValidator.Apply(i); err != nil {
-			cfg.Log.Error("cannot decode item", "step", "apply", "item", i.Name, "err", err)
+			cfg.Log.Error("item that can't be read", "step", "apply", "item", i.Name, "err", err)
 		}
 	}
 	if cfg.Disk != nil {
@@ -149,7 +149,7 @@
 	size := cfg.Tolerance.MinSeats(cfg.Zones)
 	attainable := cfg.Tolerance.Attainable(cfg.Zones, size)
 	if attainable.Total() > 0 {
-		cfg.Log.Warn("no placement in the zones of this deployment tolerates every loss that it should", "step", "core", "tolerance", cfg.Tolerance, "exposed", attainable)
+		cfg.Log.Warn("no placement in the zones of this deployment bears what is to be tolerated", "step", "core", "tolerance", cfg.Tolerance, "exposed", attainable)
 	}
 	n.bootstrapper = &quorum.Bootstrapper{Seeds: cfg.Seeds, Self: cfg.InternalAddr, Size: size, Tolerance: cfg.Tolerance, Attainable: attainable, Transport: cfg.Transport, Clock: cfg.Clock, Proposer: n.Proposer, Voter: n.Voter, SubsequentStart: !cfg.InitialStart}
 	n.bootstrapper.Serve(n.Mux)
--- a/internal/control/recall.go
+++ b/internal/control/recall.go
@@ -44,7 +44,7 @@
 func (n *Node) loadJournal() {
 	records, err := n.RunJournal.Load()
 	if err != nil {
-		n.Log.Warn("cannot read the run journal", "step", "recall", "err", err)
+		n.Log.Warn("notes of targets can't be read", "step", "recall", "err", err)
 	}
 	runs, bad := make([]target.Run, 0, len(records)), 0
 	for _, b := range records {
@@ -57,7 +57,7 @@
 	}
 	n.Replica.MergeRuns(runs)
 	if len(records) > 0 {
-		n.Log.Info("loaded runs from the journal", "step", "recall", "records", len(records), "bad", bad)
+		n.Log.Info("targets recalled", "step", "recall", "records", len(records), "bad", bad)
 	}
 }
 
@@ -89,7 +89,7 @@
 		changed := n.Replica.Changed()
 		pause := journalInterval
 		if err := n.updateJournal(&s); err != nil {
-			n.Log.Warn("cannot write the run journal", "step", "note", "err", err)
+			n.Log.Warn("notes of targets can't be written", "step", "note", "err", err)
 			s.appendable, pause = false, journalRetryDelay
 		}
 		if n.Clock.Sleep(ctx, pause) != nil {
--- a/internal/link/link.go
+++ b/internal/link/link.go
@@ -49,7 +49,7 @@
 func (m *Mux) Dispatch(ctx context.Context, from Identity, request any) (any, error) {
 	handler, ok := m.handlers[reflect.TypeOf(request)]
 	if !ok {
-		return nil, steperr.New("answer", from.ID, "no handler for requests of type %T", request)
+		return nil, steperr.New("answer", from.ID, "no answer here to %T", request)
 	}
 	return handler(ctx, from, request)
 }
--- a/internal/link/tcp.go
+++ b/internal/link/tcp.go
@@ -361,11 +361,11 @@
 	defer func() {
 		if value := recover(); value != nil {
 			logger.Error("panic in request handler", "step", "answer", "peer", from.ID, "panic", value, "stack", string(debug.Stack()))
-			response.Body, response.Err = nil, "internal error"
+			response.Body, response.Err = nil, "internal defect"
 		}
 	}()
 	if request.Body == nil {
-		response.Err = "request without a body"
+		response.Err = "empty question"
 		return response
 	}
 	timeout := time.Duration(request.Wait)
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -119,7 +119,7 @@
 	e.discard(c, true)
 	o = classifyError(c, err, reused)
 	if o == outcomeInvalid {
-		n.warnLimited("an invalid answer was discarded", "step", "answer", "peer", run, "err", err)
+		n.warnLimited("an answer was thrown away", "step", "answer", "peer", run, "err", err)
 	}
 	return o, false
 }
--- a/internal/proxy/config_age.go
+++ b/internal/proxy/config_age.go
@@ -89,7 +89,7 @@
 		return
 	}
 	n.stats.newsTurns.Add(1)
-	n.log.Warn("the age class of the known configuration changed", "step", "news", "was", configStateNames[previous], "is", configStateNames[state],
+	n.log.Warn("what this node knows has another age", "step", "news", "was", configStateNames[previous], "is", configStateNames[state],
 		"age_ms", age.Milliseconds(), "way_ms", n.sendDelay().Milliseconds())
 }
 
--- a/internal/proxy/serve.go
+++ b/internal/proxy/serve.go
@@ -92,7 +92,7 @@
 		return steperr.Wrap("stop", "", err)
 	}
 	n.closeListeners()
-	n.log.Info("listeners and idle caller connections are closed", "step", "stop", "under_way", n.inFlight())
+	n.log.Info("no more callers are taken", "step", "stop", "under_way", n.inFlight())
 	finished := make(chan struct{})
 	go func() {
 		n.callersWG.Wait()
@@ -102,7 +102,7 @@
 		return nil
 	}
 	close(n.sendsClosed)
-	n.log.Info("no more requests are sent to targets", "step", "stop", "under_way", n.inFlight(), "requests", n.sampleUnfinished())
+	n.log.Info("the last call", "step", "stop", "under_way", n.inFlight(), "requests", n.sampleUnfinished())
 	if n.waitDone(ctx, finished, deadline) {
 		return nil
 	}
@@ -110,7 +110,7 @@
 		return steperr.Wrap("stop", "", err)
 	}
 	n.logUnfinished()
-	return steperr.New("stop", "", "%d requests were not answered in the grace period", n.stats.inside.Load())
+	return steperr.New("stop", "", "%d requests were not answered in the grace", n.stats.inside.Load())
 }
 
 // closeListeners closes the listeners and the idle caller connections.
@@ -150,6 +150,6 @@
 // logUnfinished logs requests that a planned stop leaves unanswered.
 func (n *Node) logUnfinished() {
 	for _, u := range n.sampleUnfinished() {
-		n.log.Warn("a request was not answered in the grace period", "step", "stop", "request", u)
+		n.log.Warn("a request was not answered in the grace", "step", "stop", "request", u)
 	}
 }
--- a/internal/proxy/slow_reader.go
+++ b/internal/proxy/slow_reader.go
@@ -95,7 +95,7 @@
 		return nil
 	case float64(w.windowBytes) < float64(w.c.n.settings.MinReadRate)*elapsed.Seconds():
 		w.c.n.stats.tooSlow.Add(1)
-		w.c.n.warnLimited("an answer was cut off: its caller read below the minimum rate", "step", "answer", "peer", w.c.nc.RemoteAddr().String(), "bytes", w.windowBytes, "in", elapsed.String())
+		w.c.n.warnLimited("an answer was cut off: its caller took less than the least rate", "step", "answer", "peer", w.c.nc.RemoteAddr().String(), "bytes", w.windowBytes, "in", elapsed.String())
 		return errSlowReader
 	case !now.Before(w.noWindowAfter):
 		return err
--- a/internal/quorum/proposerdecide.go
+++ b/internal/quorum/proposerdecide.go
@@ -16,7 +16,7 @@
 // ErrPartialConflict says that a call can neither be confirmed nor refused: other content is settled
 // for one of its versions, while another item of the same call may be in force. This happens only
 // if two calls share some of their names and a third call completed a part of one of them.
-var ErrPartialConflict = errors.New("a part of the change was superseded by a conflicting one, another part may be in force")
+var ErrPartialConflict = errors.New("a part of the change is overtaken by a conflicting one, another part may be in force")
 
 // ConflictError says that a version of an item has other content than the given one.
 // No item of the call has been or will be in force.
--- a/internal/quorum/reconfigurer.go
+++ b/internal/quorum/reconfigurer.go
@@ -194,7 +194,7 @@
 		return steperr.Wrap("decide swap", joins, err)
 	}
 	if rc.Log != nil {
-		rc.Log.Info("next core decided", "step", "swap", "peer", joins, "out", leaves, "epoch", next.Epoch, "seats", len(next.Seats))
+		rc.Log.Info("seat passes on", "step", "swap", "peer", joins, "out", leaves, "epoch", next.Epoch, "seats", len(next.Seats))
 	}
 	return rc.applyCore(ctx, v, next)
 }
--- a/internal/quorum/voterdecision.go
+++ b/internal/quorum/voterdecision.go
@@ -97,7 +97,7 @@
 	}
 	for _, k := range keys {
 		if len(k.Name) > maxMergeNameBytes || k.Kind == 0 {
-			return steperr.New(step, v.self.ID, "item %.40q has no kind, or its name of %d bytes exceeds the limit of %d", k.Name, len(k.Name), maxMergeNameBytes)
+			return steperr.New(step, v.self.ID, "item %.40q, name of %d bytes; limit %d", k.Name, len(k.Name), maxMergeNameBytes)
 		}
 	}
 	return nil
--- a/internal/target/heartbeat.go
+++ b/internal/target/heartbeat.go
@@ -15,7 +15,7 @@
 		}
 	}
 	if b.Slots < 0 || b.Cold < 0 {
-		return steperr.New("beat", b.ID, "slots or the time of slow operation is below 0")
+		return steperr.New("beat", b.ID, "slots and the time of slowness are not below 0")
 	}
 	return nil
 }
--- a/internal/upgrade/upgrade.go
+++ b/internal/upgrade/upgrade.go
@@ -164,11 +164,11 @@
 func (o Order) Validate() error {
 	switch {
 	case o.Service == "" || len(o.Service) > maxNameLen:
-		return fmt.Errorf("service: the length must be 1 to %d bytes", maxNameLen)
+		return fmt.Errorf("service: 1 to %d characters are wanted", maxNameLen)
 	case o.To == "" || len(o.To) > maxNameLen:
-		return fmt.Errorf("version: the length must be 1 to %d bytes", maxNameLen)
+		return fmt.Errorf("version: 1 to %d characters are wanted", maxNameLen)
 	case o.Term <= 0 || o.Term > maxTerm:
-		return fmt.Errorf("term: must be more than 0 and at most %v", maxTerm)
+		return fmt.Errorf("term: more than 0 and at most %v is wanted", maxTerm)
 	}
 	return nil
 }
